--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -3,8 +3,8 @@
 // service holds all truth; whatever a process has in memory is a cache of it.
 package ledger
 
-//go:generate go run github.com/mailru/easyjson/easyjson@v0.9.2 -output_filename records_easyjson.go records.go
-//go:generate go run github.com/mailru/easyjson/easyjson@v0.9.2 -output_filename wire_easyjson.go wire.go
+//go:generate go tool easyjson -output_filename records_easyjson.go records.go
+//go:generate go tool easyjson -output_filename wire_easyjson.go wire.go
 
 import (
 	"fmt"
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -3,7 +3,7 @@
 // Messages that come by the hundred a second are read and written by generated
 // code: reading them by reflection took a quarter of the processor time.
 //
-//go:generate go run github.com/mailru/easyjson/easyjson@v0.9.2 -output_filename messages_easyjson.go messages.go
+//go:generate go tool easyjson -output_filename messages_easyjson.go messages.go
 
 import (
 	"bytes"
@@ -288,16 +288,16 @@
 	Grace *float64 `json:"windDownS,omitempty"`
 }
 
-// Start, Stop and Reap make commands.
+// Start is the command that begins an attempt of a task.
 func Start(task string, try uint64) Command { return Command{Verb: "start", Task: task, Try: try} }
 
-// Stop asks a task to end within a grace.
+// Stop is the command that ends a task's attempt within a grace period.
 func Stop(task string, try uint64, grace time.Duration) Command {
 	g := grace.Seconds()
 	return Command{Verb: "stop", Task: task, Try: try, Grace: &g}
 }
 
-// Reap removes an exited task from the worker's memory.
+// Reap is the command that removes an exited task from the worker's memory.
 func Reap(task string, try uint64) Command { return Command{Verb: "reap", Task: task, Try: try} }
 
 // ReportAnswer answers a report.
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -1,6 +1,6 @@
 package protocol
 
-//go:generate go run github.com/mailru/easyjson/easyjson@v0.9.2 -output_filename peer_easyjson.go peer.go
+//go:generate go tool easyjson -output_filename peer_easyjson.go peer.go
 
 import (
 	"encoding/json"
