--- a/internal/coordination/cancel.go
+++ b/internal/coordination/cancel.go
@@ -42,7 +42,7 @@
 		j := n.cancelled[ref]
 		for _, chunk := range slices.Sorted(maps.Keys(j.claims)) {
 			c := j.claims[chunk]
-			for _, p := range c.on {
+			for _, p := range c.placesInOrder() {
 				m := p.at.m
 				if m == nil || m.gone {
 					continue
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -29,7 +29,8 @@
 		if keys := n.doubtful(res, t); len(keys) > 0 {
 			// One without a deadline reserves something: its caller may not go on before it
 			// is known what became of it.
-			go n.refresh(keys, res.Epoch, t.Deadline.IsZero(), func(read bool) {
+			n.refreshes++
+			go n.refresh(n.refreshes, keys, res.Epoch, t.Deadline.IsZero(), func(read bool) {
 				if !read && prio == ledger.PrioUser {
 					// The cache may be newer than the condition and still older than what
 					// another node has told users: nobody here knows.
@@ -75,12 +76,16 @@
 // it whether all of them were read. With insist set it goes on until each is read, or the watch has come to the revision
 // at which the transaction failed: a limited team's start whose fate was forgotten
 // was missing in what the team used.
-func (n *Node) refresh(keys []string, epoch uint64, insist bool, done func(read bool)) {
+//
+// Those begun at one instant, after transactions that were sent together, start a
+// nanosecond apart in the order of their numbers: they compete for the same requests.
+func (n *Node) refresh(number int, keys []string, epoch uint64, insist bool, done func(read bool)) {
 	n.mu.Lock()
 	life := n.ctx
 	n.mu.Unlock()
 	ctx, cancel := context.WithTimeout(life, 2*time.Second)
 	defer cancel()
+	pause(ctx, time.Duration(number%maxRefreshes+1)*time.Nanosecond)
 	read := true
 	for _, key := range keys {
 		it, err := n.led.Get(ctx, key)
@@ -107,7 +112,10 @@
 	n.poke()
 }
 
-const refreshGap = 300 * time.Millisecond
+const (
+	refreshGap   = 300*time.Millisecond + 71*time.Nanosecond
+	maxRefreshes = 1000 // that are told apart by their start
+)
 
 // call makes an HTTP call with a JSON answer.
 func (n *Node) call(ctx context.Context, addr, method, target string, in, out any, timeout time.Duration) (int, error) {
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -47,7 +47,7 @@
 		case needList:
 			n.listMachines(ctx)
 		}
-		n.pause(ctx, 150*time.Millisecond)
+		n.pause(ctx, 150*time.Millisecond+37*time.Nanosecond)
 	}
 }
 
@@ -112,7 +112,8 @@
 	if !n.loaded || n.fleet.returnBusy {
 		return nil
 	}
-	for _, m := range n.returns {
+	for _, host := range slices.Sorted(maps.Keys(n.returns)) {
+		m := n.returns[host]
 		s := n.shards[m.rec.Shard]
 		switch {
 		case !n.active(s) || !now.After(m.returnNext):
@@ -123,7 +124,6 @@
 			hosts = append(hosts, m.host)
 		}
 	}
-	slices.Sort(hosts)
 	if len(hosts) > 0 {
 		n.fleet.returnBusy = true
 	}
@@ -228,7 +228,7 @@
 // fleetLoop works off the difference between the machines there should be and
 // those there are: owners return what is idle, the leader hires.
 func (n *Node) fleetLoop(ctx context.Context) {
-	for n.pause(ctx, 700*time.Millisecond) {
+	for n.pause(ctx, 700*time.Millisecond+41*time.Nanosecond) {
 		n.mu.Lock()
 		if n.loaded && len(n.types) > 0 {
 			now := time.Now()
@@ -578,10 +578,15 @@
 	}
 	h.busy = true
 	rec, ctx := h.rec, n.ctx
+	turn := n.cloud.Reserve() // here and not below: those sent at one instant go in order
 	go func() {
 		var out protocol.HostNames
-		status := 0
-		err := n.cloud.Wait(ctx)
+		var status int
+		var err error
+		if delay := turn.Delay(); delay > 0 && !pause(ctx, delay) {
+			turn.Cancel()
+			err = ctx.Err()
+		}
 		if err == nil {
 			status, err = n.call(ctx, n.cfg.Cloud, "POST", protocol.PathMachines, rec.Hire, &out, 5*time.Second)
 		}
@@ -819,9 +824,10 @@
 		case protocol.Array:
 			have += cpus
 		case protocol.Service:
-			warm += cpus * n.pol.WarmShare
+			warm += cpus
 		}
 	}
+	warm *= n.pol.WarmShare // once: a sum of rounded products depends on the order
 	most := n.pol.IdleRent * total
 	if most > 0 {
 		// Of a small fleet the part is less than a machine, and none would ever be rented.
--- a/internal/coordination/gather.go
+++ b/internal/coordination/gather.go
@@ -320,7 +320,7 @@
 		next.Open = append(next.Open, p)
 		used[n.machines[p.Host].rec.Shard] = true
 	}
-	for shard := range used {
+	for _, shard := range slices.Sorted(maps.Keys(used)) {
 		s := n.shards[shard]
 		conds = append(conds, ledger.Cond{Key: ledger.HoldKeys + j.ref + "/" + shard, Stamp: g.holds[shard].stamp},
 			ledger.Cond{Key: ledger.ShardKeys + shard, Stamp: s.stamp})
--- a/internal/coordination/index.go
+++ b/internal/coordination/index.go
@@ -1,6 +1,8 @@
 package coordination
 
 import (
+	"cmp"
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -38,6 +40,18 @@
 	host string
 }
 
+// placesInOrder lists a claim's placements by task and host.
+func (c *claim) placesInOrder() []*place {
+	slots := slices.SortedFunc(maps.Keys(c.on), func(a, b slot) int {
+		return cmp.Or(cmp.Compare(a.task, b.task), strings.Compare(a.host, b.host))
+	})
+	places := make([]*place, len(slots))
+	for i, at := range slots {
+		places[i] = c.on[at]
+	}
+	return places
+}
+
 // hostUse is what claims place on a host. A claim may be read before the
 // machine it names, so this stands apart from the machine.
 type hostUse struct {
--- a/internal/coordination/leftover.go
+++ b/internal/coordination/leftover.go
@@ -31,11 +31,12 @@
 		cpus := c.spec.CPUs * float64(len(c.latest().Open))
 		switch {
 		case c.spec.Shape == protocol.Service:
-			r.Warm += cpus * n.pol.WarmShare
+			r.Warm += cpus
 		case isIdle(c.spec):
 			r.Idle += c.spec.CPUs * float64(c.present())
 		}
 	}
+	r.Warm *= n.pol.WarmShare // once: a sum of rounded products depends on the order
 	return r
 }
 
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -73,8 +73,8 @@
 	key := ledger.TeamKeys + team
 	rec := &ledger.Team{Use: map[string][2]float64{shard: use}}
 	total := most
-	for name, u := range t.rec.Use {
-		if name != shard {
+	for _, name := range slices.Sorted(maps.Keys(t.rec.Use)) {
+		if u := t.rec.Use[name]; name != shard {
 			rec.Use[name] = u
 			total[0] += u[0]
 			total[1] += u[1]
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -6,6 +6,7 @@
 	"errors"
 	"log/slog"
 	"math/rand/v2"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -103,6 +104,7 @@
 	planned    []string              // claims for which room is being made, likewise
 	intents    []string              // claims under way that the other controllers were not told of
 	outbox     map[*machine]struct{} // machines with commands to be sent
+	refreshes  int                   // of keys after a transaction failed, so far
 	returns    map[string]*machine   // their return is recorded and not carried out
 	types      map[string]*protocol.MachineType
 
@@ -323,6 +325,7 @@
 			gone = append(gone, key)
 		}
 	}
+	slices.Sort(gone)
 	for _, key := range gone {
 		n.store(key, nil, epoch)
 	}
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -13,7 +14,7 @@
 
 // peerLoop tells the other controllers this node's load every second.
 func (n *Node) peerLoop(ctx context.Context) {
-	for n.pause(ctx, time.Second) {
+	for n.pause(ctx, time.Second+59*time.Nanosecond) {
 		n.mu.Lock()
 		n.shareBudget(time.Now())
 		msg := n.message()
@@ -87,7 +88,8 @@
 }
 
 func (n *Node) broadcast(ctx context.Context, msg protocol.PeerMessage) {
-	for name, peer := range n.peers {
+	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
+		peer := n.peers[name]
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
 			defer cancel()
--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -236,7 +237,8 @@
 func (n *Node) detailMachine(m *machine, now time.Time) {
 	m.undetailed = false
 	m.ends, m.victims = m.ends[:0], nil // the list may still be in use by a pass
-	for _, p := range m.use.places {
+	for _, name := range slices.Sorted(maps.Keys(m.use.places)) {
+		p := m.use.places[name]
 		if p.c.spec == nil || p.exited(m) {
 			continue
 		}
@@ -246,7 +248,7 @@
 	slices.SortFunc(m.victims, func(a, b victim) int {
 		return cmp.Or(cmp.Compare(a.c.spec.Prio(), b.c.spec.Prio()), cmp.Compare(a.lost(now), b.lost(now)), strings.Compare(a.c.key, b.c.key), cmp.Compare(a.task, b.task))
 	})
-	slices.SortFunc(m.ends, func(a, b ending) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(m.ends, func(a, b ending) int { return a.at.Compare(b.at) })
 }
 
 func (n *Node) noteEnding(m *machine, p *place, now time.Time) {
@@ -291,8 +293,8 @@
 		c.evict = make(map[int]time.Time)
 	}
 	c.evict[task] = now
-	for id, p := range c.on {
-		if id.task == task {
+	for _, p := range c.placesInOrder() {
+		if p.task == task {
 			p.at.touch()
 			n.stopEvicted(c, p, now)
 		}
--- a/internal/coordination/settle.go
+++ b/internal/coordination/settle.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	gatherNews = time.Millisecond
-	passEvery  = 500 * time.Millisecond
+	gatherNews = time.Millisecond + 29*time.Nanosecond // odd, as all pauses of loops: see loopGap
+	passEvery  = 500*time.Millisecond + 31*time.Nanosecond
 	resendGap  = 700 * time.Millisecond
 	retryClaim = time.Second
 	lookAgain  = 250 * time.Millisecond
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -5,7 +5,9 @@
 package coordination
 
 import (
+	"maps"
 	"math"
+	"slices"
 	"strings"
 	"time"
 
@@ -339,8 +341,8 @@
 // reached takes it that the watch is complete up to a revision.
 func (n *Node) reached(epoch uint64) {
 	n.epoch = max(n.epoch, epoch)
-	for ref, j := range n.ahead {
-		if !n.mayHaveClaims(j.rec, j.stamp) {
+	for _, ref := range slices.Sorted(maps.Keys(n.ahead)) {
+		if j := n.ahead[ref]; !n.mayHaveClaims(j.rec, j.stamp) {
 			delete(n.ahead, ref)
 			n.forgetIfOver(j)
 		}
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -285,8 +285,9 @@
 
 // flush sends what has been ordered: the commands for one machine go together.
 func (n *Node) flush(s *shard) {
-	for m := range n.outbox {
-		delete(n.outbox, m)
+	machines := slices.SortedFunc(maps.Keys(n.outbox), func(a, b *machine) int { return strings.Compare(a.host, b.host) })
+	clear(n.outbox)
+	for _, m := range machines {
 		n.send(s, m)
 	}
 }
--- a/internal/evidence/machine.go
+++ b/internal/evidence/machine.go
@@ -60,7 +60,7 @@
 // Avoided lists the jobs that should be tried elsewhere.
 func (m *Machine) Avoided(now time.Time) []string {
 	var out []string
-	for ref := range m.of {
+	for _, ref := range slices.Sorted(maps.Keys(m.of)) {
 		if m.Avoids(ref, now) {
 			out = append(out, ref)
 		}
--- a/internal/ledger/client.go
+++ b/internal/ledger/client.go
@@ -54,15 +54,16 @@
 	writes *rate.Limiter
 	lastOK atomic.Int64 // UnixNano of the latest executed call
 
-	mu       sync.Mutex
-	pending  []*Txn
-	inflight int
-	reading  int  // of those, comparisons alone
-	readLast bool // the latest to be sent was such a one
-	ended    bool
-	kick     chan struct{}
-	spent    [prios]spent
-	told     time.Time
+	mu        sync.Mutex
+	pending   []*Txn
+	submitted uint64 // the latest transaction's number
+	inflight  int
+	reading   int  // of those, comparisons alone
+	readLast  bool // the latest to be sent was such a one
+	ended     bool
+	kick      chan struct{}
+	spent     [prios]spent
+	told      time.Time
 }
 
 // New makes a client; Run must be called for transactions to be sent.
@@ -123,7 +124,7 @@
 	return status, nil
 }
 
-const readTimeout = 1500 * time.Millisecond
+const readTimeout = 1500*time.Millisecond + 43*time.Nanosecond
 
 // Get reads one key.
 func (c *Client) Get(ctx context.Context, key string) (Item, error) {
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -75,6 +75,7 @@
 
 	raw     []wireOp
 	since   time.Time
+	number  uint64 // of submission, which orders those of an instant
 	size    int
 	largest int  // bytes of its largest value
 	alone   bool // was part of a batch refused as malformed
@@ -89,12 +90,15 @@
 	Failed []string
 }
 
+// The odd nanoseconds keep apart what would else come at the same instant: nobody could
+// repeat in a test what is first then.
 const (
-	gatherFor   = 4 * time.Millisecond
-	txnTimeout  = 2 * time.Second
+	gatherFor   = 4*time.Millisecond + 53*time.Nanosecond
+	idle        = 250*time.Millisecond + 61*time.Nanosecond // between looks at the queue
+	txnTimeout  = 2*time.Second + 47*time.Nanosecond
 	maxInflight = 6
 	maxReading  = maxInflight / 2 // comparisons alone
-	pollGather  = 60 * time.Millisecond
+	pollGather  = 60*time.Millisecond + 67*time.Nanosecond
 	patience    = 3 * time.Second
 	batchBytes  = 60 << 10
 )
@@ -139,6 +143,12 @@
 	c.mu.Lock()
 	ended := c.ended
 	if !ended {
+		for _, t := range list {
+			if t.number == 0 {
+				c.submitted++
+				t.number = c.submitted
+			}
+		}
 		c.pending = append(c.pending, list...)
 	}
 	c.mu.Unlock()
@@ -183,7 +193,7 @@
 // then get their result, as do all that are submitted later.
 func (c *Client) Run(ctx context.Context) {
 	defer c.end()
-	wait := 250 * time.Millisecond
+	wait := idle
 	for {
 		tick := time.NewTimer(wait)
 		select {
@@ -226,7 +236,6 @@
 func (c *Client) next(now time.Time) ([]*Txn, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	const idle = 250 * time.Millisecond
 	if len(c.pending) == 0 || c.inflight >= maxInflight {
 		return nil, idle
 	}
@@ -235,7 +244,9 @@
 	}
 	// The most urgent first, and of those the oldest: one that is sent again keeps
 	// its place.
-	slices.SortStableFunc(c.pending, func(a, b *Txn) int { return cmp.Or(a.rank(now)-b.rank(now), a.since.Compare(b.since)) })
+	slices.SortStableFunc(c.pending, func(a, b *Txn) int {
+		return cmp.Or(a.rank(now)-b.rank(now), a.since.Compare(b.since), cmp.Compare(a.number, b.number))
+	})
 	pause := idle
 	budget := c.writes.TokensAt(now)
 	reads, oldest := 0, now
--- a/internal/ledger/outcome.go
+++ b/internal/ledger/outcome.go
@@ -9,6 +9,24 @@
 	"madderslip/internal/protocol"
 )
 
+// How long a transaction waits before it is sent again: the last send had no answer, the
+// budget did not reach, or the state service was down. The nanoseconds keep that apart
+// from new transactions: with a timeout the first makes up a round number that loops of
+// the controller wait too, and in tests nobody could repeat which came first.
+const (
+	againUnsure  = 100*time.Millisecond + 73*time.Nanosecond
+	againLimited = 60*time.Millisecond + 79*time.Nanosecond
+	againDown    = 200*time.Millisecond + 83*time.Nanosecond
+)
+
+// apart is a moment that differs between batches. Two that were sent one gatherFor apart
+// and got no answer would else come back one gatherFor apart: the second just as the
+// first is sent, and nobody could repeat whether together with it.
+func apart(batch []*Txn) time.Duration {
+	const most = 1000
+	return time.Duration(batch[0].number%most) * time.Nanosecond
+}
+
 // settle gives each transaction of a batch its result or sends it again.
 func (c *Client) settle(ctx context.Context, batch []*Txn, status int, out wireResult, err error) {
 	var again []*Txn
@@ -21,7 +39,7 @@
 		for _, t := range batch {
 			t.unsure = true
 		}
-		again, pause = batch, 100*time.Millisecond
+		again, pause = batch, againUnsure
 	case status == 200:
 		for _, t := range batch {
 			t.Done(Result{Epoch: out.Epoch})
@@ -36,15 +54,15 @@
 		if len(batch[0].Ops) > 0 {
 			c.lim.tooMany(time.Now())
 		}
-		again, pause = batch, 60*time.Millisecond
+		again, pause = batch, againLimited
 	default:
-		again, pause = batch, 200*time.Millisecond
+		again, pause = batch, againDown
 	}
 	if len(again) == 0 {
 		return
 	}
 	if pause > 0 {
-		sleep(ctx, pause)
+		sleep(ctx, pause+apart(batch))
 	}
 	c.queue(again...)
 }
--- a/internal/quota/booking.go
+++ b/internal/quota/booking.go
@@ -31,13 +31,14 @@
 	if t == nil {
 		return s
 	}
-	for ref, b := range t.book.Due {
-		if ref != but {
+	// In order: sums of fractions depend on it.
+	for _, ref := range slices.Sorted(maps.Keys(t.book.Due)) {
+		if b := t.book.Due[ref]; ref != but {
 			s.Booked = s.Booked.Plus(Amount(b.Use).Less(w.Placed(ref)))
 		}
 	}
-	for _, taken := range t.book.Taken {
-		for _, task := range taken.Tasks {
+	for _, ref := range slices.Sorted(maps.Keys(t.book.Taken)) {
+		for _, task := range t.book.Taken[ref].Tasks {
 			s.Leaving = s.Leaving.Plus(w.Open(task))
 		}
 	}
--- a/internal/schedule/cluster.go
+++ b/internal/schedule/cluster.go
@@ -49,15 +49,16 @@
 
 // cluster is some controllers in a stand-in world.
 type cluster struct {
-	names []string
-	began time.Time
-	ctx   context.Context
-	seed  uint64
-	w     *standin.World
-	plain bool                 // limits are not allotted
-	next  protocol.StateLimits // what controllers are told of the state service's coming limits
-	older map[string]bool      // do not say what they took; guarded by mu
-	users sync.WaitGroup
+	names   []string
+	began   time.Time
+	ctx     context.Context
+	seed    uint64
+	w       *standin.World
+	plain   bool                 // limits are not allotted
+	next    protocol.StateLimits // what controllers are told of the state service's coming limits
+	older   map[string]bool      // do not say what they took; guarded by mu
+	users   sync.WaitGroup
+	endings int // steps so far that end by themselves
 
 	judge  sync.Mutex // taken under the world's lock, and guards the next two
 	judged map[string]*coordination.Node
@@ -231,7 +232,8 @@
 	var chunk ledger.Claim
 	_ = json.Unmarshal(records[claimant], &chunk)
 	own := c.w.JobUse(ref, chunk.First, chunk.First+chunk.Count)
-	for key, raw := range records {
+	for _, key := range slices.Sorted(maps.Keys(records)) {
+		raw := records[key]
 		team, is := strings.CutPrefix(key, ledger.BookKeys)
 		var b ledger.Bookings
 		if !is || json.Unmarshal(raw, &b) != nil {
--- a/internal/schedule/expect.go
+++ b/internal/schedule/expect.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"strconv"
 	"strings"
 )
@@ -52,8 +54,9 @@
 		if err != nil {
 			return fmt.Errorf("script: expect oversize MOST: %w", err)
 		}
-		for key, times := range c.w.State.RefusedForSize() {
-			if times > most {
+		refused := c.w.State.RefusedForSize()
+		for _, key := range slices.Sorted(maps.Keys(refused)) {
+			if times := refused[key]; times > most {
 				return fmt.Errorf("%s was refused %d times for its size", key, times)
 			}
 		}
--- a/internal/schedule/script.go
+++ b/internal/schedule/script.go
@@ -171,6 +171,9 @@
 		if err := c.step(begin); err != nil {
 			return err
 		}
+		// After what the script does at that instant, and one end after the other.
+		c.endings++
+		last += time.Duration(c.endings) * 23 * time.Nanosecond
 		c.users.Go(func() {
 			if time.Sleep(last); c.ctx.Err() == nil {
 				if err := c.step(end); err != nil {
@@ -330,7 +333,10 @@
 	return nil
 }
 
+// user has a user do something. Users begin one after the other: of two that asked the
+// same node at the same instant nobody could repeat who was first.
 func (c *cluster) user(node, what string, f []string) error {
+	defer time.Sleep(time.Nanosecond)
 	switch what {
 	case "submit":
 		j, _, err := job(f)
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -87,13 +87,29 @@
 	return a != b && ((a != "" && w.trouble["zone "+a]) || (b != "" && w.trouble["zone "+b]))
 }
 
+// heldGap is how far apart the messages arrive that a cut held back.
+const heldGap = 67 * time.Nanosecond
+
+// arrive has messages that were held back arrive one after the other: all at the same
+// instant they would be in an order that nobody could repeat. Each is called with the
+// world's lock held.
+func (w *World) arrive(held []func()) {
+	for i, late := range held {
+		go func() {
+			if wait(w.ctx, time.Duration(i+1)*heldGap) {
+				w.mu.Lock()
+				defer w.mu.Unlock()
+				late()
+			}
+		}()
+	}
+}
+
 // heal ends the cut of a zone: what was held back arrives, in order.
 func (w *World) heal(zone string) {
 	held := w.behind[zone]
 	delete(w.behind, zone)
-	for _, late := range held {
-		late()
-	}
+	w.arrive(held)
 	close(w.healed)
 	w.healed = make(chan struct{})
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -143,9 +143,7 @@
 	}
 	if (what == "resume" && hung || what == "heal" && cutOff) && !m.hung && !m.cutOff {
 		m.expire()
-		for _, late := range w.held[host] {
-			late()
-		}
+		w.arrive(w.held[host])
 		delete(w.held, host)
 		m.poke()
 	}
@@ -728,8 +726,8 @@
 	for _, t := range there {
 		t.phase, t.began = protocol.TaskRunning, time.Now()
 	}
-	for _, m := range w.machines {
-		m.poke()
+	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
+		w.machines[host].poke()
 	}
 	return true
 }
