--- a/cmd/madderslip/main.go
+++ b/cmd/madderslip/main.go
@@ -64,10 +64,10 @@
 			if err != nil {
 				return err
 			}
-			for _, doubt := range cfg.Settings.Doubts {
+			for _, doubt := range cfg.Settings.Warnings {
 				cfg.Log.Warn("doubtful settings", "reason", doubt)
 			}
-			cfg.Log.Info("starting", "version", madderslip.Version, "node", cfg.Settings.Node)
+			cfg.Log.Info("starting", "version", madderslip.Version, "node", cfg.Settings.NodeName)
 			return c.Run(ctx)
 		},
 	}
@@ -81,10 +81,10 @@
 			if err != nil {
 				return err
 			}
-			for _, doubt := range cfg.Settings.Doubts {
+			for _, doubt := range cfg.Settings.Warnings {
 				fmt.Fprintln(cmd.ErrOrStderr(), "madderslip: doubtful: "+doubt)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "ok: node %s, %d peers, K=%d\n", cfg.Settings.Node, len(cfg.Settings.Peers), cfg.Policy.Copies)
+			fmt.Fprintf(cmd.OutOrStdout(), "ok: node %s, %d peers, K=%d\n", cfg.Settings.NodeName, len(cfg.Settings.Peers), cfg.Policy.Copies)
 			return nil
 		},
 	}, &cobra.Command{
--- a/cmd/testverdict/main.go
+++ b/cmd/testverdict/main.go
@@ -25,7 +25,7 @@
 	if len(args) != 2 {
 		return errors.New("usage: testverdict FILE STATUS <RESULTS")
 	}
-	var known []verdict.Known
+	var known []verdict.KnownFailure
 	file, err := os.Open(args[0])
 	switch {
 	case err == nil:
@@ -41,7 +41,7 @@
 		return err
 	}
 	fmt.Print(strings.Join(v.Output, ""))
-	for _, k := range v.Known {
+	for _, k := range v.KnownFailures {
 		fmt.Println("known to fail:", k)
 	}
 	fmt.Printf("%d passed, %d failed, %d skipped\n", v.Passed, v.Failed, v.Skipped)
--- a/internal/begin/begin_test.go
+++ b/internal/begin/begin_test.go
@@ -14,7 +14,7 @@
 		begun  bool
 		want   bool
 	}{{by - time.Second, false, false}, {by, false, true}, {time.Hour, false, true}, {time.Hour, true, false}} {
-		if got := Ahead(c.waited, by, c.begun); got != c.want {
+		if got := StartsAhead(c.waited, by, c.begun); got != c.want {
 			t.Errorf("waited %v, begun %v: %v", c.waited, c.begun, got)
 		}
 	}
--- a/internal/boots/boots.go
+++ b/internal/boots/boots.go
@@ -10,136 +10,136 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Kind is what boots alike.
-type Kind struct{ Type, Zone string }
+// MachineKind is what boots alike.
+type MachineKind struct{ Type, Zone string }
 
-// Book is what was seen. The zero value is empty. Times come in; it has no clock.
-type Book struct {
-	kinds map[Kind]*seen
+// BootStats is what was seen. The zero value is empty. Times come in; it has no clock.
+type BootStats struct {
+	kinds map[MachineKind]*kindStats
 }
 
-// seen holds the boots of two spells, the present one and the one before: what was
+// kindStats holds the boots of two spells, the present one and the one before: what was
 // long ago says little, and a kind in trouble should be tried again.
-type seen struct {
-	took     *hdrhistogram.WindowedHistogram // of milliseconds
-	since    time.Time
-	came     [2]int // in time, in each spell
-	missing  [2]int
-	merged   *hdrhistogram.Histogram
-	outdated bool
+type kindStats struct {
+	durations   *hdrhistogram.WindowedHistogram // of milliseconds
+	windowStart time.Time
+	booted      [2]int // in time, in each spell
+	failed      [2]int
+	merged      *hdrhistogram.Histogram
+	outdated    bool
 }
 
 const (
-	spell   = 90 * time.Second
-	longest = int64(time.Hour / time.Millisecond)
-	// enough boots to go by what was seen of them.
-	enough = 5
+	window    = 90 * time.Second
+	maxBootMs = int64(time.Hour / time.Millisecond)
+	// minSamples boots to go by what was seen of them.
+	minSamples = 5
 	// The cloud's figure is good for this much and no more: boots take up to one and a
 	// half times as long as usual, and a few never end.
-	margin    = 1.5
-	patience  = 4.0
-	seenTimes = 1.3 // of what nine in ten took
+	overdueFactor  = 1.5
+	expiryFactor   = 4.0
+	observedFactor = 1.3 // of what nine in ten took
 )
 
-func (b *Book) of(k Kind, now time.Time) *seen {
+func (b *BootStats) statsOf(k MachineKind, now time.Time) *kindStats {
 	if b.kinds == nil {
-		b.kinds = make(map[Kind]*seen)
+		b.kinds = make(map[MachineKind]*kindStats)
 	}
 	s := b.kinds[k]
 	if s == nil {
-		s = &seen{took: hdrhistogram.NewWindowed(2, 1, longest, 2), since: now}
+		s = &kindStats{durations: hdrhistogram.NewWindowed(2, 1, maxBootMs, 2), windowStart: now}
 		b.kinds[k] = s
 	}
-	for i := 0; now.Sub(s.since) >= spell; i++ {
+	for i := 0; now.Sub(s.windowStart) >= window; i++ {
 		if i == 2 {
-			s.since = now
+			s.windowStart = now
 			break
 		}
-		s.took.Rotate()
-		s.came, s.missing = [2]int{0, s.came[0]}, [2]int{0, s.missing[0]}
-		s.since, s.outdated = s.since.Add(spell), true
+		s.durations.Rotate()
+		s.booted, s.failed = [2]int{0, s.booted[0]}, [2]int{0, s.failed[0]}
+		s.windowStart, s.outdated = s.windowStart.Add(window), true
 	}
 	return s
 }
 
-// all is the histogram of both spells.
-func (s *seen) all() *hdrhistogram.Histogram {
+// histogram is the histogram of both spells.
+func (s *kindStats) histogram() *hdrhistogram.Histogram {
 	if s.merged == nil || s.outdated {
-		s.merged, s.outdated = s.took.Merge(), false
+		s.merged, s.outdated = s.durations.Merge(), false
 	}
 	return s.merged
 }
 
-// Came notes that a machine came up after so long.
-func (b *Book) Came(k Kind, took time.Duration, now time.Time) {
-	s := b.of(k, now)
+// Booted notes that a machine came up after so long.
+func (b *BootStats) Booted(k MachineKind, took time.Duration, now time.Time) {
+	s := b.statsOf(k, now)
 	// One that is out of range says only that it was late.
-	_ = s.took.Current.RecordValue(min(max(1, took.Milliseconds()), longest))
+	_ = s.durations.Current.RecordValue(min(max(1, took.Milliseconds()), maxBootMs))
 	s.outdated = true
-	s.came[0]++
+	s.booted[0]++
 }
 
-// Missing notes that a machine was late or was given up.
-func (b *Book) Missing(k Kind, now time.Time) { b.of(k, now).missing[0]++ }
+// Failed notes that a machine was late or was given up.
+func (b *BootStats) Failed(k MachineKind, now time.Time) { b.statsOf(k, now).failed[0]++ }
 
 // quantile is what so many of a hundred took; ok is false until enough was seen.
-func (b *Book) quantile(k Kind, percent float64, now time.Time) (time.Duration, bool) {
-	h := b.of(k, now).all()
-	if h.TotalCount() < enough {
+func (b *BootStats) quantile(k MachineKind, percent float64, now time.Time) (time.Duration, bool) {
+	h := b.statsOf(k, now).histogram()
+	if h.TotalCount() < minSamples {
 		return 0, false
 	}
 	return time.Duration(h.ValueAtQuantile(percent)) * time.Millisecond, true
 }
 
-// Usual is how long a boot should take. nominal is what the cloud says of the type.
-func (b *Book) Usual(k Kind, nominal time.Duration, now time.Time) time.Duration {
+// Expected is how long a boot should take. nominal is what the cloud says of the type.
+func (b *BootStats) Expected(k MachineKind, nominal time.Duration, now time.Time) time.Duration {
 	if half, ok := b.quantile(k, 50, now); ok {
 		return half
 	}
 	return nominal
 }
 
-// Late is the age from which a machine that is not up does not count any more for the
+// Overdue is the age from which a machine that is not up does not count any more for the
 // work that waits. Boots that were fast for a while make none late.
-func (b *Book) Late(k Kind, nominal time.Duration, now time.Time) time.Duration {
-	late := time.Duration(float64(nominal) * margin)
+func (b *BootStats) Overdue(k MachineKind, nominal time.Duration, now time.Time) time.Duration {
+	late := time.Duration(float64(nominal) * overdueFactor)
 	if most, ok := b.quantile(k, 90, now); ok {
-		late = max(late, time.Duration(float64(most)*seenTimes))
+		late = max(late, time.Duration(float64(most)*observedFactor))
 	}
 	return late
 }
 
-// GiveUp is the age at which a machine that is not up is returned. It costs money all
+// Expired is the age at which a machine that is not up is returned. It costs money all
 // the while; one that is only late is worth waiting for.
-func (b *Book) GiveUp(k Kind, nominal time.Duration, now time.Time) time.Duration {
-	return max(time.Duration(float64(nominal)*patience), 2*b.Late(k, nominal, now))
+func (b *BootStats) Expired(k MachineKind, nominal time.Duration, now time.Time) time.Duration {
+	return max(time.Duration(float64(nominal)*expiryFactor), 2*b.Overdue(k, nominal, now))
 }
 
-// Shy is the factor by which a kind seems dearer than it is: one of which half are
+// Unreliability is the factor by which a kind seems dearer than it is: one of which half are
 // missing costs twice as much for each that comes. Never more than fourfold, so that
 // it is tried again where nothing else is to be had, and only for as long as the
 // trouble was seen of late.
-func (b *Book) Shy(k Kind, now time.Time) float64 {
-	s := b.of(k, now)
-	came, missing := s.came[0]+s.came[1], s.missing[0]+s.missing[1]
-	if came+missing < enough {
+func (b *BootStats) Unreliability(k MachineKind, now time.Time) float64 {
+	s := b.statsOf(k, now)
+	came, missing := s.booted[0]+s.booted[1], s.failed[0]+s.failed[1]
+	if came+missing < minSamples {
 		return 1
 	}
 	return min(4, float64(came+missing)/max(1, float64(came)))
 }
 
-// Kinds lists the kinds that seem dearer than they are, with the factor.
-func (b *Book) Kinds(now time.Time) map[Kind]float64 {
-	out := make(map[Kind]float64)
+// UnreliableKinds lists the kinds that seem dearer than they are, with the factor.
+func (b *BootStats) UnreliableKinds(now time.Time) map[MachineKind]float64 {
+	out := make(map[MachineKind]float64)
 	for k := range b.kinds {
-		if shy := b.Shy(k, now); shy > 1.25 {
+		if shy := b.Unreliability(k, now); shy > 1.25 {
 			out[k] = shy
 		}
 	}
 	return out
 }
 
-// Replaced is how many of the late machines stop counting at once, of so many that
+// ReplacementCount is how many of the late machines stop counting at once, of so many that
 // are on their way: each may cause another to be rented, and when a whole zone boots
 // slowly the fleet would be rented twice.
-func Replaced(late, coming int) int { return min(late, 1+coming/4) }
+func ReplacementCount(late, coming int) int { return min(late, 1+coming/4) }
--- a/internal/boots/boots_test.go
+++ b/internal/boots/boots_test.go
@@ -7,38 +7,38 @@
 
 const sec = time.Second
 
-var kind = Kind{"m8", "a"}
+var kind = MachineKind{"m8", "a"}
 
 // What is expected follows what was seen, for a while.
 func TestExpected(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var b Book
-	if got := b.Late(kind, 40*sec, now); got != 60*sec {
+	var b BootStats
+	if got := b.Overdue(kind, 40*sec, now); got != 60*sec {
 		t.Errorf("nothing seen: late after %v", got)
 	}
 	for range 20 {
-		b.Came(kind, 2*sec, now)
+		b.Booted(kind, 2*sec, now)
 	}
-	if got := b.Late(kind, 40*sec, now); got != 60*sec {
+	if got := b.Overdue(kind, 40*sec, now); got != 60*sec {
 		t.Errorf("after fast boots late after %v: the next usual one would be replaced", got)
 	}
-	if got := b.Usual(kind, 40*sec, now); got > 3*sec {
+	if got := b.Expected(kind, 40*sec, now); got > 3*sec {
 		t.Errorf("after fast boots %v are usual", got)
 	}
 	now = now.Add(5 * time.Minute)
-	if got := b.Usual(kind, 40*sec, now); got != 40*sec {
+	if got := b.Expected(kind, 40*sec, now); got != 40*sec {
 		t.Errorf("long after, %v are usual", got)
 	}
 	for range 20 {
-		b.Came(kind, 200*sec, now)
+		b.Booted(kind, 200*sec, now)
 	}
-	if got := b.Late(kind, 40*sec, now); got < 250*sec || got > 270*sec {
+	if got := b.Overdue(kind, 40*sec, now); got < 250*sec || got > 270*sec {
 		t.Errorf("after slow boots late after %v", got)
 	}
-	if late, up := b.Late(kind, 40*sec, now), b.GiveUp(kind, 40*sec, now); up < 2*late {
+	if late, up := b.Overdue(kind, 40*sec, now), b.Expired(kind, 40*sec, now); up < 2*late {
 		t.Errorf("given up after %v, late after %v", up, late)
 	}
-	if got := b.Late(Kind{"m8", "b"}, 40*sec, now); got != 60*sec {
+	if got := b.Overdue(MachineKind{"m8", "b"}, 40*sec, now); got != 60*sec {
 		t.Errorf("another zone's boots are late after %v", got)
 	}
 }
@@ -46,26 +46,26 @@
 // A kind that keeps failing is tried less, and tried again.
 func TestShy(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var b Book
-	if b.Missing(kind, now); b.Shy(kind, now) != 1 {
+	var b BootStats
+	if b.Failed(kind, now); b.Unreliability(kind, now) != 1 {
 		t.Error("one that is missing is no trouble")
 	}
 	for range 9 {
-		b.Missing(kind, now)
+		b.Failed(kind, now)
 	}
-	if got := b.Shy(kind, now); got != 4 {
+	if got := b.Unreliability(kind, now); got != 4 {
 		t.Errorf("none came, %v times as dear", got)
 	}
 	for range 10 {
-		b.Came(kind, 40*sec, now)
+		b.Booted(kind, 40*sec, now)
 	}
-	if got := b.Shy(kind, now); got != 2 {
+	if got := b.Unreliability(kind, now); got != 2 {
 		t.Errorf("half came, %v times as dear", got)
 	}
-	if got := b.Kinds(now)[kind]; got != 2 {
+	if got := b.UnreliableKinds(now)[kind]; got != 2 {
 		t.Errorf("told as %v times as dear", got)
 	}
-	if now = now.Add(4 * time.Minute); b.Shy(kind, now) != 1 {
+	if now = now.Add(4 * time.Minute); b.Unreliability(kind, now) != 1 {
 		t.Error("not tried again")
 	}
 }
@@ -73,7 +73,7 @@
 // A zone that boots slowly as a whole does not rent the fleet twice at once.
 func TestReplaced(t *testing.T) {
 	for _, c := range [][3]int{{0, 100, 0}, {1, 1, 1}, {3, 4, 2}, {100, 100, 26}} {
-		if got := Replaced(c[0], c[1]); got != c[2] {
+		if got := ReplacementCount(c[0], c[1]); got != c[2] {
 			t.Errorf("%d late of %d: %d replaced, wanted %d", c[0], c[1], got, c[2])
 		}
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -15,60 +15,60 @@
 	"madderslip/internal/protocol"
 )
 
-// idleLedger takes transactions and answers none.
-type idleLedger struct{ Ledger }
+// idleStore takes transactions and answers none.
+type idleStore struct{ StateStore }
 
-func (idleLedger) Submit(*ledger.Txn)         {}
-func (idleLedger) Waiting(int) int            { return 0 }
-func (idleLedger) Share(float64)              {}
-func (idleLedger) Saw(string, uint64, bool)   {}
-func (idleLedger) LastOK() time.Time          { return time.Now() }
-func (idleLedger) Backlog(int) (int, float64) { return 0, 1 }
-func (idleLedger) Get(context.Context, string) (ledger.Item, error) {
-	return ledger.Item{}, ledger.ErrRefused
+func (idleStore) Submit(*ledger.Txn)                  {}
+func (idleStore) HasPending(int) int                  { return 0 }
+func (idleStore) SetBudgetShare(float64)              {}
+func (idleStore) ObserveVersion(string, uint64, bool) {}
+func (idleStore) LastSuccess() time.Time              { return time.Now() }
+func (idleStore) Backlog(int) (int, float64)          { return 0, 1 }
+func (idleStore) Get(context.Context, string) (ledger.Item, error) {
+	return ledger.Item{}, ledger.ErrNotExecuted
 }
 
 // fleetOf is a controller that owns one of three shards of so many machines, all
 // of them full: eight tasks each, of arrays of 64 tasks in chunks of 32.
-func fleetOf(b testing.TB, machines int) *Node {
+func fleetOf(b testing.TB, machines int) *Controller {
 	b.Helper()
-	s := protocol.Settings{Node: "n0", Zone: "a", Nodes: 3, Zones: []string{"a", "b"}, Teams: map[string]protocol.Team{"t": {Name: "t"}},
-		Peers:      []protocol.Peer{{Node: "n1", Zone: "b"}, {Node: "n2", Zone: "a"}},
-		Workers:    protocol.WorkerSettings{Report: 5 * time.Second, Lease: 27 * time.Second, GangWait: 50 * time.Second, GangPeer: 8 * time.Second, Cancel: 47 * time.Second},
-		StateLimit: protocol.StateLimits{RPS: 150, WriteRPS: 35, ValueBytes: 8192, TxnOps: 12}, CloudLimit: protocol.CloudLimits{RPS: 9, ListLag: 5 * time.Second},
-		Machine: protocol.MachineLimits{CPUShare: 1, RAMBytes: 1 << 30, MaxConns: 2000}}
+	s := protocol.Settings{NodeName: "n0", Zone: "a", NodeCount: 3, Zones: []string{"a", "b"}, Teams: map[string]protocol.Team{"t": {Name: "t"}},
+		Peers:       []protocol.Peer{{Node: "n1", Zone: "b"}, {Node: "n2", Zone: "a"}},
+		Workers:     protocol.WorkerSettings{HeartbeatInterval: 5 * time.Second, LeaseDuration: 27 * time.Second, GangStartTimeout: 50 * time.Second, GangPeerTimeout: 8 * time.Second, CancelDeadline: 47 * time.Second},
+		StateLimits: protocol.StateLimits{RequestRate: 150, WriteRate: 35, MaxValueBytes: 8192, MaxTxnOps: 12}, CloudLimits: protocol.CloudLimits{RequestRate: 9, ListLag: 5 * time.Second},
+		ProcessLimits: protocol.ProcessLimits{CPUShare: 1, MemoryBytes: 1 << 30, MaxConns: 2000}}
 	pol, err := policy.Load("", s)
 	if err != nil {
 		b.Fatal(err)
 	}
-	n := New(Options{Settings: s, Policy: pol, Ledger: idleLedger{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Rand: rand.New(rand.NewPCG(1, 1))})
-	n.types = map[string]*protocol.MachineType{"m16": {Name: "m16", CPUs: 16, MemGB: 64, CacheGB: 50, PullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: s.Zones}}
+	n := New(Options{Settings: s, Policy: pol, Store: idleStore{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Rand: rand.New(rand.NewPCG(1, 1))})
+	n.types = map[string]*protocol.MachineType{"m16": {Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: s.Zones}}
 	n.loaded, n.permit, n.epoch = true, 1, 1_000_000
 	put := func(key string, rec any, stamp uint64) { n.store(key, rec, stamp) }
 	for i, name := range []string{"n0", "n1", "n2"} {
-		put(ledger.NodeKeys+name, &ledger.Node{Boot: 1}, uint64(i+1))
-		put(ledger.ShardKeys+name, &ledger.Shard{Owner: name}, uint64(i+10))
+		put(ledger.NodePrefix+name, &ledger.Node{StartedAtMs: 1}, uint64(i+1))
+		put(ledger.ShardPrefix+name, &ledger.Shard{Owner: name}, uint64(i+10))
 	}
 	for i := 0; i < machines; i += 30 {
-		h := &ledger.Hire{Hire: protocol.Hire{Type: "m16", Zone: s.Zones[i/30%2], Count: 30}, Parts: []ledger.Part{{Shard: "n0", Count: 10}, {Shard: "n1", Count: 10}, {Shard: "n2", Count: 10}}}
+		h := &ledger.Provision{ProvisionRequest: protocol.ProvisionRequest{Type: "m16", Zone: s.Zones[i/30%2], Count: 30}, Allocations: []ledger.Allocation{{Shard: "n0", Count: 10}, {Shard: "n1", Count: 10}, {Shard: "n2", Count: 10}}}
 		for k := range 30 {
 			h.Hosts = append(h.Hosts, hostName(i+k))
 		}
-		put(ledger.HireKeys+strconv.Itoa(i), h, 20)
+		put(ledger.ProvisionPrefix+strconv.Itoa(i), h, 20)
 	}
 	shards := []string{"n0", "n1", "n2"}
 	for at := 0; at < machines; at += 4 { // a chunk of 32 tasks on four machines of one shard
 		chunk := at / 4
 		ref := fmt.Sprint("wk-", 1000+chunk/2)
 		if chunk%2 == 0 {
-			put(ledger.JobKeys+ref, &ledger.Job{Spec: &protocol.Submission{Ref: ref, Class: "c", Team: "t", Shape: protocol.Array, Rank: "normal", Tasks: 64,
-				CPUs: 2, MemGB: 4, Image: "img", ImageGB: 1, ExpectS: 30}, At: []string{"n0", "n1"}, Size: 32}, 30)
+			put(ledger.JobPrefix+ref, &ledger.Job{Spec: &protocol.Submission{JobID: ref, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
+				CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 1, RunEstimateS: 30}, Shards: []string{"n0", "n1"}, ChunkSize: 32}, 30)
 		}
-		c := &ledger.Claim{Shard: shards[chunk%3], First: chunk % 2 * 32, Count: 32, Try: 1}
+		c := &ledger.Claim{Shard: shards[chunk%3], FirstTask: chunk % 2 * 32, TaskCount: 32, LastAttempt: 1}
 		for t := range 32 {
 			// The machines of a shard come ten in a row of thirty.
 			k := chunk/3*4 + t/8
-			c.Open = append(c.Open, ledger.Placement{Task: c.First + t, Try: 1, Host: hostName(k/10*30 + chunk%3*10 + k%10)})
+			c.Placements = append(c.Placements, ledger.Placement{Task: c.FirstTask + t, Attempt: 1, Host: hostName(k/10*30 + chunk%3*10 + k%10)})
 		}
 		put(ledger.ClaimKey(ref, chunk%2), c, 40)
 	}
@@ -82,10 +82,10 @@
 func hostName(i int) string { return fmt.Sprintf("vm-%06d", i) }
 
 // reportOf is a worker's account of all that is placed there.
-func reportOf(m *machine, tick uint64) *protocol.Report {
-	r := &protocol.Report{Host: m.host, Addr: "10.0.0.1:9000", Type: m.rec.Type, Zone: m.rec.Zone, Session: 1, Seq: tick, Token: 10}
+func reportOf(m *machine, tick uint64) *protocol.Heartbeat {
+	r := &protocol.Heartbeat{Host: m.host, Address: "10.0.0.1:9000", Type: m.rec.Type, Zone: m.rec.Zone, AgentEpoch: 1, Sequence: tick, FencingToken: 10}
 	for name, p := range m.use.places {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: name, Try: p.try, Phase: protocol.TaskRunning})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: name, Attempt: p.try, Phase: protocol.TaskRunning})
 	}
 	return r
 }
@@ -103,11 +103,11 @@
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				r, err := protocol.ParseReport(bodies[i%len(bodies)])
+				r, err := protocol.ParseHeartbeat(bodies[i%len(bodies)])
 				if err != nil {
 					b.Fatal(err)
 				}
-				r.Seq = uint64(i + 2)
+				r.Sequence = uint64(i + 2)
 				if got := n.report(r); got.Status != 200 {
 					b.Fatal(got.Status)
 				}
@@ -119,13 +119,13 @@
 			raw, _ := protocol.Encode(n.claims[key].rec)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				n.take(ledger.Item{Key: key, Value: raw, Stamp: uint64(100 + i)})
+				n.take(ledger.Item{Key: key, Value: raw, Version: uint64(100 + i)})
 			}
 		})
 		b.Run(fmt.Sprintf("completion/%d", machines), func(b *testing.B) {
 			n := fleetOf(b, machines)
 			c := n.claims[ledger.ClaimKey("wk-1000", 0)]
-			m := n.machines[c.rec.Open[0].Host]
+			m := n.machines[c.rec.Placements[0].Host]
 			s, j := n.shards["n0"], n.jobs["wk-1000"]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -142,8 +142,8 @@
 			s := n.shards["n0"]
 			for i := range 50 { // arrays that find no room
 				ref := fmt.Sprint("wk-", 900_000+i)
-				n.store(ledger.JobKeys+ref, &ledger.Job{Spec: &protocol.Submission{Ref: ref, Class: "c", Team: "t", Shape: protocol.Array, Rank: "normal", Tasks: 64,
-					CPUs: 2 + float64(i)/100, MemGB: 4, Image: "img", ExpectS: 30}, At: []string{"n0", "n1"}, Size: 32}, 50)
+				n.store(ledger.JobPrefix+ref, &ledger.Job{Spec: &protocol.Submission{JobID: ref, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
+					CPUs: 2 + float64(i)/100, MemoryGB: 4, Image: "img", RunEstimateS: 30}, Shards: []string{"n0", "n1"}, ChunkSize: 32}, 50)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/coordination/blame.go
+++ b/internal/coordination/blame.go
@@ -12,26 +12,26 @@
 // seen, and asked.
 
 // blame notes why a task ended.
-func (n *Node) blame(j *job, m *machine, t *protocol.TaskReport, now time.Time) {
-	n.log.Debug("task ended", "task", t.Task, "try", t.Try, "host", m.host, "cause", t.Cause)
+func (n *Controller) blame(j *job, m *machine, t *protocol.TaskStatus, now time.Time) {
+	n.log.Debug("task ended", "task", t.Task, "try", t.Attempt, "host", m.host, "cause", t.Cause)
 	switch t.Cause {
-	case protocol.CauseNoRoom, protocol.CauseBusy:
+	case protocol.CauseNoCapacity, protocol.CauseBusy:
 		m.denied = now.Add(2 * time.Second)
-	case protocol.CauseNoSuch:
+	case protocol.CauseUnknownJob:
 		j.pause = now.Add(2 * time.Second)
 	case protocol.CauseError:
 		began, ok := m.running[t.Task]
 		if !ok {
 			began = now
 		}
-		was := j.ev.Standing(now)
+		was := j.ev.Verdict(now)
 		if !m.sick {
-			j.ev.Failed(m.host, now.Sub(began), n.rng.Float64(), now)
+			j.ev.RecordFailure(m.host, now.Sub(began), n.rng.Float64(), now)
 		}
-		m.ev.Failed(j.ref, began, now)
+		m.ev.RecordFailure(j.ref, began, now)
 		n.hearWitnesses(j, now)
-		if was != evidence.Suspect && j.ev.Standing(now) == evidence.Suspect {
-			n.log.Info("job fails wherever it runs, its tasks are tried one at a time", "job", j.ref, "on", strings.Join(j.ev.On(), ","))
+		if was != evidence.Suspect && j.ev.Verdict(now) == evidence.Suspect {
+			n.log.Info("job fails wherever it runs, its tasks are tried one at a time", "job", j.ref, "on", strings.Join(j.ev.FailedHosts(), ","))
 		}
 		n.weigh(m, now)
 	}
@@ -39,8 +39,8 @@
 
 // hearWitnesses looks for tasks of a job that have failed elsewhere and run there
 // for long enough to speak for it.
-func (n *Node) hearWitnesses(j *job, now time.Time) {
-	if !j.ev.Troubled(now) {
+func (n *Controller) hearWitnesses(j *job, now time.Time) {
+	if !j.ev.Failing(now) {
 		return
 	}
 	for _, c := range j.claims {
@@ -50,8 +50,8 @@
 				continue
 			}
 			t := m.tasks[p.name]
-			if began, ok := m.running[p.name]; ok && t != nil && t.Phase == protocol.TaskRunning && j.ev.Outlasts(now.Sub(began)) {
-				j.ev.Well(now)
+			if began, ok := m.running[p.name]; ok && t != nil && t.Phase == protocol.TaskRunning && j.ev.OutlastsFailures(now.Sub(began)) {
+				j.ev.Succeeded(now)
 				return
 			}
 		}
@@ -59,17 +59,17 @@
 }
 
 // weigh condemns a machine or takes it back.
-func (n *Node) weigh(m *machine, now time.Time) {
-	if !m.ev.Troubled() && !m.sick {
+func (n *Controller) weigh(m *machine, now time.Time) {
+	if !m.ev.Failing() && !m.sick {
 		return
 	}
-	on, sick := m.ev.Sick(func(ref string) evidence.Standing {
+	on, sick := m.ev.Quarantine(func(ref string) evidence.Verdict {
 		j := n.jobs[ref]
 		if j == nil {
 			return evidence.Unknown
 		}
 		n.hearWitnesses(j, now)
-		return j.ev.Standing(now)
+		return j.ev.Verdict(now)
 	}, now)
 	if sick == m.sick {
 		return
@@ -83,7 +83,7 @@
 	n.log.Info("machine fails tasks of jobs that run elsewhere, taken out of use", "host", m.host, "jobs", strings.Join(on, ","))
 	for _, ref := range on {
 		if j := n.jobs[ref]; j != nil {
-			j.ev.Acquit(m.host)
+			j.ev.Exonerate(m.host)
 		}
 	}
 }
@@ -93,15 +93,15 @@
 const sickFor = 5 * time.Second
 
 // learn takes what a completed task tells of its machine, its job and its class.
-func (n *Node) learn(j *job, spec *protocol.Submission, m *machine, task string, now time.Time) {
-	j.ev.Well(now)
+func (n *Controller) learn(j *job, spec *protocol.Submission, m *machine, task string, now time.Time) {
+	j.ev.Succeeded(now)
 	began, ok := m.running[task]
-	if !ok || spec.ExpectS <= 0 {
+	if !ok || spec.RunEstimateS <= 0 {
 		return
 	}
 	delete(m.running, task)
-	m.ev.Well(began)
-	ratio := min(max(now.Sub(began).Seconds()/spec.ExpectS, 0.1), 10)
+	m.ev.Succeeded(began)
+	ratio := min(max(now.Sub(began).Seconds()/spec.RunEstimateS, 0.1), 10)
 	if old, ok := n.ratios[spec.Class]; ok {
 		ratio = old*0.9 + ratio*0.1
 	}
@@ -110,12 +110,12 @@
 
 // onTrial tells that a job fails wherever it runs: one task of it at a time is
 // tried, in room that nobody else wants, and nothing is stopped or rented for it.
-func (j *job) onTrial(now time.Time) bool { return j.ev.Standing(now) == evidence.Suspect }
+func (j *job) onTrial(now time.Time) bool { return j.ev.Verdict(now) == evidence.Suspect }
 
 // tried tells that the trial of a job is under way.
 func (j *job) tried() bool {
 	for _, c := range j.claims {
-		if rec := c.latest(); rec != nil && len(rec.Open) > 0 {
+		if rec := c.latest(); rec != nil && len(rec.Placements) > 0 {
 			return true
 		}
 	}
--- a/internal/coordination/cancel.go
+++ b/internal/coordination/cancel.go
@@ -17,11 +17,11 @@
 //   - at once if it has been silent and did not answer when asked, for its stop
 //     cannot arrive, and whatever else fails soon would keep it;
 //   - after two fifths of cancel_s, if it was heard or should have been (see
-//     recovery.Cancelled);
+//     recovery.CancelledTask);
 //   - after half of it without a record, if the state service does not take one.
 //
 // A controller that may not act for the machine's shard does not leave it at that: it
-// asks the machine itself and stops what it shows (see recovery.Strayed).
+// asks the machine itself and stops what it shows (see recovery.MisplacedTask).
 //
 // The times count from the record of the cancellation, so they go on through
 // restarts. They do not wait for settling, which leaves a claim alone while a
@@ -32,12 +32,12 @@
 const hearOthers = 2500 * time.Millisecond
 
 // enforceCancels looks at the machines that may keep tasks of cancelled jobs.
-func (n *Node) enforceCancels(now time.Time) {
+func (n *Controller) enforceCancels(now time.Time) {
 	var bare []string // to be returned without a record
 	ask := make(map[*machine]bool)
 	// A process that has just begun, or gone on after standing still, knows the age of
 	// each alone, not what others have done about it meanwhile.
-	settled := n.beat.Settled(now, hearOthers) && now.Sub(n.boot) > hearOthers
+	settled := n.beat.Stable(now, hearOthers) && now.Sub(n.boot) > hearOthers
 	for _, ref := range slices.Sorted(maps.Keys(n.cancelled)) {
 		j := n.cancelled[ref]
 		for _, chunk := range slices.Sorted(maps.Keys(j.claims)) {
@@ -52,8 +52,8 @@
 					late = n.keeps(m, p) && n.enforceCancel(j, m, now)
 				} else if m.rec.State == "" {
 					stray := n.strayed(j, m, p, now)
-					late = settled && stray.Return(n.cfg.Workers.Cancel, n.stateDown(now)) && !n.refusedAlone(now)
-					if settled && stray.Ask(n.cfg.Workers.Cancel) && !m.probing && m.address() != "" {
+					late = settled && stray.ShouldReturn(n.cfg.Workers.CancelDeadline, n.stateDown(now)) && !n.refusedAlone(now)
+					if settled && stray.ShouldProbe(n.cfg.Workers.CancelDeadline) && !m.probing && m.address() != "" {
 						ask[m] = true
 					}
 				}
@@ -74,9 +74,9 @@
 }
 
 // keeps tells whether a placement's task is, or may yet be, on its machine.
-func (n *Node) keeps(m *machine, p *place) bool {
+func (n *Controller) keeps(m *machine, p *place) bool {
 	t := m.tasks[p.name]
-	if t != nil && t.Try == p.try {
+	if t != nil && t.Attempt == p.try {
 		return t.Phase != protocol.TaskExited
 	}
 	return !m.settled(n.shards[m.rec.Shard]) || m.outstanding(p.name, p.try)
@@ -84,13 +84,13 @@
 
 // enforceCancel has a machine fenced if it is time, and tells whether that must
 // not wait for a record any longer.
-func (n *Node) enforceCancel(j *job, m *machine, now time.Time) bool {
-	limit, s := n.cfg.Workers.Cancel, n.shards[m.rec.Shard]
-	c := recovery.Cancelled{Age: now.Sub(j.ended), Heard: m.settled(s), Acting: now.Sub(s.since)}
+func (n *Controller) enforceCancel(j *job, m *machine, now time.Time) bool {
+	limit, s := n.cfg.Workers.CancelDeadline, n.shards[m.rec.Shard]
+	c := recovery.CancelledTask{Age: now.Sub(j.ended), Heard: m.settled(s), OwnedFor: now.Sub(s.since)}
 	// Not when all of them are silent to this node: on a day with such troubles it
 	// fenced healthy machines for the one task that was cancelled on each.
-	c.Silent = m.rep != nil && n.silence(m, now) > n.pol.Suspect && m.mute.After(m.heard) && !n.ownFault(s, now) && !n.zoneCut(m.rec.Zone, now)
-	if !c.Fence(limit, n.reportBeat()) {
+	c.Silent = m.rep != nil && n.silence(m, now) > n.pol.SuspectAfter && m.mute.After(m.heard) && !n.ownFault(s, now) && !n.zoneCut(m.rec.Zone, now)
+	if !c.ShouldFence(limit, n.reportBeat()) {
 		return false
 	}
 	if m.rec.State == "" && !m.returning {
@@ -99,26 +99,26 @@
 	}
 	// A process that has just gone on after standing still knows the age alone, not
 	// what others have done about it meanwhile.
-	return c.Bare(limit, n.stateDown(now)) && m.rec.State == "" && !n.refusedAlone(now) && n.beat.Settled(now, hearOthers)
+	return c.ReturnUnrecorded(limit, n.stateDown(now)) && m.rec.State == "" && !n.refusedAlone(now) && n.beat.Stable(now, hearOthers)
 }
 
 // strayed is what this node knows of a cancelled task on a machine of a shard that it
 // may not act for.
-func (n *Node) strayed(j *job, m *machine, p *place, now time.Time) recovery.Strayed {
-	stray := recovery.Strayed{Age: now.Sub(j.ended), Asked: now.Sub(m.asked), Mute: m.mute.After(j.ended) && m.mute.After(m.heard)}
+func (n *Controller) strayed(j *job, m *machine, p *place, now time.Time) recovery.MisplacedTask {
+	stray := recovery.MisplacedTask{Age: now.Sub(j.ended), SinceProbe: now.Sub(m.asked), Unanswered: m.mute.After(j.ended) && m.mute.After(m.heard)}
 	if s := n.shards[m.rec.Shard]; s != nil && s.rec != nil {
-		stray.Told = now.Sub(j.told[s.rec.Owner]) < toldKeep || now.Sub(n.stateOKAt[s.rec.Owner]) < sayEvery
+		stray.OwnerNotified = now.Sub(j.told[s.rec.Owner]) < toldKeep || now.Sub(n.stateOKAt[s.rec.Owner]) < sayEvery
 	}
 	if !m.heard.After(j.ended) {
 		return stray
 	}
 	switch t := m.tasks[p.name]; {
 	case t != nil && t.Phase != protocol.TaskExited:
-		stray.Found = recovery.Present
-	case t == nil, t.Try != p.try, t.Cause == protocol.CauseIncomplete: // the last its owner reaps, to begin it again
-		stray.Found = recovery.Absent
+		stray.Finding = recovery.Present
+	case t == nil, t.Attempt != p.try, t.Cause == protocol.CauseGangTimeout: // the last its owner reaps, to begin it again
+		stray.Finding = recovery.Absent
 	default:
-		stray.Found = recovery.Ended
+		stray.Finding = recovery.Ended
 	}
 	return stray
 }
@@ -129,11 +129,11 @@
 
 // askStrayed asks machines, those first that were not asked for longest. Each
 // controller begins elsewhere in the list, so that together they come through sooner.
-func (n *Node) askStrayed(due map[*machine]bool, now time.Time) {
+func (n *Controller) askStrayed(due map[*machine]bool, now time.Time) {
 	ask := slices.SortedFunc(maps.Keys(due), func(a, b *machine) int { return strings.Compare(a.host, b.host) })
-	names := append(slices.Collect(maps.Keys(n.peers)), n.cfg.Node)
+	names := append(slices.Collect(maps.Keys(n.peers)), n.cfg.NodeName)
 	slices.Sort(names)
-	from := slices.Index(names, n.cfg.Node) * len(ask) / len(names)
+	from := slices.Index(names, n.cfg.NodeName) * len(ask) / len(names)
 	ask = slices.Concat(ask[from:], ask[:from])
 	slices.SortStableFunc(ask, func(a, b *machine) int { return a.asked.Compare(b.asked) })
 	for _, m := range ask[:min(len(ask), askAtOnce)] {
@@ -147,15 +147,15 @@
 // itself has shown: it raises nothing, and a machine that has seen a newer one refuses
 // it. Nothing may follow on a cancellation but the end of its tasks, and their names
 // are not used again; so it is right from whoever sends it, late or twice.
-func (n *Node) stopStrayed(m *machine, r *protocol.Report) {
-	if r.Token == 0 || m.rec.State != "" {
+func (n *Controller) stopStrayed(m *machine, r *protocol.Heartbeat) {
+	if r.FencingToken == 0 || m.rec.State != "" {
 		return
 	}
-	body := protocol.DirectCommands{Token: r.Token, Session: r.Session}
+	body := protocol.CommandRequest{FencingToken: r.FencingToken, AgentEpoch: r.AgentEpoch}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		if ref, _, ok := protocol.SplitTask(t.Task); ok && t.Phase != protocol.TaskExited && n.isCancelled(ref) {
-			body.Commands = append(body.Commands, protocol.Stop(t.Task, t.Try, 0))
+		if ref, _, ok := protocol.ParseTaskName(t.Task); ok && t.Phase != protocol.TaskExited && n.isCancelled(ref) {
+			body.Commands = append(body.Commands, protocol.StopCommand(t.Task, t.Attempt, 0))
 		}
 	}
 	if len(body.Commands) == 0 {
@@ -164,7 +164,7 @@
 	n.log.Info("stopping cancelled tasks on a machine of another's shard", "host", m.host, "shard", m.rec.Shard, "tasks", len(body.Commands), "first", body.Commands[0].Task)
 	addr, ctx := m.address(), n.ctx
 	go func() {
-		var after protocol.Report
+		var after protocol.Heartbeat
 		status, err := n.call(ctx, addr, "POST", protocol.PathCommands, body, &after, commandTimeout)
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -175,18 +175,18 @@
 }
 
 // isCancelled tells that a job's cancellation is committed.
-func (n *Node) isCancelled(ref string) bool {
+func (n *Controller) isCancelled(ref string) bool {
 	if j := n.jobs[ref]; j != nil && j.rec != nil {
-		return j.rec.State == protocol.Cancelled
+		return j.rec.State == protocol.JobCancelled
 	}
-	return n.final[ref].state == protocol.Cancelled
+	return n.final[ref].state == protocol.JobCancelled
 }
 
 // refusedAlone tells that other controllers have just heard from the state
 // service and this one has not for a while: its shards' next owner does what is
 // needed, with a record.
-func (n *Node) refusedAlone(now time.Time) bool {
-	return now.Sub(n.led.LastOK()) >= 4*time.Second && n.servedElsewhere(now)
+func (n *Controller) refusedAlone(now time.Time) bool {
+	return now.Sub(n.led.LastSuccess()) >= 4*time.Second && n.servedElsewhere(now)
 }
 
 // returnBare returns machines whose return could not be recorded. Their 200
@@ -195,7 +195,7 @@
 // machine that kept a cancelled task when it was sent, with whatever was placed
 // there since. To its owner that is a machine lost without notice, found and
 // proved as such; no task is taken for gone by it, and no name is used again.
-func (n *Node) returnBare(ctx context.Context, hosts []string) {
+func (n *Controller) returnBare(ctx context.Context, hosts []string) {
 	status, err := n.askReturn(ctx, hosts)
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/cancel_test.go
@@ -11,23 +11,23 @@
 	"madderslip/internal/protocol"
 )
 
-// downLedger has executed nothing for long.
-type downLedger struct{ idleLedger }
+// unavailableStore has executed nothing for long.
+type unavailableStore struct{ idleStore }
 
-func (downLedger) LastOK() time.Time { return time.Time{} }
+func (unavailableStore) LastSuccess() time.Time { return time.Time{} }
 
 // In an outage all cancellations are repeated, by turns: with the first hundred each
 // time the next one was never told to an owner that had not read of it. What another
 // controller says that it took counts as told to it for a while.
 func TestAllCancellationsAreRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := New(Options{Settings: protocol.Settings{Node: "n0", Peers: []protocol.Peer{{Node: "n1"}}}, Ledger: downLedger{}, Log: slog.New(slog.DiscardHandler)})
+		n := New(Options{Settings: protocol.Settings{NodeName: "n0", Peers: []protocol.Peer{{Node: "n1"}}}, Store: unavailableStore{}, Log: slog.New(slog.DiscardHandler)})
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		for i := range 250 {
 			ref := fmt.Sprintf("wk-%03d", i)
-			n.storeClaim(ledger.ClaimKey(ref, 0), &ledger.Claim{Shard: "n1", Count: 1, Open: []ledger.Placement{{Task: 0, Try: 1, Host: "vm-1"}}}, uint64(i+1))
-			n.storeJob(ref, &ledger.Job{Spec: &protocol.Submission{Ref: ref, Tasks: 1, Shape: protocol.Service}, State: protocol.Cancelled, Size: 1}, uint64(i+1000))
+			n.storeClaim(ledger.ClaimKey(ref, 0), &ledger.Claim{Shard: "n1", TaskCount: 1, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}, uint64(i+1))
+			n.storeJob(ref, &ledger.Job{Spec: &protocol.Submission{JobID: ref, Tasks: 1, Shape: protocol.ShapeService}, State: protocol.JobCancelled, ChunkSize: 1}, uint64(i+1000))
 		}
 		told := make(map[string]bool)
 		for range 3 {
@@ -56,25 +56,25 @@
 // no claims yet, the job had to be read again for that, which nobody can in an outage.
 func TestClaimsFollowTheirJobsCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := New(Options{Settings: protocol.Settings{Node: "n0"}, Ledger: idleLedger{}, Log: slog.New(slog.DiscardHandler)})
+		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: idleStore{}, Log: slog.New(slog.DiscardHandler)})
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.loaded, n.epoch = true, 5
 		for _, ref := range []string{"wk-1", "wk-2"} {
-			spec := &protocol.Submission{Ref: ref, Tasks: 1, Shape: protocol.Service}
-			n.store(ledger.JobKeys+ref, &ledger.Job{Spec: spec, State: protocol.Cancelled, Size: 1}, 8)
+			spec := &protocol.Submission{JobID: ref, Tasks: 1, Shape: protocol.ShapeService}
+			n.store(ledger.JobPrefix+ref, &ledger.Job{Spec: spec, State: protocol.JobCancelled, ChunkSize: 1}, 8)
 		}
 		key := ledger.ClaimKey("wk-1", 0)
-		n.store(key, &ledger.Claim{Shard: "n1", Count: 1, Open: []ledger.Placement{{Task: 0, Try: 1, Host: "vm-1"}}}, 7)
+		n.store(key, &ledger.Claim{Shard: "n1", TaskCount: 1, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}, 7)
 		if c := n.claims[key]; c == nil || c.spec == nil || n.cancelled["wk-1"] == nil || n.cancelled["wk-1"].claims[0] != c || len(n.orphans) != 0 {
 			t.Errorf("the claim has not found its job: %+v", c)
 		}
 		n.reached(8)
-		if n.jobs["wk-1"] == nil || n.jobs["wk-2"] != nil || n.final["wk-2"].state != protocol.Cancelled || len(n.ahead) != 0 {
+		if n.jobs["wk-1"] == nil || n.jobs["wk-2"] != nil || n.final["wk-2"].state != protocol.JobCancelled || len(n.ahead) != 0 {
 			t.Errorf("once the watch has come as far: jobs %v, ahead %v", n.jobs, n.ahead)
 		}
 		n.store(key, nil, 9)
-		if len(n.jobs) != 0 || n.final["wk-1"].state != protocol.Cancelled {
+		if len(n.jobs) != 0 || n.final["wk-1"].state != protocol.JobCancelled {
 			t.Errorf("once its claim is gone: jobs %v", n.jobs)
 		}
 	})
--- a/internal/coordination/claim.go
+++ b/internal/coordination/claim.go
@@ -8,7 +8,7 @@
 )
 
 // commitUnit commits placements, with the claim itself when it is new.
-func (n *Node) commitUnit(s *shard, u *unit, next *ledger.Claim) bool {
+func (n *Controller) commitUnit(s *shard, u *unit, next *ledger.Claim) bool {
 	if u.c != nil {
 		c := u.c
 		return n.update(s, c, next, claimPrio(u.spec), func(err error) {
@@ -22,22 +22,22 @@
 	if !ok {
 		return false
 	}
-	conds = append(conds, ledger.Cond{Key: ledger.JobKeys + u.j.ref, Stamp: u.j.stamp})
+	conds = append(conds, ledger.Compare{Key: ledger.JobPrefix + u.j.ref, Version: u.j.stamp})
 	ops = append(ops, ledger.Op{Key: c.key, Value: next})
 	n.commit(claimPrio(u.spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })
 	return true
 }
 
 func claimPrio(s *protocol.Submission) int {
-	if s.Shape == protocol.Array {
-		return ledger.PrioArray
+	if s.Shape == protocol.ShapeArray {
+		return ledger.PriorityArrayClaim
 	}
-	return ledger.PrioClaim
+	return ledger.PriorityClaim
 }
 
 // prepareClaim enters a new claim into the cache while its commit is under
 // way, so that its room is taken, and gives the conditions on which it depends.
-func (n *Node) prepareClaim(s *shard, c *claim, next *ledger.Claim) ([]ledger.Cond, []ledger.Op, bool) {
+func (n *Controller) prepareClaim(s *shard, c *claim, next *ledger.Claim) ([]ledger.Compare, []ledger.Op, bool) {
 	conds, ops, t, ok := n.reserveTeam(s.name, c, next)
 	if !ok {
 		return nil, nil, false
@@ -48,7 +48,7 @@
 	n.claims[c.key] = c
 	n.setPend(c, next)
 	n.intents = append(n.intents, c.key)
-	conds = append(conds, ledger.Cond{Key: ledger.ShardKeys + s.name, Stamp: s.token}, ledger.Cond{Key: c.key, Stamp: 0})
+	conds = append(conds, ledger.Compare{Key: ledger.ShardPrefix + s.name, Version: s.token}, ledger.Compare{Key: c.key, Version: 0})
 	return conds, ops, true
 }
 
@@ -57,7 +57,7 @@
 type newClaim struct {
 	claim *claim
 	shard *shard
-	conds []ledger.Cond
+	conds []ledger.Compare
 }
 
 func (f newClaim) ops() []ledger.Op {
@@ -68,7 +68,7 @@
 }
 
 // finish ends the claim's commit.
-func (f newClaim) finish(n *Node, err error) {
+func (f newClaim) finish(n *Controller, err error) {
 	if f.claim != nil {
 		n.finishClaim(f.shard, f.claim, err)
 	}
@@ -77,32 +77,32 @@
 // claimAtOnce prepares the claim of a job that is just being accepted or released, if this
 // node owns one of its shards and that has room for all that must start
 // together.
-func (n *Node) claimAtOnce(spec *protocol.Submission, at []string, now time.Time) newClaim {
+func (n *Controller) claimAtOnce(spec *protocol.Submission, at []string, now time.Time) newClaim {
 	size := n.chunkSize(spec, at)
 	if size < spec.Tasks || n.limited(spec) {
 		return newClaim{}
 	}
 	for _, name := range at {
 		s := n.shards[name]
-		if !n.active(s) || n.claims[ledger.ClaimKey(spec.Ref, 0)] != nil {
+		if !n.active(s) || n.claims[ledger.ClaimKey(spec.JobID, 0)] != nil {
 			continue
 		}
-		j := &job{ref: spec.Ref, rec: &ledger.Job{Spec: spec}, chunks: 1, size: size, seen: now}
+		j := &job{ref: spec.JobID, rec: &ledger.Job{Spec: spec}, chunks: 1, size: size, seen: now}
 		u := &unit{j: j, spec: spec}
 		if n.queuedBefore(s, spec, now) {
 			continue
 		}
 		rooms := n.rooms(s, now)
 		z := newZoneRule(spec, nil)
-		next := &ledger.Claim{Shard: name, Count: spec.Tasks, Try: 1}
+		next := &ledger.Claim{Shard: name, TaskCount: spec.Tasks, LastAttempt: 1}
 		picks := n.pickHosts(s.name, u, next, rooms, &z, now)
 		if len(picks) < spec.Tasks {
 			continue
 		}
 		for _, pk := range picks {
-			next.Open = append(next.Open, ledger.Placement{Task: pk.task, Try: 1, Host: rooms[pk.room].host})
+			next.Placements = append(next.Placements, ledger.Placement{Task: pk.task, Attempt: 1, Host: rooms[pk.room].host})
 		}
-		c := &claim{key: ledger.ClaimKey(spec.Ref, 0), ref: spec.Ref, spec: spec}
+		c := &claim{key: ledger.ClaimKey(spec.JobID, 0), ref: spec.JobID, spec: spec}
 		conds, _, ok := n.prepareClaim(s, c, next)
 		if !ok {
 			continue
@@ -114,9 +114,9 @@
 
 // queuedBefore tells whether others of at least this priority wait already:
 // a newcomer must not pass them.
-func (n *Node) queuedBefore(s *shard, spec *protocol.Submission, now time.Time) bool {
+func (n *Controller) queuedBefore(s *shard, spec *protocol.Submission, now time.Time) bool {
 	for _, u := range n.queueOf(s, now) {
-		if u.spec.Prio() >= spec.Prio() && u.spec.GPUs >= spec.GPUs {
+		if u.spec.Priority() >= spec.Priority() && u.spec.GPUs >= spec.GPUs {
 			return true
 		}
 	}
--- a/internal/coordination/commit.go
+++ b/internal/coordination/commit.go
@@ -12,41 +12,41 @@
 
 // commit submits a transaction. done runs with the lock held, after the cache
 // shows the outcome: the written records, or what the failed keys hold now.
-func (n *Node) commit(prio int, conds []ledger.Cond, ops []ledger.Op, within time.Duration, done func(error)) {
+func (n *Controller) commit(prio int, conds []ledger.Compare, ops []ledger.Op, within time.Duration, done func(error)) {
 	n.commitAt(prio, conds, ops, within, func(err error, _ uint64) { done(err) })
 }
 
 // commitAt is commit, and tells done the state service's revision as it answered; 0 if
 // it did not.
-func (n *Node) commitAt(prio int, conds []ledger.Cond, ops []ledger.Op, within time.Duration, done func(error, uint64)) {
-	t := &ledger.Txn{Conds: conds, Ops: ops, Prio: prio}
+func (n *Controller) commitAt(prio int, conds []ledger.Compare, ops []ledger.Op, within time.Duration, done func(error, uint64)) {
+	t := &ledger.Txn{Compares: conds, Ops: ops, Priority: prio}
 	if within > 0 {
 		t.Deadline = time.Now().Add(within)
 	}
-	t.Done = func(res ledger.Result) {
+	t.OnResult = func(res ledger.Result) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if keys := n.doubtful(res, t); len(keys) > 0 {
 			// One without a deadline reserves something: its caller may not go on before it
 			// is known what became of it.
 			n.refreshes++
-			go n.refresh(n.refreshes, keys, res.Epoch, t.Deadline.IsZero(), func(read bool) {
-				if !read && prio == ledger.PrioUser {
+			go n.refresh(n.refreshes, keys, res.Revision, t.Deadline.IsZero(), func(read bool) {
+				if !read && prio == ledger.PriorityUser {
 					// The cache may be newer than the condition and still older than what
 					// another node has told users: nobody here knows.
-					done(ledger.ErrUnknown, 0)
+					done(ledger.ErrOutcomeUnknown, 0)
 					return
 				}
-				done(res.Err, res.Epoch)
+				done(res.Err, res.Revision)
 			})
 			return
 		}
 		if res.Err == nil {
 			for _, op := range ops {
-				n.store(op.Key, op.Value, res.Epoch)
+				n.store(op.Key, op.Value, res.Revision)
 			}
 		}
-		done(res.Err, res.Epoch)
+		done(res.Err, res.Revision)
 		n.poke()
 	}
 	n.led.Submit(t)
@@ -54,17 +54,17 @@
 
 // doubtful lists the keys to be read again after a transaction failed, since
 // deciding again from the same cache would only fail again.
-func (n *Node) doubtful(res ledger.Result, t *ledger.Txn) []string {
+func (n *Controller) doubtful(res ledger.Result, t *ledger.Txn) []string {
 	var keys []string
-	for _, c := range t.Conds {
+	for _, c := range t.Compares {
 		// What the watch has brought meanwhile need not be read, except for users:
 		// the cache may be newer than the condition and still older than what
 		// another node has told them.
-		if slices.Contains(res.Failed, c.Key) && (t.Prio == ledger.PrioUser || n.stamps[c.Key] <= c.Stamp) {
+		if slices.Contains(res.FailedKeys, c.Key) && (t.Priority == ledger.PriorityUser || n.stamps[c.Key] <= c.Version) {
 			keys = append(keys, c.Key)
 		}
 	}
-	if errors.Is(res.Err, ledger.ErrUnknown) {
+	if errors.Is(res.Err, ledger.ErrOutcomeUnknown) {
 		for _, op := range t.Ops {
 			keys = append(keys, op.Key)
 		}
@@ -79,7 +79,7 @@
 //
 // Those begun at one instant, after transactions that were sent together, start a
 // nanosecond apart in the order of their numbers: they compete for the same requests.
-func (n *Node) refresh(number int, keys []string, epoch uint64, insist bool, done func(read bool)) {
+func (n *Controller) refresh(number int, keys []string, epoch uint64, insist bool, done func(read bool)) {
 	n.mu.Lock()
 	life := n.ctx
 	n.mu.Unlock()
@@ -118,7 +118,7 @@
 )
 
 // call makes an HTTP call with a JSON answer.
-func (n *Node) call(ctx context.Context, addr, method, target string, in, out any, timeout time.Duration) (int, error) {
+func (n *Controller) call(ctx context.Context, addr, method, target string, in, out any, timeout time.Duration) (int, error) {
 	var body []byte
 	if in != nil {
 		var err error
--- a/internal/coordination/displace.go
+++ b/internal/coordination/displace.go
@@ -24,16 +24,16 @@
 const planFor = 5 * time.Second
 
 // expirePlans drops the plans that have had their time or whose job is over.
-func (n *Node) expirePlans(now time.Time) {
+func (n *Controller) expirePlans(now time.Time) {
 	for ref, p := range n.plans {
-		if j := n.jobs[ref]; now.After(p.until) || j == nil || j.rec.Final() {
+		if j := n.jobs[ref]; now.After(p.until) || j == nil || j.rec.IsFinal() {
 			delete(n.plans, ref)
 		}
 	}
 }
 
 // holdPlans sets the planned room of a shard's machines apart.
-func (n *Node) holdPlans(s *shard, rooms []*room, now time.Time) {
+func (n *Controller) holdPlans(s *shard, rooms []*room, now time.Time) {
 	held := false
 	refs := slices.Sorted(maps.Keys(n.plans))
 	for _, ref := range refs {
@@ -54,7 +54,7 @@
 
 // makeRoom displaces work of lower priority for a job that found no room. It
 // returns false when there is nothing, or nothing more, to displace.
-func (n *Node) makeRoom(s *shard, u *unit, rooms []*room, now time.Time) bool {
+func (n *Controller) makeRoom(s *shard, u *unit, rooms []*room, now time.Time) bool {
 	if n.plans[u.j.ref] != nil || !n.displacesHere(s, u, now) {
 		return false
 	}
@@ -80,22 +80,22 @@
 // displacesHere tells whether a shard may displace for a unit. For work that
 // no shard has claimed yet only one of its copies does so at a time: for a gang
 // of eight, five shards each stopped hundreds of tasks.
-func (n *Node) displacesHere(s *shard, u *unit, now time.Time) bool {
+func (n *Controller) displacesHere(s *shard, u *unit, now time.Time) bool {
 	if u.c != nil {
 		return true
 	}
-	i := slices.Index(u.j.rec.At, s.name)
+	i := slices.Index(u.j.rec.Shards, s.name)
 	if i < 0 {
-		i = len(u.j.rec.At)
+		i = len(u.j.rec.Shards)
 	}
 	return now.Sub(u.j.seen) >= time.Duration(i)*planFor
 }
 
 // together tells that all of a unit's tasks must start at the same time.
-func (u *unit) together() bool { return u.spec.Shape == protocol.Gang && u.spec.Tasks > 1 }
+func (u *unit) together() bool { return u.spec.Shape == protocol.ShapeGang && u.spec.Tasks > 1 }
 
 // carryOut stops what an eviction names. The room is spoken for in this pass.
-func (n *Node) carryOut(s *shard, u *unit, e eviction, now time.Time) {
+func (n *Controller) carryOut(s *shard, u *unit, e eviction, now time.Time) {
 	p := n.plans[u.j.ref]
 	if p == nil {
 		p = &plan{shard: s.name, hosts: make(map[string]int), until: now.Add(planFor)}
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -28,13 +28,13 @@
 
 // cloudLoop keeps machine types and the machine list up to date, and carries
 // out recorded returns.
-func (n *Node) cloudLoop(ctx context.Context) {
+func (n *Controller) cloudLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.mu.Lock()
 		now := time.Now()
 		n.shareCloud()
 		needTypes := len(n.types) == 0 || now.Sub(n.fleet.typesAt) > 30*time.Second
-		needList := n.loaded && len(n.types) > 0 && now.Sub(n.fleet.listed) > max(10*time.Second, n.cfg.CloudLimit.ListLag)
+		needList := n.loaded && len(n.types) > 0 && now.Sub(n.fleet.listed) > max(10*time.Second, n.cfg.CloudLimits.ListLag)
 		hosts := n.toReturn(now)
 		n.mu.Unlock()
 		switch {
@@ -53,20 +53,20 @@
 
 // shareCloud divides the cloud's calls: half of them for the leader, who hires
 // for all, the rest for the returns and lists of every node.
-func (n *Node) shareCloud() {
-	part := 0.4 / float64(max(1, n.cfg.Nodes))
+func (n *Controller) shareCloud() {
+	part := 0.4 / float64(max(1, n.cfg.NodeCount))
 	if n.leading() {
 		part += 0.5
 	}
-	n.cloud.SetLimit(rate.Limit(n.cfg.CloudLimit.RPS * part))
+	n.cloud.SetLimit(rate.Limit(n.cfg.CloudLimits.RequestRate * part))
 }
 
-func (n *Node) fetchTypes(ctx context.Context) {
+func (n *Controller) fetchTypes(ctx context.Context) {
 	if n.cloud.Wait(ctx) != nil {
 		return
 	}
 	var out protocol.MachineTypes
-	status, err := n.call(ctx, n.cfg.Cloud, "GET", protocol.PathMachineTypes, nil, &out, 4*time.Second)
+	status, err := n.call(ctx, n.cfg.CloudAddr, "GET", protocol.PathMachineTypes, nil, &out, 4*time.Second)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if err != nil || status != 200 || len(out.Types) == 0 {
@@ -95,19 +95,19 @@
 
 // returnMachine records that a machine goes back. The record is final: from
 // then on nothing is placed there, whoever owns the shard.
-func (n *Node) returnMachine(s *shard, m *machine) {
+func (n *Controller) returnMachine(s *shard, m *machine) {
 	if m.returning || m.rec.State != "" || s.token == 0 {
 		return
 	}
 	m.returning = true
 	rec := m.rec
-	rec.State = ledger.Returning
-	n.commit(ledger.PrioClaim, []ledger.Cond{{Key: ledger.ShardKeys + s.name, Stamp: s.token}, {Key: ledger.MachineKeys + m.host, Stamp: m.stamp}},
-		[]ledger.Op{{Key: ledger.MachineKeys + m.host, Value: &rec}}, returnWithin, func(error) { m.returning = false })
+	rec.State = ledger.MachineReturning
+	n.commit(ledger.PriorityClaim, []ledger.Compare{{Key: ledger.ShardPrefix + s.name, Version: s.token}, {Key: ledger.MachinePrefix + m.host, Version: m.stamp}},
+		[]ledger.Op{{Key: ledger.MachinePrefix + m.host, Value: &rec}}, returnWithin, func(error) { m.returning = false })
 }
 
 // toReturn lists the machines whose return is recorded and not carried out.
-func (n *Node) toReturn(now time.Time) []string {
+func (n *Controller) toReturn(now time.Time) []string {
 	var hosts []string
 	if !n.loaded || n.fleet.returnBusy {
 		return nil
@@ -132,27 +132,27 @@
 
 // recordGone spares the shard's next owner to return a machine again, which
 // would prove the same: there is no hurry.
-func (n *Node) recordGone(s *shard, m *machine) {
+func (n *Controller) recordGone(s *shard, m *machine) {
 	rec := m.rec
-	rec.State = ledger.Gone
-	n.commit(ledger.PrioRest, []ledger.Cond{{Key: ledger.ShardKeys + s.name, Stamp: s.token}, {Key: ledger.MachineKeys + m.host, Stamp: m.stamp}},
-		[]ledger.Op{{Key: ledger.MachineKeys + m.host, Value: &rec}}, 20*time.Second, func(error) {})
+	rec.State = ledger.MachineGone
+	n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: ledger.ShardPrefix + s.name, Version: s.token}, {Key: ledger.MachinePrefix + m.host, Version: m.stamp}},
+		[]ledger.Op{{Key: ledger.MachinePrefix + m.host, Value: &rec}}, 20*time.Second, func(error) {})
 }
 
 // maxReturn is the most machines that the cloud takes back in one call.
 const maxReturn = 100
 
 // askReturn asks the cloud to take machines back.
-func (n *Node) askReturn(ctx context.Context, hosts []string) (int, error) {
+func (n *Controller) askReturn(ctx context.Context, hosts []string) (int, error) {
 	if err := n.cloud.Wait(ctx); err != nil {
 		return 0, err
 	}
-	return n.call(ctx, n.cfg.Cloud, "POST", protocol.PathReturn, protocol.HostNames{Hosts: hosts}, nil, 4*time.Second)
+	return n.call(ctx, n.cfg.CloudAddr, "POST", protocol.PathReturnMachines, protocol.HostList{Hosts: hosts}, nil, 4*time.Second)
 }
 
 // provedGone notes that the cloud has taken a machine back: it and everything
 // on it are gone.
-func (n *Node) provedGone(m *machine) {
+func (n *Controller) provedGone(m *machine) {
 	m.gone = true
 	n.shard(m.rec.Shard).stirred = true
 	for _, p := range m.use.places {
@@ -160,7 +160,7 @@
 	}
 }
 
-func (n *Node) returnHosts(ctx context.Context, hosts []string) {
+func (n *Controller) returnHosts(ctx context.Context, hosts []string) {
 	status, err := n.askReturn(ctx, hosts)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -172,7 +172,7 @@
 		if err == nil && status == 200 {
 			m.returnNext = time.Now().Add(25 * time.Second) // the record's turn
 		}
-		if err != nil || status != 200 || !n.active(s) || m.rec.State != ledger.Returning {
+		if err != nil || status != 200 || !n.active(s) || m.rec.State != ledger.MachineReturning {
 			continue
 		}
 		n.provedGone(m)
@@ -182,14 +182,14 @@
 }
 
 // listMachines finds machines that failed, and some that nobody expected.
-func (n *Node) listMachines(ctx context.Context) {
+func (n *Controller) listMachines(ctx context.Context) {
 	from := ""
 	for range 20 {
 		if n.cloud.Wait(ctx) != nil {
 			return
 		}
 		var out protocol.MachineList
-		status, err := n.call(ctx, n.cfg.Cloud, "GET", protocol.PathMachines+"?most=500&from="+from, nil, &out, 4*time.Second)
+		status, err := n.call(ctx, n.cfg.CloudAddr, "GET", protocol.PathMachines+"?most=500&from="+from, nil, &out, 4*time.Second)
 		n.mu.Lock()
 		n.fleet.listed = time.Now()
 		if err == nil && status == 200 {
@@ -205,16 +205,16 @@
 	}
 }
 
-func (n *Node) listed(h protocol.ListedMachine) {
+func (n *Controller) listed(h protocol.ListedMachine) {
 	m := n.machines[h.Host]
 	if m != nil {
-		m.listed = h.Addr
+		m.listed = h.Address
 	}
 	switch {
 	case m == nil:
 		// A hire whose answer was lost shows up here. A younger one may still
 		// be about to be recorded by the node that hired it.
-		if n.leading() && protocol.Seconds(h.HeldS) > 10*time.Second+2*n.cfg.CloudLimit.ListLag {
+		if n.leading() && protocol.Seconds(h.AgeS) > 10*time.Second+2*n.cfg.CloudLimits.ListLag {
 			n.adopt(h.Host, h.Type, h.Zone, h.Spot)
 		}
 	case h.Phase == protocol.MachineFailed && m.rec.State == "":
@@ -227,7 +227,7 @@
 
 // fleetLoop works off the difference between the machines there should be and
 // those there are: owners return what is idle, the leader hires.
-func (n *Node) fleetLoop(ctx context.Context) {
+func (n *Controller) fleetLoop(ctx context.Context) {
 	for n.pause(ctx, 700*time.Millisecond+41*time.Nanosecond) {
 		n.mu.Lock()
 		if n.loaded && len(n.types) > 0 {
@@ -251,17 +251,17 @@
 
 // returnIdle gives back machines that have had nothing to do for a while and
 // are not part of the warm room, those that never came up, and sick ones.
-func (n *Node) returnIdle(s *shard, now time.Time) {
+func (n *Controller) returnIdle(s *shard, now time.Time) {
 	held := make(map[string]bool)
 	services := 0.0
 	for c := range s.claims {
-		if c.rec != nil && c.spec != nil && c.spec.Shape == protocol.Service {
-			services += c.spec.CPUs * float64(len(c.rec.Open))
+		if c.rec != nil && c.spec != nil && c.spec.Shape == protocol.ShapeService {
+			services += c.spec.CPUs * float64(len(c.rec.Placements))
 		}
 	}
 	for _, g := range n.gathers {
 		if h := g.holds[s.name]; h != nil && h.stamp != 0 && g.stamp != 0 {
-			for host := range h.rec.Hosts {
+			for host := range h.rec.TasksByHost {
 				held[host] = true // held for a wide job about to start
 			}
 		}
@@ -282,14 +282,14 @@
 		t := n.typeOf(m.rec.Type)
 		if m.rep == nil {
 			age := m.bootedFor(now)
-			if age > n.boots.GiveUp(m.bootKind(), t.Boot(), now) && now.Sub(m.adoptedAt) > t.Boot()+n.cfg.Workers.Lease {
+			if age > n.boots.Expired(m.bootKind(), t.BootTime(), now) && now.Sub(m.adoptedAt) > t.BootTime()+n.cfg.Workers.LeaseDuration {
 				n.log.Info("machine never came up, returned", "host", m.host, "type", m.rec.Type, "zone", m.rec.Zone, "age", age.Round(time.Second))
 				n.returnMachine(s, m)
 			}
 			continue
 		}
 		inDemand := wanted[machineKind{m.rec.Type, m.rec.Zone, m.rec.Spot}] && !m.sick && m.draining.IsZero()
-		if len(m.use.places) > 0 || inDemand || held[m.host] || n.strays(m) || now.Sub(m.adoptedAt) < n.pol.Idle {
+		if len(m.use.places) > 0 || inDemand || held[m.host] || n.strays(m) || now.Sub(m.adoptedAt) < n.pol.IdleMachineTTL {
 			m.idleSince = time.Time{}
 			continue
 		}
@@ -300,7 +300,7 @@
 			n.returnMachine(s, m)
 			continue
 		}
-		if now.Sub(m.idleSince) < n.pol.Idle {
+		if now.Sub(m.idleSince) < n.pol.IdleMachineTTL {
 			continue
 		}
 		if !m.rec.Spot && t.GPUs == 0 {
@@ -317,7 +317,7 @@
 // typesWanted tells which kinds of machine the shard's queue could use. While
 // the state service is short of budget, work waits beside idle machines; to
 // return them and hire others just after would be paid twice.
-func (n *Node) typesWanted(s *shard, now time.Time) map[machineKind]bool {
+func (n *Controller) typesWanted(s *shard, now time.Time) map[machineKind]bool {
 	wanted := make(map[machineKind]bool)
 	queue := n.queueOf(s, now)
 	for kind := range s.kinds {
@@ -340,7 +340,7 @@
 // runs there are replicas that other machines of the shard can take at once,
 // their image at hand. Replicas run for hours; without this a few of them
 // keep a costly machine long after the work it was hired for.
-func (n *Node) consolidate(s *shard, now time.Time) {
+func (n *Controller) consolidate(s *shard, now time.Time) {
 	busy := false
 	for _, m := range s.machines {
 		if m.draining.IsZero() {
@@ -392,14 +392,14 @@
 
 // moveReplicas stops what a machine being emptied still runs, one replica of
 // each service at a time, so that a service goes on while it moves.
-func (n *Node) moveReplicas(m *machine, now time.Time) {
+func (n *Controller) moveReplicas(m *machine, now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(m.use.places)) {
 		p := m.use.places[name]
 		if p == nil {
 			continue
 		}
 		c := p.c
-		if c.rec == nil || c.pend != nil || c.spec == nil || len(c.evict) > 0 || len(c.rec.Open) < c.rec.Count {
+		if c.rec == nil || c.pend != nil || c.spec == nil || len(c.evict) > 0 || len(c.rec.Placements) < c.rec.TaskCount {
 			continue
 		}
 		n.evict(c, p.task, now)
@@ -416,7 +416,7 @@
 }
 
 // fitElsewhere tries the moves on a copy of the rooms.
-func (n *Node) fitElsewhere(from *room, tasks []victim, rooms []*room, now time.Time) bool {
+func (n *Controller) fitElsewhere(from *room, tasks []victim, rooms []*room, now time.Time) bool {
 	var others []*room
 	for _, r := range rooms {
 		if r != from {
@@ -445,7 +445,7 @@
 	return true
 }
 
-func (n *Node) strays(m *machine) bool {
+func (n *Controller) strays(m *machine) bool {
 	for _, t := range m.tasks {
 		if t.Phase != protocol.TaskExited {
 			return true
@@ -481,7 +481,7 @@
 }
 
 // hireFor hires for the work that neither free nor coming room can take.
-func (n *Node) hireFor(now time.Time) {
+func (n *Controller) hireFor(now time.Time) {
 	supply := n.supply(now)
 	wants, arrays := n.wants(now)
 	var need []offer
@@ -505,8 +505,8 @@
 		}
 		need = append(need, got...)
 	}
-	groups := make(map[string]*ledger.Hire)
-	var order []*ledger.Hire
+	groups := make(map[string]*ledger.Provision)
+	var order []*ledger.Provision
 	for _, o := range need {
 		shard := o.shard
 		if shard == "" {
@@ -520,15 +520,15 @@
 		g := groups[o.key()]
 		if g == nil || g.Count == maxHire {
 			n.fleet.counter++
-			name := fmt.Sprintf("%s-%d-%d", n.cfg.Node, n.boot.UnixMilli(), n.fleet.counter)
-			g = &ledger.Hire{Hire: protocol.Hire{Name: name, Type: o.typ.Name, Zone: o.zone, Spot: o.spot}, Born: now.UnixMilli()}
+			name := fmt.Sprintf("%s-%d-%d", n.cfg.NodeName, n.boot.UnixMilli(), n.fleet.counter)
+			g = &ledger.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: name, Type: o.typ.Name, Zone: o.zone, Spot: o.spot}, RequestedAtMs: now.UnixMilli()}
 			groups[o.key()] = g
 			order = append(order, g)
 			// Counted by smallestShard from now on.
 			n.hires[name] = &hire{name: name, busy: true}
 		}
 		g.Count++
-		g.Share(shard)
+		g.Allocate(shard)
 		n.hires[g.Name].rec = *g
 	}
 	for _, g := range order {
@@ -540,12 +540,12 @@
 const maxHire = 50
 
 // recordHire writes a hire's name down before it is sent.
-func (n *Node) recordHire(rec *ledger.Hire) {
+func (n *Controller) recordHire(rec *ledger.Provision) {
 	name := rec.Name
-	n.log.Info("hiring", "name", name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "count", rec.Count, "parts", rec.Parts)
+	n.log.Info("hiring", "name", name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "count", rec.Count, "parts", rec.Allocations)
 	// Hires are few and everything waits for the machines, so they go first.
-	n.commit(ledger.PrioLease, []ledger.Cond{{Key: ledger.LeaderKey, Stamp: n.leadStamp}, {Key: ledger.HireKeys + name, Stamp: 0}},
-		[]ledger.Op{{Key: ledger.HireKeys + name, Value: rec}}, 5*time.Second, func(err error) {
+	n.commit(ledger.PriorityLease, []ledger.Compare{{Key: ledger.LeaderKey, Version: n.leadStamp}, {Key: ledger.ProvisionPrefix + name, Version: 0}},
+		[]ledger.Op{{Key: ledger.ProvisionPrefix + name, Value: rec}}, 5*time.Second, func(err error) {
 			h := n.hires[name]
 			if err != nil {
 				if h != nil && h.stamp == 0 {
@@ -559,7 +559,7 @@
 
 // retryHires repeats recorded hires without an answer, those of an earlier
 // leader too: the same name rents nothing twice.
-func (n *Node) retryHires(now time.Time) {
+func (n *Controller) retryHires(now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(n.hires)) {
 		switch h := n.hires[name]; {
 		case h.stamp == 0 || h.busy || !now.After(h.next):
@@ -572,7 +572,7 @@
 	}
 }
 
-func (n *Node) sendHire(h *hire) {
+func (n *Controller) sendHire(h *hire) {
 	if h == nil || h.busy {
 		return
 	}
@@ -580,7 +580,7 @@
 	rec, ctx := h.rec, n.ctx
 	turn := n.cloud.Reserve() // here and not below: those sent at one instant go in order
 	go func() {
-		var out protocol.HostNames
+		var out protocol.HostList
 		var status int
 		var err error
 		if delay := turn.Delay(); delay > 0 && !pause(ctx, delay) {
@@ -588,7 +588,7 @@
 			err = ctx.Err()
 		}
 		if err == nil {
-			status, err = n.call(ctx, n.cfg.Cloud, "POST", protocol.PathMachines, rec.Hire, &out, 5*time.Second)
+			status, err = n.call(ctx, n.cfg.CloudAddr, "POST", protocol.PathMachines, rec.ProvisionRequest, &out, 5*time.Second)
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -598,7 +598,7 @@
 			n.hired(h, out.Hosts)
 		case err == nil && (status == 503 || status == 400):
 			o := rec.Type + "/" + rec.Zone + "/" + strconv.FormatBool(rec.Spot)
-			n.refused[o] = time.Now().Add(n.pol.RefusedPause)
+			n.refused[o] = time.Now().Add(n.pol.RefusedOfferPause)
 			n.log.Info("hire refused", "kind", o, "status", status)
 			n.dropHire(h)
 		default:
@@ -607,18 +607,18 @@
 	}()
 }
 
-func (n *Node) dropHire(h *hire) {
-	n.commit(ledger.PrioRest, []ledger.Cond{{Key: ledger.HireKeys + h.name, Stamp: h.stamp}}, []ledger.Op{{Key: ledger.HireKeys + h.name}}, 10*time.Second,
+func (n *Controller) dropHire(h *hire) {
+	n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: ledger.ProvisionPrefix + h.name, Version: h.stamp}}, []ledger.Op{{Key: ledger.ProvisionPrefix + h.name}}, 10*time.Second,
 		func(err error) { h.busy = false })
 }
 
 // hired records the machines of a hire, all in one record. Only the leader
 // does: it alone knows which machines have been adopted meanwhile, and none may
 // be put into two shards.
-func (n *Node) hired(h *hire, hosts []string) {
+func (n *Controller) hired(h *hire, hosts []string) {
 	rec := h.rec
 	if len(hosts) < rec.Count {
-		n.refused[rec.Type+"/"+rec.Zone+"/"+strconv.FormatBool(rec.Spot)] = time.Now().Add(n.pol.RefusedPause)
+		n.refused[rec.Type+"/"+rec.Zone+"/"+strconv.FormatBool(rec.Spot)] = time.Now().Add(n.pol.RefusedOfferPause)
 	}
 	rec.Hosts = nil
 	if n.epoch < h.stamp {
@@ -640,13 +640,13 @@
 		n.dropHire(h)
 		return
 	}
-	n.commit(ledger.PrioLease, []ledger.Cond{{Key: ledger.LeaderKey, Stamp: n.leadStamp}, {Key: ledger.HireKeys + h.name, Stamp: h.stamp}},
-		[]ledger.Op{{Key: ledger.HireKeys + h.name, Value: &rec}}, 10*time.Second, func(error) { h.busy = false })
+	n.commit(ledger.PriorityLease, []ledger.Compare{{Key: ledger.LeaderKey, Version: n.leadStamp}, {Key: ledger.ProvisionPrefix + h.name, Version: h.stamp}},
+		[]ledger.Op{{Key: ledger.ProvisionPrefix + h.name, Value: &rec}}, 10*time.Second, func(error) { h.busy = false })
 }
 
 // storeHire takes a hire's record. Once it names the machines it is their
 // record, until one is returned and gets a record of its own.
-func (n *Node) storeHire(name string, r *ledger.Hire, stamp uint64) {
+func (n *Controller) storeHire(name string, r *ledger.Provision, stamp uint64) {
 	delete(n.groups, name)
 	switch {
 	case r == nil:
@@ -658,7 +658,7 @@
 		n.groups[name] = group{r.Hosts, stamp}
 		for i, host := range r.Hosts {
 			if n.machines[host] == nil {
-				n.storeMachine(host, &ledger.Machine{Shard: r.ShardOf(i), Type: r.Type, Zone: r.Zone, Spot: r.Spot, Born: r.Born}, 0)
+				n.storeMachine(host, &ledger.Machine{Shard: r.ShardOf(i), Type: r.Type, Zone: r.Zone, Spot: r.Spot, RentedAtMs: r.RequestedAtMs}, 0)
 			}
 		}
 	}
@@ -672,15 +672,15 @@
 
 // tidyGroups drops the records whose machines are all gone, each with a record
 // of its own that says so.
-func (n *Node) tidyGroups() {
+func (n *Controller) tidyGroups() {
 	for _, name := range slices.Sorted(maps.Keys(n.groups)) {
 		g := n.groups[name]
-		if slices.ContainsFunc(g.hosts, func(host string) bool { return n.machines[host].rec.State != ledger.Gone }) {
+		if slices.ContainsFunc(g.hosts, func(host string) bool { return n.machines[host].rec.State != ledger.MachineGone }) {
 			continue
 		}
-		key := ledger.HireKeys + name
+		key := ledger.ProvisionPrefix + name
 		delete(n.groups, name) // until it is seen again
-		n.commit(ledger.PrioRest, []ledger.Cond{{Key: key, Stamp: g.stamp}}, []ledger.Op{{Key: key}}, 5*time.Second, func(err error) {
+		n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: key, Version: g.stamp}}, []ledger.Op{{Key: key}}, 5*time.Second, func(err error) {
 			if err != nil && n.stamps[key] == g.stamp {
 				n.groups[name] = g
 			}
@@ -690,12 +690,12 @@
 }
 
 // supply is the room of all machines, there or coming, of every shard.
-func (n *Node) supply(now time.Time) []*room {
+func (n *Controller) supply(now time.Time) []*room {
 	var out []*room
 	for _, name := range n.shardNames() {
 		// Only the owner sees that a machine fails its tasks. The leader counted
 		// the room of such machines on, and hired nothing for what waited for it.
-		barred := n.loads[name].load.Barred
+		barred := n.loads[name].load.ExcludedHosts
 		for _, m := range n.shards[name].machines {
 			t := n.types[m.rec.Type]
 			if t == nil || m.sick || m.returning || !m.warned.IsZero() || slices.Contains(barred, m.host) || n.zoneCut(m.rec.Zone, now) {
@@ -709,7 +709,7 @@
 	for _, name := range slices.Sorted(maps.Keys(n.hires)) {
 		h := n.hires[name]
 		if t := n.types[h.rec.Type]; t != nil {
-			for _, p := range h.rec.Parts {
+			for _, p := range h.rec.Allocations {
 				for range p.Count {
 					out = append(out, newRoom(offer{t, h.rec.Zone, h.rec.Spot, p.Shard}))
 				}
@@ -720,20 +720,20 @@
 }
 
 func newRoom(o offer) *room {
-	return &room{typ: o.typ.Name, shard: o.shard, zone: o.zone, spot: o.spot, total: o.typ, cpus: o.typ.CPUs, gpus: o.typ.GPUs, mem: o.typ.MemGB}
+	return &room{typ: o.typ.Name, shard: o.shard, zone: o.zone, spot: o.spot, total: o.typ, cpus: o.typ.CPUs, gpus: o.typ.GPUs, mem: o.typ.MemoryGB}
 }
 
 // wants lists the work without machines, urgent first, and arrays apart: an
 // array may wait a little for running tasks to end.
-func (n *Node) wants(now time.Time) (urgent, arrays []want) {
+func (n *Controller) wants(now time.Time) (urgent, arrays []want) {
 	services := 0
 	var service *protocol.Submission
 	for _, j := range n.jobs {
-		if j.rec == nil || j.rec.Spec == nil || j.rec.Final() {
+		if j.rec == nil || j.rec.Spec == nil || j.rec.IsFinal() {
 			continue
 		}
 		spec := j.spec()
-		if spec.Shape == protocol.Service && (service == nil || spec.Ref < service.Ref) {
+		if spec.Shape == protocol.ShapeService && (service == nil || spec.JobID < service.JobID) {
 			service = spec // any will do, but the same one every time
 		}
 		free := math.MaxInt
@@ -746,18 +746,18 @@
 			w := want{spec: spec, count: min(u.waiting(), free, 2000)}
 			if u.c != nil && u.c.rec != nil {
 				w.shard, w.taken = u.c.rec.Shard, n.zonesTaken(u.c)
-				if spec.Shape == protocol.Service {
-					services += len(u.c.rec.Open)
+				if spec.Shape == protocol.ShapeService {
+					services += len(u.c.rec.Placements)
 				}
 			}
 			if w.count <= 0 || now.Before(j.pause) || j.onTrial(now) {
 				continue
 			}
-			if u.together() && w.shard == "" && len(j.rec.At) > 0 {
-				w.shard = j.rec.At[0] // a gang needs its machines side by side
+			if u.together() && w.shard == "" && len(j.rec.Shards) > 0 {
+				w.shard = j.rec.Shards[0] // a gang needs its machines side by side
 			}
 			free -= w.count
-			if spec.Shape == protocol.Array {
+			if spec.Shape == protocol.ShapeArray {
 				arrays = append(arrays, w)
 			} else {
 				urgent = append(urgent, w)
@@ -765,10 +765,10 @@
 		}
 	}
 	byPrio := func(a, b want) int {
-		if a.spec.Prio() != b.spec.Prio() {
-			return b.spec.Prio() - a.spec.Prio()
+		if a.spec.Priority() != b.spec.Priority() {
+			return b.spec.Priority() - a.spec.Priority()
 		}
-		return strings.Compare(a.spec.Ref, b.spec.Ref)
+		return strings.Compare(a.spec.JobID, b.spec.JobID)
 	}
 	// Stable: a job's chunks stay in their order.
 	slices.SortStableFunc(urgent, byPrio)
@@ -776,8 +776,8 @@
 	if service != nil && n.pol.WarmShare > 0 {
 		warm := int(math.Ceil(float64(services)*n.pol.WarmShare)) + 2
 		like := *service
-		like.SameZone, like.Spread, like.Zone = false, false, ""
-		like.Spot = false // idle cheap machines are not kept as warm room, so they would come and go for ever
+		like.SameZone, like.SpreadZones, like.Zone = false, false, ""
+		like.AllowSpot = false // idle cheap machines are not kept as warm room, so they would come and go for ever
 		zones := n.cfg.Zones
 		for i, zone := range zones {
 			if n.zoneCut(zone, now) {
@@ -795,7 +795,7 @@
 
 // arrayBudget is how many more CPUs the waiting arrays deserve: enough to work
 // off each in the time that its objectives leave it.
-func (n *Node) arrayBudget(others, idle []want, supply []*room, now time.Time) (forOthers, forIdle float64) {
+func (n *Controller) arrayBudget(others, idle []want, supply []*room, now time.Time) (forOthers, forIdle float64) {
 	sum := func(arrays []want) (need float64) {
 		for _, w := range arrays {
 			est := max(n.estimate(w.spec), time.Second)
@@ -820,15 +820,15 @@
 		if c.rec == nil || c.spec == nil {
 			continue
 		}
-		switch cpus := float64(len(c.rec.Open)) * c.spec.CPUs; c.spec.Shape {
-		case protocol.Array:
+		switch cpus := float64(len(c.rec.Placements)) * c.spec.CPUs; c.spec.Shape {
+		case protocol.ShapeArray:
 			have += cpus
-		case protocol.Service:
+		case protocol.ShapeService:
 			warm += cpus
 		}
 	}
 	warm *= n.pol.WarmShare // once: a sum of rounded products depends on the order
-	most := n.pol.IdleRent * total
+	most := n.pol.BestEffortProvisionShare * total
 	if most > 0 {
 		// Of a small fleet the part is less than a machine, and none would ever be rented.
 		least := math.Inf(1)
@@ -837,7 +837,7 @@
 		}
 		most = max(most, least)
 	}
-	return leftover.Rent(need, idleNeed, have, warm, most)
+	return leftover.SplitArrayDemand(need, idleNeed, have, warm, most)
 }
 
 // arrayTime is the time in which an array should be worked off: array_wait, or
@@ -845,20 +845,20 @@
 // deadline there is no waiting on purpose: machines hired late for the sake of
 // the last objective that could still be met made every array later in a day
 // with less capacity.
-func (n *Node) arrayTime(w want, est time.Duration, now time.Time) time.Duration {
+func (n *Controller) arrayTime(w want, est time.Duration, now time.Time) time.Duration {
 	if isIdle(w.spec) {
-		return max(n.pol.IdleWait, est)
+		return max(n.pol.BestEffortWait, est)
 	}
-	if w.spec.Due() == 0 {
+	if w.spec.Deadline() == 0 {
 		return max(n.pol.ArrayWait, est)
 	}
 	boot := time.Duration(0)
 	for _, t := range n.types {
-		if canEver(w.spec, t) && (boot == 0 || t.Boot() < boot) {
-			boot = t.Boot()
+		if canEver(w.spec, t) && (boot == 0 || t.BootTime() < boot) {
+			boot = t.BootTime()
 		}
 	}
-	left := n.jobs[w.spec.Ref].submitted().Add(w.spec.Due()).Sub(now) - boot
+	left := n.jobs[w.spec.JobID].submitted().Add(w.spec.Deadline()).Sub(now) - boot
 	return max(left*7/10-est, n.pol.ArrayWait, est)
 }
 
@@ -867,16 +867,16 @@
 // little of it. The budget counts room of every shard and kind alike, so that arrays
 // which only some of it can take, those with cards or with their chunk in a
 // shard that has lost its machines, would wait for ever beside it.
-func (n *Node) stranded(w want, supply []*room) bool {
+func (n *Controller) stranded(w want, supply []*room) bool {
 	zones := newZoneRule(w.spec, w.taken)
 	return !slices.ContainsFunc(supply, func(r *room) bool {
 		if !allowed(w.spec, r.typ, r.zone, r.spot) || !zones.permits(r.zone) || (w.shard != "" && r.shard != "" && w.shard != r.shard) {
 			return false
 		}
-		empty := room{cpus: r.total.CPUs, gpus: r.total.GPUs, mem: r.total.MemGB}
+		empty := room{cpus: r.total.CPUs, gpus: r.total.GPUs, mem: r.total.MemoryGB}
 		if r.m != nil {
 			for _, p := range r.m.use.places {
-				if p.c.spec != nil && p.c.spec.Shape == protocol.Service {
+				if p.c.spec != nil && p.c.spec.Shape == protocol.ShapeService {
 					empty.take(p.c.spec)
 				}
 			}
@@ -887,7 +887,7 @@
 
 // fill puts a want into the supply and returns the machines to hire for what
 // is left, at most about budget CPUs of them.
-func (n *Node) fill(supply *[]*room, w want, now time.Time, budget float64) []offer {
+func (n *Controller) fill(supply *[]*room, w want, now time.Time, budget float64) []offer {
 	var hires []offer
 	used := 0.0
 	zones := newZoneRule(w.spec, w.taken)
@@ -919,7 +919,7 @@
 }
 
 // bestOffer is the kind of machine that runs so many tasks at the least cost.
-func (n *Node) bestOffer(w want, count int, zones *zoneRule, now time.Time) (offer, bool) {
+func (n *Controller) bestOffer(w want, count int, zones *zoneRule, now time.Time) (offer, bool) {
 	var best offer
 	bestCost := math.Inf(1)
 	names := make([]string, 0, len(n.types))
@@ -961,7 +961,7 @@
 
 func perMachine(s *protocol.Submission, t *protocol.MachineType) int {
 	fit := math.Inf(1)
-	for _, x := range [][2]float64{{t.CPUs, s.CPUs}, {t.GPUs, s.GPUs}, {t.MemGB, s.MemGB}} {
+	for _, x := range [][2]float64{{t.CPUs, s.CPUs}, {t.GPUs, s.GPUs}, {t.MemoryGB, s.MemoryGB}} {
 		if x[1] > 0 {
 			fit = min(fit, math.Floor((x[0]+eps)/x[1]))
 		}
--- a/internal/coordination/fleet_test.go
+++ b/internal/coordination/fleet_test.go
@@ -21,8 +21,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(time.Minute) }()
-		s := protocol.Settings{Node: "n0", Cloud: "cloud", State: "state", Nodes: 1, Zones: []string{"a"}, Workers: protocol.WorkerSettings{Report: 2 * time.Second, Lease: 12 * time.Second},
-			StateLimit: protocol.StateLimits{RPS: 200, WriteRPS: 80, ValueBytes: 8192, TxnOps: 12}, CloudLimit: protocol.CloudLimits{RPS: 8}}
+		s := protocol.Settings{NodeName: "n0", CloudAddr: "cloud", StateAddr: "state", NodeCount: 1, Zones: []string{"a"}, Workers: protocol.WorkerSettings{HeartbeatInterval: 2 * time.Second, LeaseDuration: 12 * time.Second},
+			StateLimits: protocol.StateLimits{RequestRate: 200, WriteRate: 80, MaxValueBytes: 8192, MaxTxnOps: 12}, CloudLimits: protocol.CloudLimits{RequestRate: 8}}
 		pol, err := policy.Load("", s)
 		if err != nil {
 			t.Fatal(err)
@@ -31,10 +31,10 @@
 		w.AddMachines(1, "a")
 		log := slog.New(slog.DiscardHandler)
 		link := standin.Link{W: w, Node: "n0", Ctx: ctx}
-		n := New(Options{Settings: s, Policy: pol, Ledger: ledger.New(link, "state", s.StateLimit, log), HTTP: link, Log: log})
+		n := New(Options{Settings: s, Policy: pol, Store: ledger.New(link, "state", s.StateLimits, log), HTTP: link, Log: log})
 		n.loaded, n.epoch = true, 1
 		n.shards["n0"].token = 1
-		n.storeMachine("vm-000001", &ledger.Machine{Shard: "n0", State: ledger.Returning}, 1)
+		n.storeMachine("vm-000001", &ledger.Machine{Shard: "n0", State: ledger.MachineReturning}, 1)
 		go n.cloudLoop(ctx)
 		time.Sleep(3 * time.Second)
 		returned := slices.DeleteFunc(w.Events(), func(line string) bool { return !strings.HasSuffix(line, " returned") })
--- a/internal/coordination/guarantee.go
+++ b/internal/coordination/guarantee.go
@@ -17,38 +17,38 @@
 // stopped what another team runs beyond its own guarantee. Before anything is
 // stopped, the claim is booked; package quota says what may be.
 
-// standings is what package quota weighs bookings against.
-type standings struct{ n *Node }
+// usageView is what package quota weighs bookings against.
+type usageView struct{ n *Controller }
 
-func (w standings) Run(team string) quota.Amount { return w.n.teamRun[team] }
+func (w usageView) InUse(team string) quota.Resources { return w.n.teamRun[team] }
 
-func (w standings) Sure(team string) quota.Amount { return w.n.teamSure[team] }
+func (w usageView) Committed(team string) quota.Resources { return w.n.teamSure[team] }
 
-func (w standings) Placed(id string) quota.Amount {
+func (w usageView) PlacedBy(id string) quota.Resources {
 	if c := w.n.claims[id]; c != nil && c.sum.kept {
 		return c.sum.use
 	}
-	return quota.Amount{}
+	return quota.Resources{}
 }
 
-func (w standings) Open(task string) quota.Amount {
+func (w usageView) TaskUse(task string) quota.Resources {
 	if c, p := w.n.victimAt(task); p != nil && c.spec != nil {
 		return unitOf(c.spec)
 	}
-	return quota.Amount{}
+	return quota.Resources{}
 }
 
-func (w standings) Owns(shard string) uint64 {
+func (w usageView) OwnerToken(shard string) uint64 {
 	if s := w.n.shards[shard]; w.n.active(s) {
 		return s.token
 	}
 	return 0
 }
 
-func (w standings) Keeps(id, shard string) bool {
-	ref, _, _ := ledger.SplitClaimKey(id)
+func (w usageView) HoldsCapacity(id, shard string) bool {
+	ref, _, _ := ledger.ParseClaimKey(id)
 	j, p, b := w.n.jobs[ref], w.n.plans[ref], w.n.bookings[id]
-	return j != nil && j.rec != nil && !j.rec.Final() && ((p != nil && p.shard == shard) || (b != nil && b.shard == shard))
+	return j != nil && j.rec != nil && !j.rec.IsFinal() && ((p != nil && p.shard == shard) || (b != nil && b.shard == shard))
 }
 
 // id names what claims on a guarantee: a chunk, for the chunks of an array are claimed
@@ -60,7 +60,7 @@
 func (v *victim) name() string { return fmt.Sprintf("%s#%d@%s", v.c.key, v.task, v.host) }
 
 // victimAt finds what name names; the place is nil once it is gone.
-func (n *Node) victimAt(name string) (*claim, *place) {
+func (n *Controller) victimAt(name string) (*claim, *place) {
 	key, rest, _ := strings.Cut(name, "#")
 	num, host, _ := strings.Cut(rest, "@")
 	c := n.claims[key]
@@ -73,13 +73,13 @@
 
 // dueTasks counts the tasks of a unit that its team may claim on its guarantee now.
 // A gang claims all of them or none.
-func (n *Node) dueTasks(u *unit) int {
-	if !n.quota.Guaranteed(u.spec.Team) {
+func (n *Controller) dueTasks(u *unit) int {
+	if !n.quota.HasGuarantee(u.spec.Team) {
 		return 0
 	}
 	waiting := u.waiting()
-	due := n.quota.Standing(u.spec.Team, u.id(), standings{n}).Due(unitOf(u.spec))
-	if u.spec.Shape == protocol.Gang && due < waiting {
+	due := n.quota.Standing(u.spec.Team, u.id(), usageView{n}).Entitled(unitOf(u.spec))
+	if u.spec.Shape == protocol.ShapeGang && due < waiting {
 		return 0
 	}
 	return min(due, waiting)
@@ -87,35 +87,35 @@
 
 // dueFirst moves work within its team's guarantee ahead of others' of the same rank.
 // Behind a backlog of borrowers a team waited for its guarantee until they were done.
-func (n *Node) dueFirst(q []*unit) {
+func (n *Controller) dueFirst(q []*unit) {
 	if !n.guarantees {
 		return
 	}
 	at := make(map[string]quota.Standing)
 	for _, u := range q {
 		team := u.spec.Team
-		if !n.quota.Guaranteed(team) {
+		if !n.quota.HasGuarantee(team) {
 			continue
 		}
-		if u.due = n.quota.Booked(team, u.id()); u.due {
+		if u.due = n.quota.HasReservation(team, u.id()); u.due {
 			continue // counted as booked
 		}
 		st, seen := at[team]
 		if !seen {
-			st = n.quota.Standing(team, "", standings{n})
+			st = n.quota.Standing(team, "", usageView{n})
 		}
 		need, waiting := 1, u.waiting()
-		if u.spec.Shape == protocol.Gang {
+		if u.spec.Shape == protocol.ShapeGang {
 			need = waiting
 		}
-		if due := st.Due(unitOf(u.spec)); due >= need && due > 0 {
+		if due := st.Entitled(unitOf(u.spec)); due >= need && due > 0 {
 			u.due = true
-			st.Booked = st.Booked.Plus(unitOf(u.spec).Times(float64(min(due, waiting))))
+			st.Reserved = st.Reserved.Plus(unitOf(u.spec).Times(float64(min(due, waiting))))
 		}
 		at[team] = st
 	}
 	slices.SortStableFunc(q, func(a, b *unit) int {
-		return cmp.Or(cmp.Compare(b.spec.Prio(), a.spec.Prio()), cmp.Compare(btoi(b.due), btoi(a.due)))
+		return cmp.Or(cmp.Compare(b.spec.Priority(), a.spec.Priority()), cmp.Compare(btoi(b.due), btoi(a.due)))
 	})
 }
 
@@ -125,25 +125,25 @@
 type consent struct {
 	spec  *protocol.Submission
 	left  int // tasks that the guarantee covers
-	taker *quota.Taker
+	taker *quota.Preemptor
 	seen  map[string]quota.Standing
-	n     *Node
+	n     *Controller
 }
 
-func (n *Node) consentFor(u *unit) *consent {
+func (n *Controller) consentFor(u *unit) *consent {
 	k := &consent{spec: u.spec, left: n.dueTasks(u), n: n, seen: make(map[string]quota.Standing)}
 	k.reset()
 	return k
 }
 
 // byRank consents to the displacement of lower ranks alone.
-func (n *Node) byRank(spec *protocol.Submission) *consent { return &consent{spec: spec, n: n} }
+func (n *Controller) byRank(spec *protocol.Submission) *consent { return &consent{spec: spec, n: n} }
 
 func (k *consent) reset() {
-	k.taker = &quota.Taker{Claimed: unitOf(k.spec), Of: func(team string) quota.Standing {
+	k.taker = &quota.Preemptor{ClaimedTask: unitOf(k.spec), StandingOf: func(team string) quota.Standing {
 		st, ok := k.seen[team]
 		if !ok {
-			st = k.n.quota.Standing(team, "", standings{k.n})
+			st = k.n.quota.Standing(team, "", usageView{k.n})
 			k.seen[team] = st
 		}
 		return st
@@ -152,30 +152,30 @@
 
 // may tells whether one more task may be stopped, beside those chosen so far.
 func (k *consent) may(v *protocol.Submission, chosen []victim) bool {
-	if v.Prio() < k.spec.Prio() {
+	if v.Priority() < k.spec.Priority() {
 		return true
 	}
 	if k.left == 0 || v.Team == k.spec.Team {
 		return false
 	}
-	beside := quota.Amount{}
+	beside := quota.Resources{}
 	for i := range chosen {
 		if s := chosen[i].c.spec; s.Team == v.Team && k.borrowed(&chosen[i]) {
 			beside = beside.Plus(unitOf(s))
 		}
 	}
-	return k.taker.May(v.Team, unitOf(v), beside)
+	return k.taker.MayPreempt(v.Team, unitOf(v), beside)
 }
 
 // borrowed tells that a victim is taken for the guarantee, not for its rank.
-func (k *consent) borrowed(v *victim) bool { return v.c.spec.Prio() >= k.spec.Prio() }
+func (k *consent) borrowed(v *victim) bool { return v.c.spec.Priority() >= k.spec.Priority() }
 
 // took notes what was chosen for one task.
 func (k *consent) took(list []victim) {
 	claims := false
 	for i := range list {
 		if k.borrowed(&list[i]) {
-			k.taker.Take(list[i].c.spec.Team, unitOf(list[i].c.spec))
+			k.taker.RecordPreemption(list[i].c.spec.Team, unitOf(list[i].c.spec))
 			claims = true
 		}
 	}
@@ -201,8 +201,8 @@
 }
 
 // book has a displacement booked, if it takes what is borrowed.
-func (n *Node) book(s *shard, u *unit, plan []eviction, k *consent, now time.Time) {
-	if plan = cutLenders(plan, k, n.cfg.RecordLimits().TxnOps-1, u.together()); len(plan) == 0 {
+func (n *Controller) book(s *shard, u *unit, plan []eviction, k *consent, now time.Time) {
+	if plan = cutLenders(plan, k, n.cfg.RecordLimits().MaxTxnOps-1, u.together()); len(plan) == 0 {
 		return
 	}
 	id := u.id()
@@ -223,10 +223,10 @@
 		}
 	}
 	n.bookings[id], b.tasks = b, tasks
-	use := unitOf(u.spec).Times(float64(tasks)).Plus(standings{n}.Placed(id))
-	conds, ops := n.quota.Book(quota.Claim{Team: b.team, ID: id, Shard: s.name, Token: s.token, Use: use, Victims: victims})
-	conds = append(conds, ledger.Cond{Key: ledger.ShardKeys + s.name, Stamp: s.token}, ledger.Cond{Key: ledger.JobKeys + u.j.ref, Stamp: u.j.stamp})
-	n.commit(ledger.PrioClaim, conds, ops, 0, func(err error) {
+	use := unitOf(u.spec).Times(float64(tasks)).Plus(usageView{n}.PlacedBy(id))
+	conds, ops := n.quota.Reserve(quota.ReservationRequest{Team: b.team, ClaimKey: id, Shard: s.name, FencingToken: s.token, Use: use, Victims: victims})
+	conds = append(conds, ledger.Compare{Key: ledger.ShardPrefix + s.name, Version: s.token}, ledger.Compare{Key: ledger.JobPrefix + u.j.ref, Version: u.j.stamp})
+	n.commit(ledger.PriorityClaim, conds, ops, 0, func(err error) {
 		if err != nil {
 			n.log.Debug("guarantee not booked", "claim", id, "team", b.team, "err", err)
 			if n.bookings[id] == b {
@@ -234,7 +234,7 @@
 			}
 			return
 		}
-		b.at = n.stamps[ledger.BookKeys+b.team]
+		b.at = n.stamps[ledger.ReservationPrefix+b.team]
 		s.stirred = true
 	})
 }
@@ -264,7 +264,7 @@
 // carryOutBooked stops what a booking names, once all that was placed before it is
 // known and it still holds. Where it does not the booking goes, and nothing is
 // stopped.
-func (n *Node) carryOutBooked(s *shard, u *unit, b *booking, rooms []*room, now time.Time) bool {
+func (n *Controller) carryOutBooked(s *shard, u *unit, b *booking, rooms []*room, now time.Time) bool {
 	if b.shard != s.name || b.at == 0 || n.epoch < b.at {
 		return false
 	}
@@ -276,7 +276,9 @@
 	k := n.consentFor(u)
 	due := k.left
 	// What is on record for this very job is leaving in its own name.
-	k.taker.Of = func(team string) quota.Standing { return n.quota.StandingBut(team, u.id(), standings{n}) }
+	k.taker.StandingOf = func(team string) quota.Standing {
+		return n.quota.StandingExcludingPreemptionsFor(team, u.id(), usageView{n})
+	}
 	var plan []eviction
 	for _, br := range b.plan {
 		r := byHost[br.host]
@@ -314,9 +316,9 @@
 	return len(plan) > 0
 }
 
-// StoppedFor tells for which chunk's claim on a guarantee this node has a task stopped;
+// PreemptedFor tells for which chunk's claim on a guarantee this node has a task stopped;
 // empty: for none, whatever else it may be stopped for.
-func (n *Node) StoppedFor(ref string, task int, host string) string {
+func (n *Controller) PreemptedFor(ref string, task int, host string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if j := n.jobs[ref]; j != nil && j.size > 0 {
@@ -329,21 +331,21 @@
 
 // tidyBookings frees what jobs have booked and do not use any more, and withdraws
 // the stops for them that were not sent yet.
-func (n *Node) tidyBookings(now time.Time) {
+func (n *Controller) tidyBookings(now time.Time) {
 	for id, b := range n.bookings {
-		ref, _, _ := ledger.SplitClaimKey(id)
-		if j := n.jobs[ref]; (now.After(b.until) && b.at != 0) || j == nil || j.rec.Final() || !n.active(n.shards[b.shard]) {
+		ref, _, _ := ledger.ParseClaimKey(id)
+		if j := n.jobs[ref]; (now.After(b.until) && b.at != 0) || j == nil || j.rec.IsFinal() || !n.active(n.shards[b.shard]) {
 			delete(n.bookings, id)
 		}
 	}
 	if n.unbooking {
 		return
 	}
-	ids := slices.DeleteFunc(n.quota.Spent(standings{n}), func(id string) bool {
+	ids := slices.DeleteFunc(n.quota.ExpiredReservations(usageView{n}), func(id string) bool {
 		// What is still on its way down counts at its team until it is gone. Taken off
 		// the record before, it was lent a second time.
 		going := false
-		for _, task := range n.quota.TakenFor(id) {
+		for _, task := range n.quota.PreemptedFor(id) {
 			going = !n.withdraw(task) || going
 		}
 		return going
@@ -353,13 +355,13 @@
 	}
 	ids = ids[:min(len(ids), 4)]
 	n.unbooking = true
-	conds, ops := n.quota.Unbook(ids)
-	n.commit(ledger.PrioClaim, conds, ops, 0, func(error) { n.unbooking = false })
+	conds, ops := n.quota.Release(ids)
+	n.commit(ledger.PriorityClaim, conds, ops, 0, func(error) { n.unbooking = false })
 }
 
 // withdraw takes a stop back that was not sent yet, and tells whether nothing is being
 // stopped there any more.
-func (n *Node) withdraw(task string) bool {
+func (n *Controller) withdraw(task string) bool {
 	c, p := n.victimAt(task)
 	if p == nil || p.at.m == nil {
 		return true
--- a/internal/coordination/images.go
+++ b/internal/coordination/images.go
@@ -21,18 +21,18 @@
 
 // holds tells whether a machine's cache holds an image, as far as known.
 func (m *machine) holds(image string) bool {
-	return slices.ContainsFunc(m.images, func(u ledger.ImageUse) bool { return u.Name == image })
+	return slices.ContainsFunc(m.images, func(u ledger.CachedImage) bool { return u.Name == image })
 }
 
 func (m *machine) touchImage(name string, gb, cache float64) {
-	m.images = slices.DeleteFunc(m.images, func(u ledger.ImageUse) bool { return u.Name == name })
-	m.images = append(m.images, ledger.ImageUse{Name: name, GB: gb})
+	m.images = slices.DeleteFunc(m.images, func(u ledger.CachedImage) bool { return u.Name == name })
+	m.images = append(m.images, ledger.CachedImage{Name: name, SizeGB: gb})
 	total := 0.0
 	for _, u := range m.images {
-		total += u.GB
+		total += u.SizeGB
 	}
 	for len(m.images) > 1 && cache > 0 && total > cache {
-		total -= m.images[0].GB
+		total -= m.images[0].SizeGB
 		m.images = m.images[1:]
 	}
 }
@@ -45,27 +45,27 @@
 
 // noteImages records the images of the next part of a shard's machines, if
 // they have changed.
-func (n *Node) noteImages(s *shard, now time.Time) {
+func (n *Controller) noteImages(s *shard, now time.Time) {
 	if s.noting || now.Sub(s.noted) < imageGap {
 		return
 	}
 	s.noted = now
 	for range imageParts {
 		s.part = (s.part + 1) % imageParts
-		rec := imagesOf(s, s.part, n.cfg.RecordLimits().ValueBytes)
-		key := ledger.ImageKeys + s.name + "/" + strconv.Itoa(s.part)
+		rec := imagesOf(s, s.part, n.cfg.RecordLimits().MaxValueBytes)
+		key := ledger.ImagePrefix + s.name + "/" + strconv.Itoa(s.part)
 		if sameImages(rec, n.imageRecs[key]) {
 			continue
 		}
 		s.noting = true
-		n.commit(ledger.PrioRest, []ledger.Cond{{Key: ledger.ShardKeys + s.name, Stamp: s.token}, {Key: key, Stamp: n.stamps[key]}},
+		n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: ledger.ShardPrefix + s.name, Version: s.token}, {Key: key, Version: n.stamps[key]}},
 			[]ledger.Op{{Key: key, Value: rec}}, 5*time.Second, func(error) { s.noting = false })
 		return
 	}
 }
 
-func imagesOf(s *shard, part, limit int) *ledger.Images {
-	rec := &ledger.Images{Hosts: make(map[string][]int)}
+func imagesOf(s *shard, part, limit int) *ledger.ImageLocations {
+	rec := &ledger.ImageLocations{Hosts: make(map[string][]int)}
 	index := make(map[string]int)
 	size := 64
 	for _, m := range s.machines {
@@ -78,7 +78,7 @@
 			if !ok {
 				i = len(rec.Names)
 				index[u.Name] = i
-				rec.Names, rec.GB = append(rec.Names, u.Name), append(rec.GB, u.GB)
+				rec.Names, rec.SizesGB = append(rec.Names, u.Name), append(rec.SizesGB, u.SizeGB)
 				size += len(u.Name) + 30
 			}
 			list = append(list, i)
@@ -92,7 +92,7 @@
 }
 
 // sameImages compares what is held, not in which order it was used.
-func sameImages(a, b *ledger.Images) bool {
+func sameImages(a, b *ledger.ImageLocations) bool {
 	if b == nil || len(a.Hosts) != len(b.Hosts) {
 		return b == nil && len(a.Hosts) == 0
 	}
@@ -110,7 +110,7 @@
 }
 
 // storeImages tells machines what they hold, unless this process knows better.
-func (n *Node) storeImages(key string, r *ledger.Images) {
+func (n *Controller) storeImages(key string, r *ledger.ImageLocations) {
 	if r == nil {
 		return
 	}
@@ -123,15 +123,15 @@
 }
 
 // recallImages looks a machine's images up in the records.
-func (n *Node) recallImages(m *machine) {
-	r := n.imageRecs[ledger.ImageKeys+m.rec.Shard+"/"+strconv.Itoa(imagePart(m.host))]
+func (n *Controller) recallImages(m *machine) {
+	r := n.imageRecs[ledger.ImagePrefix+m.rec.Shard+"/"+strconv.Itoa(imagePart(m.host))]
 	if r == nil || m.rec.State != "" || n.shard(m.rec.Shard).token != 0 {
 		return
 	}
 	m.images = m.images[:0]
 	for _, i := range r.Hosts[m.host] {
-		if i >= 0 && i < len(r.Names) && i < len(r.GB) {
-			m.images = append(m.images, ledger.ImageUse{Name: r.Names[i], GB: r.GB[i]})
+		if i >= 0 && i < len(r.Names) && i < len(r.SizesGB) {
+			m.images = append(m.images, ledger.CachedImage{Name: r.Names[i], SizeGB: r.SizesGB[i]})
 		}
 	}
 }
--- a/internal/coordination/index.go
+++ b/internal/coordination/index.go
@@ -31,7 +31,7 @@
 // exited tells that the machine reports the task as ended, whether that is recorded or not.
 func (p *place) exited(m *machine) bool {
 	t := m.tasks[p.name]
-	return t != nil && t.Try == p.try && t.Phase == protocol.TaskExited
+	return t != nil && t.Attempt == p.try && t.Phase == protocol.TaskExited
 }
 
 // slot tells a claim's places apart.
@@ -60,7 +60,7 @@
 	places map[string]*place // by task name
 }
 
-func (n *Node) hostUse(host string) *hostUse {
+func (n *Controller) hostUse(host string) *hostUse {
 	h := n.hosts[host]
 	if h == nil {
 		h = &hostUse{host: host, places: make(map[string]*place)}
@@ -85,13 +85,13 @@
 	kept bool
 	// stays tells that it does not end by itself: replicas of services.
 	stays bool
-	sure  quota.Amount // what is placed in any case, however a commit under way ends
+	sure  quota.Resources // what is placed in any case, however a commit under way ends
 }
 
 // reindex brings the indexes in line with a claim. It is called after every
 // change of the claim's record, of the version being committed, of its job's
 // description, and of whether the claim is there at all.
-func (n *Node) reindex(c *claim) {
+func (n *Controller) reindex(c *claim) {
 	c.gen++
 	live := n.claims[c.key] == c
 	if live {
@@ -100,8 +100,8 @@
 		}
 		for _, rec := range [2]*ledger.Claim{c.rec, c.pend} {
 			if rec != nil {
-				for i := range rec.Open {
-					n.enter(c, &rec.Open[i])
+				for i := range rec.Placements {
+					n.enter(c, &rec.Placements[i])
 				}
 			}
 		}
@@ -124,7 +124,7 @@
 	if j := n.jobs[c.ref]; j != nil {
 		n.hungry[c.ref] = j
 	}
-	if rec := c.latest(); c.spec != nil && c.spec.Shape != protocol.Array && rec != nil && rec.Count > rec.NumDone()+len(rec.Open) {
+	if rec := c.latest(); c.spec != nil && c.spec.Shape != protocol.ShapeArray && rec != nil && rec.TaskCount > rec.CompletedCount()+len(rec.Placements) {
 		n.pressing = true // tasks of it wait
 	}
 	if live {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (n *Node) enter(c *claim, p *ledger.Placement) {
+func (n *Controller) enter(c *claim, p *ledger.Placement) {
 	id := slot{p.Task, p.Host}
 	pl := c.on[id]
 	if pl == nil {
@@ -141,15 +141,15 @@
 		pl.at.places[pl.name] = pl
 		pl.at.touch()
 	}
-	if pl.try != p.Try || c.freshSpec {
-		pl.try = p.Try
+	if pl.try != p.Attempt || c.freshSpec {
+		pl.try = p.Attempt
 		pl.at.touch()
 	}
 	pl.gen = c.gen
 }
 
 // recount puts a claim's present share into the sums in place of its earlier.
-func (n *Node) recount(c *claim, live bool) {
+func (n *Controller) recount(c *claim, live bool) {
 	c.freshSpec = false
 	if c.sum.kept {
 		u := n.use[c.sum.key]
@@ -158,9 +158,9 @@
 		t := n.teamRun[c.sum.key.team]
 		t[0], t[1] = t[0]-c.sum.use[0], t[1]-c.sum.use[1]
 		n.teamRun[c.sum.key.team] = t
-		n.teamSure[c.sum.key.team] = n.teamSure[c.sum.key.team].Less(c.sum.sure)
+		n.teamSure[c.sum.key.team] = n.teamSure[c.sum.key.team].Minus(c.sum.sure)
 		if c.sum.stays {
-			n.teamKept[c.sum.key.team] = n.teamKept[c.sum.key.team].Less(c.sum.use)
+			n.teamKept[c.sum.key.team] = n.teamKept[c.sum.key.team].Minus(c.sum.use)
 		}
 	}
 	c.sum = tally{}
@@ -174,7 +174,7 @@
 		if c.spec != nil {
 			// Of a version being committed and the committed one the larger counts: what
 			// is on its way up may be there, what is on its way down may stay.
-			c.sum = tally{teamShard{c.spec.Team, rec.Shard}, unitOf(c.spec).Times(float64(c.booked())), true, c.spec.Shape == protocol.Service, unitOf(c.spec).Times(float64(c.sure()))}
+			c.sum = tally{teamShard{c.spec.Team, rec.Shard}, unitOf(c.spec).Times(float64(c.booked())), true, c.spec.Shape == protocol.ShapeService, unitOf(c.spec).Times(float64(c.sure()))}
 			n.teamSure[c.spec.Team] = n.teamSure[c.spec.Team].Plus(c.sum.sure)
 			if c.sum.stays {
 				n.teamKept[c.spec.Team] = n.teamKept[c.spec.Team].Plus(c.sum.use)
@@ -208,7 +208,7 @@
 }
 
 // mark has a claim looked at in the next pass.
-func (n *Node) mark(c *claim) {
+func (n *Controller) mark(c *claim) {
 	if c.shard != "" {
 		s := n.shard(c.shard)
 		s.dirty[c] = struct{}{}
@@ -223,7 +223,7 @@
 }
 
 // markAll has all of a shard's claims looked at.
-func (n *Node) markAll(s *shard) {
+func (n *Controller) markAll(s *shard) {
 	for c := range s.claims {
 		n.mark(c)
 	}
@@ -235,7 +235,7 @@
 
 // dirtyClaims takes the claims of a shard that are to be looked at now, in
 // the order of their keys. Those whose time has not come stay marked.
-func (n *Node) dirtyClaims(s *shard, now time.Time) []*claim {
+func (n *Controller) dirtyClaims(s *shard, now time.Time) []*claim {
 	var out []*claim
 	for c := range s.dirty {
 		if n.claims[c.key] != c || (c.shard != "" && c.shard != s.name) {
@@ -258,22 +258,22 @@
 // free is what a machine has left: everything that is or may be on it counts,
 // recorded or only reported. A task that its worker reports as exited takes no
 // room, even before its end is booked.
-func (n *Node) free(m *machine) (cpus, gpus, mem float64) {
+func (n *Controller) free(m *machine) (cpus, gpus, mem float64) {
 	if !m.stale {
 		return m.left[0], m.left[1], m.left[2]
 	}
 	t := n.typeOf(m.rec.Type)
-	m.left = [3]float64{t.CPUs, t.GPUs, t.MemGB}
+	m.left = [3]float64{t.CPUs, t.GPUs, t.MemoryGB}
 	m.stale, m.unclear = false, false
 	take := func(s *protocol.Submission) {
 		if s == nil {
 			m.unclear = true // of unknown size
 			return
 		}
-		m.left[0], m.left[1], m.left[2] = m.left[0]-s.CPUs, m.left[1]-s.GPUs, m.left[2]-s.MemGB
+		m.left[0], m.left[1], m.left[2] = m.left[0]-s.CPUs, m.left[1]-s.GPUs, m.left[2]-s.MemoryGB
 	}
 	for name, p := range m.use.places {
-		if t := m.tasks[name]; t != nil && t.Try == p.try && t.Phase == protocol.TaskExited {
+		if t := m.tasks[name]; t != nil && t.Attempt == p.try && t.Phase == protocol.TaskExited {
 			continue
 		}
 		take(p.c.spec)
@@ -291,7 +291,7 @@
 // else, none of them just moving.
 func (m *machine) onlyReplicas() bool {
 	for _, p := range m.use.places {
-		if p.c.spec == nil || p.c.spec.Shape != protocol.Service || p.c.pend != nil || len(p.c.evict) > 0 {
+		if p.c.spec == nil || p.c.spec.Shape != protocol.ShapeService || p.c.pend != nil || len(p.c.evict) > 0 {
 			return false
 		}
 	}
@@ -301,7 +301,7 @@
 // runsReplicas tells whether a machine runs a replica of a service.
 func (m *machine) runsReplicas() bool {
 	for _, p := range m.use.places {
-		if p.c.spec != nil && p.c.spec.Shape == protocol.Service {
+		if p.c.spec != nil && p.c.spec.Shape == protocol.ShapeService {
 			return true
 		}
 	}
--- a/internal/coordination/index_test.go
+++ b/internal/coordination/index_test.go
@@ -13,8 +13,8 @@
 func TestTwoTriesOfOneClaim(t *testing.T) {
 	n := fleetOf(t, 30)
 	n.mu.Lock()
-	spec := &protocol.Submission{Ref: "wk-5", Team: "t", Shape: protocol.Gang, Tasks: 1, CPUs: 2, MemGB: 2}
-	rec := &ledger.Claim{Shard: "n0", Count: 1, Try: 1, Open: []ledger.Placement{{Task: 0, Try: 1, Host: n.shards["n0"].machines[0].host}}}
+	spec := &protocol.Submission{JobID: "wk-5", Team: "t", Shape: protocol.ShapeGang, Tasks: 1, CPUs: 2, MemoryGB: 2}
+	rec := &ledger.Claim{Shard: "n0", TaskCount: 1, LastAttempt: 1, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: n.shards["n0"].machines[0].host}}}
 	var tries []*claim
 	for range 2 {
 		c := &claim{key: ledger.ClaimKey("wk-5", 0), ref: "wk-5", spec: spec}
@@ -22,7 +22,7 @@
 		n.setPend(c, rec)
 		tries = append(tries, c)
 	}
-	n.finishClaim(n.shards["n0"], tries[0], ledger.ErrConflict)
+	n.finishClaim(n.shards["n0"], tries[0], ledger.ErrCompareFailed)
 	n.mu.Unlock()
 	if err := n.Recount(); err != nil {
 		t.Error(err)
--- a/internal/coordination/leftover.go
+++ b/internal/coordination/leftover.go
@@ -13,11 +13,11 @@
 
 // isIdle tells that work is of the lowest rank, and not a service or gang, which
 // start whole or are missed.
-func isIdle(s *protocol.Submission) bool { return s.Prio() == 0 && s.Shape == protocol.Array }
+func isIdle(s *protocol.Submission) bool { return s.Priority() == 0 && s.Shape == protocol.ShapeArray }
 
 // leftOver is a shard's room as idle work sees it, but for whether others wait.
-func (n *Node) leftOver(s *shard, rooms []*room) leftover.Room {
-	var r leftover.Room
+func (n *Controller) leftOver(s *shard, rooms []*room) leftover.BestEffortCapacity {
+	var r leftover.BestEffortCapacity
 	for _, x := range rooms {
 		r.Total += x.total.CPUs
 		if x.usable {
@@ -28,15 +28,15 @@
 		if c.spec == nil || c.latest() == nil {
 			continue
 		}
-		cpus := c.spec.CPUs * float64(len(c.latest().Open))
+		cpus := c.spec.CPUs * float64(len(c.latest().Placements))
 		switch {
-		case c.spec.Shape == protocol.Service:
-			r.Warm += cpus
+		case c.spec.Shape == protocol.ShapeService:
+			r.WarmReserve += cpus
 		case isIdle(c.spec):
-			r.Idle += c.spec.CPUs * float64(c.present())
+			r.InUse += c.spec.CPUs * float64(c.present())
 		}
 	}
-	r.Warm *= n.pol.WarmShare // once: a sum of rounded products depends on the order
+	r.WarmReserve *= n.pol.WarmShare // once: a sum of rounded products depends on the order
 	return r
 }
 
@@ -57,7 +57,7 @@
 	if u.c == nil || u.c.latest() == nil {
 		return now.Sub(u.j.seen)
 	}
-	if len(u.c.latest().Open) > 0 {
+	if len(u.c.latest().Placements) > 0 {
 		return 0
 	}
 	if u.c.bare.IsZero() {
@@ -68,13 +68,13 @@
 
 // idleRuns tells that idle work runs in the shard that holds a unit's claim, or in one
 // of this node's.
-func (n *Node) idleRuns(u *unit) bool {
+func (n *Controller) idleRuns(u *unit) bool {
 	for _, s := range n.shards {
 		if !n.active(s) || (u.c != nil && u.c.rec != nil && u.c.rec.Shard != s.name) {
 			continue
 		}
 		for c := range s.claims {
-			if c.spec != nil && c.rec != nil && isIdle(c.spec) && len(c.rec.Open) > 0 {
+			if c.spec != nil && c.rec != nil && isIdle(c.spec) && len(c.rec.Placements) > 0 {
 				return true
 			}
 		}
--- a/internal/coordination/life_test.go
+++ b/internal/coordination/life_test.go
@@ -31,7 +31,7 @@
 		n.http = unreached{}
 		m := n.shards["n0"].machines[0]
 		n.report(reportOf(m, 88))
-		stray := protocol.TaskReport{Task: "wk-77/0", Try: 1, Phase: protocol.TaskExited, Cause: protocol.CauseDone}
+		stray := protocol.TaskStatus{Task: "wk-77/0", Attempt: 1, Phase: protocol.TaskExited, Cause: protocol.CauseDone}
 		for _, c := range []struct {
 			seq   uint64
 			want  int
@@ -39,7 +39,7 @@
 		}{{89, 1, false}, {3, 0, true}} {
 			r := reportOf(m, c.seq)
 			r.Tasks = append(r.Tasks, stray)
-			var a protocol.ReportAnswer
+			var a protocol.HeartbeatResponse
 			if resp := n.report(r); resp.Status != 200 || json.Unmarshal(resp.Body, &a) != nil {
 				t.Fatalf("report %d: %d", c.seq, resp.Status)
 			}
@@ -52,12 +52,12 @@
 
 // recorder keeps the last transaction.
 type recorder struct {
-	idleLedger
+	idleStore
 	txn *ledger.Txn
 }
 
-func (r *recorder) Submit(t *ledger.Txn)                                 { r.txn = t }
-func (r *recorder) Grant(context.Context, time.Duration) (uint64, error) { return 7, nil }
+func (r *recorder) Submit(t *ledger.Txn)                                      { r.txn = t }
+func (r *recorder) GrantLease(context.Context, time.Duration) (uint64, error) { return 7, nil }
 
 // A copy of a former process's registration, carried out late, must not hang this one's
 // record on that one's lease: each depends on the record that it replaces.
@@ -65,15 +65,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		r := &recorder{}
-		n := New(Options{Settings: protocol.Settings{Node: "n0"}, Ledger: r, Log: slog.New(slog.DiscardHandler)})
+		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: r, Log: slog.New(slog.DiscardHandler)})
 		n.loaded = true
-		n.store(ledger.NodeKeys+"n0", &ledger.Node{Boot: 1}, 5)
+		n.store(ledger.NodePrefix+"n0", &ledger.Node{StartedAtMs: 1}, 5)
 		go n.sessionLoop(ctx)
 		time.Sleep(time.Second)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		defer cancel()
-		if c := r.txn.Conds; len(c) != 1 || c[0] != (ledger.Cond{Key: ledger.NodeKeys + "n0", Stamp: 5}) {
+		if c := r.txn.Compares; len(c) != 1 || c[0] != (ledger.Compare{Key: ledger.NodePrefix + "n0", Version: 5}) {
 			t.Errorf("registers on condition of %v", c)
 		}
 	})
@@ -83,14 +83,14 @@
 // whole, since nothing less starts.
 func TestSuspectIsTriedWithOneTask(t *testing.T) {
 	now := time.Unix(1000, 0)
-	for shape, want := range map[protocol.Shape]int{protocol.Array: 1, protocol.Service: 1, protocol.Gang: 30} {
+	for shape, want := range map[protocol.Shape]int{protocol.ShapeArray: 1, protocol.ShapeService: 1, protocol.ShapeGang: 30} {
 		j := &job{rec: &ledger.Job{}, size: 30, chunks: 1}
-		j.ev.Failed("vm-1", time.Second, 0, now)
+		j.ev.RecordFailure("vm-1", time.Second, 0, now)
 		if j.onTrial(now) {
 			t.Error("suspected on one machine's word")
 		}
-		j.ev.Failed("vm-2", time.Second, 0, now)
-		u := unit{j: j, spec: &protocol.Submission{Shape: shape, Tasks: 30}, trial: j.ev.Standing(now) == evidence.Suspect}
+		j.ev.RecordFailure("vm-2", time.Second, 0, now)
+		u := unit{j: j, spec: &protocol.Submission{Shape: shape, Tasks: 30}, trial: j.ev.Verdict(now) == evidence.Suspect}
 		if got := u.waiting(); got != want {
 			t.Errorf("%s: %d tasks at a time, wanted %d", shape, got, want)
 		}
@@ -106,24 +106,24 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		s := n.shards["n0"]
-		h := &ledger.Hire{Hire: protocol.Hire{Type: "m16", Zone: "a", Count: 8}, Parts: []ledger.Part{{Shard: "n0", Count: 8}}, Born: time.Now().Add(time.Second).UnixMilli()}
+		h := &ledger.Provision{ProvisionRequest: protocol.ProvisionRequest{Type: "m16", Zone: "a", Count: 8}, Allocations: []ledger.Allocation{{Shard: "n0", Count: 8}}, RequestedAtMs: time.Now().Add(time.Second).UnixMilli()}
 		for i := range 8 {
 			h.Hosts = append(h.Hosts, hostName(900+i))
 		}
-		n.store(ledger.HireKeys+"late", h, 50)
+		n.store(ledger.ProvisionPrefix+"late", h, 50)
 		for _, c := range []struct {
 			after time.Duration
 			want  int
 		}{{40 * time.Second, 0}, {50 * time.Second, 3}} { // 30 s is usual, of eight on their way three are replaced
-			time.Sleep(time.Until(time.UnixMilli(h.Born).Add(c.after)))
-			if l := n.loadOf(s); len(l.Barred) != c.want {
-				t.Errorf("after %v %v do not count", c.after, l.Barred)
+			time.Sleep(time.Until(time.UnixMilli(h.RequestedAtMs).Add(c.after)))
+			if l := n.loadOf(s); len(l.ExcludedHosts) != c.want {
+				t.Errorf("after %v %v do not count", c.after, l.ExcludedHosts)
 			}
 		}
 		s.since = time.Now()
 		time.Sleep(time.Second)
-		if l := n.loadOf(s); len(l.Barred) != 0 {
-			t.Errorf("a new owner says that %v do not count", l.Barred)
+		if l := n.loadOf(s); len(l.ExcludedHosts) != 0 {
+			t.Errorf("a new owner says that %v do not count", l.ExcludedHosts)
 		}
 	})
 }
@@ -132,16 +132,16 @@
 // description, ends like any that fails. It ended the process.
 func TestTryOutlivesItsJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := New(Options{Settings: protocol.Settings{Node: "n0"}, Ledger: idleLedger{}, Log: slog.New(slog.DiscardHandler)})
+		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: idleStore{}, Log: slog.New(slog.DiscardHandler)})
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		key := ledger.ClaimKey("wk-1", 0)
-		c := &claim{key: key, ref: "wk-1", spec: &protocol.Submission{Ref: "wk-1", Team: "t", CPUs: 2, Shape: protocol.Array}}
+		c := &claim{key: key, ref: "wk-1", spec: &protocol.Submission{JobID: "wk-1", Team: "t", CPUs: 2, Shape: protocol.ShapeArray}}
 		n.claims[key] = c
-		n.setPend(c, &ledger.Claim{Shard: "n0", Count: 1, Open: []ledger.Placement{{Task: 0, Try: 1, Host: "vm-1"}}})
-		n.storeClaim(key, &ledger.Claim{Shard: "n1", Count: 1, Open: []ledger.Placement{{Task: 0, Try: 1, Host: "vm-2"}}}, 5)
-		n.storeJob("wk-1", &ledger.Job{State: protocol.Done, Tasks: 1}, 6)
-		n.finishClaim(n.shard("n0"), c, ledger.ErrConflict)
+		n.setPend(c, &ledger.Claim{Shard: "n0", TaskCount: 1, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}})
+		n.storeClaim(key, &ledger.Claim{Shard: "n1", TaskCount: 1, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: "vm-2"}}}, 5)
+		n.storeJob("wk-1", &ledger.Job{State: protocol.JobDone, Tasks: 1}, 6)
+		n.finishClaim(n.shard("n0"), c, ledger.ErrCompareFailed)
 		if c.pend != nil || c.spec == nil {
 			t.Errorf("under way %v, description %v", c.pend, c.spec)
 		}
@@ -155,21 +155,21 @@
 func TestHiredMachinesWaitForTheWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &recorder{}
-		n := New(Options{Settings: protocol.Settings{Node: "n0"}, Ledger: r, Log: slog.New(slog.DiscardHandler)})
+		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: r, Log: slog.New(slog.DiscardHandler)})
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.leadMine, n.permit, n.leadStamp, n.epoch = true, 7, 1, 10
-		asked := protocol.Hire{Name: "a", Type: "m8", Zone: "a", Count: 1}
-		n.storeHire("a", &ledger.Hire{Hire: asked, Parts: []ledger.Part{{Shard: "n1", Count: 1}}}, 12)
+		asked := protocol.ProvisionRequest{Name: "a", Type: "m8", Zone: "a", Count: 1}
+		n.storeHire("a", &ledger.Provision{ProvisionRequest: asked, Allocations: []ledger.Allocation{{Shard: "n1", Count: 1}}}, 12)
 		n.hired(n.hires["a"], []string{"vm-9"})
 		if r.txn != nil {
 			t.Fatalf("recorded before the cache is complete: %v", r.txn.Ops)
 		}
-		n.storeHire("b", &ledger.Hire{Hire: protocol.Hire{Name: "b"}, Parts: []ledger.Part{{Shard: "n2", Count: 1}}, Hosts: []string{"vm-9"}}, 12)
+		n.storeHire("b", &ledger.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: "b"}, Allocations: []ledger.Allocation{{Shard: "n2", Count: 1}}, Hosts: []string{"vm-9"}}, 12)
 		n.epoch = 12
 		time.Sleep(time.Second)
 		n.retryHires(time.Now())
-		if r.txn == nil || len(r.txn.Ops) != 1 || r.txn.Ops[0].Value != nil || r.txn.Ops[0].Key != ledger.HireKeys+"a" {
+		if r.txn == nil || len(r.txn.Ops) != 1 || r.txn.Ops[0].Value != nil || r.txn.Ops[0].Key != ledger.ProvisionPrefix+"a" {
 			t.Errorf("%v, wanted the hire to be dropped", r.txn)
 		}
 	})
@@ -183,7 +183,7 @@
 		n := fleetOf(t, 30)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.cfg.Workers.Lease = 12 * time.Second
+		n.cfg.Workers.LeaseDuration = 12 * time.Second
 		m := n.shards["n0"].machines[0]
 		n.report(reportOf(m, 88))
 		seq := uint64(88)
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -14,25 +14,27 @@
 // Package quota decides about teams' limits; here its decisions are carried out.
 
 // unitOf is what one task of a job takes of its team's limit and guarantee.
-func unitOf(s *protocol.Submission) quota.Amount { return quota.Amount{s.CPUs, s.GPUs} }
+func unitOf(s *protocol.Submission) quota.Resources { return quota.Resources{s.CPUs, s.GPUs} }
 
 // usedBy is what a team has placed in a shard, or across shards.
-func (n *Node) usedBy(team, holder string) quota.Amount {
-	if holder == quota.Wide {
+func (n *Controller) usedBy(team, holder string) quota.Resources {
+	if holder == quota.CrossShard {
 		holder = ""
 	}
 	return n.use[teamShard{team, holder}]
 }
 
 // limited tells whether a job's team has a limit that its tasks count against.
-func (n *Node) limited(s *protocol.Submission) bool { return n.quota.Limited(s.Team, unitOf(s)) }
+func (n *Controller) limited(s *protocol.Submission) bool {
+	return n.quota.IsLimited(s.Team, unitOf(s))
+}
 
 // sized tells whether the size of all that a shard's claims place is known. A claim
 // can be read before its job; until then nobody can say whose use it is.
-func (n *Node) sized(holder string) bool {
+func (n *Controller) sized(holder string) bool {
 	for _, set := range n.orphans {
 		for _, c := range set {
-			if c.rec == nil || c.rec.Shard == holder || (c.rec.Shard == "" && holder == quota.Wide) {
+			if c.rec == nil || c.rec.Shard == holder || (c.rec.Shard == "" && holder == quota.CrossShard) {
 				return false
 			}
 		}
@@ -45,21 +47,21 @@
 // allotted the claim itself is the reservation: only the shard's owner starts there,
 // within the shard's allotment, which only that owner lowers. ok is false when it
 // can't be done now.
-func (n *Node) reserveTeam(shard string, c *claim, next *ledger.Claim) (conds []ledger.Cond, ops []ledger.Op, t *teamUse, ok bool) {
-	team, grows := c.spec.Team, len(next.Open) > c.placed()
-	if cond, has := n.quota.BookCond(team); has && grows {
+func (n *Controller) reserveTeam(shard string, c *claim, next *ledger.Claim) (conds []ledger.Compare, ops []ledger.Op, t *teamUse, ok bool) {
+	team, grows := c.spec.Team, len(next.Placements) > c.placed()
+	if cond, has := n.quota.ReservationCompare(team); has && grows {
 		conds = append(conds, cond)
 	}
-	conds = append(conds, n.quota.Conds(team)...)
+	conds = append(conds, n.quota.LimitCompares(team)...)
 	if !n.limited(c.spec) {
 		return conds, nil, nil, true
 	}
-	if n.quota.Allotted(team) {
+	if n.quota.IsAllotted(team) {
 		holder := shard
 		if next.Shard == "" {
-			holder = quota.Wide
+			holder = quota.CrossShard
 		}
-		more := len(next.Open) - c.booked()
+		more := len(next.Placements) - c.booked()
 		return conds, nil, nil, !grows || (n.sized(holder) && more <= n.quota.Allowance(team, holder, unitOf(c.spec)))
 	}
 	t = n.team(team)
@@ -70,12 +72,12 @@
 		shard = "*" + c.ref // several owners change it, so it has an entry of its own
 	}
 	use, most := n.teamAfter(t, shard, c, next)
-	key := ledger.TeamKeys + team
-	rec := &ledger.Team{Use: map[string][2]float64{shard: use}}
+	key := ledger.TeamUsagePrefix + team
+	rec := &ledger.TeamUsage{ByShard: map[string][2]float64{shard: use}}
 	total := most
-	for _, name := range slices.Sorted(maps.Keys(t.rec.Use)) {
-		if u := t.rec.Use[name]; name != shard {
-			rec.Use[name] = u
+	for _, name := range slices.Sorted(maps.Keys(t.rec.ByShard)) {
+		if u := t.rec.ByShard[name]; name != shard {
+			rec.ByShard[name] = u
 			total[0] += u[0]
 			total[1] += u[1]
 		}
@@ -84,13 +86,13 @@
 	if grows && ((limit[0] > 0 && total[0] > limit[0]+eps) || (limit[1] > 0 && total[1] > limit[1]+eps)) {
 		return nil, nil, nil, false
 	}
-	return append(conds, ledger.Cond{Key: key, Stamp: t.stamp}), []ledger.Op{{Key: key, Value: rec}}, t, true
+	return append(conds, ledger.Compare{Key: key, Version: t.stamp}), []ledger.Op{{Key: key, Value: rec}}, t, true
 }
 
 // booked counts the placements by which a claim stands in the team's use.
 func (c *claim) booked() int {
 	if c.pend != nil {
-		return max(c.placed(), len(c.pend.Open))
+		return max(c.placed(), len(c.pend.Placements))
 	}
 	return c.placed()
 }
@@ -98,7 +100,7 @@
 // sure counts the placements that a claim has however the commit under way ends.
 func (c *claim) sure() int {
 	if c.pend != nil {
-		return min(c.placed(), len(c.pend.Open))
+		return min(c.placed(), len(c.pend.Placements))
 	}
 	return c.placed()
 }
@@ -113,11 +115,11 @@
 // with it, and claims whose job is not known yet have no size. A team used twice
 // its limit that way. The sum still serves where the cache is complete up to the
 // record, to put right what a change of limits has left out.
-func (n *Node) teamAfter(t *teamUse, shard string, c *claim, next *ledger.Claim) (use, most [2]float64) {
+func (n *Controller) teamAfter(t *teamUse, shard string, c *claim, next *ledger.Claim) (use, most [2]float64) {
 	of := func(tasks int) [2]float64 {
 		return [2]float64{float64(tasks) * c.spec.CPUs, float64(tasks) * c.spec.GPUs}
 	}
-	was, is, had := of(c.placed()), of(len(next.Open)), t.rec.Use[shard]
+	was, is, had := of(c.placed()), of(len(next.Placements)), t.rec.ByShard[shard]
 	for k := range use {
 		use[k] = max(0, had[k]-was[k]+is[k])
 		if use[k] < eps {
@@ -141,19 +143,19 @@
 // overLimit tells that a unit's team has no room under its limit anywhere. Such a
 // unit neither reserves nor displaces: making room that it may not use threw away
 // work in a circle.
-func (n *Node) overLimit(u *unit) bool {
+func (n *Controller) overLimit(u *unit) bool {
 	if !n.limited(u.spec) {
 		return false
 	}
 	count := 1
-	if u.spec.Shape == protocol.Gang {
+	if u.spec.Shape == protocol.ShapeGang {
 		count = u.waiting()
 	}
 	return n.allowance(u.spec) < count
 }
 
 // overUsed tells that a job's team has more placed than its limit permits now.
-func (n *Node) overUsed(spec *protocol.Submission) bool {
+func (n *Controller) overUsed(spec *protocol.Submission) bool {
 	limit, use := n.quota.Limit(spec.Team), n.teamRun[spec.Team]
 	for k, each := range unitOf(spec) {
 		if limit[k] > 0 && each > 0 && use[k] > limit[k]+eps {
@@ -164,7 +166,7 @@
 }
 
 // allowance is how many more tasks of a job its team's limit permits, wherever.
-func (n *Node) allowance(spec *protocol.Submission) int {
+func (n *Controller) allowance(spec *protocol.Submission) int {
 	limit, use := n.quota.Limit(spec.Team), n.teamRun[spec.Team]
 	free := math.MaxInt32
 	for k, each := range unitOf(spec) {
@@ -176,8 +178,8 @@
 }
 
 // allowanceIn is how many more a shard may start within its allotment.
-func (n *Node) allowanceIn(holder string, spec *protocol.Submission) int {
-	if !n.quota.Allotted(spec.Team) {
+func (n *Controller) allowanceIn(holder string, spec *protocol.Submission) int {
+	if !n.quota.IsAllotted(spec.Team) {
 		return n.allowance(spec)
 	}
 	if !n.sized(holder) {
@@ -188,7 +190,7 @@
 
 // wishes is what the teams' limits keep a shard from starting in one pass.
 type wishes struct {
-	of      map[string]*quota.Want
+	of      map[string]*quota.Demand
 	looked  map[string]int  // units of each team that were weighed
 	started map[string]bool // teams of which something started
 }
@@ -199,20 +201,20 @@
 
 // heldUp tells whether its team's limit keeps a unit from starting here now, and
 // notes what could start if the shard's allotment reached.
-func (n *Node) heldUp(s *shard, u *unit, rooms []*room, w *wishes, now time.Time) bool {
+func (n *Controller) heldUp(s *shard, u *unit, rooms []*room, w *wishes, now time.Time) bool {
 	if !n.limited(u.spec) {
 		return false
 	}
-	if !n.quota.Allotted(u.spec.Team) {
+	if !n.quota.IsAllotted(u.spec.Team) {
 		return n.overLimit(u)
 	}
-	team, whole := u.spec.Team, u.spec.Shape == protocol.Gang
+	team, whole := u.spec.Team, u.spec.Shape == protocol.ShapeGang
 	need, waiting := 1, u.waiting()
 	if whole {
 		need = waiting
 	}
 	may := n.allowanceIn(s.name, u.spec) + n.bookable(u.c)
-	yields := n.quota.YieldsTo(team, u.spec.Prio(), u.j.rec.Born, u.j.ref, now)
+	yields := n.quota.YieldsTo(team, u.spec.Priority(), u.j.rec.AcceptedAtMs, u.j.ref, now)
 	if may < waiting || yields {
 		n.wish(s, u, rooms, w, need, may)
 	}
@@ -220,7 +222,7 @@
 }
 
 // wish adds a unit to what a shard could start within the team's limit.
-func (n *Node) wish(s *shard, u *unit, rooms []*room, w *wishes, need, may int) {
+func (n *Controller) wish(s *shard, u *unit, rooms []*room, w *wishes, need, may int) {
 	if w.looked[u.spec.Team]++; w.looked[u.spec.Team] > mostWeighed {
 		return
 	}
@@ -228,7 +230,7 @@
 	could := min(u.waiting(), roomFor(u.spec, u.j.ref, rooms, u.waiting()))
 	// What never ends is not waited for: a gang that needs the part of the limit that
 	// services use would keep all others from the rest for ever.
-	left := quota.Amount(n.quota.Limit(u.spec.Team)).Less(n.teamKept[u.spec.Team])
+	left := quota.Resources(n.quota.Limit(u.spec.Team)).Minus(n.teamKept[u.spec.Team])
 	head := unit.Times(float64(need))
 	for k, limit := range n.quota.Limit(u.spec.Team) {
 		if limit > 0 && head[k] > left[k]+eps {
@@ -243,10 +245,10 @@
 		return
 	}
 	switch x := w.of[u.spec.Team]; {
-	case x == nil || (x.Ahead && !ahead):
-		w.of[u.spec.Team] = &quota.Want{Head: head, Unit: unit, Total: unit.Times(float64(could)), Rank: u.spec.Prio(),
-			Born: u.j.rec.Born, Ref: u.j.ref, Whole: need > 1, Ahead: ahead}
-	case x.Ahead == ahead:
+	case x == nil || (x.Anticipated && !ahead):
+		w.of[u.spec.Team] = &quota.Demand{Head: head, PerTask: unit, Total: unit.Times(float64(could)), Priority: u.spec.Priority(),
+			AcceptedAtMs: u.j.rec.AcceptedAtMs, JobID: u.j.ref, AllOrNothing: need > 1, Anticipated: ahead}
+	case x.Anticipated == ahead:
 		x.Total = x.Total.Plus(unit.Times(float64(could)))
 	}
 }
@@ -263,7 +265,7 @@
 			continue
 		}
 		fit := math.MaxInt32
-		for _, p := range [3][2]float64{{r.cpus, spec.CPUs}, {r.gpus, spec.GPUs}, {r.mem, spec.MemGB}} {
+		for _, p := range [3][2]float64{{r.cpus, spec.CPUs}, {r.gpus, spec.GPUs}, {r.mem, spec.MemoryGB}} {
 			if p[1] > 0 {
 				fit = min(fit, int((p[0]+eps)/p[1]))
 			}
@@ -274,20 +276,20 @@
 }
 
 // bookable counts the placements of a claim that its next version would free.
-func (n *Node) bookable(c *claim) int {
-	if c == nil || c.rec == nil || c.pend != nil || c.spec.Shape == protocol.Gang {
+func (n *Controller) bookable(c *claim) int {
+	if c == nil || c.rec == nil || c.pend != nil || c.spec.Shape == protocol.ShapeGang {
 		return 0
 	}
 	next := c.rec.Clone()
 	n.bookDone(c, next)
-	return len(c.rec.Open) - len(next.Open)
+	return len(c.rec.Placements) - len(next.Placements)
 }
 
 // tellWishes hands a pass's wishes on.
-func (n *Node) tellWishes(holder string, w *wishes, now time.Time) {
+func (n *Controller) tellWishes(holder string, w *wishes, now time.Time) {
 	for team := range n.cfg.Teams {
-		if n.quota.Allotted(team) {
-			n.quota.Wish(team, holder, w.of[team], w.started[team], now)
+		if n.quota.IsAllotted(team) {
+			n.quota.SetDemand(team, holder, w.of[team], w.started[team], now)
 		}
 	}
 }
@@ -298,23 +300,23 @@
 
 // share carries out the gifts that are due from this node's shards, and tells the
 // others what these want.
-func (n *Node) share(now time.Time) {
-	wants := n.quota.Wants(now)
+func (n *Controller) share(now time.Time) {
+	wants := n.quota.Demands(now)
 	if (len(wants) > 0 || n.wanted) && now.Sub(n.wantedAt) >= wantGap {
 		n.wanted, n.wantedAt = len(wants) > 0, now
-		n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.Node, StateOK: true, Wants: wants, Wanting: true})
+		n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true, Demands: wants, DemandsComplete: true})
 	}
-	for _, m := range n.quota.Gifts(n.decidesFor, now) {
+	for _, m := range n.quota.DueTransfers(n.decidesFor, now) {
 		n.log.Debug("allotment given", "team", m.Team, "from", m.From, "to", m.To, "cpus", m.Amount[0], "cards", m.Amount[1])
-		n.commit(ledger.PrioClaim, m.Conds, m.Ops, 0, func(err error) {
-			n.quota.Moved(m)
+		n.commit(ledger.PriorityClaim, m.Compares, m.Ops, 0, func(err error) {
+			n.quota.FinishTransfer(m)
 			if err == nil {
 				n.announceKey(m.Ops[0].Key, m.Ops[0].Value)
 			}
 		})
 	}
-	for _, h := range n.quota.Waiting(heldTell, now) {
-		n.log.Info("a team waits for its limit", "team", h.Team, "seconds", int(h.Since.Seconds()), "limit", h.Limit, "allotted", h.Grants, "used", h.Uses)
+	for _, h := range n.quota.WaitingTeams(heldTell, now) {
+		n.log.Info("a team waits for its limit", "team", h.Team, "seconds", int(h.WaitedFor.Seconds()), "limit", h.Limit, "allotted", h.Grants, "used", h.Usage)
 	}
 }
 
@@ -323,39 +325,39 @@
 
 // decidesFor is the condition under which this node gives from a holder's allotment:
 // it owns the shard, or leads, and its cache holds all that was started there.
-func (n *Node) decidesFor(holder string) (ledger.Cond, bool) {
-	if holder == quota.Wide {
-		return ledger.Cond{Key: ledger.LeaderKey, Stamp: n.leadStamp}, n.leading() && n.sized(holder)
+func (n *Controller) decidesFor(holder string) (ledger.Compare, bool) {
+	if holder == quota.CrossShard {
+		return ledger.Compare{Key: ledger.LeaderKey, Version: n.leadStamp}, n.leading() && n.sized(holder)
 	}
 	s := n.shards[holder]
 	if !n.active(s) || !n.sized(holder) {
-		return ledger.Cond{}, false
+		return ledger.Compare{}, false
 	}
-	return ledger.Cond{Key: ledger.ShardKeys + holder, Stamp: s.token}, true
+	return ledger.Compare{Key: ledger.ShardPrefix + holder, Version: s.token}, true
 }
 
 // tendLimits works off the difference between the limits that controllers were given
 // and those on record, and how they are divided.
-func (n *Node) tendLimits(now time.Time) {
-	if n.quota.Idle() {
+func (n *Controller) tendLimits(now time.Time) {
+	if n.quota.HasNoLimits() {
 		return
 	}
-	sit := quota.Situation{Epoch: n.epoch, Complete: len(n.orphans) == 0, Leads: n.leading(), Lead: ledger.Cond{Key: ledger.LeaderKey, Stamp: n.leadStamp},
-		Holders: n.shardNames(), Uses: n.usesOf,
-		Legacy: func(team string) uint64 { return n.team(team).stamp }}
+	sit := quota.ClusterState{Revision: n.epoch, Complete: len(n.orphans) == 0, IsLeader: n.leading(), LeaderCompare: ledger.Compare{Key: ledger.LeaderKey, Version: n.leadStamp},
+		Holders: n.shardNames(), TeamUsage: n.usesOf,
+		TeamUsageVersion: func(team string) uint64 { return n.team(team).stamp }}
 	for _, name := range n.liveNodes() {
-		sit.Members = append(sit.Members, quota.Member{Version: n.nodes[name].version, Teams: n.nodes[name].teams})
+		sit.Members = append(sit.Members, quota.Member{QuotaVersion: n.nodes[name].version, TeamsHash: n.nodes[name].teams})
 	}
 	for _, t := range n.types {
-		sit.Least = sit.Least.Most(quota.Amount{t.CPUs, t.GPUs})
+		sit.InitialShare = sit.InitialShare.Max(quota.Resources{t.CPUs, t.GPUs})
 	}
 	if len(n.types) == 0 {
 		return
 	}
-	for _, c := range n.quota.Changes(sit) {
-		n.log.Info("team limit", "team", c.Team, "is", c.What)
-		n.commit(ledger.PrioClaim, c.Conds, c.Ops, 0, func(err error) {
-			n.quota.Changed(c)
+	for _, c := range n.quota.LimitChanges(sit) {
+		n.log.Info("team limit", "team", c.Team, "is", c.Description)
+		n.commit(ledger.PriorityClaim, c.Compares, c.Ops, 0, func(err error) {
+			n.quota.FinishChange(c)
 			if err != nil {
 				n.log.Debug("team limit not changed", "team", c.Team, "err", err)
 			}
@@ -365,14 +367,14 @@
 }
 
 // usesOf is a team's use by the names that its one record has for it.
-func (n *Node) usesOf(team string) map[string]quota.Amount {
-	out := make(map[string]quota.Amount)
+func (n *Controller) usesOf(team string) map[string]quota.Resources {
+	out := make(map[string]quota.Resources)
 	for _, name := range n.shardNames() {
 		out[name] = n.usedBy(team, name)
 	}
 	for c := range n.wideClaims {
 		if c.spec != nil && c.spec.Team == team && c.sum.kept {
-			out["*"+c.ref] = quota.Amount(out["*"+c.ref]).Plus(c.sum.use)
+			out["*"+c.ref] = quota.Resources(out["*"+c.ref]).Plus(c.sum.use)
 		}
 	}
 	return out
@@ -380,33 +382,33 @@
 
 // tidyTeams puts right what a team's one record says of this node's shards: what was
 // placed before there was a limit, or ended while the record was written.
-func (n *Node) tidyTeams(now time.Time) {
+func (n *Controller) tidyTeams(now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(n.teams)) {
 		t := n.teams[name]
-		if n.quota.Allotted(name) || t.busy || t.stamp == 0 || n.epoch < t.stamp || len(n.orphans) > 0 {
+		if n.quota.IsAllotted(name) || t.busy || t.stamp == 0 || n.epoch < t.stamp || len(n.orphans) > 0 {
 			continue
 		}
 		for _, shard := range n.shardNames() {
 			s := n.shards[shard]
 			use := n.usedBy(name, shard)
-			if !n.active(s) || use.Within(t.rec.Use[shard]) && quota.Amount(t.rec.Use[shard]).Within(use) || slices.ContainsFunc(n.claimsOf(s, name), func(c *claim) bool { return c.pend != nil }) {
+			if !n.active(s) || use.Within(t.rec.ByShard[shard]) && quota.Resources(t.rec.ByShard[shard]).Within(use) || slices.ContainsFunc(n.claimsOf(s, name), func(c *claim) bool { return c.pend != nil }) {
 				continue
 			}
-			rec := &ledger.Team{Use: map[string][2]float64{shard: use}}
-			for other, u := range t.rec.Use {
+			rec := &ledger.TeamUsage{ByShard: map[string][2]float64{shard: use}}
+			for other, u := range t.rec.ByShard {
 				if other != shard {
-					rec.Use[other] = u
+					rec.ByShard[other] = u
 				}
 			}
 			t.busy = true
-			conds := append(n.quota.Conds(name), ledger.Cond{Key: ledger.ShardKeys + shard, Stamp: s.token}, ledger.Cond{Key: ledger.TeamKeys + name, Stamp: t.stamp})
-			n.commit(ledger.PrioRest, conds, []ledger.Op{{Key: ledger.TeamKeys + name, Value: rec}}, 0, func(error) { t.busy = false })
+			conds := append(n.quota.LimitCompares(name), ledger.Compare{Key: ledger.ShardPrefix + shard, Version: s.token}, ledger.Compare{Key: ledger.TeamUsagePrefix + name, Version: t.stamp})
+			n.commit(ledger.PriorityBackground, conds, []ledger.Op{{Key: ledger.TeamUsagePrefix + name, Value: rec}}, 0, func(error) { t.busy = false })
 			break
 		}
 	}
 }
 
-func (n *Node) claimsOf(s *shard, team string) []*claim {
+func (n *Controller) claimsOf(s *shard, team string) []*claim {
 	var out []*claim
 	for c := range s.claims {
 		if c.spec != nil && c.spec.Team == team {
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -21,41 +21,41 @@
 	"madderslip/internal/recovery"
 )
 
-// Ledger is the state service as this package uses it.
-type Ledger interface {
+// StateStore is the state service as this package uses it.
+type StateStore interface {
 	Get(ctx context.Context, key string) (ledger.Item, error)
 	List(ctx context.Context) ([]ledger.Item, uint64, error)
 	Watch(ctx context.Context, from uint64, block time.Duration) ([]ledger.Item, uint64, error)
-	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
-	Extend(ctx context.Context, permit uint64) error
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	KeepAlive(ctx context.Context, permit uint64) error
 	Submit(t *ledger.Txn)
-	Waiting(prio int) int
-	Share(part float64)
-	ValueBytes() int
-	Saw(key string, stamp uint64, exists bool)
-	LastOK() time.Time
+	HasPending(prio int) int
+	SetBudgetShare(part float64)
+	MaxValueBytes() int
+	ObserveVersion(key string, stamp uint64, exists bool)
+	LastSuccess() time.Time
 	Backlog(prio int) (changes int, rate float64)
-	Asked() (waiting int, rate float64)
+	ReadBacklog() (waiting int, rate float64)
 }
 
-// Caller makes HTTP calls to workers and the cloud.
-type Caller interface {
+// HTTPClient makes HTTP calls to workers and the cloud.
+type HTTPClient interface {
 	Do(ctx context.Context, addr, method, target string, body []byte) (int, []byte, error)
 }
 
-// PeerCaller calls one other controller.
-type PeerCaller interface {
+// PeerClient calls one other controller.
+type PeerClient interface {
 	Call(ctx context.Context, in, out any) error
 }
 
-// Node is one controller. Its fields are guarded by mu; methods that do not
+// Controller is one controller. Its fields are guarded by mu; methods that do not
 // take the lock themselves expect it to be held.
-type Node struct {
+type Controller struct {
 	cfg   protocol.Settings
 	pol   policy.Policy
-	led   Ledger
-	http  Caller
-	peers map[string]PeerCaller
+	led   StateStore
+	http  HTTPClient
+	peers map[string]PeerClient
 	log   *slog.Logger
 	rng   *rand.Rand
 	boot  time.Time
@@ -75,11 +75,11 @@
 	lookingUp  bool                         // the jobs of some of them are being read
 	final      map[string]finalJob
 	teams      map[string]*teamUse
-	quota      *quota.Keeper
-	teamKept   map[string]quota.Amount // what services use, which never end
-	teamSure   map[string]quota.Amount // what is placed for sure, commits under way left out
-	guarantees bool                    // some team has one
-	bookings   map[string]*booking     // by job
+	quota      *quota.Manager
+	teamKept   map[string]quota.Resources // what services use, which never end
+	teamSure   map[string]quota.Resources // what is placed for sure, commits under way left out
+	guarantees bool                       // some team has one
+	bookings   map[string]*booking        // by job
 	unbooking  bool
 	wanted     bool // the others were last told of wants
 	wantedAt   time.Time
@@ -95,7 +95,7 @@
 	use        map[teamShard][2]float64
 	teamRun    map[string][2]float64
 	groups     map[string]group
-	imageRecs  map[string]*ledger.Images
+	imageRecs  map[string]*ledger.ImageLocations
 	cancelled  map[string]*job       // those that are cancelled and have claims left
 	ahead      map[string]*job       // those whose cancellation is known ahead of the watch
 	repeatFrom string                // of these, the one to be repeated next
@@ -115,8 +115,8 @@
 	stateOKAt map[string]time.Time
 	ratios    map[string]float64   // class: observed run time over the estimate
 	refused   map[string]time.Time // type/zone/kind: not to be asked for before
-	beat      recovery.Beat
-	boots     boots.Book
+	beat      recovery.PauseDetector
+	boots     boots.BootStats
 	scratch   struct { // of roomsBut
 		rooms []room
 		list  []*room
@@ -147,7 +147,7 @@
 }
 
 type loadSeen struct {
-	load protocol.Load
+	load protocol.ShardLoad
 	at   time.Time
 }
 
@@ -179,22 +179,22 @@
 type Options struct {
 	Settings protocol.Settings
 	Policy   policy.Policy
-	Ledger   Ledger
-	HTTP     Caller
-	Peers    map[string]PeerCaller
+	Store    StateStore
+	HTTP     HTTPClient
+	Peers    map[string]PeerClient
 	Log      *slog.Logger
 	Rand     *rand.Rand
 	// Stand, if set, is called before each turn of a loop and waits for as long as
 	// the process is to stand still: tests freeze a controller with it.
-	Stand func(context.Context)
+	WaitWhilePaused func(context.Context)
 }
 
 // New makes a node; Run starts its loops.
-func New(o Options) *Node {
-	n := &Node{
-		cfg: o.Settings, pol: o.Policy, led: o.Ledger, http: o.HTTP, peers: o.Peers, log: o.Log, rng: o.Rand,
+func New(o Options) *Controller {
+	n := &Controller{
+		cfg: o.Settings, pol: o.Policy, led: o.Store, http: o.HTTP, peers: o.Peers, log: o.Log, rng: o.Rand,
 		boot: time.Now(), kick: make(chan struct{}, 1),
-		cloud:  rate.NewLimiter(rate.Limit(o.Settings.CloudLimit.RPS*0.8/float64(max(1, o.Settings.Nodes))), 3),
+		cloud:  rate.NewLimiter(rate.Limit(o.Settings.CloudLimits.RequestRate*0.8/float64(max(1, o.Settings.NodeCount))), 3),
 		stamps: make(map[string]uint64), nodes: make(map[string]nodeSeen), shards: make(map[string]*shard),
 		machines: make(map[string]*machine), jobs: make(map[string]*job), claims: make(map[string]*claim),
 		orphans: make(map[string]map[string]*claim), final: make(map[string]finalJob),
@@ -203,19 +203,19 @@
 		ratios: make(map[string]float64), refused: make(map[string]time.Time),
 		heardFrom: make(map[string]time.Time), waits: make(map[string]waitsSeen), cutSeen: make(map[string]time.Time),
 		hosts: make(map[string]*hostUse), wideClaims: make(map[*claim]struct{}), use: make(map[teamShard][2]float64),
-		teamRun: make(map[string][2]float64), outbox: make(map[*machine]struct{}), groups: make(map[string]group), cancelled: make(map[string]*job), ahead: make(map[string]*job), hungry: make(map[string]*job), plans: make(map[string]*plan), imageRecs: make(map[string]*ledger.Images), returns: make(map[string]*machine),
-		teamKept: make(map[string]quota.Amount), teamSure: make(map[string]quota.Amount), bookings: make(map[string]*booking),
+		teamRun: make(map[string][2]float64), outbox: make(map[*machine]struct{}), groups: make(map[string]group), cancelled: make(map[string]*job), ahead: make(map[string]*job), hungry: make(map[string]*job), plans: make(map[string]*plan), imageRecs: make(map[string]*ledger.ImageLocations), returns: make(map[string]*machine),
+		teamKept: make(map[string]quota.Resources), teamSure: make(map[string]quota.Resources), bookings: make(map[string]*booking),
 		ctx: context.Background(),
 	}
 	n.pipelines = newPipelines(n.stateOf)
 	n.quota = quota.New(o.Settings.Teams, o.Policy.Allotments, n.usedBy)
 	for name := range o.Settings.Teams {
-		n.guarantees = n.guarantees || n.quota.Guaranteed(name)
+		n.guarantees = n.guarantees || n.quota.HasGuarantee(name)
 	}
-	if n.stand = o.Stand; n.stand == nil {
+	if n.stand = o.WaitWhilePaused; n.stand == nil {
 		n.stand = func(context.Context) {}
 	}
-	n.shard(n.cfg.Node)
+	n.shard(n.cfg.NodeName)
 	for _, p := range n.cfg.Peers {
 		n.shard(p.Node)
 	}
@@ -227,7 +227,7 @@
 const loopGap = 1370 * time.Microsecond
 
 // Run starts the loops and returns when the context ends.
-func (n *Node) Run(ctx context.Context) {
+func (n *Controller) Run(ctx context.Context) {
 	n.mu.Lock()
 	n.ctx = ctx
 	n.mu.Unlock()
@@ -244,7 +244,7 @@
 }
 
 // poke asks for a pass over the work soon.
-func (n *Node) poke() {
+func (n *Controller) poke() {
 	select {
 	case n.kick <- struct{}{}:
 	default:
@@ -252,7 +252,7 @@
 }
 
 // pause waits between two turns of a loop.
-func (n *Node) pause(ctx context.Context, d time.Duration) bool {
+func (n *Controller) pause(ctx context.Context, d time.Duration) bool {
 	if !pause(ctx, d) {
 		return false
 	}
@@ -276,7 +276,7 @@
 const watchPause = 90 * time.Millisecond
 
 // watchLoop keeps the cache up to date.
-func (n *Node) watchLoop(ctx context.Context) {
+func (n *Controller) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		items, epoch, err := n.led.List(ctx)
 		if err != nil {
@@ -290,7 +290,7 @@
 		n.log.Info("records read", "records", len(items), "epoch", epoch)
 		for ctx.Err() == nil {
 			items, upTo, err := n.led.Watch(ctx, epoch, 10*time.Second)
-			if errors.Is(err, ledger.ErrTooOld) {
+			if errors.Is(err, ledger.ErrCompacted) {
 				n.log.Info("watch fell behind, reading anew")
 				break
 			}
@@ -313,7 +313,7 @@
 }
 
 // relist takes a complete reading. What it lacks was dropped meanwhile.
-func (n *Node) relist(items []ledger.Item, epoch uint64) {
+func (n *Controller) relist(items []ledger.Item, epoch uint64) {
 	have := make(map[string]bool, len(items))
 	for _, it := range items {
 		have[it.Key] = true
@@ -334,15 +334,15 @@
 }
 
 // sessionLoop keeps this node's lease and the record that shows it is alive.
-func (n *Node) sessionLoop(ctx context.Context) {
+func (n *Controller) sessionLoop(ctx context.Context) {
 	ttl := n.pol.NodeLease
-	key := ledger.NodeKeys + n.cfg.Node
+	key := ledger.NodePrefix + n.cfg.NodeName
 	var permit uint64
-	rec := &ledger.Node{Boot: n.boot.UnixMilli(), Pipelines: understandsPipelines}
-	rec.Version, rec.Teams = n.quota.Says()
+	rec := &ledger.Node{StartedAtMs: n.boot.UnixMilli(), DependencyVersion: understandsPipelines}
+	rec.QuotaVersion, rec.TeamsHash = n.quota.Advertised()
 	for ctx.Err() == nil {
 		n.mu.Lock()
-		loaded, live := n.loaded, n.nodes[n.cfg.Node]
+		loaded, live := n.loaded, n.nodes[n.cfg.NodeName]
 		mine := permit != 0 && live.stamp != 0 && n.permit == permit
 		n.mu.Unlock()
 		if !loaded {
@@ -350,7 +350,7 @@
 			continue
 		}
 		if permit == 0 {
-			p, err := n.led.Grant(ctx, ttl)
+			p, err := n.led.GrantLease(ctx, ttl)
 			if err != nil {
 				n.log.Info("no lease", "err", err)
 				n.pause(ctx, 300*time.Millisecond)
@@ -364,7 +364,7 @@
 			// Conditional, like all else: a copy that an earlier process of this node had
 			// sent hung the record on that one's lease again, and this node seemed to have
 			// ended when that lease did.
-			n.commit(ledger.PrioLease, []ledger.Cond{{Key: key, Stamp: n.nodes[n.cfg.Node].stamp}}, []ledger.Op{{Key: key, Value: rec, Grant: permit}}, 2*time.Second,
+			n.commit(ledger.PriorityLease, []ledger.Compare{{Key: key, Version: n.nodes[n.cfg.NodeName].stamp}}, []ledger.Op{{Key: key, Value: rec, Lease: permit}}, 2*time.Second,
 				func(err error) {
 					if err == nil {
 						n.permit = permit
@@ -380,7 +380,7 @@
 			}
 			if err != nil {
 				n.log.Info("cannot register", "err", err)
-				if errors.Is(err, ledger.ErrNoGrant) {
+				if errors.Is(err, ledger.ErrLeaseExpired) {
 					permit = 0 // the lease ended before it was used
 				}
 				n.pause(ctx, 200*time.Millisecond)
@@ -388,7 +388,7 @@
 			}
 		}
 		n.pause(ctx, ttl/3)
-		if err := n.led.Extend(ctx, permit); errors.Is(err, ledger.ErrNoGrant) {
+		if err := n.led.KeepAlive(ctx, permit); errors.Is(err, ledger.ErrLeaseExpired) {
 			n.log.Info("lease ended")
 			permit = 0
 		} else if err != nil {
@@ -397,7 +397,7 @@
 	}
 }
 
-func (n *Node) storeNode(name string, r *ledger.Node, stamp uint64) {
+func (n *Controller) storeNode(name string, r *ledger.Node, stamp uint64) {
 	if r == nil {
 		delete(n.nodes, name)
 	} else {
@@ -405,7 +405,7 @@
 		if seen.stamp == 0 {
 			seen.since = time.Now()
 		}
-		seen.stamp, seen.version, seen.teams, seen.waits = stamp, r.Version, r.Teams, r.Pipelines
+		seen.stamp, seen.version, seen.teams, seen.waits = stamp, r.QuotaVersion, r.TeamsHash, r.DependencyVersion
 		n.nodes[name] = seen
 	}
 	n.shareBudget(time.Now())
--- a/internal/coordination/outlook.go
+++ b/internal/coordination/outlook.go
@@ -16,19 +16,19 @@
 
 // look notes that this process runs. What it slept through is told from others'
 // silence, and logged.
-func (n *Node) look(now time.Time) {
-	if still := n.beat.Look(now); still > 0 {
+func (n *Controller) look(now time.Time) {
+	if still := n.beat.Observe(now); still > 0 {
 		n.log.Info("this process stood still", "for", still)
 	}
 }
 
 // weighZones works out which zones seem to be cut off.
-func (n *Node) weighZones(now time.Time) {
+func (n *Controller) weighZones(now time.Time) {
 	if len(n.cfg.Zones) < 2 {
 		return
 	}
 	beat := n.reportBeat()
-	var signs []recovery.Sign
+	var signs []recovery.MachineSilence
 	for _, s := range n.shards {
 		if !n.active(s) {
 			continue
@@ -40,16 +40,16 @@
 			// dead neighbour hid the cut until their new owner had fenced its own.
 			silent := n.silence(m, now)
 			if (m.rep != nil || len(m.use.places) > 0) && (m.heard.After(m.adoptedAt) || silent > beat) {
-				signs = append(signs, recovery.Sign{Zone: m.rec.Zone, Silent: silent})
+				signs = append(signs, recovery.MachineSilence{Zone: m.rec.Zone, Silent: silent})
 			}
 		}
 	}
-	witnesses := make([]recovery.Witness, 0, len(n.cfg.Peers))
+	witnesses := make([]recovery.PeerStatus, 0, len(n.cfg.Peers))
 	for _, p := range n.cfg.Peers {
 		_, live := n.nodes[p.Node]
-		witnesses = append(witnesses, recovery.Witness{Zone: p.Zone, Live: live || now.Sub(n.heardFrom[p.Node]) < n.pol.NodeLease})
+		witnesses = append(witnesses, recovery.PeerStatus{Zone: p.Zone, Live: live || now.Sub(n.heardFrom[p.Node]) < n.pol.NodeLease})
 	}
-	for zone := range recovery.CutZones(n.cfg.Zone, signs, beat, witnesses) {
+	for zone := range recovery.PartitionedZones(n.cfg.Zone, signs, beat, witnesses) {
 		if !n.zoneCut(zone, now) {
 			n.log.Info("a zone seems cut off, its machines are not fenced for a while", "zone", zone)
 		}
@@ -60,25 +60,25 @@
 // zoneCut tells whether a zone seems cut off, or seemed so until just now: once
 // the cut is over its workers take a while to come back, and whoever had not yet
 // been heard was fenced for the silence of the whole cut.
-func (n *Node) zoneCut(zone string, now time.Time) bool {
+func (n *Controller) zoneCut(zone string, now time.Time) bool {
 	at, seen := n.cutSeen[zone]
-	return seen && now.Sub(at) < n.cfg.Workers.Lease
+	return seen && now.Sub(at) < n.cfg.Workers.LeaseDuration
 }
 
 // fenceAfter is how long a machine may be silent.
-func (n *Node) fenceAfter(m *machine, usual time.Duration, now time.Time) time.Duration {
-	return recovery.Fence(usual, n.pol.ZonePatience, n.zoneCut(m.rec.Zone, now))
+func (n *Controller) fenceAfter(m *machine, usual time.Duration, now time.Time) time.Duration {
+	return recovery.FenceDelay(usual, n.pol.PartitionPatience, n.zoneCut(m.rec.Zone, now))
 }
 
 // keepLease answers a worker of a shard that this node does not own, if it is to
 // keep the lease alive: with the shard's token and without orders.
-func (n *Node) keepLease(s *shard, r *protocol.Report, now time.Time) (transport.Response, bool) {
-	w := recovery.Word{State: n.led.LastOK(), Owner: n.heardFrom[s.rec.Owner]}
-	if r.Token > s.stamp || !recovery.KeepLease(w, now, n.pol.NodeLease) {
+func (n *Controller) keepLease(s *shard, r *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
+	w := recovery.LastContact{State: n.led.LastSuccess(), Owner: n.heardFrom[s.rec.Owner]}
+	if r.FencingToken > s.stamp || !recovery.MayExtendLease(w, now, n.pol.NodeLease) {
 		return transport.Response{}, false
 	}
 	for i := range r.Tasks {
-		ref, _, _ := protocol.SplitTask(r.Tasks[i].Task)
+		ref, _, _ := protocol.ParseTaskName(r.Tasks[i].Task)
 		if j := n.jobs[ref]; r.Tasks[i].Phase != protocol.TaskExited && (n.cancelled[ref] != nil || (j == nil && n.final[ref].state != "")) {
 			return transport.Response{}, false // nobody here can stop that but the end of its lease
 		}
@@ -88,25 +88,25 @@
 
 // keepUnread does the same for a node that began behind a cut and has read no
 // records: the worker's own token is the only one it knows.
-func (n *Node) keepUnread(r *protocol.Report, now time.Time) (transport.Response, bool) {
-	u := recovery.Unread{Up: now.Sub(n.boot), Heard: n.led.LastOK().After(n.boot) || len(n.types) > 0 || len(n.heardFrom) > 0}
+func (n *Controller) keepUnread(r *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
+	u := recovery.ColdStart{Uptime: now.Sub(n.boot), HeardAnyone: n.led.LastSuccess().After(n.boot) || len(n.types) > 0 || len(n.heardFrom) > 0}
 	for _, p := range n.cfg.Peers {
-		u.Isolated = u.Isolated || p.Zone != n.cfg.Zone
+		u.HasRemotePeers = u.HasRemotePeers || p.Zone != n.cfg.Zone
 	}
-	if r.Token == 0 || !recovery.KeepUnread(u, n.cfg.Workers.Cancel, n.cfg.Workers.Lease) {
+	if r.FencingToken == 0 || !recovery.MayExtendUnread(u, n.cfg.Workers.CancelDeadline, n.cfg.Workers.LeaseDuration) {
 		return transport.Response{}, false
 	}
-	return withoutOrders(r.Token)
+	return withoutOrders(r.FencingToken)
 }
 
 func withoutOrders(token uint64) (transport.Response, bool) {
-	b, err := protocol.Encode(protocol.ReportAnswer{Token: token, Commands: []protocol.Command{}})
+	b, err := protocol.Encode(protocol.HeartbeatResponse{FencingToken: token, Commands: []protocol.Command{}})
 	return transport.Response{Status: 200, Body: b}, err == nil
 }
 
 // turn is how long this node lets others take a shard first whose owner's lease
 // has ended.
-func (n *Node) turn() time.Duration {
+func (n *Controller) turn() time.Duration {
 	machines := make(map[string]int)
 	for _, s := range n.shards {
 		if s.rec != nil {
@@ -117,7 +117,7 @@
 	for name := range n.nodes {
 		all = append(all, recovery.Candidate{Node: name, Machines: machines[name]})
 	}
-	return recovery.Turn(n.cfg.Node, all)
+	return recovery.TakeoverDelay(n.cfg.NodeName, all)
 }
 
 // sayEvery is how old another controller's word of its backlog may be.
@@ -125,15 +125,15 @@
 
 // shareBudget takes this node's part of the state service's budgets: by need if all
 // live controllers have said theirs, else evenly.
-func (n *Node) shareBudget(now time.Time) {
+func (n *Controller) shareBudget(now time.Time) {
 	names := n.liveNodes()
-	own := slices.Index(names, n.cfg.Node)
+	own := slices.Index(names, n.cfg.NodeName)
 	waits := make([]int, max(1, len(names)))
 	known := own >= 0
 	for i, name := range names {
 		w := n.waits[name]
 		if i == own {
-			w.changes, _ = n.led.Backlog(ledger.PrioRest)
+			w.changes, _ = n.led.Backlog(ledger.PriorityBackground)
 			w.at = now
 		}
 		known = known && now.Sub(w.at) < sayEvery
@@ -143,13 +143,13 @@
 		clear(waits)
 		own = 0
 	}
-	n.led.Share(recovery.Part(waits, own))
+	n.led.SetBudgetShare(recovery.BudgetShare(waits, own))
 }
 
 // backlog is what waits ahead of a transaction of a priority.
-func (n *Node) backlog(prio int, now time.Time) recovery.Backlog {
-	b := recovery.Backlog{Down: n.stateDown(now)}
-	b.Waiting, b.Rate = n.led.Backlog(prio)
+func (n *Controller) backlog(prio int, now time.Time) recovery.Backlog {
+	b := recovery.Backlog{Unavailable: n.stateDown(now)}
+	b.Pending, b.Rate = n.led.Backlog(prio)
 	return b
 }
 
@@ -159,11 +159,11 @@
 
 // stateDown tells that the state service has executed nothing of this node's for
 // a while: an outage, or a fault of the node's own.
-func (n *Node) stateDown(now time.Time) bool { return now.Sub(n.led.LastOK()) > downAfter }
+func (n *Controller) stateDown(now time.Time) bool { return now.Sub(n.led.LastSuccess()) > downAfter }
 
 // hearsNobody tells that neither the state service nor another controller has spoken
 // to this node for a while: what others have confirmed to users it cannot know.
-func (n *Node) hearsNobody(now time.Time) bool {
+func (n *Controller) hearsNobody(now time.Time) bool {
 	for name := range n.peers {
 		if now.Sub(n.heardFrom[name]) < sayEvery {
 			return false
@@ -174,12 +174,12 @@
 
 // reportBeat is the longest that a worker goes without reporting when all is well:
 // its period, give or take a quarter, and a little more.
-func (n *Node) reportBeat() time.Duration { return n.cfg.Workers.Report * 13 / 10 }
+func (n *Controller) reportBeat() time.Duration { return n.cfg.Workers.HeartbeatInterval * 13 / 10 }
 
 // servedElsewhere tells that the state service serves other controllers and not
 // this one. A node that refuses at once has the fewest open connections, so the
 // load balancer sends it the more users the longer it seems healthy.
-func (n *Node) servedElsewhere(now time.Time) bool {
+func (n *Controller) servedElsewhere(now time.Time) bool {
 	if !n.stateDown(now) {
 		return false
 	}
@@ -192,9 +192,9 @@
 }
 
 // later turns a user away, and says when to come back.
-func (n *Node) later(prio int, now time.Time) transport.Response {
+func (n *Controller) later(prio int, now time.Time) transport.Response {
 	if n.servedElsewhere(now) {
 		return unavailable(1) // at another node, most likely
 	}
-	return unavailable(int(n.backlog(prio, now).ComeBack(n.rng.Float64()) / time.Second))
+	return unavailable(int(n.backlog(prio, now).RetryAfter(n.rng.Float64()) / time.Second))
 }
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -13,7 +13,7 @@
 )
 
 // peerLoop tells the other controllers this node's load every second.
-func (n *Node) peerLoop(ctx context.Context) {
+func (n *Controller) peerLoop(ctx context.Context) {
 	for n.pause(ctx, time.Second+59*time.Nanosecond) {
 		n.mu.Lock()
 		n.shareBudget(time.Now())
@@ -23,11 +23,11 @@
 	}
 }
 
-func (n *Node) message() protocol.PeerMessage {
-	msg := protocol.PeerMessage{From: n.cfg.Node, StateOK: time.Since(n.led.LastOK()) < 1500*time.Millisecond, Beat: true}
-	msg.Waits, _ = n.led.Backlog(ledger.PrioRest)
-	msg.Fresh = n.repeated(time.Now())
-	msg.Wants, msg.Wanting = n.quota.Wants(time.Now()), true
+func (n *Controller) message() protocol.PeerMessage {
+	msg := protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: time.Since(n.led.LastSuccess()) < 1500*time.Millisecond, Periodic: true}
+	msg.PendingChanges, _ = n.led.Backlog(ledger.PriorityBackground)
+	msg.Updates = n.repeated(time.Now())
+	msg.Demands, msg.DemandsComplete = n.quota.Demands(time.Now()), true
 	for _, name := range n.shardNames() {
 		if s := n.shards[name]; n.active(s) {
 			msg.Loads = append(msg.Loads, n.loadOf(s))
@@ -47,7 +47,7 @@
 // whoever the state service serves; an owner that it refuses, or that was cut off as a
 // job was cancelled and whose zone healed in an outage, kept its tasks beyond the bound
 // though others knew. With the same hundred told each time the next was never told.
-func (n *Node) repeated(now time.Time) (news []protocol.KeyNews) {
+func (n *Controller) repeated(now time.Time) (news []protocol.KeyUpdate) {
 	var refs []string
 	down := n.stateDown(now)
 	for ref, j := range n.cancelled {
@@ -64,7 +64,7 @@
 		}
 		j := n.cancelled[ref]
 		if raw, err := protocol.Encode(j.rec); err == nil {
-			news = append(news, protocol.KeyNews{Key: ledger.JobKeys + ref, Value: raw, Stamp: j.stamp})
+			news = append(news, protocol.KeyUpdate{Key: ledger.JobPrefix + ref, Value: raw, Version: j.stamp})
 		}
 	}
 	return news
@@ -72,14 +72,14 @@
 
 // unserved tells that an owner of a machine that may keep a cancelled job's tasks has
 // not said lately that the state service serves it.
-func (n *Node) unserved(j *job, now time.Time) bool {
+func (n *Controller) unserved(j *job, now time.Time) bool {
 	for _, c := range j.claims {
 		for _, p := range c.on {
 			if p.at.m == nil {
 				continue
 			}
 			s := n.shards[p.at.m.rec.Shard]
-			if s != nil && s.rec != nil && s.rec.Owner != n.cfg.Node && now.Sub(n.stateOKAt[s.rec.Owner]) > sayEvery {
+			if s != nil && s.rec != nil && s.rec.Owner != n.cfg.NodeName && now.Sub(n.stateOKAt[s.rec.Owner]) > sayEvery {
 				return true
 			}
 		}
@@ -87,7 +87,7 @@
 	return false
 }
 
-func (n *Node) broadcast(ctx context.Context, msg protocol.PeerMessage) {
+func (n *Controller) broadcast(ctx context.Context, msg protocol.PeerMessage) {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		peer := n.peers[name]
 		go func() {
@@ -96,22 +96,22 @@
 			var out protocol.PeerMessage
 			if err := peer.Call(ctx, msg, &out); err != nil {
 				n.log.Debug("peer not reached", "peer", name, "err", err)
-			} else if out.Took {
-				n.told(name, msg.Fresh)
+			} else if out.Accepted {
+				n.told(name, msg.Updates)
 			}
 		}()
 	}
 }
 
 // told notes which cancellations another controller has taken.
-func (n *Node) told(peer string, news []protocol.KeyNews) {
+func (n *Controller) told(peer string, news []protocol.KeyUpdate) {
 	if len(news) == 0 {
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, k := range news {
-		if j := n.cancelled[strings.TrimPrefix(k.Key, ledger.JobKeys)]; j != nil {
+		if j := n.cancelled[strings.TrimPrefix(k.Key, ledger.JobPrefix)]; j != nil {
 			if j.told == nil {
 				j.told = make(map[string]time.Time)
 			}
@@ -121,8 +121,8 @@
 }
 
 // announce passes a record of the cache on to the other controllers.
-func (n *Node) announce(key string) {
-	ref := strings.TrimPrefix(key, ledger.JobKeys)
+func (n *Controller) announce(key string) {
+	ref := strings.TrimPrefix(key, ledger.JobPrefix)
 	j := n.jobs[ref]
 	if j == nil {
 		return
@@ -131,22 +131,22 @@
 	if err != nil {
 		return
 	}
-	msg := protocol.PeerMessage{From: n.cfg.Node, StateOK: true, Fresh: []protocol.KeyNews{{Key: key, Value: raw, Stamp: j.stamp}}}
+	msg := protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true, Updates: []protocol.KeyUpdate{{Key: key, Value: raw, Version: j.stamp}}}
 	for _, c := range j.claims {
 		// The claim made in the same breath spares the others a vain attempt.
 		if c.rec == nil || len(j.claims) != 1 {
 			continue
 		}
 		if raw, err := protocol.Encode(c.rec); err == nil {
-			msg.Fresh = append(msg.Fresh, protocol.KeyNews{Key: c.key, Value: raw, Stamp: c.stamp})
+			msg.Updates = append(msg.Updates, protocol.KeyUpdate{Key: c.key, Value: raw, Version: c.stamp})
 		}
 	}
 	n.broadcast(n.ctx, msg)
 }
 
 // announceNew passes a job just accepted on.
-func (n *Node) announceNew(key string, rec *ledger.Job) {
-	if rec.State == ledger.Held {
+func (n *Controller) announceNew(key string, rec *ledger.Job) {
+	if rec.State == ledger.JobBlocked {
 		n.announceKey(key, rec)
 		return
 	}
@@ -154,29 +154,29 @@
 }
 
 // announceKey passes a record just committed on.
-func (n *Node) announceKey(key string, rec any) {
+func (n *Controller) announceKey(key string, rec any) {
 	if raw, err := protocol.Encode(rec); err == nil {
-		n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.Node, StateOK: true, Fresh: []protocol.KeyNews{{Key: key, Value: raw, Stamp: n.stamps[key]}}})
+		n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true, Updates: []protocol.KeyUpdate{{Key: key, Value: raw, Version: n.stamps[key]}}})
 	}
 }
 
 // announceFinal passes a finished job on, since its users ask any node.
-func (n *Node) announceFinal(ref string) {
+func (n *Controller) announceFinal(ref string) {
 	f, ok := n.final[ref]
 	if !ok {
-		n.announce(ledger.JobKeys + ref)
+		n.announce(ledger.JobPrefix + ref)
 		return
 	}
 	raw, err := protocol.Encode(&ledger.Job{State: f.state, Tasks: f.tasks})
 	if err != nil {
 		return
 	}
-	n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.Node, StateOK: true,
-		Fresh: []protocol.KeyNews{{Key: ledger.JobKeys + ref, Value: raw, Stamp: f.stamp}}})
+	n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true,
+		Updates: []protocol.KeyUpdate{{Key: ledger.JobPrefix + ref, Value: raw, Version: f.stamp}}})
 }
 
-// HandlePeer takes another controller's message.
-func (n *Node) HandlePeer(_ context.Context, in json.RawMessage) (json.RawMessage, error) {
+// HandlePeerMessage takes another controller's message.
+func (n *Controller) HandlePeerMessage(_ context.Context, in json.RawMessage) (json.RawMessage, error) {
 	var msg protocol.PeerMessage
 	if err := protocol.Decode(in, &msg); err != nil {
 		return nil, err
@@ -185,43 +185,43 @@
 	defer n.mu.Unlock()
 	now := time.Now()
 	n.heardFrom[msg.From] = now
-	if msg.Beat {
-		n.waits[msg.From] = waitsSeen{msg.Waits, now}
+	if msg.Periodic {
+		n.waits[msg.From] = waitsSeen{msg.PendingChanges, now}
 	}
-	if msg.Wanting {
-		n.quota.Heard(msg.From, msg.Wants, now)
-		if len(msg.Wants) > 0 {
+	if msg.DemandsComplete {
+		n.quota.ObserveDemands(msg.From, msg.Demands, now)
+		if len(msg.Demands) > 0 {
 			n.poke()
 		}
 	}
-	if msg.StateOK {
+	if msg.StateReachable {
 		n.stateOKAt[msg.From] = now
 	}
 	for _, l := range msg.Loads {
 		if s := n.shards[l.Shard]; s != nil {
-			n.ousted(s, msg.From, l.Token)
+			n.ousted(s, msg.From, l.FencingToken)
 		}
 		n.loads[l.Shard] = loadSeen{l, now}
 		n.queuedNow[l.Shard] = 0
 	}
-	n.leaveTo(msg.Intents, now.Add(2*retryClaim))
-	n.leaveTo(msg.Planned, now.Add(planFor))
+	n.leaveTo(msg.ClaimIntents, now.Add(2*retryClaim))
+	n.leaveTo(msg.PreemptionIntents, now.Add(planFor))
 	if n.loaded {
-		for _, k := range msg.Fresh {
-			if len(k.Value) > 0 && (strings.HasPrefix(k.Key, ledger.JobKeys) || strings.HasPrefix(k.Key, ledger.ClaimKeys) || strings.HasPrefix(k.Key, ledger.AllotKeys)) {
-				n.take(ledger.Item{Key: k.Key, Value: k.Value, Stamp: k.Stamp})
+		for _, k := range msg.Updates {
+			if len(k.Value) > 0 && (strings.HasPrefix(k.Key, ledger.JobPrefix) || strings.HasPrefix(k.Key, ledger.ClaimPrefix) || strings.HasPrefix(k.Key, ledger.AllotmentPrefix)) {
+				n.take(ledger.Item{Key: k.Key, Value: k.Value, Version: k.Version})
 			}
 		}
 	}
-	return protocol.Encode(&protocol.PeerMessage{From: n.cfg.Node, Took: n.loaded})
+	return protocol.Encode(&protocol.PeerMessage{From: n.cfg.NodeName, Accepted: n.loaded})
 }
 
 // leaveTo holds this node's own copies of work back for a while: another shard
 // is about to claim it, and a second claim would only spend budget and fail.
 // This is advice; the claim itself decides.
-func (n *Node) leaveTo(keys []string, until time.Time) {
+func (n *Controller) leaveTo(keys []string, until time.Time) {
 	for _, key := range keys {
-		if ref, chunk, err := ledger.SplitClaimKey(key); err == nil && n.jobs[ref] != nil && n.claims[key] == nil {
+		if ref, chunk, err := ledger.ParseClaimKey(key); err == nil && n.jobs[ref] != nil && n.claims[key] == nil {
 			n.jobs[ref].lost[chunk] = until
 		}
 	}
@@ -231,36 +231,36 @@
 const loadKeep = 200 * time.Millisecond
 
 // loadOf is a shard's load now.
-func (n *Node) loadOf(s *shard) protocol.Load {
+func (n *Controller) loadOf(s *shard) protocol.ShardLoad {
 	now := time.Now()
-	if now.Sub(s.load.at) < loadKeep && s.load.load.Token == s.token {
+	if now.Sub(s.load.at) < loadKeep && s.load.load.FencingToken == s.token {
 		return s.load.load
 	}
-	l := protocol.Load{Shard: s.name, Token: s.token, Holds: make(protocol.Amounts)}
+	l := protocol.ShardLoad{Shard: s.name, FencingToken: s.token, FreeCPUsByImage: make(protocol.Amounts)}
 	for _, r := range n.rooms(s, now) {
 		l.CPUs += r.total.CPUs
-		l.Used += r.total.CPUs - r.cpus
+		l.UsedCPUs += r.total.CPUs - r.cpus
 		if r.m.sick {
-			l.Barred = append(l.Barred, r.host)
+			l.ExcludedHosts = append(l.ExcludedHosts, r.host)
 		}
 		if !r.usable {
 			continue
 		}
 		for _, u := range r.m.images {
-			if r.cpus > l.Holds[u.Name] {
-				l.Holds[u.Name] = r.cpus
+			if r.cpus > l.FreeCPUsByImage[u.Name] {
+				l.FreeCPUsByImage[u.Name] = r.cpus
 			}
 		}
 	}
-	l.Barred = append(l.Barred, n.lateBoots(s, now)...)
-	for k, times := range n.boots.Kinds(now) {
-		if l.Shy == nil {
-			l.Shy = make(protocol.Amounts)
+	l.ExcludedHosts = append(l.ExcludedHosts, n.lateBoots(s, now)...)
+	for k, times := range n.boots.UnreliableKinds(now) {
+		if l.Unreliability == nil {
+			l.Unreliability = make(protocol.Amounts)
 		}
-		l.Shy[k.Type+"/"+k.Zone] = times
+		l.Unreliability[k.Type+"/"+k.Zone] = times
 	}
 	for _, u := range n.queueOf(s, now) {
-		l.Queued += u.spec.CPUs * float64(u.left())
+		l.QueuedCPUs += u.spec.CPUs * float64(u.left())
 	}
 	s.load = loadSeen{l, now}
 	n.loads[s.name] = s.load
--- a/internal/coordination/pipeline.go
+++ b/internal/coordination/pipeline.go
@@ -53,7 +53,7 @@
 }
 
 // stateOf is what the cache says of a job that does not wait for others.
-func (n *Node) stateOf(ref string) pipeline.State {
+func (n *Controller) stateOf(ref string) pipeline.State {
 	if f, ok := n.final[ref]; ok {
 		return finalState(f.state)
 	}
@@ -65,9 +65,9 @@
 
 func finalState(state string) pipeline.State {
 	switch state {
-	case protocol.Done:
+	case protocol.JobDone:
 		return pipeline.Done
-	case protocol.Cancelled:
+	case protocol.JobCancelled:
 		return pipeline.Cancelled
 	}
 	return pipeline.Unfinished
@@ -75,43 +75,43 @@
 
 // storeHeld takes a version of a job's record into the graph, and tells whether that is
 // all: a job that waits is nowhere else.
-func (n *Node) storeHeld(ref string, r *ledger.Job, stamp uint64) bool {
-	if r.State != ledger.Held {
-		n.pipelines.graph.Seen(ref, finalState(r.State), time.Now())
+func (n *Controller) storeHeld(ref string, r *ledger.Job, stamp uint64) bool {
+	if r.State != ledger.JobBlocked {
+		n.pipelines.graph.ObserveState(ref, finalState(r.State), time.Now())
 		return false
 	}
 	if r.Spec == nil {
 		n.log.Error("held job without a description", "job", ref)
 		return true
 	}
-	n.pipelines.graph.Hold(pipeline.Job{Ref: ref, Needs: r.Needs, Spec: r.Spec, Born: time.UnixMilli(r.Born), Revision: stamp}, time.Now())
+	n.pipelines.graph.Add(pipeline.Job{ID: ref, Dependencies: r.Dependencies, Spec: r.Spec, AcceptedAt: time.UnixMilli(r.AcceptedAtMs), Revision: stamp}, time.Now())
 	return true
 }
 
 // heldAnswer is what the cache says of a job that waits for others.
-func (n *Node) heldAnswer(ref string) (a protocol.JobAnswer, stamp uint64, final, held bool) {
-	w, held := n.pipelines.graph.Get(ref)
+func (n *Controller) heldAnswer(ref string) (a protocol.JobStatus, stamp uint64, final, held bool) {
+	w, held := n.pipelines.graph.Lookup(ref)
 	if !held {
 		return a, 0, false, false
 	}
-	a = protocol.JobAnswer{Ref: ref, Phase: protocol.Pending}
+	a = protocol.JobStatus{JobID: ref, Phase: protocol.JobPending}
 	if n.pipelines.graph.IsCancelled(ref) {
-		a.Phase, final = protocol.Cancelled, true
+		a.Phase, final = protocol.JobCancelled, true
 	}
 	return a, w.Revision, final, true
 }
 
 // undecided tells that a job waits, and that a cancellation this node has not read of
 // yet could have cancelled it: its own record does not show that.
-func (n *Node) undecided(ref string) bool {
+func (n *Controller) undecided(ref string) bool {
 	g := n.pipelines.graph
-	_, held := g.Get(ref)
+	_, held := g.Lookup(ref)
 	return held && !g.IsReady(ref) && !g.IsCancelled(ref)
 }
 
 // tellWhenRead answers once the watch has come to a revision that the state service had
 // after the question came in: a linearizable read of all the jobs before this one.
-func (n *Node) tellWhenRead(ref string, revision uint64, until time.Time, reply func(transport.Response)) {
+func (n *Controller) tellWhenRead(ref string, revision uint64, until time.Time, reply func(transport.Response)) {
 	if revision == 0 {
 		reply(unavailable(1))
 		return
@@ -128,7 +128,7 @@
 
 // allUnderstandPipelines tells whether every live controller knows held jobs. One that
 // does not would start what it accepts at once.
-func (n *Node) allUnderstandPipelines() bool {
+func (n *Controller) allUnderstandPipelines() bool {
 	for _, seen := range n.nodes {
 		if seen.waits < understandsPipelines {
 			return false
@@ -139,24 +139,24 @@
 
 // acceptWaiting accepts a job that names others, once it is certain that each of those
 // was accepted.
-func (n *Node) acceptWaiting(spec *protocol.Submission, until time.Time, reply func(transport.Response)) {
+func (n *Controller) acceptWaiting(spec *protocol.Submission, until time.Time, reply func(transport.Response)) {
 	if !n.allUnderstandPipelines() || time.Until(until) < 200*time.Millisecond {
 		reply(unavailable(1))
 		return
 	}
-	if missing := n.notRead(spec.Awaits); len(missing) > 0 {
+	if missing := n.notRead(spec.Dependencies); len(missing) > 0 {
 		n.proveNeeds(spec, missing, until, reply)
 		return
 	}
-	left, cancelled := n.pipelines.graph.Outlook(spec.Awaits)
+	left, cancelled := n.pipelines.graph.Resolve(spec.Dependencies)
 	own := *spec
-	own.Awaits = nil
+	own.Dependencies = nil
 	now := time.Now()
 	switch {
 	case cancelled:
-		n.record(own.Ref, &ledger.Job{State: protocol.Cancelled, Tasks: own.Tasks, Ended: now.UnixMilli()}, newClaim{}, reply)
+		n.record(own.JobID, &ledger.Job{State: protocol.JobCancelled, Tasks: own.Tasks, CancelledAtMs: now.UnixMilli()}, newClaim{}, reply)
 	case len(left) > 0:
-		n.record(own.Ref, &ledger.Job{State: ledger.Held, Spec: &own, Needs: left, Born: now.UnixMilli()}, newClaim{}, reply)
+		n.record(own.JobID, &ledger.Job{State: ledger.JobBlocked, Spec: &own, Dependencies: left, AcceptedAtMs: now.UnixMilli()}, newClaim{}, reply)
 	default:
 		n.accept(&own, reply)
 	}
@@ -164,7 +164,7 @@
 
 // notRead lists those jobs of which the cache has no record. A job's record is never
 // dropped, so a cached one proves for ever that the job was accepted.
-func (n *Node) notRead(refs []string) (missing []string) {
+func (n *Controller) notRead(refs []string) (missing []string) {
 	for _, ref := range refs {
 		if _, _, _, known := n.answerOf(ref); !known {
 			missing = append(missing, ref)
@@ -180,22 +180,22 @@
 // proveNeeds asks the state service whether jobs were accepted of which the cache has no
 // record. That none of them was, and the job itself neither, is a 422; those that were
 // are in the cache afterwards.
-func (n *Node) proveNeeds(spec *protocol.Submission, missing []string, until time.Time, reply func(transport.Response)) {
+func (n *Controller) proveNeeds(spec *protocol.Submission, missing []string, until time.Time, reply func(transport.Response)) {
 	missing = missing[:min(len(missing), provedAtOnce)]
-	conds := []ledger.Cond{{Key: ledger.JobKeys + spec.Ref, Stamp: 0}}
+	conds := []ledger.Compare{{Key: ledger.JobPrefix + spec.JobID, Version: 0}}
 	for _, ref := range missing {
-		conds = append(conds, ledger.Cond{Key: ledger.JobKeys + ref, Stamp: 0})
+		conds = append(conds, ledger.Compare{Key: ledger.JobPrefix + ref, Version: 0})
 	}
-	n.commit(ledger.PrioUser, conds, nil, time.Until(until), func(err error) {
+	n.commit(ledger.PriorityUser, conds, nil, time.Until(until), func(err error) {
 		switch {
 		case err == nil:
 			body, _ := json.Marshal(map[string]string{"error": "awaits names " + missing[0] + ", which was never accepted"})
 			reply(transport.Response{Status: 422, Body: body})
-		case !errors.Is(err, ledger.ErrConflict):
-			reply(n.later(ledger.PrioUser, time.Now()))
+		case !errors.Is(err, ledger.ErrCompareFailed):
+			reply(n.later(ledger.PriorityUser, time.Now()))
 		default:
-			if _, _, _, known := n.answerOf(spec.Ref); known {
-				n.confirm(spec.Ref, time.Until(until), func() { reply(unavailable(1)) }, reply)
+			if _, _, _, known := n.answerOf(spec.JobID); known {
+				n.confirm(spec.JobID, time.Until(until), func() { reply(unavailable(1)) }, reply)
 				return
 			}
 			n.acceptWaiting(spec, until, reply)
@@ -205,9 +205,9 @@
 
 // releaseAfter releases the jobs for which the end of one, just committed here, was the
 // last that they needed. Nobody else knows of it yet.
-func (n *Node) releaseAfter(ref string, now time.Time) {
-	for _, w := range n.pipelines.graph.Ready() {
-		if w.Last == ref {
+func (n *Controller) releaseAfter(ref string, now time.Time) {
+	for _, w := range n.pipelines.graph.ReadyJobs() {
+		if w.LastDependency == ref {
 			n.release(w.Job, now)
 		}
 	}
@@ -215,18 +215,18 @@
 
 // tendPipelines works off the difference between what is decided of jobs that wait and
 // what is on record. Controllers do so by turns; the conditional write decides.
-func (n *Node) tendPipelines(now time.Time) {
+func (n *Controller) tendPipelines(now time.Time) {
 	if n.pipelines.graph.Len() == 0 || n.stateDown(now) {
 		return
 	}
 	turn := time.Duration(0)
 	for _, name := range n.liveNodes() {
-		if name == n.cfg.Node {
+		if name == n.cfg.NodeName {
 			break
 		}
 		turn++
 	}
-	for _, w := range n.pipelines.graph.Ready() {
+	for _, w := range n.pipelines.graph.ReadyJobs() {
 		if now.Sub(w.Since) >= releaseFirst+turn*releaseTurn {
 			n.release(w.Job, now)
 		}
@@ -242,59 +242,59 @@
 // release lets a job into the queues all of whose needed jobs are done. They are done in
 // the records, for ever, so the job's own revision is the only condition. The claim goes
 // with it if this node can make it at once.
-func (n *Node) release(w pipeline.Job, now time.Time) {
-	if n.pipelines.releasing[w.Ref] || len(n.pipelines.releasing) >= mostReleasing || len(n.types) == 0 {
+func (n *Controller) release(w pipeline.Job, now time.Time) {
+	if n.pipelines.releasing[w.ID] || len(n.pipelines.releasing) >= mostReleasing || len(n.types) == 0 {
 		return
 	}
 	at := n.chooseShards(w.Spec, now)
-	rec := &ledger.Job{Spec: w.Spec, At: at, Born: w.Born.UnixMilli(), Released: now.UnixMilli(), Size: n.chunkSize(w.Spec, at)}
-	raised := pipeline.Inherit(w.Spec, n.pipelines.graph.Urgency(w.Ref, n.estimate), 0)
-	n.pipelines.releasing[w.Ref] = true
+	rec := &ledger.Job{Spec: w.Spec, Shards: at, AcceptedAtMs: w.AcceptedAt.UnixMilli(), ReleasedAtMs: now.UnixMilli(), ChunkSize: n.chunkSize(w.Spec, at)}
+	raised := pipeline.Inherit(w.Spec, n.pipelines.graph.Urgency(w.ID, n.estimate), 0)
+	n.pipelines.releasing[w.ID] = true
 	n.commitRelease(w, rec, n.claimAtOnce(raised, at, now))
 }
 
-func (n *Node) commitRelease(w pipeline.Job, rec *ledger.Job, first newClaim) {
-	key := ledger.JobKeys + w.Ref
-	conds := append([]ledger.Cond{{Key: key, Stamp: w.Revision}}, first.conds...)
+func (n *Controller) commitRelease(w pipeline.Job, rec *ledger.Job, first newClaim) {
+	key := ledger.JobPrefix + w.ID
+	conds := append([]ledger.Compare{{Key: key, Version: w.Revision}}, first.conds...)
 	ops := append([]ledger.Op{{Key: key, Value: rec}}, first.ops()...)
-	for _, name := range rec.At {
+	for _, name := range rec.Shards {
 		n.queuedNow[name] += w.Spec.CPUs * float64(w.Spec.Tasks)
 	}
-	n.commit(ledger.PrioClaim, conds, ops, submitWithin, func(err error) {
+	n.commit(ledger.PriorityClaim, conds, ops, submitWithin, func(err error) {
 		first.finish(n, err)
 		if err == nil {
-			n.log.Debug("job released", "job", w.Ref, "class", w.Spec.Class, "at", rec.At, "claimed", first.claim != nil)
+			n.log.Debug("job released", "job", w.ID, "class", w.Spec.Class, "at", rec.Shards, "claimed", first.claim != nil)
 			n.announce(key)
-		} else if errors.Is(err, ledger.ErrConflict) && first.claim != nil {
-			if still, held := n.pipelines.graph.Get(w.Ref); held && still.Revision == w.Revision {
+		} else if errors.Is(err, ledger.ErrCompareFailed) && first.claim != nil {
+			if still, held := n.pipelines.graph.Lookup(w.ID); held && still.Revision == w.Revision {
 				n.commitRelease(w, rec, newClaim{}) // only the claim failed
 				return
 			}
 		}
-		delete(n.pipelines.releasing, w.Ref)
+		delete(n.pipelines.releasing, w.ID)
 	})
 }
 
 // recordCancelled writes down that a job is cancelled because one before it is. Its
 // users have been told so already.
-func (n *Node) recordCancelled(w pipeline.Job, since time.Time) {
-	if n.pipelines.releasing[w.Ref] || n.pipelines.tidying >= mostTidying {
+func (n *Controller) recordCancelled(w pipeline.Job, since time.Time) {
+	if n.pipelines.releasing[w.ID] || n.pipelines.tidying >= mostTidying {
 		return
 	}
-	n.pipelines.releasing[w.Ref] = true
+	n.pipelines.releasing[w.ID] = true
 	n.pipelines.tidying++
-	key := ledger.JobKeys + w.Ref
-	rec := &ledger.Job{State: protocol.Cancelled, Tasks: w.Spec.Tasks, Ended: since.UnixMilli()}
-	n.commit(ledger.PrioRest, []ledger.Cond{{Key: key, Stamp: w.Revision}}, []ledger.Op{{Key: key, Value: rec}}, 10*time.Second, func(error) {
-		delete(n.pipelines.releasing, w.Ref)
+	key := ledger.JobPrefix + w.ID
+	rec := &ledger.Job{State: protocol.JobCancelled, Tasks: w.Spec.Tasks, CancelledAtMs: since.UnixMilli()}
+	n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: key, Version: w.Revision}}, []ledger.Op{{Key: key, Value: rec}}, 10*time.Second, func(error) {
+		delete(n.pipelines.releasing, w.ID)
 		n.pipelines.tidying--
 	})
 }
 
 // readNeeds reads the records of needed jobs that this node has forgotten: it keeps a
 // bounded number of those that are over.
-func (n *Node) readNeeds() {
-	refs := n.pipelines.graph.UnknownNeeds()
+func (n *Controller) readNeeds() {
+	refs := n.pipelines.graph.UnknownDependencies()
 	if len(refs) == 0 || n.pipelines.looking {
 		return
 	}
@@ -304,7 +304,7 @@
 	go func() {
 		for _, ref := range refs {
 			ctx, cancel := context.WithTimeout(life, lookUpWithin)
-			it, err := n.led.Get(ctx, ledger.JobKeys+ref)
+			it, err := n.led.Get(ctx, ledger.JobPrefix+ref)
 			cancel()
 			if err != nil {
 				break
@@ -324,14 +324,14 @@
 
 // passRanksOn gives the jobs that others need the rank and the time of those, and takes
 // them back where nobody needs them any more.
-func (n *Node) passRanksOn(now time.Time) {
+func (n *Controller) passRanksOn(now time.Time) {
 	p := &n.pipelines
 	if p.ranked == p.graph.Changes() && (len(p.raised) == 0 || now.Sub(p.rankedAt) < rankEvery) {
 		return
 	}
 	p.ranked, p.rankedAt = p.graph.Changes(), now
-	p.graph.Forget()
-	for _, ref := range p.graph.Needed() {
+	p.graph.InvalidateUrgency()
+	for _, ref := range p.graph.DependencyIDs() {
 		if j := n.jobs[ref]; j != nil && j.rec != nil {
 			p.raised[ref] = j
 		}
@@ -345,18 +345,18 @@
 }
 
 // inherit works out what an open job has from those that need it.
-func (n *Node) inherit(j *job) {
+func (n *Controller) inherit(j *job) {
 	g := n.pipelines.graph
-	if j.rec.Final() || j.rec.Spec == nil || (g.Dependents(j.ref) == 0 && j.heir == inheritance{}) {
+	if j.rec.IsFinal() || j.rec.Spec == nil || (g.DependentCount(j.ref) == 0 && j.heir == inheritance{}) {
 		return
 	}
 	before := j.spec()
 	u := g.Urgency(j.ref, n.estimate)
-	j.heir.by = u.By
+	j.heir.by = u.FinishBy
 	switch raised := pipeline.Inherit(j.rec.Spec, u, time.Since(j.seen)); {
 	case raised == j.rec.Spec:
 		j.heir.of, j.heir.spec = nil, nil
-	case j.heir.of == j.rec.Spec && j.heir.spec.Rank == raised.Rank && j.heir.spec.Spot == raised.Spot:
+	case j.heir.of == j.rec.Spec && j.heir.spec.PriorityClass == raised.PriorityClass && j.heir.spec.AllowSpot == raised.AllowSpot:
 		return
 	default:
 		j.heir.of, j.heir.spec = j.rec.Spec, raised
@@ -364,7 +364,7 @@
 	if j.spec() == before {
 		return
 	}
-	n.log.Debug("rank inherited", "job", j.ref, "rank", j.spec().Rank)
+	n.log.Debug("rank inherited", "job", j.ref, "rank", j.spec().PriorityClass)
 	for _, c := range j.claims {
 		n.setSpec(c, j.spec())
 		n.mark(c)
--- a/internal/coordination/place.go
+++ b/internal/coordination/place.go
@@ -60,7 +60,7 @@
 }
 
 func (r *room) fits(s *protocol.Submission) bool {
-	return r.cpus+eps >= s.CPUs && r.gpus+eps >= s.GPUs && r.mem+eps >= s.MemGB
+	return r.cpus+eps >= s.CPUs && r.gpus+eps >= s.GPUs && r.mem+eps >= s.MemoryGB
 }
 
 // takes tells whether new tasks of a job may go there, room left aside.
@@ -102,13 +102,13 @@
 
 // allowed tells whether a job's tasks may run on such a machine at all.
 func allowed(s *protocol.Submission, typ, zone string, spot bool) bool {
-	return (len(s.Types) == 0 || slices.Contains(s.Types, typ)) &&
-		(s.Zone == "" || s.Zone == zone) && (!spot || s.Spot)
+	return (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, typ)) &&
+		(s.Zone == "" || s.Zone == zone) && (!spot || s.AllowSpot)
 }
 
 // canEver tells whether a task fits an empty machine of the type.
 func canEver(s *protocol.Submission, t *protocol.MachineType) bool {
-	return t.CPUs+eps >= s.CPUs && t.GPUs+eps >= s.GPUs && t.MemGB+eps >= s.MemGB
+	return t.CPUs+eps >= s.CPUs && t.GPUs+eps >= s.GPUs && t.MemoryGB+eps >= s.MemoryGB
 }
 
 // most is the most that any machine has free of each resource.
@@ -127,19 +127,19 @@
 }
 
 func (m most) fits(s *protocol.Submission) bool {
-	return m.cpus+eps >= s.CPUs && m.gpus+eps >= s.GPUs && m.mem+eps >= s.MemGB
+	return m.cpus+eps >= s.CPUs && m.gpus+eps >= s.GPUs && m.mem+eps >= s.MemoryGB
 }
 
 func (r *room) give(s *protocol.Submission) {
 	r.cpus += s.CPUs
 	r.gpus += s.GPUs
-	r.mem += s.MemGB
+	r.mem += s.MemoryGB
 }
 
 func (r *room) take(s *protocol.Submission) {
 	r.cpus -= s.CPUs
 	r.gpus -= s.GPUs
-	r.mem -= s.MemGB
+	r.mem -= s.MemoryGB
 }
 
 // zoneRule says where the next task of a job may go, given all its tasks that
@@ -155,7 +155,7 @@
 	for _, zone := range zones {
 		z.add(s, zone)
 	}
-	if s.Spread {
+	if s.SpreadZones {
 		z.limit = (s.Tasks + 1) / 2
 	}
 	return z
@@ -184,7 +184,7 @@
 		if r.reservedFor != "" && r.reservedFor != ref && !backfills(s, r, est, now) {
 			continue
 		}
-		if s.GPUs == 0 && s.Shape == protocol.Array && (r.kept || (r.keptIdle && isIdle(s))) {
+		if s.GPUs == 0 && s.Shape == protocol.ShapeArray && (r.kept || (r.keptIdle && isIdle(s))) {
 			continue
 		}
 		score := rank(s, r, z)
@@ -218,9 +218,9 @@
 	if !holds {
 		score[1] = 1
 	}
-	if s.Shape == protocol.Service {
+	if s.Shape == protocol.ShapeService {
 		score[2] = float64(z.use[r.zone])
-	} else if s.Spot && !r.spot {
+	} else if s.AllowSpot && !r.spot {
 		score[2] = 1
 	}
 	fill := r.cpus / math.Max(1, r.total.CPUs)
@@ -235,10 +235,10 @@
 // backfills tells whether a task may start on a reserved machine without
 // delaying the head job.
 func backfills(s *protocol.Submission, r *room, est time.Duration, now time.Time) bool {
-	if s.Shape != protocol.Service && est > 0 && !now.Add(est).After(r.shadow) {
+	if s.Shape != protocol.ShapeService && est > 0 && !now.Add(est).After(r.shadow) {
 		return true
 	}
-	return r.spareC+eps >= s.CPUs && r.spareG+eps >= s.GPUs && r.spareM+eps >= s.MemGB
+	return r.spareC+eps >= s.CPUs && r.spareG+eps >= s.GPUs && r.spareM+eps >= s.MemoryGB
 }
 
 // slotAt is room for one task that a machine has at some time.
@@ -310,10 +310,10 @@
 func (r *room) hold(s *protocol.Submission, ref string, tasks int, from time.Time) {
 	r.reservedFor, r.shadow = ref, from
 	k := float64(tasks)
-	r.spareC, r.spareG, r.spareM = r.cpus-k*s.CPUs, r.gpus-k*s.GPUs, r.mem-k*s.MemGB
+	r.spareC, r.spareG, r.spareM = r.cpus-k*s.CPUs, r.gpus-k*s.GPUs, r.mem-k*s.MemoryGB
 	for _, e := range r.ends {
 		if !e.at.After(from) {
-			r.spareC, r.spareG, r.spareM = r.spareC+e.spec.CPUs, r.spareG+e.spec.GPUs, r.spareM+e.spec.MemGB
+			r.spareC, r.spareG, r.spareM = r.spareC+e.spec.CPUs, r.spareG+e.spec.GPUs, r.spareM+e.spec.MemoryGB
 		}
 	}
 }
@@ -324,9 +324,9 @@
 	c, g, m, at := r.cpus, r.gpus, r.mem, now
 	fetch := r.fetch(s)
 	for i, found := 0, 0; found < most; {
-		if c+eps >= s.CPUs && g+eps >= s.GPUs && m+eps >= s.MemGB {
+		if c+eps >= s.CPUs && g+eps >= s.GPUs && m+eps >= s.MemoryGB {
 			out = append(out, slotAt{r, at, at.Add(fetch)})
-			c, g, m = c-s.CPUs, g-s.GPUs, m-s.MemGB
+			c, g, m = c-s.CPUs, g-s.GPUs, m-s.MemoryGB
 			found++
 			continue
 		}
@@ -335,7 +335,7 @@
 		}
 		e := r.ends[i]
 		i++
-		c, g, m = c+e.spec.CPUs, g+e.spec.GPUs, m+e.spec.MemGB
+		c, g, m = c+e.spec.CPUs, g+e.spec.GPUs, m+e.spec.MemoryGB
 		if at = e.at; at.Before(now) {
 			at = now.Add(time.Second) // overdue
 		}
@@ -359,10 +359,10 @@
 
 // fetch is how long the machine should need to get a job's image.
 func (r *room) fetch(s *protocol.Submission) time.Duration {
-	if r.holds(s.Image) || r.total.PullGBps <= 0 {
+	if r.holds(s.Image) || r.total.ImagePullGBps <= 0 {
 		return 0
 	}
-	return protocol.Seconds(s.ImageGB / r.total.PullGBps)
+	return protocol.Seconds(s.ImageGB / r.total.ImagePullGBps)
 }
 
 // eviction is a machine and what is to be stopped there for one more task; no
@@ -492,16 +492,16 @@
 		c, g, m, cost := r.cpus, r.gpus, r.mem, 0.0
 		var out []victim
 		for _, v := range r.victims {
-			if c+eps >= s.CPUs && g+eps >= s.GPUs && m+eps >= s.MemGB {
+			if c+eps >= s.CPUs && g+eps >= s.GPUs && m+eps >= s.MemoryGB {
 				break
 			}
 			if !ask.may(v.c.spec, out) {
 				continue
 			}
-			c, g, m, cost = c+v.c.spec.CPUs, g+v.c.spec.GPUs, m+v.c.spec.MemGB, cost+v.lost(now)
+			c, g, m, cost = c+v.c.spec.CPUs, g+v.c.spec.GPUs, m+v.c.spec.MemoryGB, cost+v.lost(now)
 			out = append(out, v)
 		}
-		if c+eps < s.CPUs || g+eps < s.GPUs || m+eps < s.MemGB || len(out) == 0 {
+		if c+eps < s.CPUs || g+eps < s.GPUs || m+eps < s.MemoryGB || len(out) == 0 {
 			continue
 		}
 		if !r.holds(s.Image) {
--- a/internal/coordination/place_test.go
+++ b/internal/coordination/place_test.go
@@ -15,7 +15,7 @@
 	var rooms []*room
 	for i, cpus := range free {
 		zone := []string{"a", "b"}[i%2]
-		rooms = append(rooms, &room{host: fmt.Sprint("vm-", i), typ: t.Name, zone: zone, total: t, cpus: cpus, mem: t.MemGB, usable: true, detailed: true})
+		rooms = append(rooms, &room{host: fmt.Sprint("vm-", i), typ: t.Name, zone: zone, total: t, cpus: cpus, mem: t.MemoryGB, usable: true, detailed: true})
 	}
 	return rooms
 }
@@ -24,15 +24,15 @@
 // machine held while arrays took the others never let it start.
 func TestReserveHoldsAllOfAGang(t *testing.T) {
 	now := time.Now()
-	typ := &protocol.MachineType{Name: "m8", CPUs: 8, MemGB: 32}
+	typ := &protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}
 	rooms := roomsFor(typ, 8, 0, 0, 8, 0, 0)
-	short := &protocol.Submission{CPUs: 8, Shape: protocol.Array}
+	short := &protocol.Submission{CPUs: 8, Shape: protocol.ShapeArray}
 	for i, after := range []time.Duration{0, 9, 30, 0, 20, 10} {
 		if rooms[i].cpus == 0 {
 			rooms[i].ends = []ending{{now.Add(after * time.Second), short}}
 		}
 	}
-	gang := &protocol.Submission{Shape: protocol.Gang, Tasks: 3, CPUs: 8, SameZone: true}
+	gang := &protocol.Submission{Shape: protocol.ShapeGang, Tasks: 3, CPUs: 8, SameZone: true}
 	z := newZoneRule(gang, nil)
 	held, start := reserve(gang, "wk-1", rooms, &z, 3, now)
 	var hosts []string
@@ -52,15 +52,15 @@
 // A plan to displace is for all of a gang's tasks or for none.
 func TestDisplaceForPlansWhole(t *testing.T) {
 	now := time.Now()
-	typ := &protocol.MachineType{Name: "m8", CPUs: 8, MemGB: 32}
-	array := &protocol.Submission{Shape: protocol.Array, CPUs: 8, Rank: "normal"}
-	service := &protocol.Submission{Shape: protocol.Service, CPUs: 8, Rank: "critical"}
+	typ := &protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}
+	array := &protocol.Submission{Shape: protocol.ShapeArray, CPUs: 8, PriorityClass: "normal"}
+	service := &protocol.Submission{Shape: protocol.ShapeService, CPUs: 8, PriorityClass: "critical"}
 	rooms := roomsFor(typ, 0, 0, 8)
 	for i, s := range []*protocol.Submission{array, service} {
 		rooms[i].victims = []victim{{c: &claim{spec: s, key: fmt.Sprint(i)}, began: now.Add(-time.Minute)}}
 	}
-	gang := &protocol.Submission{Shape: protocol.Gang, CPUs: 8, Rank: "high"}
-	may := new(Node).byRank(gang)
+	gang := &protocol.Submission{Shape: protocol.ShapeGang, CPUs: 8, PriorityClass: "high"}
+	may := new(Controller).byRank(gang)
 	z := newZoneRule(gang, nil)
 	if plan := displaceFor(gang, "wk-1", rooms, &z, 3, may, now); plan != nil {
 		t.Fatalf("planned %v although a service is in the way", plan)
@@ -78,29 +78,29 @@
 // that went with it. What the record says counts then, not the sum of the claims
 // that are known: with it a team was given its limit twice.
 func TestTeamUseIsTheRecords(t *testing.T) {
-	team := map[string]protocol.Team{"t": {Name: "t", CPUsMax: 4}}
-	n := New(Options{Settings: protocol.Settings{Node: "n0", Teams: team}})
+	team := map[string]protocol.Team{"t": {Name: "t", MaxCPUs: 4}}
+	n := New(Options{Settings: protocol.Settings{NodeName: "n0", Teams: team}})
 	spec := func(ref string) *protocol.Submission {
-		return &protocol.Submission{Ref: ref, Team: "t", Shape: protocol.Array, Tasks: 2, CPUs: 2}
+		return &protocol.Submission{JobID: ref, Team: "t", Shape: protocol.ShapeArray, Tasks: 2, CPUs: 2}
 	}
 	one := func() *ledger.Claim {
-		return &ledger.Claim{Shard: "n0", Count: 2, Open: []ledger.Placement{{Task: 0, Try: 1, Host: "vm-1"}}}
+		return &ledger.Claim{Shard: "n0", TaskCount: 2, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}
 	}
 	n.epoch = 5
-	n.storeJob("wk-1", &ledger.Job{Spec: spec("wk-1"), Size: 2}, 3)
+	n.storeJob("wk-1", &ledger.Job{Spec: spec("wk-1"), ChunkSize: 2}, 3)
 	n.storeClaim(ledger.ClaimKey("wk-1", 0), one(), 5) // its second task is placed at 8
-	n.team("t").rec, n.team("t").stamp = ledger.Team{Use: map[string][2]float64{"n0": {4, 0}}}, 8
+	n.team("t").rec, n.team("t").stamp = ledger.TeamUsage{ByShard: map[string][2]float64{"n0": {4, 0}}}, 8
 	c := &claim{key: ledger.ClaimKey("wk-2", 0), ref: "wk-2", spec: spec("wk-2")}
 	if _, _, _, ok := n.reserveTeam("n0", c, one()); ok {
 		t.Fatal("the team has 4 of 4 CPUs by its record and was given 2 more")
 	}
-	n.team("t").rec.Use = map[string][2]float64{"*": {4, 0}} // the limit is allotted by newer sources
+	n.team("t").rec.ByShard = map[string][2]float64{"*": {4, 0}} // the limit is allotted by newer sources
 	if _, _, _, ok := n.reserveTeam("n0", c, one()); ok {
 		t.Fatal("sources that know no allotments started something")
 	}
-	n.team("t").rec.Use = map[string][2]float64{"n0": {4, 0}}
+	n.team("t").rec.ByShard = map[string][2]float64{"n0": {4, 0}}
 	n.epoch = 8 // all up to the record has been seen: the claim was in truth not changed
-	if _, ops, _, ok := n.reserveTeam("n0", c, one()); !ok || ops[0].Value.(*ledger.Team).Use["n0"][0] != 4 {
+	if _, ops, _, ok := n.reserveTeam("n0", c, one()); !ok || ops[0].Value.(*ledger.TeamUsage).ByShard["n0"][0] != 4 {
 		t.Fatalf("the sum of all claims is 2 of 4 CPUs, and 2 more gave %v", ops)
 	}
 }
@@ -110,19 +110,19 @@
 // first a start passed a limit that had just been lowered, without the second one
 // decided a moment before a booking was not seen by it.
 func TestStartsDependOnLimitAndBookings(t *testing.T) {
-	n := New(Options{Settings: protocol.Settings{Node: "n0", Teams: map[string]protocol.Team{"t": {Name: "t", CPUs: 2, CPUsMax: 8}}}, Policy: policy.Policy{Allotments: true}})
-	n.quota.StoreLimit("t", &ledger.Limit{Gen: 1, Max: [2]float64{8, 0}, Base: map[string][2]float64{"n0": {4, 0}, "*": {4, 0}}}, 11)
-	n.quota.StoreBookings("t", &ledger.Bookings{}, 12)
-	c := &claim{key: ledger.ClaimKey("wk-1", 0), ref: "wk-1", spec: &protocol.Submission{Ref: "wk-1", Team: "t", Shape: protocol.Array, Tasks: 4, CPUs: 2}}
+	n := New(Options{Settings: protocol.Settings{NodeName: "n0", Teams: map[string]protocol.Team{"t": {Name: "t", GuaranteedCPUs: 2, MaxCPUs: 8}}}, Policy: policy.Policy{Allotments: true}})
+	n.quota.ApplyLimit("t", &ledger.TeamLimit{Generation: 1, Max: [2]float64{8, 0}, Base: map[string][2]float64{"n0": {4, 0}, "*": {4, 0}}}, 11)
+	n.quota.ApplyReservations("t", &ledger.Reservations{}, 12)
+	c := &claim{key: ledger.ClaimKey("wk-1", 0), ref: "wk-1", spec: &protocol.Submission{JobID: "wk-1", Team: "t", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 2}}
 	next := func(tasks int) *ledger.Claim {
-		r := &ledger.Claim{Shard: "n0", Count: 4}
+		r := &ledger.Claim{Shard: "n0", TaskCount: 4}
 		for i := range tasks {
-			r.Open = append(r.Open, ledger.Placement{Task: i, Try: 1, Host: "vm-1"})
+			r.Placements = append(r.Placements, ledger.Placement{Task: i, Attempt: 1, Host: "vm-1"})
 		}
 		return r
 	}
 	conds, ops, _, ok := n.reserveTeam("n0", c, next(2))
-	want := []ledger.Cond{{Key: ledger.BookKeys + "t", Stamp: 12}, {Key: ledger.LimitKeys + "t", Stamp: 11}}
+	want := []ledger.Compare{{Key: ledger.ReservationPrefix + "t", Version: 12}, {Key: ledger.TeamLimitPrefix + "t", Version: 11}}
 	if !ok || len(ops) != 0 || !slices.Equal(conds, want) {
 		t.Fatal(conds, ops, ok)
 	}
