--- a/internal/coordination/queue.go
+++ b/internal/coordination/queue.go
@@ -35,7 +35,7 @@
 
 func (u *unit) bounds() (first, count int) {
 	if u.c != nil && u.c.rec != nil {
-		return u.c.rec.First, u.c.rec.Count
+		return u.c.rec.FirstTask, u.c.rec.TaskCount
 	}
 	first = u.chunk * u.j.size
 	return first, min(u.j.size, u.spec.Tasks-first)
@@ -54,9 +54,9 @@
 	_, count := u.bounds()
 	if u.c != nil && u.c.latest() != nil {
 		rec := u.c.latest()
-		count = max(0, count-rec.NumDone()-len(rec.Open))
+		count = max(0, count-rec.CompletedCount()-len(rec.Placements))
 	}
-	if u.trial && u.spec.Shape != protocol.Gang {
+	if u.trial && u.spec.Shape != protocol.ShapeGang {
 		return min(count, 1)
 	}
 	return count
@@ -71,18 +71,18 @@
 const cardsRecent = 2 * time.Minute
 
 // queueOf is a shard's queue: by priority, then first come.
-func (n *Node) queueOf(s *shard, now time.Time) []*unit {
+func (n *Controller) queueOf(s *shard, now time.Time) []*unit {
 	var q []*unit
 	for ref, j := range n.hungry {
-		if n.jobs[ref] != j || j.rec == nil || j.rec.Spec == nil || j.rec.Final() {
+		if n.jobs[ref] != j || j.rec == nil || j.rec.Spec == nil || j.rec.IsFinal() {
 			delete(n.hungry, ref)
 			continue
 		}
 		trial := j.onTrial(now)
-		if now.Before(j.pause) || j.ev.Waits(now) || (trial && j.tried()) {
+		if now.Before(j.pause) || j.ev.InBackoff(now) || (trial && j.tried()) {
 			continue
 		}
-		queued := slices.Contains(j.rec.At, s.name) || now.Sub(j.seen) > widenAfter
+		queued := slices.Contains(j.rec.Shards, s.name) || now.Sub(j.seen) > widenAfter
 		fed := true
 		for i := range j.chunks {
 			c := j.claims[i]
@@ -105,7 +105,7 @@
 				continue
 			}
 			fed = false
-			if c.rec != nil && c.rec.Shard == s.name && c.pend == nil && !now.Before(c.again) && (!c.halted() || len(c.rec.Open) == 0) {
+			if c.rec != nil && c.rec.Shard == s.name && c.pend == nil && !now.Before(c.again) && (!c.halted() || len(c.rec.Placements) == 0) {
 				q = append(q, u)
 			}
 		}
@@ -114,11 +114,11 @@
 		}
 	}
 	slices.SortFunc(q, func(a, b *unit) int {
-		if a.spec.Prio() != b.spec.Prio() {
-			return b.spec.Prio() - a.spec.Prio()
+		if a.spec.Priority() != b.spec.Priority() {
+			return b.spec.Priority() - a.spec.Priority()
 		}
-		if a.j.rec.Born != b.j.rec.Born {
-			if a.j.rec.Born < b.j.rec.Born {
+		if a.j.rec.AcceptedAtMs != b.j.rec.AcceptedAtMs {
+			if a.j.rec.AcceptedAtMs < b.j.rec.AcceptedAtMs {
 				return -1
 			}
 			return 1
@@ -136,22 +136,22 @@
 // beginAhead moves the arrays whose beginning can't wait for its turn to the front of
 // their rank, behind what is within a guarantee. Those of the lowest rank have a share
 // of their own (package leftover).
-func (n *Node) beginAhead(q []*unit, now time.Time) {
+func (n *Controller) beginAhead(q []*unit, now time.Time) {
 	some := false
 	for _, u := range q {
-		u.ahead = u.spec.Shape == protocol.Array && !isIdle(u.spec) && u.chunk == 0 && !u.trial &&
-			begin.Ahead(now.Sub(u.j.queuedAt()), n.pol.BeginBy, len(u.j.claims) > 0)
+		u.ahead = u.spec.Shape == protocol.ShapeArray && !isIdle(u.spec) && u.chunk == 0 && !u.trial &&
+			begin.StartsAhead(now.Sub(u.j.queuedAt()), n.pol.StartAheadAfter, len(u.j.claims) > 0)
 		some = some || u.ahead
 	}
 	if some {
 		slices.SortStableFunc(q, func(a, b *unit) int {
-			return cmp.Or(cmp.Compare(b.spec.Prio(), a.spec.Prio()), cmp.Compare(btoi(b.due), btoi(a.due)), cmp.Compare(btoi(b.ahead), btoi(a.ahead)))
+			return cmp.Or(cmp.Compare(b.spec.Priority(), a.spec.Priority()), cmp.Compare(btoi(b.due), btoi(a.due)), cmp.Compare(btoi(b.ahead), btoi(a.ahead)))
 		})
 	}
 }
 
 // claimOf is the claim of a job's chunk, one that is being made included.
-func (n *Node) claimOf(j *job, chunk int) *claim {
+func (n *Controller) claimOf(j *job, chunk int) *claim {
 	if c := j.claims[chunk]; c != nil {
 		return c
 	}
@@ -160,10 +160,10 @@
 
 // rooms is what each machine of a shard has free: everything that is or may
 // be on it counts, recorded or only reported.
-func (n *Node) rooms(s *shard, now time.Time) []*room { return n.roomsBut(s, "", now) }
+func (n *Controller) rooms(s *shard, now time.Time) []*room { return n.roomsBut(s, "", now) }
 
 // roomsBut is rooms, with what is held for the job but counted as free.
-func (n *Node) roomsBut(s *shard, but string, now time.Time) []*room {
+func (n *Controller) roomsBut(s *shard, but string, now time.Time) []*room {
 	// The rooms of the last call are over: every caller is done with its own before
 	// anything else asks, and all hold the lock.
 	if cap(n.scratch.rooms) < len(s.machines) {
@@ -182,11 +182,11 @@
 		r.cpus, r.gpus, r.mem = n.free(m)
 		// What is of unknown size is being ended by housekeeping.
 		r.usable = m.rep != nil && !m.sick && !m.gone && !m.unclear && m.draining.IsZero() && m.warned.IsZero() && !m.returning && m.address() != "" &&
-			n.silence(m, now) < n.pol.Suspect && now.After(m.denied) && len(m.unsure) == 0 && !m.hearing.Deaf() && !n.mute(m, now)
+			n.silence(m, now) < n.pol.SuspectAfter && now.After(m.denied) && len(m.unsure) == 0 && !m.hearing.CannotReceive() && !n.mute(m, now)
 		if m.rep == nil && !m.returning {
-			r.boots = time.UnixMilli(m.rec.Born).Add(n.boots.Usual(m.bootKind(), t.Boot(), now))
+			r.boots = time.UnixMilli(m.rec.RentedAtMs).Add(n.boots.Expected(m.bootKind(), t.BootTime(), now))
 		}
-		for _, ref := range m.ev.Avoided(now) {
+		for _, ref := range m.ev.AvoidedBy(now) {
 			if j := n.jobs[ref]; j != nil && j.onTrial(now) {
 				continue // the fault is its own, and where its image is costs least
 			}
@@ -211,8 +211,8 @@
 				cards++
 			}
 		}
-		keep := func(share float64) int { return max(n.pol.CardReserve, int(share*float64(cards))) }
-		keepCards(out, keep(n.pol.CardShare), keep(max(n.pol.CardShare, n.pol.IdleCards)))
+		keep := func(share float64) int { return max(n.pol.GPUMachineReserve, int(share*float64(cards))) }
+		keepCards(out, keep(n.pol.GPUMachineShare), keep(max(n.pol.GPUMachineShare, n.pol.BestEffortGPUMachineShare)))
 	}
 	return out
 }
@@ -220,7 +220,7 @@
 // detail notes when the tasks on each machine should end and who might be
 // displaced: only a pass with blocked work needs to know. What a machine's
 // tasks come to is kept until something about them changes.
-func (n *Node) detail(rooms []*room, now time.Time) {
+func (n *Controller) detail(rooms []*room, now time.Time) {
 	for _, r := range rooms {
 		if r.detailed || r.m == nil {
 			continue
@@ -234,7 +234,7 @@
 	}
 }
 
-func (n *Node) detailMachine(m *machine, now time.Time) {
+func (n *Controller) detailMachine(m *machine, now time.Time) {
 	m.undetailed = false
 	m.ends, m.victims = m.ends[:0], nil // the list may still be in use by a pass
 	for _, name := range slices.Sorted(maps.Keys(m.use.places)) {
@@ -246,19 +246,19 @@
 	}
 	// Most likely to be displaced first; the order is the same every time.
 	slices.SortFunc(m.victims, func(a, b victim) int {
-		return cmp.Or(cmp.Compare(a.c.spec.Prio(), b.c.spec.Prio()), cmp.Compare(a.lost(now), b.lost(now)), strings.Compare(a.c.key, b.c.key), cmp.Compare(a.task, b.task))
+		return cmp.Or(cmp.Compare(a.c.spec.Priority(), b.c.spec.Priority()), cmp.Compare(a.lost(now), b.lost(now)), strings.Compare(a.c.key, b.c.key), cmp.Compare(a.task, b.task))
 	})
 	slices.SortStableFunc(m.ends, func(a, b ending) int { return a.at.Compare(b.at) })
 }
 
-func (n *Node) noteEnding(m *machine, p *place, now time.Time) {
+func (n *Controller) noteEnding(m *machine, p *place, now time.Time) {
 	c := p.c
 	began, running := m.running[p.name]
 	if !running {
 		began = now
 	}
 	_, evicted := c.evict[p.task]
-	if c.spec.Shape != protocol.Service {
+	if c.spec.Shape != protocol.ShapeService {
 		at := began.Add(n.estimate(c.spec))
 		if evicted {
 			at = now.Add(300 * time.Millisecond)
@@ -268,7 +268,7 @@
 	if evicted {
 		return
 	}
-	if c.spec.Shape == protocol.Gang && c.spec.Tasks > 1 {
+	if c.spec.Shape == protocol.ShapeGang && c.spec.Tasks > 1 {
 		return // stopping one task of a gang would end them all
 	}
 	if m.tasks[p.name] == nil {
@@ -281,14 +281,14 @@
 func (v *victim) lost(now time.Time) float64 {
 	s := v.c.spec
 	lost := now.Sub(v.began).Seconds()
-	if s.SnapshotEveryS > 0 {
-		lost = min(lost, s.SnapshotS)
+	if s.CheckpointIntervalS > 0 {
+		lost = min(lost, s.CheckpointS)
 	}
 	return max(lost, 0) * max(s.CPUs, 1)
 }
 
 // evict has a placement stopped.
-func (n *Node) evict(c *claim, task int, now time.Time) {
+func (n *Controller) evict(c *claim, task int, now time.Time) {
 	if c.evict == nil {
 		c.evict = make(map[int]time.Time)
 	}
@@ -305,27 +305,27 @@
 // stopEvicted sends the stop at once: settling waits while a version of the
 // claim is being committed, and under load that took longer than the room made
 // could be held.
-func (n *Node) stopEvicted(c *claim, p *place, now time.Time) {
+func (n *Controller) stopEvicted(c *claim, p *place, now time.Time) {
 	m := p.at.m
 	if m == nil || !n.active(n.shards[m.rec.Shard]) {
 		return
 	}
 	s := n.shards[m.rec.Shard]
 	t := m.tasks[p.name]
-	if t == nil || t.Try != p.try || t.Phase == protocol.TaskExited || !m.settled(s) {
+	if t == nil || t.Attempt != p.try || t.Phase == protocol.TaskExited || !m.settled(s) {
 		return
 	}
-	if grace, stop := n.wantStop(c, &ledger.Placement{Task: p.task, Try: p.try, Host: m.host}, now); stop {
+	if grace, stop := n.wantStop(c, &ledger.Placement{Task: p.task, Attempt: p.try, Host: m.host}, now); stop {
 		m.stopped[p.name] = now
-		n.order(s, m, protocol.Stop(p.name, p.try, grace))
+		n.order(s, m, protocol.StopCommand(p.name, p.try, grace))
 	}
 }
 
 // schedule is one pass over a shard's queue: first come first served within a
 // priority, with EASY backfilling around a reservation for the head job.
-func (n *Node) schedule(s *shard, now time.Time) {
+func (n *Controller) schedule(s *shard, now time.Time) {
 	q := n.queueOf(s, now)
-	w := &wishes{of: make(map[string]*quota.Want), looked: make(map[string]int), started: make(map[string]bool)}
+	w := &wishes{of: make(map[string]*quota.Demand), looked: make(map[string]int), started: make(map[string]bool)}
 	defer n.tellWishes(s.name, w, now)
 	if len(q) == 0 {
 		return
@@ -336,34 +336,34 @@
 	// gathers, so that the next write places many tasks. One write for every
 	// task or two kept machines idle for seconds, and what was placed but not
 	// yet committed could neither run nor be displaced.
-	saving := n.led.Waiting(ledger.PrioArray) > 0
+	saving := n.led.HasPending(ledger.PriorityArrayClaim) > 0
 	blocked := false
 	failedSpecs := make(map[failKey]bool)
 	free := mostOf(rooms)
-	left, counted := leftover.Room{}, false // counted again only once something has changed: idle jobs come by the hundred
+	left, counted := leftover.BestEffortCapacity{}, false // counted again only once something has changed: idle jobs come by the hundred
 	for _, u := range q {
 		waits := u.waits(now)
-		u.owed = u.spec.Shape == protocol.Array && u.spec.GPUs == 0 && waits > cardsOwed
-		if u.spec.Shape == protocol.Array && blocked && !u.due && !free.fits(u.spec) {
+		u.owed = u.spec.Shape == protocol.ShapeArray && u.spec.GPUs == 0 && waits > cardsOwed
+		if u.spec.Shape == protocol.ShapeArray && blocked && !u.due && !free.fits(u.spec) {
 			continue // no machine has room for even one of its tasks
 		}
 		if u.idle = isIdle(u.spec); u.idle {
 			if !counted {
 				left, counted = n.leftOver(s, rooms), true
 			}
-			left.Short = blocked
-			if u.most = left.Tasks(n.pol.IdleShare, u.spec.CPUs, leftover.Begun(u.c != nil, waits)); u.most <= 0 {
+			left.Contended = blocked
+			if u.most = left.MaxTasks(n.pol.BestEffortShare, u.spec.CPUs, leftover.HasStarted(u.c != nil, waits)); u.most <= 0 {
 				continue
 			}
 		}
-		key := failKey{u.spec.CPUs, u.spec.GPUs, u.spec.MemGB, u.spec.Image, u.spec.Prio(), u.spec.Zone, u.spec.Shape, u.spec.Spot, 0, ""}
-		if u.spec.Shape == protocol.Gang {
+		key := failKey{u.spec.CPUs, u.spec.GPUs, u.spec.MemoryGB, u.spec.Image, u.spec.Priority(), u.spec.Zone, u.spec.Shape, u.spec.AllowSpot, 0, ""}
+		if u.spec.Shape == protocol.ShapeGang {
 			key.together = u.spec.Tasks
 		}
-		if len(u.spec.Types) > 0 {
-			key.types = strings.Join(u.spec.Types, " ")
+		if len(u.spec.MachineTypes) > 0 {
+			key.types = strings.Join(u.spec.MachineTypes, " ")
 		}
-		if (failedSpecs[key] && !u.owed) || n.heldUp(s, u, rooms, w, now) || (saving && u.spec.Shape == protocol.Array) {
+		if (failedSpecs[key] && !u.owed) || n.heldUp(s, u, rooms, w, now) || (saving && u.spec.Shape == protocol.ShapeArray) {
 			continue
 		}
 		if n.plans[u.j.ref] == nil && !u.trial && n.displaceForImage(s, u, rooms, now) {
@@ -381,9 +381,9 @@
 		}
 		// Where its tasks are may keep a unit from room that others could use.
 		// So may its own failures there, which say nothing about others alike.
-		failedSpecs[key] = ((!u.spec.Spread && !u.spec.SameZone) || u.c == nil || len(u.c.rec.Open) == 0) &&
+		failedSpecs[key] = ((!u.spec.SpreadZones && !u.spec.SameZone) || u.c == nil || len(u.c.rec.Placements) == 0) &&
 			!slices.ContainsFunc(rooms, func(r *room) bool { return r.recentErrors[u.j.ref] })
-		if blocked && u.spec.Shape == protocol.Array && !u.due {
+		if blocked && u.spec.Shape == protocol.ShapeArray && !u.due {
 			continue
 		}
 		// The head job gets the reservation of EASY. Gangs and services behind
@@ -414,8 +414,8 @@
 // still be met if others are displaced, the fetch of its image included. Until
 // then it waits for room: displacing for an objective that is lost anyway only
 // throws work away.
-func (n *Node) startBy(u *unit, rooms []*room, z *zoneRule, now time.Time) time.Time {
-	if u.spec.Shape == protocol.Array && !u.due && (isIdle(u.spec) || !n.idleRuns(u)) {
+func (n *Controller) startBy(u *unit, rooms []*room, z *zoneRule, now time.Time) time.Time {
+	if u.spec.Shape == protocol.ShapeArray && !u.due && (isIdle(u.spec) || !n.idleRuns(u)) {
 		return now.Add(time.Hour) // arrays displace nothing for a wait alone, but idle work
 	}
 	soonest := now.Add(soonestFetch(u.spec, rooms, z))
@@ -434,7 +434,7 @@
 	if !best.IsZero() {
 		return best
 	}
-	if u.spec.Shape == protocol.Service {
+	if u.spec.Shape == protocol.ShapeService {
 		return now // every second without a replica counts
 	}
 	return now.Add(lateWait)
@@ -443,8 +443,8 @@
 // displaceForImage makes room for a service or a gang of one on a machine that
 // holds its image, when all the free room is on machines that would fetch it
 // for longer than the job's start may take.
-func (n *Node) displaceForImage(s *shard, u *unit, rooms []*room, now time.Time) bool {
-	if u.spec.Shape == protocol.Array || u.together() {
+func (n *Controller) displaceForImage(s *shard, u *unit, rooms []*room, now time.Time) bool {
+	if u.spec.Shape == protocol.ShapeArray || u.together() {
 		return false
 	}
 	z := n.zonesOf(u)
@@ -466,14 +466,14 @@
 const lateWait = 15 * time.Second
 
 // objectiveStart is when a job must start to meet an objective, if it has it.
-func (n *Node) objectiveStart(o protocol.Objective, u *unit) (time.Time, bool) {
+func (n *Controller) objectiveStart(o protocol.Objective, u *unit) (time.Time, bool) {
 	switch {
 	case o.Kind == "guarantee" && n.dueTasks(u) > 0, o.Kind == "wait" && o.Class == u.spec.Class:
 		return u.j.seen.Add(o.Within), true
 	case o.Kind == "finished" && o.Class == u.spec.Class:
 		return u.j.seen.Add(o.Within - n.estimate(u.spec)), true
-	case o.Kind == "deadline" && o.Class == u.spec.Class && u.spec.Due() > 0:
-		due := time.Duration(float64(u.spec.Due()) * max(o.Times, 1))
+	case o.Kind == "deadline" && o.Class == u.spec.Class && u.spec.Deadline() > 0:
+		due := time.Duration(float64(u.spec.Deadline()) * max(o.DeadlineFactor, 1))
 		return u.j.submitted().Add(due - n.estimate(u.spec)), true
 	}
 	return time.Time{}, false
@@ -492,22 +492,22 @@
 	types           string
 }
 
-func (n *Node) zonesOf(u *unit) zoneRule {
+func (n *Controller) zonesOf(u *unit) zoneRule {
 	// Where the tasks are matters to jobs with a rule about zones, and to services,
 	// which go where they have the fewest.
-	if u.c == nil || (!u.spec.Spread && !u.spec.SameZone && u.spec.Shape != protocol.Service) {
+	if u.c == nil || (!u.spec.SpreadZones && !u.spec.SameZone && u.spec.Shape != protocol.ShapeService) {
 		return newZoneRule(u.spec, nil)
 	}
 	return newZoneRule(u.spec, n.zonesTaken(u.c))
 }
 
 // zonesTaken lists the zones of a claim's placements, a zone for each.
-func (n *Node) zonesTaken(c *claim) []string {
+func (n *Controller) zonesTaken(c *claim) []string {
 	var zones []string
 	if c.rec == nil {
 		return nil
 	}
-	for _, p := range c.rec.Open {
+	for _, p := range c.rec.Placements {
 		if m := n.machines[p.Host]; m != nil {
 			zones = append(zones, m.rec.Zone)
 		}
@@ -517,18 +517,18 @@
 
 // placeUnit places as many tasks of a unit as there is room for. short is true
 // when tasks are left for want of room.
-func (n *Node) placeUnit(s *shard, u *unit, rooms []*room, now time.Time) (placed, short bool) {
+func (n *Controller) placeUnit(s *shard, u *unit, rooms []*room, now time.Time) (placed, short bool) {
 	z := n.zonesOf(u)
 	if choose(u.spec, u.j.ref, rooms, &z, n.estimate(u.spec), now) < 0 && !(u.owed && releaseCards(u.spec, u.j.ref, rooms, &z)) {
 		return false, true // mostly so when much waits; copying the claim first cost more than all else
 	}
 	first, count := u.bounds()
-	next := &ledger.Claim{Shard: s.name, First: first, Count: count}
+	next := &ledger.Claim{Shard: s.name, FirstTask: first, TaskCount: count}
 	if u.c != nil {
 		next = u.c.rec.Clone()
 	}
 	need := u.waiting()
-	whole := u.spec.Shape == protocol.Gang
+	whole := u.spec.Shape == protocol.ShapeGang
 	picks := n.pickHosts(s.name, u, next, rooms, &z, now)
 	if whole && u.spec.SameZone && len(picks) < need {
 		// The best machine for the first task may be in a zone without room for the
@@ -554,29 +554,29 @@
 	// that must spread waits until every shard has had its turn: this one may
 	// have no machine in a second zone.
 	patience := time.Second
-	if u.spec.Spread {
+	if u.spec.SpreadZones {
 		patience = widenAfter + 2*time.Second
 	}
-	if u.c == nil && u.spec.Shape == protocol.Service && len(picks) < need && now.Sub(u.j.seen) < patience {
+	if u.c == nil && u.spec.Shape == protocol.ShapeService && len(picks) < need && now.Sub(u.j.seen) < patience {
 		undo(u.spec, picks, rooms)
 		return false, true
 	}
 	// Copies of an array wait at several shards: one that could start only a few
 	// of the tasks leaves the chunk to a better one for a while.
-	if u.c == nil && u.spec.Shape == protocol.Array && 2*len(picks) < need && now.Sub(u.j.seen) < 2*time.Second {
+	if u.c == nil && u.spec.Shape == protocol.ShapeArray && 2*len(picks) < need && now.Sub(u.j.seen) < 2*time.Second {
 		undo(u.spec, picks, rooms)
 		return false, true
 	}
-	if whole && u.c != nil && len(u.c.rec.Open) > 0 {
+	if whole && u.c != nil && len(u.c.rec.Placements) > 0 {
 		undo(u.spec, picks, rooms)
 		return false, false // the old attempt has to be gone first
 	}
 	if u.c != nil {
 		n.bookDone(u.c, next)
 	}
-	next.Try++
+	next.LastAttempt++
 	for _, pk := range picks {
-		next.Open = append(next.Open, ledger.Placement{Task: pk.task, Try: next.Try, Host: rooms[pk.room].host})
+		next.Placements = append(next.Placements, ledger.Placement{Task: pk.task, Attempt: next.LastAttempt, Host: rooms[pk.room].host})
 	}
 	if !n.commitUnit(s, u, next) {
 		undo(u.spec, picks, rooms)
@@ -595,14 +595,14 @@
 }
 
 // pickHosts chooses machines for the tasks of a unit that have none.
-func (n *Node) pickHosts(holder string, u *unit, rec *ledger.Claim, rooms []*room, z *zoneRule, now time.Time) []pick {
-	open := make(map[int]bool, len(rec.Open))
-	for _, p := range rec.Open {
+func (n *Controller) pickHosts(holder string, u *unit, rec *ledger.Claim, rooms []*room, z *zoneRule, now time.Time) []pick {
+	open := make(map[int]bool, len(rec.Placements))
+	for _, p := range rec.Placements {
 		open[p.Task] = true
 	}
 	est := n.estimate(u.spec)
-	most := n.cfg.RecordLimits().MaxOpen() - len(open)
-	if u.ahead || (u.trial && u.spec.Shape != protocol.Gang) {
+	most := n.cfg.RecordLimits().MaxPlacements() - len(open)
+	if u.ahead || (u.trial && u.spec.Shape != protocol.ShapeGang) {
 		most = min(most, 1)
 	}
 	if u.idle {
@@ -612,17 +612,17 @@
 		most = min(most, n.allowanceIn(holder, u.spec)+n.bookable(u.c))
 	}
 	var picks []pick
-	left := n.cfg.RecordLimits().ValueBytes - rec.Bytes()
-	for t := rec.First; t < rec.First+rec.Count && len(picks) < most; t++ {
-		if open[t] || rec.IsDone(t) {
+	left := n.cfg.RecordLimits().MaxValueBytes - rec.MaxEncodedSize()
+	for t := rec.FirstTask; t < rec.FirstTask+rec.TaskCount && len(picks) < most; t++ {
+		if open[t] || rec.IsCompleted(t) {
 			continue
 		}
 		i := choose(u.spec, u.j.ref, rooms, z, est, now)
 		if i < 0 {
 			break
 		}
-		next := ledger.Placement{Task: t, Try: rec.Try + 1, Host: rooms[i].host}
-		if left -= next.Bytes(); left < 0 {
+		next := ledger.Placement{Task: t, Attempt: rec.LastAttempt + 1, Host: rooms[i].host}
+		if left -= next.MaxEncodedSize(); left < 0 {
 			break
 		}
 		rooms[i].take(u.spec)
--- a/internal/coordination/recount.go
+++ b/internal/coordination/recount.go
@@ -12,7 +12,7 @@
 
 // Recount works out from the claims alone what the indexes should hold, and
 // says where they differ. It is for tests: it walks over everything.
-func (n *Node) Recount() error {
+func (n *Controller) Recount() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	places := make(map[string]map[string]*claim)
@@ -23,7 +23,7 @@
 			if rec == nil {
 				continue
 			}
-			for _, p := range rec.Open {
+			for _, p := range rec.Placements {
 				if places[p.Host] == nil {
 					places[p.Host] = make(map[string]*claim)
 				}
@@ -64,7 +64,7 @@
 			return fmt.Errorf("%v uses %v, counted %v", k, got, u)
 		}
 	}
-	sure := make(map[string]quota.Amount)
+	sure := make(map[string]quota.Resources)
 	for _, c := range n.claims {
 		if c.sum.kept {
 			sure[c.spec.Team] = sure[c.spec.Team].Plus(unitOf(c.spec).Times(float64(c.sure())))
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// Leftovers lists what this node still keeps in memory although no job is open.
-func (n *Node) Leftovers() []string {
+// Residue lists what this node still keeps in memory although no job is open.
+func (n *Controller) Residue() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var out []string
@@ -141,7 +141,7 @@
 		}
 	}
 	for name, m := range n.machines {
-		if m.returning && m.rec.State == ledger.Gone {
+		if m.returning && m.rec.State == ledger.MachineGone {
 			continue
 		}
 		if m.returning {
--- a/internal/coordination/refresh_test.go
+++ b/internal/coordination/refresh_test.go
@@ -14,14 +14,14 @@
 
 // lossy is a state service that answers no read for a while.
 type lossy struct {
-	Ledger // not asked for anything else
-	txn    *ledger.Txn
-	unread int
-	item   ledger.Item
+	StateStore // not asked for anything else
+	txn        *ledger.Txn
+	unread     int
+	item       ledger.Item
 }
 
-func (l *lossy) Submit(t *ledger.Txn)     { l.txn = t }
-func (l *lossy) Saw(string, uint64, bool) {}
+func (l *lossy) Submit(t *ledger.Txn)                { l.txn = t }
+func (l *lossy) ObserveVersion(string, uint64, bool) {}
 func (l *lossy) Get(context.Context, string) (ledger.Item, error) {
 	if l.unread--; l.unread >= 0 {
 		return ledger.Item{}, errors.New("no answer")
@@ -36,20 +36,20 @@
 	for _, within := range []time.Duration{0, time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			key := ledger.ClaimKey("wk-1", 0)
-			led := &lossy{unread: 20, item: ledger.Item{Key: key, Stamp: 9, Value: []byte(`{"h":"n0","n":1,"o":[[0,1,"vm-1"]],"a":1}`)}}
-			n := New(Options{Settings: protocol.Settings{Node: "n0"}, Ledger: led, Log: slog.New(slog.DiscardHandler)})
-			c := &claim{key: key, ref: "wk-1", spec: &protocol.Submission{Ref: "wk-1", Team: "t", CPUs: 2, Shape: protocol.Array}}
+			led := &lossy{unread: 20, item: ledger.Item{Key: key, Version: 9, Value: []byte(`{"h":"n0","n":1,"o":[[0,1,"vm-1"]],"a":1}`)}}
+			n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: led, Log: slog.New(slog.DiscardHandler)})
+			c := &claim{key: key, ref: "wk-1", spec: &protocol.Submission{JobID: "wk-1", Team: "t", CPUs: 2, Shape: protocol.ShapeArray}}
 			n.mu.Lock()
 			n.claims[key] = c
-			n.setPend(c, &ledger.Claim{Shard: "n0", Count: 1, Open: []ledger.Placement{{Task: 0, Try: 1, Host: "vm-1"}}})
+			n.setPend(c, &ledger.Claim{Shard: "n0", TaskCount: 1, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}})
 			done := time.Time{}
-			n.commit(ledger.PrioArray, []ledger.Cond{{Key: key}}, []ledger.Op{{Key: key, Value: c.pend}}, within, func(error) {
+			n.commit(ledger.PriorityArrayClaim, []ledger.Compare{{Key: key}}, []ledger.Op{{Key: key, Value: c.pend}}, within, func(error) {
 				n.setPend(c, nil)
 				done = time.Now()
 			})
 			n.mu.Unlock()
 			began := time.Now()
-			led.txn.Done(ledger.Result{Err: ledger.ErrConflict, Failed: []string{key}, Epoch: 9})
+			led.txn.OnResult(ledger.Result{Err: ledger.ErrCompareFailed, FailedKeys: []string{key}, Revision: 9})
 			time.Sleep(time.Second)
 			n.mu.Lock()
 			if use := n.usedBy("t", "n0"); within == 0 && (use[0] != 2 || !done.IsZero()) {
--- a/internal/coordination/settle.go
+++ b/internal/coordination/settle.go
@@ -22,11 +22,11 @@
 )
 
 // pace leaves most of the time to answers, however long passes take.
-var pace = recovery.Pace{Share: 0.25, Least: 15 * time.Millisecond, Calm: 50 * time.Millisecond, Most: 150 * time.Millisecond}
+var pace = recovery.Throttle{MaxShare: 0.25, MinPause: 15 * time.Millisecond, IdlePause: 50 * time.Millisecond, MaxPause: 150 * time.Millisecond}
 
 // workLoop compares placements with reports and the queue with the room there
 // is, whenever something changed and a few times a second.
-func (n *Node) workLoop(ctx context.Context) {
+func (n *Controller) workLoop(ctx context.Context) {
 	for {
 		tick := time.NewTimer(passEvery)
 		select {
@@ -55,7 +55,7 @@
 	}
 }
 
-func (n *Node) pass(now time.Time) {
+func (n *Controller) pass(now time.Time) {
 	n.expirePlans(now)
 	n.passRanksOn(now)
 	for _, name := range n.shardNames() {
@@ -80,7 +80,7 @@
 	n.share(now)
 	n.tidyBookings(now)
 	if len(n.intents)+len(n.planned) > 0 {
-		n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.Node, StateOK: true, Intents: n.intents, Planned: n.planned})
+		n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true, ClaimIntents: n.intents, PreemptionIntents: n.planned})
 		n.intents, n.planned = nil, nil
 	}
 	n.lookUps(now)
@@ -94,7 +94,7 @@
 // at a time. When each had its own, some seven thousand waited for the request
 // budget on a bad day, until the process ended for memory, and the watch behind
 // them was so late that cancelled tasks ran on.
-func (n *Node) lookUps(now time.Time) {
+func (n *Controller) lookUps(now time.Time) {
 	if n.lookingUp || len(n.orphans) == 0 {
 		return
 	}
@@ -116,7 +116,7 @@
 	go func() {
 		for _, ref := range refs {
 			ctx, cancel := context.WithTimeout(ctx, lookUpWithin)
-			it, err := n.led.Get(ctx, ledger.JobKeys+ref)
+			it, err := n.led.Get(ctx, ledger.JobPrefix+ref)
 			cancel()
 			n.mu.Lock()
 			n.lookedUp(ref, it, err)
@@ -133,7 +133,7 @@
 
 const lookUpWithin = 2 * time.Second
 
-func (n *Node) lookedUp(ref string, it ledger.Item, err error) {
+func (n *Controller) lookedUp(ref string, it ledger.Item, err error) {
 	for _, c := range n.orphans[ref] {
 		c.again = time.Now().Add(time.Second)
 	}
@@ -147,7 +147,7 @@
 
 // settle works through the claims of a shard: what has ended is booked, what
 // should run is started, what should not is stopped.
-func (n *Node) settle(s *shard, now time.Time) {
+func (n *Controller) settle(s *shard, now time.Time) {
 	for _, c := range n.dirtyClaims(s, now) {
 		j := n.jobs[c.ref]
 		if c.rec == nil || c.pend != nil || j == nil || c.spec == nil {
@@ -167,55 +167,55 @@
 	gone
 )
 
-func (n *Node) settleClaim(s *shard, j *job, c *claim, now time.Time) {
+func (n *Controller) settleClaim(s *shard, j *job, c *claim, now time.Time) {
 	next := c.rec.Clone()
-	next.Open = next.Open[:0]
-	changed, pressing, uneasy := false, n.limited(c.spec) && (!n.quota.Allotted(c.spec.Team) || n.quota.Sought(c.spec.Team)), j.rec.Final()
-	if c.spec.Shape == protocol.Gang && len(c.rec.Open) > 0 && len(c.rec.Open)+c.rec.NumDone() < c.rec.Count {
-		c.halt = c.rec.Try // it was placed whole, so a task has been lost
+	next.Placements = next.Placements[:0]
+	changed, pressing, uneasy := false, n.limited(c.spec) && (!n.quota.IsAllotted(c.spec.Team) || n.quota.IsDemanded(c.spec.Team)), j.rec.IsFinal()
+	if c.spec.Shape == protocol.ShapeGang && len(c.rec.Placements) > 0 && len(c.rec.Placements)+c.rec.CompletedCount() < c.rec.TaskCount {
+		c.halt = c.rec.LastAttempt // it was placed whole, so a task has been lost
 	}
-	for i := range c.rec.Open {
-		p := &c.rec.Open[i]
+	for i := range c.rec.Placements {
+		p := &c.rec.Placements[i]
 		if m := n.machines[p.Host]; c.rec.Shard == "" && m != nil && m.rec.Shard != s.name {
-			next.Open = append(next.Open, *p) // its own shard's owner judges it
+			next.Placements = append(next.Placements, *p) // its own shard's owner judges it
 			continue
 		}
 		switch n.judge(s, j, c, p, now) {
 		case completed:
-			next.SetDone(p.Task)
+			next.MarkCompleted(p.Task)
 			delete(c.evict, p.Task)
 			changed = true
 		case gone:
-			if _, moved := c.evict[p.Task]; !moved && c.spec.Shape == protocol.Service && !j.rec.Final() {
-				n.log.Info("replica lost", "task", protocol.TaskName(c.ref, p.Task), "try", p.Try, "host", p.Host)
+			if _, moved := c.evict[p.Task]; !moved && c.spec.Shape == protocol.ShapeService && !j.rec.IsFinal() {
+				n.log.Info("replica lost", "task", protocol.TaskName(c.ref, p.Task), "try", p.Attempt, "host", p.Host)
 			}
 			delete(c.evict, p.Task)
 			changed, pressing = true, true
-			if c.spec.Shape == protocol.Gang && len(c.rec.Open) > 1 {
-				c.halt = c.rec.Try
+			if c.spec.Shape == protocol.ShapeGang && len(c.rec.Placements) > 1 {
+				c.halt = c.rec.LastAttempt
 			}
 		case unsettled:
 			uneasy = true
-			next.Open = append(next.Open, *p)
+			next.Placements = append(next.Placements, *p)
 		default:
-			next.Open = append(next.Open, *p)
+			next.Placements = append(next.Placements, *p)
 		}
 	}
 	n.flush(s)
-	if c.spec.Shape == protocol.Gang && next.NumDone() > 0 && !next.Full() {
+	if c.spec.Shape == protocol.ShapeGang && next.CompletedCount() > 0 && !next.IsComplete() {
 		// A gang completes together: if one task is done, every one is.
-		for t := next.First; t < next.First+next.Count; t++ {
-			next.SetDone(t)
+		for t := next.FirstTask; t < next.FirstTask+next.TaskCount; t++ {
+			next.MarkCompleted(t)
 		}
 		changed = true
 	}
-	if next.Full() && c.spec.Shape != protocol.Service && !j.rec.Final() {
+	if next.IsComplete() && c.spec.Shape != protocol.ShapeService && !j.rec.IsFinal() {
 		if n.finishJob(s, j, c, next) {
 			return
 		}
 		pressing, uneasy = true, true // the job's other chunks wait for this one
 	}
-	if j.rec.Final() && len(next.Open) == 0 {
+	if j.rec.IsFinal() && len(next.Placements) == 0 {
 		n.dropClaim(s, c)
 		return
 	}
@@ -227,7 +227,7 @@
 		// its worker goes on listing it, and its room counts as free already.
 		// One write for each of some hundred tasks a second is beyond the
 		// state service's budget.
-		if (pressing || now.Sub(c.ripe) >= n.pol.Book) && n.update(s, c, next, ledger.PrioDone, nil) {
+		if (pressing || now.Sub(c.ripe) >= n.pol.CompletionBatchDelay) && n.update(s, c, next, ledger.PriorityCompletion, nil) {
 			return
 		}
 		uneasy = true
@@ -241,25 +241,25 @@
 // judge decides a placement's fate from proof alone: the worker's own account
 // under the current token with no command outstanding, or a machine that the
 // cloud has taken back. Silence proves nothing.
-func (n *Node) judge(s *shard, j *job, c *claim, p *ledger.Placement, now time.Time) fate {
+func (n *Controller) judge(s *shard, j *job, c *claim, p *ledger.Placement, now time.Time) fate {
 	m := n.machines[p.Host]
 	if m == nil {
 		return onMachine
 	}
 	name := c.nameOf(p)
 	t := m.tasks[name]
-	if t != nil && t.Try == p.Try && t.Phase == protocol.TaskExited && t.Cause == protocol.CauseDone {
+	if t != nil && t.Attempt == p.Attempt && t.Phase == protocol.TaskExited && t.Cause == protocol.CauseDone {
 		// Done it is for ever, but an account under an earlier token does not prove
 		// that it is off the machine: its worker's session may have ended since, and
 		// another owner of the shard may have started it again there. Freed on such
 		// an account, a limited team's use was lowered while the task ran.
-		if !m.settled(s) && !m.gone && m.rec.State != ledger.Gone {
+		if !m.settled(s) && !m.gone && m.rec.State != ledger.MachineGone {
 			return unsettled
 		}
 		n.learn(j, c.spec, m, name, now)
 		return completed
 	}
-	if m.gone || m.rec.State == ledger.Gone {
+	if m.gone || m.rec.State == ledger.MachineGone {
 		return gone
 	}
 	if m.rep == nil {
@@ -267,15 +267,15 @@
 	}
 	grace, stop := n.wantStop(c, p, now)
 	switch {
-	case t != nil && t.Try == p.Try && t.Phase == protocol.TaskExited:
+	case t != nil && t.Attempt == p.Attempt && t.Phase == protocol.TaskExited:
 		if !m.settled(s) {
 			return unsettled
 		}
-		if m.outstanding(name, p.Try) {
+		if m.outstanding(name, p.Attempt) {
 			s.wantRaise(m)
 			return unsettled
 		}
-		if t.Cause == protocol.CauseIncomplete && !stop {
+		if t.Cause == protocol.CauseGangTimeout && !stop {
 			// It had waited too long for the others, whose images may take longer
 			// still. They go on waiting for it: once reaped it starts again, in the
 			// same attempt and on the same machine. To end the attempt instead threw
@@ -284,25 +284,25 @@
 		}
 		n.blame(j, m, t, now)
 		return gone
-	case t != nil && t.Try == p.Try:
+	case t != nil && t.Attempt == p.Attempt:
 		if !stop {
 			return onMachine
 		}
-		if now.Sub(m.stopped[name]) > resendGap && (t.Phase != protocol.TaskSaving || grace == 0) {
+		if now.Sub(m.stopped[name]) > resendGap && (t.Phase != protocol.TaskCheckpointing || grace == 0) {
 			m.stopped[name] = now
-			n.order(s, m, protocol.Stop(name, p.Try, grace))
+			n.order(s, m, protocol.StopCommand(name, p.Attempt, grace))
 		}
 		return unsettled
 	case t != nil: // another attempt of it is still there
 		return unsettled
 	case !m.settled(s):
 		return unsettled
-	case stop, n.overUsed(c.spec), m.hearing.Deaf(), n.mute(m, now) && !n.stateDown(now):
+	case stop, n.overUsed(c.spec), m.hearing.CannotReceive(), n.mute(m, now) && !n.stateDown(now):
 		// Also what a limit lowered since leaves no room for: what runs may go on, what is
 		// not there may not begin. A machine that does not hear would not begin it, and one
 		// that does not report would lose it with its lease, which is more than an outage
 		// lets begin elsewhere.
-		if m.outstanding(name, p.Try) {
+		if m.outstanding(name, p.Attempt) {
 			s.wantRaise(m)
 			return unsettled
 		}
@@ -314,24 +314,24 @@
 	if !n.hearsNobody(now) && !slices.ContainsFunc(m.queue, isStart(name)) && !slices.ContainsFunc(m.inflight, isStart(name)) &&
 		now.Sub(m.tried[name]) > resendGap && m.rec.State == "" {
 		m.tried[name] = now
-		n.order(s, m, protocol.Start(name, p.Try))
+		n.order(s, m, protocol.StartCommand(name, p.Attempt))
 	}
 	return unsettled
 }
 
 // bookDone takes completions that are not booked yet into a version of a claim
 // that is about to be committed anyway.
-func (n *Node) bookDone(c *claim, next *ledger.Claim) {
-	next.Open = slices.DeleteFunc(next.Open, func(p ledger.Placement) bool {
+func (n *Controller) bookDone(c *claim, next *ledger.Claim) {
+	next.Placements = slices.DeleteFunc(next.Placements, func(p ledger.Placement) bool {
 		m := n.machines[p.Host]
-		if m == nil || c.spec.Shape == protocol.Gang || !m.settled(n.shards[m.rec.Shard]) {
+		if m == nil || c.spec.Shape == protocol.ShapeGang || !m.settled(n.shards[m.rec.Shard]) {
 			return false
 		}
 		t := m.tasks[c.nameOf(&p)]
-		if t == nil || t.Try != p.Try || t.Phase != protocol.TaskExited || t.Cause != protocol.CauseDone {
+		if t == nil || t.Attempt != p.Attempt || t.Phase != protocol.TaskExited || t.Cause != protocol.CauseDone {
 			return false
 		}
-		next.SetDone(p.Task)
+		next.MarkCompleted(p.Task)
 		return true
 	})
 }
@@ -349,17 +349,17 @@
 }
 
 // wantStop tells whether a placement should end, and with what grace.
-func (n *Node) wantStop(c *claim, p *ledger.Placement, now time.Time) (time.Duration, bool) {
+func (n *Controller) wantStop(c *claim, p *ledger.Placement, now time.Time) (time.Duration, bool) {
 	j := n.jobs[c.ref]
 	if j == nil || j.rec == nil || c.spec == nil {
 		return 0, false
 	}
-	if j.rec.Final() {
+	if j.rec.IsFinal() {
 		return 0, true
 	}
 	grace := time.Duration(0)
-	if c.spec.SnapshotEvery() > 0 {
-		grace = c.spec.Snapshot() + 2*time.Second
+	if c.spec.CheckpointInterval() > 0 {
+		grace = c.spec.CheckpointDuration() + 2*time.Second
 	}
 	if c.halted() {
 		return grace, true
@@ -375,12 +375,12 @@
 }
 
 // estimate is a task's expected run time, the image fetch left out.
-func (n *Node) estimate(s *protocol.Submission) time.Duration {
+func (n *Controller) estimate(s *protocol.Submission) time.Duration {
 	ratio := 1.0
 	if r, ok := n.ratios[s.Class]; ok {
 		ratio = r
 	}
-	return time.Duration(float64(s.Expect()) * ratio)
+	return time.Duration(float64(s.RunEstimate()) * ratio)
 }
 
 // placed counts the placements of a claim's committed version.
@@ -388,12 +388,12 @@
 	if c.rec == nil {
 		return 0
 	}
-	return len(c.rec.Open)
+	return len(c.rec.Placements)
 }
 
 // update commits a new version of a claim that this shard holds.
-func (n *Node) update(s *shard, c *claim, next *ledger.Claim, prio int, then func(error)) bool {
-	if next.Bytes() > n.led.ValueBytes() {
+func (n *Controller) update(s *shard, c *claim, next *ledger.Claim, prio int, then func(error)) bool {
+	if next.MaxEncodedSize() > n.led.MaxValueBytes() {
 		// Written before the state service lowered its limits. Each task that ends makes
 		// it smaller; until it fits, its workers go on listing what has ended.
 		return false
@@ -402,9 +402,9 @@
 	if !ok {
 		return false
 	}
-	conds = append(conds, ledger.Cond{Key: ledger.ShardKeys + s.name, Stamp: s.token}, ledger.Cond{Key: c.key, Stamp: c.stamp})
-	if j := n.jobs[c.ref]; j != nil && len(next.Open) > 0 && prio < ledger.PrioDone {
-		conds = append(conds, ledger.Cond{Key: ledger.JobKeys + c.ref, Stamp: j.stamp})
+	conds = append(conds, ledger.Compare{Key: ledger.ShardPrefix + s.name, Version: s.token}, ledger.Compare{Key: c.key, Version: c.stamp})
+	if j := n.jobs[c.ref]; j != nil && len(next.Placements) > 0 && prio < ledger.PriorityCompletion {
+		conds = append(conds, ledger.Compare{Key: ledger.JobPrefix + c.ref, Version: j.stamp})
 	}
 	ops = append(ops, ledger.Op{Key: c.key, Value: next})
 	n.setPend(c, next)
@@ -428,33 +428,33 @@
 }
 
 // finishJob commits a job's end together with its last chunk's.
-func (n *Node) finishJob(s *shard, j *job, c *claim, next *ledger.Claim) bool {
+func (n *Controller) finishJob(s *shard, j *job, c *claim, next *ledger.Claim) bool {
 	if len(j.claims) != j.chunks {
 		return false
 	}
-	conds := []ledger.Cond{{Key: ledger.JobKeys + j.ref, Stamp: j.stamp}, {Key: ledger.ShardKeys + s.name, Stamp: s.token}}
+	conds := []ledger.Compare{{Key: ledger.JobPrefix + j.ref, Version: j.stamp}, {Key: ledger.ShardPrefix + s.name, Version: s.token}}
 	for i := range j.chunks {
 		o := j.claims[i]
-		if o == nil || o.rec == nil || (o != c && !o.rec.Full()) {
+		if o == nil || o.rec == nil || (o != c && !o.rec.IsComplete()) {
 			return false
 		}
 	}
 	// The other chunks are no conditions: what is recorded as done stays done, and a
 	// claim goes only once its job is over, which the job's own condition excludes.
 	// Two dozen of them did not fit a transaction of a state service with lower limits.
-	conds = append(conds, ledger.Cond{Key: c.key, Stamp: c.stamp})
-	done := &ledger.Job{State: protocol.Done, Tasks: j.rec.Spec.Tasks}
+	conds = append(conds, ledger.Compare{Key: c.key, Version: c.stamp})
+	done := &ledger.Job{State: protocol.JobDone, Tasks: j.rec.Spec.Tasks}
 	tconds, ops, t, ok := n.reserveTeam(s.name, c, next)
 	if !ok {
 		return false
 	}
 	conds = append(conds, tconds...)
-	if len(next.Open) > 0 || j.chunks > 1 {
+	if len(next.Placements) > 0 || j.chunks > 1 {
 		// The description is needed until the last placement is cleared.
 		done.Spec = j.rec.Spec
 	}
-	ops = append(ops, ledger.Op{Key: ledger.JobKeys + j.ref, Value: done})
-	if len(next.Open) > 0 {
+	ops = append(ops, ledger.Op{Key: ledger.JobPrefix + j.ref, Value: done})
+	if len(next.Placements) > 0 {
 		ops = append(ops, ledger.Op{Key: c.key, Value: next})
 	} else {
 		ops = append(ops, ledger.Op{Key: c.key})
@@ -463,7 +463,7 @@
 	if t != nil {
 		t.busy = true
 	}
-	n.commit(ledger.PrioClaim, conds, ops, 0, func(err error) {
+	n.commit(ledger.PriorityClaim, conds, ops, 0, func(err error) {
 		n.setPend(c, nil)
 		if t != nil {
 			t.busy = false
@@ -479,20 +479,20 @@
 }
 
 // dropClaim removes the claim of a final job once nothing of it is left.
-func (n *Node) dropClaim(s *shard, c *claim) {
+func (n *Controller) dropClaim(s *shard, c *claim) {
 	empty := c.rec.Clone()
-	empty.Open = nil
+	empty.Placements = nil
 	conds, ops, t, ok := n.reserveTeam(s.name, c, empty)
 	if !ok {
 		return
 	}
-	conds = append(conds, ledger.Cond{Key: ledger.ShardKeys + s.name, Stamp: s.token}, ledger.Cond{Key: c.key, Stamp: c.stamp})
+	conds = append(conds, ledger.Compare{Key: ledger.ShardPrefix + s.name, Version: s.token}, ledger.Compare{Key: c.key, Version: c.stamp})
 	ops = append(ops, ledger.Op{Key: c.key})
 	n.setPend(c, empty)
 	if t != nil {
 		t.busy = true
 	}
-	n.commit(ledger.PrioDone, conds, ops, 0, func(err error) {
+	n.commit(ledger.PriorityCompletion, conds, ops, 0, func(err error) {
 		n.setPend(c, nil)
 		if t != nil {
 			t.busy = false
@@ -505,7 +505,7 @@
 
 // finishClaim ends the commit of a new claim: its tasks start at once, or,
 // when another shard won it, the copy is dropped.
-func (n *Node) finishClaim(s *shard, c *claim, err error) {
+func (n *Controller) finishClaim(s *shard, c *claim, err error) {
 	n.setPend(c, nil)
 	if t := n.teams[c.spec.Team]; t != nil && n.limited(c.spec) {
 		t.busy = false
@@ -517,7 +517,7 @@
 		if j := n.jobs[c.ref]; j != nil {
 			j.lost[c.chunk] = time.Now().Add(retryClaim)
 		}
-		if !errors.Is(err, ledger.ErrConflict) {
+		if !errors.Is(err, ledger.ErrCompareFailed) {
 			n.log.Debug("claim not made", "claim", c.key, "err", err)
 		}
 		return
--- a/internal/coordination/shards.go
+++ b/internal/coordination/shards.go
@@ -41,7 +41,7 @@
 	load         loadSeen  // its load as last worked out by this node, its owner
 }
 
-func (n *Node) shard(name string) *shard {
+func (n *Controller) shard(name string) *shard {
 	s := n.shards[name]
 	if s == nil {
 		s = &shard{name: name, kinds: make(map[machineKind]int), claims: make(map[*claim]struct{}), dirty: make(map[*claim]struct{})}
@@ -50,12 +50,12 @@
 	return s
 }
 
-func (n *Node) storeShard(name string, r *ledger.Shard, stamp uint64) {
+func (n *Controller) storeShard(name string, r *ledger.Shard, stamp uint64) {
 	s := n.shard(name)
 	s.rec, s.stamp, s.heir = r, stamp, ""
 	n.voidOrders(s)
 	switch {
-	case r == nil || r.Owner != n.cfg.Node:
+	case r == nil || r.Owner != n.cfg.NodeName:
 		if s.token != 0 {
 			n.log.Info("shard lost", "shard", name)
 		}
@@ -84,8 +84,8 @@
 // stayed, and the new owner owned machines that never came. The word is advice and
 // costs nothing when wrong: to command less breaks no rule, and the next version
 // of the record clears it.
-func (n *Node) ousted(s *shard, by string, token uint64) {
-	if by == n.cfg.Node || token <= max(s.token, s.heard) || (s.token == 0 && s.heir == "") {
+func (n *Controller) ousted(s *shard, by string, token uint64) {
+	if by == n.cfg.NodeName || token <= max(s.token, s.heard) || (s.token == 0 && s.heir == "") {
 		return
 	}
 	n.log.Info("shard lost, its new owner says so", "shard", s.name, "to", by, "token", token)
@@ -96,7 +96,7 @@
 // voidOrders drops the commands that were ordered under an earlier token and are not
 // sent yet: another owner may have acted since. Kept, they went out under the next
 // token and started again what had ended and was booked.
-func (n *Node) voidOrders(s *shard) {
+func (n *Controller) voidOrders(s *shard) {
 	for _, m := range s.machines {
 		m.queue = nil
 		delete(n.outbox, m)
@@ -105,13 +105,13 @@
 
 // active tells whether this process may act for a shard: it owns it, and its
 // cache holds everything that earlier owners committed.
-func (n *Node) active(s *shard) bool {
+func (n *Controller) active(s *shard) bool {
 	return s != nil && s.token != 0 && n.epoch >= s.token
 }
 
 // pushToken shows a new token to the shard's machines at once, rather than
 // with their next reports.
-func (n *Node) pushToken(s *shard) {
+func (n *Controller) pushToken(s *shard) {
 	for _, m := range s.machines {
 		if m.rep != nil && m.address() != "" {
 			n.send(s, m)
@@ -120,7 +120,7 @@
 }
 
 // liveNodes are the controllers whose lease holds, in order.
-func (n *Node) liveNodes() []string {
+func (n *Controller) liveNodes() []string {
 	names := make([]string, 0, len(n.nodes))
 	for name := range n.nodes {
 		names = append(names, name)
@@ -131,7 +131,7 @@
 
 // shardLoop works off the difference between who should own each shard and
 // who does.
-func (n *Node) shardLoop(ctx context.Context) {
+func (n *Controller) shardLoop(ctx context.Context) {
 	for n.pause(ctx, 200*time.Millisecond) {
 		n.mu.Lock()
 		now := time.Now()
@@ -151,8 +151,8 @@
 	}
 }
 
-func (n *Node) tendShard(s *shard, now time.Time) {
-	me := n.cfg.Node
+func (n *Controller) tendShard(s *shard, now time.Time) {
+	me := n.cfg.NodeName
 	self, alive := n.nodes[me]
 	if !alive {
 		return
@@ -172,9 +172,9 @@
 		s.raised = now
 		n.log.Info("raising the token", "shard", s.name)
 		n.writeShard(s, me, nil)
-	case s.rec.Owner == me && s.name != me && homeLive && now.UnixMilli() > s.rec.Away && now.Sub(home.since) > n.pol.Handback && now.Sub(s.since) > 2*time.Second:
+	case s.rec.Owner == me && s.name != me && homeLive && now.UnixMilli() > s.rec.AwayUntilMs && now.Sub(home.since) > n.pol.HandbackDelay && now.Sub(s.since) > 2*time.Second:
 		n.log.Info("handing the shard back", "shard", s.name)
-		n.writeShard(s, s.name, []ledger.Cond{{Key: ledger.NodeKeys + s.name, Stamp: home.stamp}})
+		n.writeShard(s, s.name, []ledger.Compare{{Key: ledger.NodePrefix + s.name, Version: home.stamp}})
 	case s.rec.Owner == me && n.cutOff(s, now):
 		if to := n.otherLive(); to != "" {
 			n.log.Info("most machines are silent here, giving the shard away", "shard", s.name, "to", to)
@@ -187,7 +187,7 @@
 			if s.ownerless.IsZero() {
 				s.ownerless = now
 			}
-			if s.name != me && (now.Sub(s.ownerless) < n.turn() || now.Sub(self.since) < recovery.Grace) {
+			if s.name != me && (now.Sub(s.ownerless) < n.turn() || now.Sub(self.since) < recovery.StartupGrace) {
 				return
 			}
 			// The home node, if it lives, has the first turn.
@@ -195,36 +195,36 @@
 				return
 			}
 			n.log.Info("taking over", "shard", s.name, "from", s.rec.Owner)
-			n.writeShard(s, me, []ledger.Cond{{Key: ledger.NodeKeys + s.rec.Owner, Stamp: 0}})
+			n.writeShard(s, me, []ledger.Compare{{Key: ledger.NodePrefix + s.rec.Owner, Version: 0}})
 		}
 	}
 }
 
 // writeShard changes a shard's owner, or renews it for a new token.
-func (n *Node) writeShard(s *shard, owner string, extra []ledger.Cond) {
+func (n *Controller) writeShard(s *shard, owner string, extra []ledger.Compare) {
 	next := &ledger.Shard{Owner: owner}
 	if s.rec != nil {
-		next.Epoch, next.Away = s.rec.Epoch+1, s.rec.Away
+		next.Changes, next.AwayUntilMs = s.rec.Changes+1, s.rec.AwayUntilMs
 	}
 	n.putShard(s, next, extra)
 }
 
 // giveAway hands a shard to a node that may reach its machines, for a while.
-func (n *Node) giveAway(s *shard, to string, now time.Time) {
-	next := &ledger.Shard{Owner: to, Epoch: s.rec.Epoch + 1, Away: s.rec.Away}
-	if s.name == n.cfg.Node {
-		next.Away = now.Add(time.Minute).UnixMilli() // its home is what is in trouble
+func (n *Controller) giveAway(s *shard, to string, now time.Time) {
+	next := &ledger.Shard{Owner: to, Changes: s.rec.Changes + 1, AwayUntilMs: s.rec.AwayUntilMs}
+	if s.name == n.cfg.NodeName {
+		next.AwayUntilMs = now.Add(time.Minute).UnixMilli() // its home is what is in trouble
 	}
-	n.putShard(s, next, []ledger.Cond{{Key: ledger.NodeKeys + to, Stamp: n.nodes[to].stamp}})
+	n.putShard(s, next, []ledger.Compare{{Key: ledger.NodePrefix + to, Version: n.nodes[to].stamp}})
 }
 
-func (n *Node) putShard(s *shard, next *ledger.Shard, extra []ledger.Cond) {
-	conds := append([]ledger.Cond{{Key: ledger.ShardKeys + s.name, Stamp: s.stamp}}, extra...)
+func (n *Controller) putShard(s *shard, next *ledger.Shard, extra []ledger.Compare) {
+	conds := append([]ledger.Compare{{Key: ledger.ShardPrefix + s.name, Version: s.stamp}}, extra...)
 	s.busy = true
-	if next.Owner != n.cfg.Node {
+	if next.Owner != n.cfg.NodeName {
 		s.token = 0 // stop commanding before another may begin
 	}
-	n.commit(ledger.PrioLease, conds, []ledger.Op{{Key: ledger.ShardKeys + s.name, Value: next}}, 3*time.Second, func(err error) {
+	n.commit(ledger.PriorityLease, conds, []ledger.Op{{Key: ledger.ShardPrefix + s.name, Value: next}}, 3*time.Second, func(err error) {
 		s.busy = false
 		if err != nil {
 			n.log.Debug("shard not changed", "shard", s.name, "err", err)
@@ -234,7 +234,7 @@
 
 // otherLive is the live controller beside this one that answers for the fewest
 // machines; empty: none.
-func (n *Node) otherLive() string {
+func (n *Controller) otherLive() string {
 	machines := make(map[string]int)
 	for _, s := range n.shards {
 		if s.rec != nil {
@@ -243,7 +243,7 @@
 	}
 	best := ""
 	for _, name := range n.liveNodes() {
-		if name != n.cfg.Node && (best == "" || machines[name] < machines[best]) {
+		if name != n.cfg.NodeName && (best == "" || machines[name] < machines[best]) {
 			best = name
 		}
 	}
@@ -253,27 +253,27 @@
 // cutOff tells that nearly all of a shard's machines went silent together and the
 // fault seems to be this node's own links. Giving the shard to a node that may reach
 // them keeps their leases alive.
-func (n *Node) cutOff(s *shard, now time.Time) bool {
-	if s.name == n.cfg.Node && now.Sub(s.since) < 3*n.pol.Fence {
+func (n *Controller) cutOff(s *shard, now time.Time) bool {
+	if s.name == n.cfg.NodeName && now.Sub(s.since) < 3*n.pol.FenceAfter {
 		return false // they may be on their way here
 	}
-	return n.otherLive() != "" && n.alone(s, n.pol.Suspect, now)
+	return n.otherLive() != "" && n.alone(s, n.pol.SuspectAfter, now)
 }
 
 // alone tells that the silence of a shard's machines for so long is this node's own.
-func (n *Node) alone(s *shard, than time.Duration, now time.Time) bool {
-	var this recovery.Held
-	var all []recovery.Held
+func (n *Controller) alone(s *shard, than time.Duration, now time.Time) bool {
+	var this recovery.ShardSilence
+	var all []recovery.ShardSilence
 	for _, other := range n.shards {
 		if !n.active(other) {
 			continue
 		}
-		h := recovery.Held{Home: other.name == n.cfg.Node}
+		h := recovery.ShardSilence{Home: other.name == n.cfg.NodeName}
 		for _, m := range other.machines {
 			if m.rep == nil {
 				continue
 			}
-			h.Machines++
+			h.Reporting++
 			if n.silence(m, now) > than {
 				h.Silent++
 				if m.heard.After(other.since) {
@@ -286,18 +286,18 @@
 			this = h
 		}
 	}
-	return recovery.Alone(this, all)
+	return recovery.SelfIsolated(this, all)
 }
 
 // tendLead seeks the lead when nobody has it. The record hangs on the node's
 // lease, so it goes when its holder does.
-func (n *Node) tendLead() {
+func (n *Controller) tendLead() {
 	if n.leadStamp != 0 || n.leadBusy {
 		return
 	}
 	n.leadBusy = true
-	n.commit(ledger.PrioRest, []ledger.Cond{{Key: ledger.LeaderKey, Stamp: 0}},
-		[]ledger.Op{{Key: ledger.LeaderKey, Value: &ledger.Leader{Node: n.cfg.Node, Boot: n.boot.UnixMilli()}, Grant: n.permit}}, 2*time.Second,
+	n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: ledger.LeaderKey, Version: 0}},
+		[]ledger.Op{{Key: ledger.LeaderKey, Value: &ledger.Leader{Node: n.cfg.NodeName, StartedAtMs: n.boot.UnixMilli()}, Lease: n.permit}}, 2*time.Second,
 		func(error) { n.leadBusy = false })
 }
 
@@ -305,19 +305,19 @@
 // node: one left by an earlier process of this node goes with that one's lease,
 // and one made by this process counts even if its commit's answer was lost. A
 // leader that waited for the answer did not lead, and nobody else could.
-func (n *Node) storeLead(r *ledger.Leader, stamp uint64) {
+func (n *Controller) storeLead(r *ledger.Leader, stamp uint64) {
 	n.lead, n.leadStamp, n.leadMine = "", 0, false
 	if r == nil {
 		return
 	}
 	n.lead, n.leadStamp = r.Node, stamp
-	if n.leadMine = r.Node == n.cfg.Node && r.Boot == n.boot.UnixMilli(); n.leadMine {
+	if n.leadMine = r.Node == n.cfg.NodeName && r.StartedAtMs == n.boot.UnixMilli(); n.leadMine {
 		n.log.Info("leading")
 	}
 }
 
 // leading tells whether this process leads, and knows all that earlier leaders
 // recorded.
-func (n *Node) leading() bool {
+func (n *Controller) leading() bool {
 	return n.leadMine && n.permit != 0 && n.epoch >= n.leadStamp
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -19,20 +19,20 @@
 )
 
 // Handle answers a request of the public address.
-func (n *Node) Handle(method, target string, body []byte, reply func(transport.Response)) {
-	route, id := protocol.Match(method, target)
+func (n *Controller) Handle(method, target string, body []byte, reply func(transport.Response)) {
+	route, id := protocol.MatchRoute(method, target)
 	switch route {
-	case protocol.Submit:
+	case protocol.RouteSubmit:
 		n.handleSubmit(body, reply)
-	case protocol.Query:
+	case protocol.RouteQuery:
 		n.handleQuery(id, reply)
-	case protocol.Abort:
+	case protocol.RouteCancel:
 		n.handleAbort(id, reply)
-	case protocol.WorkerReport:
+	case protocol.RouteHeartbeat:
 		n.handleReport(body, reply)
-	case protocol.Ready:
+	case protocol.RouteReady:
 		n.handleReady(reply)
-	case protocol.WrongMethod:
+	case protocol.RouteWrongMethod:
 		reply(transport.Response{Status: 405, Body: []byte(`{"error":"wrong method"}`)})
 	default:
 		reply(transport.Response{Status: 404, Body: []byte(`{"error":"no such path"}`)})
@@ -44,7 +44,7 @@
 	return transport.Response{Status: 400, Body: b}
 }
 
-func jobResponse(status int, a protocol.JobAnswer) transport.Response {
+func jobResponse(status int, a protocol.JobStatus) transport.Response {
 	b, _ := protocol.Encode(a)
 	return transport.Response{Status: status, Body: b}
 }
@@ -55,7 +55,7 @@
 // when it alone is refused by the state service, so that users go where they
 // are served; in an outage that all share, turning away would help nobody, and
 // finished jobs are still answered.
-func (n *Node) handleReady(reply func(transport.Response)) {
+func (n *Controller) handleReady(reply func(transport.Response)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
@@ -68,12 +68,12 @@
 }
 
 // answerOf is what the cache says of a job; known is false if it says nothing.
-func (n *Node) answerOf(ref string) (a protocol.JobAnswer, stamp uint64, final, known bool) {
-	a.Ref, a.Phase = ref, protocol.Pending
+func (n *Controller) answerOf(ref string) (a protocol.JobStatus, stamp uint64, final, known bool) {
+	a.JobID, a.Phase = ref, protocol.JobPending
 	if f, ok := n.final[ref]; ok {
 		a.Phase = f.state
-		if f.state == protocol.Done {
-			a.Done = f.tasks
+		if f.state == protocol.JobDone {
+			a.DoneTasks = f.tasks
 		}
 		return a, f.stamp, true, true
 	}
@@ -84,17 +84,17 @@
 	if j == nil || j.rec == nil {
 		return a, 0, false, false
 	}
-	a.Done, a.Running = j.counts()
+	a.DoneTasks, a.RunningTasks = j.counts()
 	switch {
-	case j.rec.Final():
-		a.Phase, a.Running = j.rec.State, 0
-		if j.rec.State == protocol.Done {
-			a.Done = j.rec.Tasks
+	case j.rec.IsFinal():
+		a.Phase, a.RunningTasks = j.rec.State, 0
+		if j.rec.State == protocol.JobDone {
+			a.DoneTasks = j.rec.Tasks
 		}
-	case a.Running > 0:
-		a.Phase = protocol.Running
+	case a.RunningTasks > 0:
+		a.Phase = protocol.JobRunning
 	}
-	return a, j.stamp, j.rec.Final(), true
+	return a, j.stamp, j.rec.IsFinal(), true
 }
 
 // untold is an answer that waits for the watch.
@@ -110,17 +110,17 @@
 // when nobody else can. Told at once, a claim committed a moment before by an owner that
 // nobody reaches was known to nobody when an outage followed. Within the time given that
 // is known or the user asks again.
-func (n *Node) tell(ref string, status int, within time.Duration, reply func(transport.Response)) {
+func (n *Controller) tell(ref string, status int, within time.Duration, reply func(transport.Response)) {
 	a, stamp, final, _ := n.answerOf(ref)
 	if status == 201 && !final {
-		a = protocol.JobAnswer{Ref: ref, Phase: protocol.Pending}
+		a = protocol.JobStatus{JobID: ref, Phase: protocol.JobPending}
 	}
-	if a.Phase != protocol.Cancelled || n.epoch >= stamp {
+	if a.Phase != protocol.JobCancelled || n.epoch >= stamp {
 		reply(jobResponse(status, a))
 		return
 	}
 	if now := time.Now(); n.stateDown(now) {
-		reply(n.later(ledger.PrioUser, now)) // the watch will not come in time
+		reply(n.later(ledger.PriorityUser, now)) // the watch will not come in time
 		return
 	}
 	n.untold = append(n.untold, untold{stamp, time.Now().Add(within), func(known bool) {
@@ -134,7 +134,7 @@
 
 // tellUntold gives the answers for which the watch has come far enough, or which can't
 // wait any longer.
-func (n *Node) tellUntold(now time.Time) {
+func (n *Controller) tellUntold(now time.Time) {
 	n.untold = slices.DeleteFunc(n.untold, func(u untold) bool {
 		known := n.epoch >= u.epoch
 		if known || now.After(u.until) {
@@ -149,7 +149,7 @@
 // cache suffices; anything else is confirmed by the state service, since
 // another node may have told this user something newer. absent is the answer
 // for a job that was never accepted.
-func (n *Node) confirm(ref string, within time.Duration, absent func(), reply func(transport.Response)) {
+func (n *Controller) confirm(ref string, within time.Duration, absent func(), reply func(transport.Response)) {
 	_, stamp, final, _ := n.answerOf(ref)
 	if final {
 		n.tell(ref, 200, within, reply)
@@ -162,15 +162,15 @@
 		reply(unavailable(1))
 		return
 	case n.stateDown(now):
-		reply(n.later(ledger.PrioUser, now))
+		reply(n.later(ledger.PriorityUser, now))
 		return
 	}
 	var asked recovery.Backlog
-	if asked.Waiting, asked.Rate = n.led.Asked(); asked.Refuse(within) {
-		reply(unavailable(int(asked.ComeBack(n.rng.Float64()) / time.Second)))
+	if asked.Pending, asked.Rate = n.led.ReadBacklog(); asked.ShouldShed(within) {
+		reply(unavailable(int(asked.RetryAfter(n.rng.Float64()) / time.Second)))
 		return
 	}
-	n.commitAt(ledger.PrioUser, []ledger.Cond{{Key: ledger.JobKeys + ref, Stamp: stamp}}, nil, within, func(err error, revision uint64) {
+	n.commitAt(ledger.PriorityUser, []ledger.Compare{{Key: ledger.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
 		switch {
 		case err == nil && n.undecided(ref):
 			n.tellWhenRead(ref, revision, until, reply)
@@ -181,7 +181,7 @@
 			} else {
 				absent()
 			}
-		case errors.Is(err, ledger.ErrConflict):
+		case errors.Is(err, ledger.ErrCompareFailed):
 			// The cache has been refreshed from the state service just now.
 			if _, newer, _, found := n.answerOf(ref); !found || newer == stamp {
 				reply(unavailable(1))
@@ -193,13 +193,13 @@
 			}
 			n.tell(ref, 200, time.Until(until), reply)
 		default:
-			reply(n.later(ledger.PrioUser, time.Now()))
+			reply(n.later(ledger.PriorityUser, time.Now()))
 		}
 	})
 }
 
-func (n *Node) handleQuery(ref string, reply func(transport.Response)) {
-	if !protocol.ValidRef(ref) {
+func (n *Controller) handleQuery(ref string, reply func(transport.Response)) {
+	if !protocol.ValidJobID(ref) {
 		reply(notFound)
 		return
 	}
@@ -208,8 +208,8 @@
 	n.confirm(ref, pollWithin, func() { reply(notFound) }, reply)
 }
 
-func (n *Node) handleSubmit(body []byte, reply func(transport.Response)) {
-	ref, err := protocol.RefOf(body)
+func (n *Controller) handleSubmit(body []byte, reply func(transport.Response)) {
+	ref, err := protocol.ParseJobID(body)
 	if err != nil {
 		reply(badRequest(err))
 		return
@@ -236,7 +236,7 @@
 		n.confirm(ref, submitWithin, func() { reply(transport.Response{Status: 422, Body: b}) }, reply)
 		return
 	}
-	if len(spec.Awaits) > 0 {
+	if len(spec.Dependencies) > 0 {
 		n.acceptWaiting(spec, time.Now().Add(submitWithin), reply)
 		return
 	}
@@ -244,7 +244,7 @@
 }
 
 // cannotRun tells why a job can never run, or "".
-func (n *Node) cannotRun(s *protocol.Submission) string {
+func (n *Controller) cannotRun(s *protocol.Submission) string {
 	team, ok := n.cfg.Teams[s.Team]
 	if !ok {
 		return "unknown team"
@@ -264,10 +264,10 @@
 		return "no allowed machine type has room for a task"
 	}
 	count := float64(s.Tasks)
-	if s.Shape == protocol.Array {
+	if s.Shape == protocol.ShapeArray {
 		count = 1
 	}
-	if (team.CPUsMax > 0 && s.CPUs*count > team.CPUsMax+eps) || (team.GMax > 0 && s.GPUs*count > team.GMax+eps) {
+	if (team.MaxCPUs > 0 && s.CPUs*count > team.MaxCPUs+eps) || (team.MaxGPUs > 0 && s.GPUs*count > team.MaxGPUs+eps) {
 		return "more than the team's limit"
 	}
 	return ""
@@ -276,38 +276,38 @@
 // accept records a job. If this node owns one of the shards chosen for it and
 // there is room, the claim goes into the same transaction and the start
 // follows at once.
-func (n *Node) accept(spec *protocol.Submission, reply func(transport.Response)) {
+func (n *Controller) accept(spec *protocol.Submission, reply func(transport.Response)) {
 	now := time.Now()
-	if b := n.backlog(ledger.PrioUser, now); b.Down || b.Refuse(submitWithin) {
+	if b := n.backlog(ledger.PriorityUser, now); b.Unavailable || b.ShouldShed(submitWithin) {
 		// It would be told so in the end; so it is told at once.
-		reply(n.later(ledger.PrioUser, now))
+		reply(n.later(ledger.PriorityUser, now))
 		return
 	}
 	at := n.chooseShards(spec, now)
-	rec := &ledger.Job{Spec: spec, At: at, Born: now.UnixMilli(), Size: n.chunkSize(spec, at)}
+	rec := &ledger.Job{Spec: spec, Shards: at, AcceptedAtMs: now.UnixMilli(), ChunkSize: n.chunkSize(spec, at)}
 	first := n.claimAtOnce(spec, at, now)
 	for _, name := range at {
 		n.queuedNow[name] += spec.CPUs * float64(spec.Tasks)
 	}
-	n.record(spec.Ref, rec, first, reply)
+	n.record(spec.JobID, rec, first, reply)
 }
 
 // record writes down that a job is accepted, with the claim on it if there is one.
-func (n *Node) record(ref string, rec *ledger.Job, first newClaim, reply func(transport.Response)) {
+func (n *Controller) record(ref string, rec *ledger.Job, first newClaim, reply func(transport.Response)) {
 	until := time.Now().Add(submitWithin)
-	key := ledger.JobKeys + ref
-	conds := append([]ledger.Cond{{Key: key, Stamp: 0}}, first.conds...)
+	key := ledger.JobPrefix + ref
+	conds := append([]ledger.Compare{{Key: key, Version: 0}}, first.conds...)
 	ops := append([]ledger.Op{{Key: key, Value: rec}}, first.ops()...)
-	n.commit(ledger.PrioUser, conds, ops, submitWithin, func(err error) {
+	n.commit(ledger.PriorityUser, conds, ops, submitWithin, func(err error) {
 		first.finish(n, err)
 		switch {
 		case err == nil:
-			n.log.Debug("job accepted", "job", ref, "at", rec.At, "needs", len(rec.Needs), "claimed", first.claim != nil)
+			n.log.Debug("job accepted", "job", ref, "at", rec.Shards, "needs", len(rec.Dependencies), "claimed", first.claim != nil)
 			n.tell(ref, 201, time.Until(until), reply)
 			n.announceNew(key, rec)
-		case errors.Is(err, ledger.ErrTooLarge) && !errors.Is(err, ledger.ErrUnknown):
+		case errors.Is(err, ledger.ErrTooLarge) && !errors.Is(err, ledger.ErrOutcomeUnknown):
 			reply(badRequest(errors.New("the job's record is larger than the state service takes")))
-		case errors.Is(err, ledger.ErrConflict):
+		case errors.Is(err, ledger.ErrCompareFailed):
 			if _, _, final, known := n.answerOf(ref); known {
 				if final {
 					n.tell(ref, 200, time.Until(until), reply)
@@ -320,27 +320,27 @@
 				n.recordPlain(key, rec, reply) // only the claim failed
 				return
 			}
-			reply(n.later(ledger.PrioUser, time.Now()))
+			reply(n.later(ledger.PriorityUser, time.Now()))
 		default:
-			reply(n.later(ledger.PrioUser, time.Now()))
+			reply(n.later(ledger.PriorityUser, time.Now()))
 		}
 	})
 }
 
-func (n *Node) recordPlain(key string, rec *ledger.Job, reply func(transport.Response)) {
-	n.commit(ledger.PrioUser, []ledger.Cond{{Key: key, Stamp: 0}}, []ledger.Op{{Key: key, Value: rec}}, submitWithin/2, func(err error) {
+func (n *Controller) recordPlain(key string, rec *ledger.Job, reply func(transport.Response)) {
+	n.commit(ledger.PriorityUser, []ledger.Compare{{Key: key, Version: 0}}, []ledger.Op{{Key: key, Value: rec}}, submitWithin/2, func(err error) {
 		if err != nil {
-			reply(n.later(ledger.PrioUser, time.Now()))
+			reply(n.later(ledger.PriorityUser, time.Now()))
 			return
 		}
-		n.tell(rec.Spec.Ref, 201, submitWithin/4, reply)
+		n.tell(rec.Spec.JobID, 201, submitWithin/4, reply)
 		n.announce(key)
 	})
 }
 
 // handleAbort commits a cancellation before it is told.
-func (n *Node) handleAbort(ref string, reply func(transport.Response)) {
-	if !protocol.ValidRef(ref) {
+func (n *Controller) handleAbort(ref string, reply func(transport.Response)) {
+	if !protocol.ValidJobID(ref) {
 		reply(notFound)
 		return
 	}
@@ -349,7 +349,7 @@
 	n.abort(ref, time.Now().Add(submitWithin), reply)
 }
 
-func (n *Node) abort(ref string, until time.Time, reply func(transport.Response)) {
+func (n *Controller) abort(ref string, until time.Time, reply func(transport.Response)) {
 	_, stamp, final, known := n.answerOf(ref)
 	left := time.Until(until)
 	switch {
@@ -360,10 +360,10 @@
 		reply(unavailable(1))
 		return
 	case n.stateDown(time.Now()):
-		reply(n.later(ledger.PrioUser, time.Now()))
+		reply(n.later(ledger.PriorityUser, time.Now()))
 		return
 	case !known:
-		n.commit(ledger.PrioUser, []ledger.Cond{{Key: ledger.JobKeys + ref, Stamp: 0}}, nil, left, func(err error) {
+		n.commit(ledger.PriorityUser, []ledger.Compare{{Key: ledger.JobPrefix + ref, Version: 0}}, nil, left, func(err error) {
 			if err == nil {
 				reply(notFound)
 			} else if _, _, _, found := n.answerOf(ref); found {
@@ -375,13 +375,13 @@
 		return
 	}
 	rec := n.cancelledRecord(ref, time.Now())
-	key := ledger.JobKeys + ref
-	n.commit(ledger.PrioUser, []ledger.Cond{{Key: key, Stamp: stamp}}, []ledger.Op{{Key: key, Value: rec}}, left, func(err error) {
+	key := ledger.JobPrefix + ref
+	n.commit(ledger.PriorityUser, []ledger.Compare{{Key: key, Version: stamp}}, []ledger.Op{{Key: key, Value: rec}}, left, func(err error) {
 		switch {
 		case err == nil:
 			n.announce(key)
 			n.tell(ref, 200, time.Until(until), reply)
-		case errors.Is(err, ledger.ErrConflict):
+		case errors.Is(err, ledger.ErrCompareFailed):
 			if _, newer, _, _ := n.answerOf(ref); newer != stamp {
 				n.abort(ref, until, reply)
 				return
@@ -395,12 +395,12 @@
 
 // cancelledRecord is a known job's record once its user has cancelled it. One that waits
 // for others has no tasks, so nobody needs its description any more.
-func (n *Node) cancelledRecord(ref string, now time.Time) *ledger.Job {
-	if w, held := n.pipelines.graph.Get(ref); held {
-		return &ledger.Job{State: protocol.Cancelled, Tasks: w.Spec.Tasks, Ended: now.UnixMilli()}
+func (n *Controller) cancelledRecord(ref string, now time.Time) *ledger.Job {
+	if w, held := n.pipelines.graph.Lookup(ref); held {
+		return &ledger.Job{State: protocol.JobCancelled, Tasks: w.Spec.Tasks, CancelledAtMs: now.UnixMilli()}
 	}
 	rec := *n.jobs[ref].rec
-	rec.State, rec.Tasks, rec.Ended = protocol.Cancelled, rec.Spec.Tasks, now.UnixMilli()
+	rec.State, rec.Tasks, rec.CancelledAtMs = protocol.JobCancelled, rec.Spec.Tasks, now.UnixMilli()
 	return &rec
 }
 
@@ -408,7 +408,7 @@
 // loaded by what runs, what waits there, and what this node has queued there
 // since the shard's latest figure, so that a burst spreads. A shard with room
 // on a machine that holds the image goes first, this node's own before others.
-func (n *Node) chooseShards(s *protocol.Submission, now time.Time) []string {
+func (n *Controller) chooseShards(s *protocol.Submission, now time.Time) []string {
 	type scored struct {
 		name  string
 		score float64
@@ -426,8 +426,8 @@
 		score := 0.5 // unknown or stale: neither sought nor shunned
 		if ok && now.Sub(l.at) < 5*time.Second {
 			total := max(l.load.CPUs, 1)
-			score = (l.load.Used + l.load.Queued + n.queuedNow[name]) / total
-			if l.load.Holds[s.Image]+eps >= s.CPUs {
+			score = (l.load.UsedCPUs + l.load.QueuedCPUs + n.queuedNow[name]) / total
+			if l.load.FreeCPUsByImage[s.Image]+eps >= s.CPUs {
 				score -= 1
 			}
 		}
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/users_test.go
@@ -15,17 +15,17 @@
 	"madderslip/internal/transport"
 )
 
-// asked is a node whose state service takes transactions and answers reads as told.
-type asked struct {
-	idleLedger
+// saturatedReads is a node whose state service takes transactions and answers reads as told.
+type saturatedReads struct {
+	idleStore
 	txn *ledger.Txn
 	now ledger.Item
 	err error
 }
 
-func (a *asked) Submit(t *ledger.Txn)  { a.txn = t }
-func (a *asked) Asked() (int, float64) { return 0, 100 }
-func (a *asked) Get(context.Context, string) (ledger.Item, error) {
+func (a *saturatedReads) Submit(t *ledger.Txn)        { a.txn = t }
+func (a *saturatedReads) ReadBacklog() (int, float64) { return 0, 100 }
+func (a *saturatedReads) Get(context.Context, string) (ledger.Item, error) {
 	return a.now, a.err
 }
 
@@ -34,9 +34,9 @@
 // watch has brought the acceptance, not yet the cancellation. What it then answers is what
 // it has read since the question, or nothing: "pending" would be older than "cancelled".
 func TestAnswersAreNoOlderThanTheQuestion(t *testing.T) {
-	key := ledger.JobKeys + "wk-1"
-	spec := &protocol.Submission{Ref: "wk-1", Team: "open", Shape: protocol.Service, Tasks: 1}
-	raw, err := protocol.Encode(&ledger.Job{Spec: spec, State: protocol.Cancelled, Tasks: 1})
+	key := ledger.JobPrefix + "wk-1"
+	spec := &protocol.Submission{JobID: "wk-1", Team: "open", Shape: protocol.ShapeService, Tasks: 1}
+	raw, err := protocol.Encode(&ledger.Job{Spec: spec, State: protocol.JobCancelled, Tasks: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,24 +47,24 @@
 		status int
 		phase  string
 	}{
-		{"read", ledger.Item{Key: key, Value: raw, Stamp: 8}, nil, 200, protocol.Cancelled},
+		{"read", ledger.Item{Key: key, Value: raw, Version: 8}, nil, 200, protocol.JobCancelled},
 		{"not read", ledger.Item{}, errors.New("no answer"), 503, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				led := &asked{now: c.read, err: c.err}
-				n := New(Options{Settings: protocol.Settings{Node: "n0"}, Ledger: led, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1))})
+				led := &saturatedReads{now: c.read, err: c.err}
+				n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: led, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1))})
 				n.loaded, n.epoch = true, 8
 				var got transport.Response
 				n.handleQuery("wk-1", func(r transport.Response) { got = r })
 				n.mu.Lock()
-				n.store(key, &ledger.Job{Spec: spec, Size: 1}, 7)
+				n.store(key, &ledger.Job{Spec: spec, ChunkSize: 1}, 7)
 				n.mu.Unlock()
-				led.txn.Done(ledger.Result{Err: ledger.ErrConflict, Failed: []string{key}, Epoch: 8})
+				led.txn.OnResult(ledger.Result{Err: ledger.ErrCompareFailed, FailedKeys: []string{key}, Revision: 8})
 				time.Sleep(5 * time.Second)
 				n.mu.Lock()
 				defer n.mu.Unlock()
-				var a protocol.JobAnswer
+				var a protocol.JobStatus
 				if got.Status == 200 && json.Unmarshal(got.Body, &a) != nil {
 					t.Fatal("unreadable", got.Body)
 				}
@@ -82,7 +82,7 @@
 // knows of every claim committed before it, or not at all.
 func TestCancelledIsToldOnceItsClaimsAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := New(Options{Settings: protocol.Settings{Node: "n0"}, Ledger: &asked{}, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1))})
+		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: &saturatedReads{}, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1))})
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.loaded, n.epoch = true, 5
@@ -93,14 +93,14 @@
 		}
 		expect := func(what string, r *transport.Response, status int, phase string) {
 			t.Helper()
-			var a protocol.JobAnswer
+			var a protocol.JobStatus
 			if r.Status != status || (phase != "" && (json.Unmarshal(r.Body, &a) != nil || a.Phase != phase)) {
 				t.Errorf("%s: %d %s, wanted %d %s", what, r.Status, r.Body, status, phase)
 			}
 		}
-		n.store(ledger.JobKeys+"wk-1", &ledger.Job{Spec: &protocol.Submission{Ref: "wk-1", Tasks: 1}, Size: 1}, 6)
-		expect("accepted", answer(), 201, protocol.Pending)
-		n.store(ledger.JobKeys+"wk-1", &ledger.Job{State: protocol.Cancelled, Tasks: 1}, 8)
+		n.store(ledger.JobPrefix+"wk-1", &ledger.Job{Spec: &protocol.Submission{JobID: "wk-1", Tasks: 1}, ChunkSize: 1}, 6)
+		expect("accepted", answer(), 201, protocol.JobPending)
+		n.store(ledger.JobPrefix+"wk-1", &ledger.Job{State: protocol.JobCancelled, Tasks: 1}, 8)
 		first := answer()
 		expect("the watch is behind", first, 0, "")
 		time.Sleep(500 * time.Millisecond)
@@ -111,8 +111,8 @@
 		expect("it still has time", second, 0, "")
 		n.epoch = 8
 		n.tellUntold(time.Now())
-		expect("the watch has come as far", second, 201, protocol.Cancelled)
-		expect("and from then on", answer(), 201, protocol.Cancelled)
+		expect("the watch has come as far", second, 201, protocol.JobCancelled)
+		expect("and from then on", answer(), 201, protocol.JobCancelled)
 		if len(n.untold) != 0 {
 			t.Errorf("%d answers are kept", len(n.untold))
 		}
--- a/internal/coordination/versions_test.go
+++ b/internal/coordination/versions_test.go
@@ -17,12 +17,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var records map[string]json.RawMessage
-	if err := json.Unmarshal(raw, &records); err != nil {
+	var stored map[string]json.RawMessage
+	if err := json.Unmarshal(raw, &stored); err != nil {
 		t.Fatal(err)
 	}
 	kinds := make(map[string]bool)
-	for key, value := range records {
+	for key, value := range stored {
 		rec := blank(key)
 		if rec == nil {
 			t.Errorf("%s: of no known kind", key)
@@ -38,7 +38,7 @@
 		if err != nil || json.Unmarshal(value, &was) != nil || json.Unmarshal(again, &is) != nil || !reflect.DeepEqual(was, is) {
 			t.Errorf("%s: %s, written again %s (%v)", key, value, again, err)
 		}
-		if j, ok := rec.(*ledger.Job); ok && (j.State == ledger.Held || len(j.Needs) > 0 || j.Released != 0) {
+		if j, ok := rec.(*ledger.Job); ok && (j.State == ledger.JobBlocked || len(j.Dependencies) > 0 || j.ReleasedAtMs != 0) {
 			t.Errorf("%s is taken for one that waits", key)
 		}
 	}
@@ -66,7 +66,7 @@
 // TestProductionReadsPipelines: what the version in production makes of the records of
 // jobs that wait, wait no longer, or were cancelled while they waited.
 func TestProductionReadsPipelines(t *testing.T) {
-	spec := &protocol.Submission{Ref: "wk-7", Shape: protocol.Array, Tasks: 3, CPUs: 2}
+	spec := &protocol.Submission{JobID: "wk-7", Shape: protocol.ShapeArray, Tasks: 3, CPUs: 2}
 	read := func(rec *ledger.Job) *formerJob {
 		t.Helper()
 		raw, err := protocol.Encode(rec)
@@ -79,16 +79,16 @@
 		}
 		return &former
 	}
-	held := read(&ledger.Job{State: ledger.Held, Spec: spec, Needs: ledger.Refs{"wk-1", "wk-000002"}, Born: 5})
-	if !held.final() || held.State != protocol.Pending {
+	held := read(&ledger.Job{State: ledger.JobBlocked, Spec: spec, Dependencies: ledger.JobIDs{"wk-1", "wk-000002"}, AcceptedAtMs: 5})
+	if !held.final() || held.State != protocol.JobPending {
 		t.Errorf("a job that waits would be started: %+v", held)
 	}
-	released := read(&ledger.Job{Spec: spec, At: []string{"n0", "n1"}, Born: 5, Released: 9, Size: 3})
+	released := read(&ledger.Job{Spec: spec, Shards: []string{"n0", "n1"}, AcceptedAtMs: 5, ReleasedAtMs: 9, ChunkSize: 3})
 	if released.final() || released.Spec.Tasks != 3 || len(released.At) != 2 || released.Size != 3 {
 		t.Errorf("a released job is no ordinary one: %+v", released)
 	}
-	cancelled := read(&ledger.Job{State: protocol.Cancelled, Tasks: 3, Ended: 9})
-	if !cancelled.final() || cancelled.State != protocol.Cancelled {
+	cancelled := read(&ledger.Job{State: protocol.JobCancelled, Tasks: 3, CancelledAtMs: 9})
+	if !cancelled.final() || cancelled.State != protocol.JobCancelled {
 		t.Errorf("a cancelled job: %+v", cancelled)
 	}
 }
@@ -96,7 +96,7 @@
 // TestNoPipelineBesideOlderVersions: while a live controller does not understand jobs that
 // wait, none is accepted.
 func TestNoPipelineBesideOlderVersions(t *testing.T) {
-	n := &Node{nodes: map[string]nodeSeen{"n0": {waits: understandsPipelines}, "n1": {}}}
+	n := &Controller{nodes: map[string]nodeSeen{"n0": {waits: understandsPipelines}, "n1": {}}}
 	if n.allUnderstandPipelines() {
 		t.Error("accepted beside n1, which does not say that it understands them")
 	}
@@ -104,7 +104,7 @@
 	if !n.allUnderstandPipelines() {
 		t.Error("refused though all understand them")
 	}
-	if (&Node{}).allUnderstandPipelines() {
+	if (&Controller{}).allUnderstandPipelines() {
 		t.Error("accepted before any controller is known, this one included")
 	}
 }
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -27,7 +27,7 @@
 	seen   time.Time            // when this node first saw it
 	ended  time.Time            // when this node saw it final
 	told   map[string]time.Time // cancelled: when another controller last took this one's word
-	ev     evidence.Job         // for and against it, after failures
+	ev     evidence.JobEvidence // for and against it, after failures
 	pause  time.Time            // no start before this: a worker has not heard of it yet
 	lost   map[int]time.Time    // chunks left to another shard until then
 	keys   []string             // of its claims, by chunk; made when first asked for
@@ -45,14 +45,16 @@
 // submitted is when the job was accepted: deadlines count from then, also those of a job
 // that waited for others first.
 func (j *job) submitted() time.Time {
-	if j.rec.Released != 0 {
-		return time.UnixMilli(j.rec.Born)
+	if j.rec.ReleasedAtMs != 0 {
+		return time.UnixMilli(j.rec.AcceptedAtMs)
 	}
 	return j.seen
 }
 
 // queuedAt is when the job was let into the queues.
-func (j *job) queuedAt() time.Time { return time.UnixMilli(max(j.rec.Born, j.rec.Released)) }
+func (j *job) queuedAt() time.Time {
+	return time.UnixMilli(max(j.rec.AcceptedAtMs, j.rec.ReleasedAtMs))
+}
 
 // key is the key of a chunk's claim. Each pass over a queue asks for it, and
 // putting it together anew every time was a tenth of a pass.
@@ -102,17 +104,17 @@
 // halted tells whether a gang's present attempt is being ended. The attempt's
 // number decides: with several owners not each of them sees an attempt's last
 // task go, and a mark that outlived its attempt would end the next one too.
-func (c *claim) halted() bool { return c.rec != nil && c.halt != 0 && c.halt == c.rec.Try }
+func (c *claim) halted() bool { return c.rec != nil && c.halt != 0 && c.halt == c.rec.LastAttempt }
 
 type teamUse struct {
-	rec   ledger.Team
+	rec   ledger.TeamUsage
 	stamp uint64
 	busy  bool
 }
 
 type hire struct {
 	name   string
-	rec    ledger.Hire
+	rec    ledger.Provision
 	stamp  uint64
 	busy   bool
 	next   time.Time
@@ -121,54 +123,54 @@
 
 // store takes a record of the ledger into the cache. Older versions than the
 // cached one are ignored: watch, own commits and reads arrive in any order.
-func (n *Node) store(key string, rec any, stamp uint64) {
+func (n *Controller) store(key string, rec any, stamp uint64) {
 	if stamp <= n.stamps[key] {
 		return
 	}
 	n.stamps[key] = stamp
-	n.led.Saw(key, stamp, rec != nil)
+	n.led.ObserveVersion(key, stamp, rec != nil)
 	switch {
-	case strings.HasPrefix(key, ledger.JobKeys):
+	case strings.HasPrefix(key, ledger.JobPrefix):
 		r, _ := rec.(*ledger.Job)
-		n.storeJob(strings.TrimPrefix(key, ledger.JobKeys), r, stamp)
-	case strings.HasPrefix(key, ledger.ClaimKeys):
+		n.storeJob(strings.TrimPrefix(key, ledger.JobPrefix), r, stamp)
+	case strings.HasPrefix(key, ledger.ClaimPrefix):
 		r, _ := rec.(*ledger.Claim)
 		n.storeClaim(key, r, stamp)
-	case strings.HasPrefix(key, ledger.MachineKeys):
+	case strings.HasPrefix(key, ledger.MachinePrefix):
 		r, _ := rec.(*ledger.Machine)
-		n.storeMachine(strings.TrimPrefix(key, ledger.MachineKeys), r, stamp)
-	case strings.HasPrefix(key, ledger.ShardKeys):
+		n.storeMachine(strings.TrimPrefix(key, ledger.MachinePrefix), r, stamp)
+	case strings.HasPrefix(key, ledger.ShardPrefix):
 		r, _ := rec.(*ledger.Shard)
-		n.storeShard(strings.TrimPrefix(key, ledger.ShardKeys), r, stamp)
-	case strings.HasPrefix(key, ledger.NodeKeys):
+		n.storeShard(strings.TrimPrefix(key, ledger.ShardPrefix), r, stamp)
+	case strings.HasPrefix(key, ledger.NodePrefix):
 		r, _ := rec.(*ledger.Node)
-		n.storeNode(strings.TrimPrefix(key, ledger.NodeKeys), r, stamp)
-	case strings.HasPrefix(key, ledger.TeamKeys):
-		if r, ok := rec.(*ledger.Team); ok && r != nil {
-			t := n.team(strings.TrimPrefix(key, ledger.TeamKeys))
+		n.storeNode(strings.TrimPrefix(key, ledger.NodePrefix), r, stamp)
+	case strings.HasPrefix(key, ledger.TeamUsagePrefix):
+		if r, ok := rec.(*ledger.TeamUsage); ok && r != nil {
+			t := n.team(strings.TrimPrefix(key, ledger.TeamUsagePrefix))
 			t.rec, t.stamp = *r, stamp
 		}
-	case strings.HasPrefix(key, ledger.LimitKeys):
-		r, _ := rec.(*ledger.Limit)
-		n.quota.StoreLimit(strings.TrimPrefix(key, ledger.LimitKeys), r, stamp)
-	case strings.HasPrefix(key, ledger.AllotKeys):
+	case strings.HasPrefix(key, ledger.TeamLimitPrefix):
+		r, _ := rec.(*ledger.TeamLimit)
+		n.quota.ApplyLimit(strings.TrimPrefix(key, ledger.TeamLimitPrefix), r, stamp)
+	case strings.HasPrefix(key, ledger.AllotmentPrefix):
 		r, _ := rec.(*ledger.Allotment)
-		n.quota.StoreAllotment(strings.TrimPrefix(key, ledger.AllotKeys), r, stamp)
-	case strings.HasPrefix(key, ledger.BookKeys):
-		r, _ := rec.(*ledger.Bookings)
-		n.quota.StoreBookings(strings.TrimPrefix(key, ledger.BookKeys), r, stamp)
-	case strings.HasPrefix(key, ledger.HireKeys):
-		r, _ := rec.(*ledger.Hire)
-		n.storeHire(strings.TrimPrefix(key, ledger.HireKeys), r, stamp)
-	case strings.HasPrefix(key, ledger.ImageKeys):
-		r, _ := rec.(*ledger.Images)
+		n.quota.ApplyAllotment(strings.TrimPrefix(key, ledger.AllotmentPrefix), r, stamp)
+	case strings.HasPrefix(key, ledger.ReservationPrefix):
+		r, _ := rec.(*ledger.Reservations)
+		n.quota.ApplyReservations(strings.TrimPrefix(key, ledger.ReservationPrefix), r, stamp)
+	case strings.HasPrefix(key, ledger.ProvisionPrefix):
+		r, _ := rec.(*ledger.Provision)
+		n.storeHire(strings.TrimPrefix(key, ledger.ProvisionPrefix), r, stamp)
+	case strings.HasPrefix(key, ledger.ImagePrefix):
+		r, _ := rec.(*ledger.ImageLocations)
 		n.storeImages(key, r)
-	case strings.HasPrefix(key, ledger.GatherKeys):
-		r, _ := rec.(*ledger.Gather)
-		n.storeGather(strings.TrimPrefix(key, ledger.GatherKeys), r, stamp)
-	case strings.HasPrefix(key, ledger.HoldKeys):
-		r, _ := rec.(*ledger.Hold)
-		n.storeHold(strings.TrimPrefix(key, ledger.HoldKeys), r, stamp)
+	case strings.HasPrefix(key, ledger.GangReservationPrefix):
+		r, _ := rec.(*ledger.GangReservation)
+		n.storeGather(strings.TrimPrefix(key, ledger.GangReservationPrefix), r, stamp)
+	case strings.HasPrefix(key, ledger.GangHoldPrefix):
+		r, _ := rec.(*ledger.GangHold)
+		n.storeHold(strings.TrimPrefix(key, ledger.GangHoldPrefix), r, stamp)
 	case key == ledger.LeaderKey:
 		r, _ := rec.(*ledger.Leader)
 		n.storeLead(r, stamp)
@@ -177,8 +179,8 @@
 }
 
 // take decodes an item of the ledger and stores it.
-func (n *Node) take(it ledger.Item) {
-	if it.Stamp <= n.stamps[it.Key] {
+func (n *Controller) take(it ledger.Item) {
+	if it.Version <= n.stamps[it.Key] {
 		return
 	}
 	var rec any
@@ -192,44 +194,44 @@
 			return
 		}
 	}
-	n.store(it.Key, rec, it.Stamp)
+	n.store(it.Key, rec, it.Version)
 }
 
 func blank(key string) any {
 	switch {
-	case strings.HasPrefix(key, ledger.JobKeys):
+	case strings.HasPrefix(key, ledger.JobPrefix):
 		return new(ledger.Job)
-	case strings.HasPrefix(key, ledger.ClaimKeys):
+	case strings.HasPrefix(key, ledger.ClaimPrefix):
 		return new(ledger.Claim)
-	case strings.HasPrefix(key, ledger.MachineKeys):
+	case strings.HasPrefix(key, ledger.MachinePrefix):
 		return new(ledger.Machine)
-	case strings.HasPrefix(key, ledger.ShardKeys):
+	case strings.HasPrefix(key, ledger.ShardPrefix):
 		return new(ledger.Shard)
-	case strings.HasPrefix(key, ledger.NodeKeys):
+	case strings.HasPrefix(key, ledger.NodePrefix):
 		return new(ledger.Node)
-	case strings.HasPrefix(key, ledger.TeamKeys):
-		return new(ledger.Team)
-	case strings.HasPrefix(key, ledger.LimitKeys):
-		return new(ledger.Limit)
-	case strings.HasPrefix(key, ledger.AllotKeys):
+	case strings.HasPrefix(key, ledger.TeamUsagePrefix):
+		return new(ledger.TeamUsage)
+	case strings.HasPrefix(key, ledger.TeamLimitPrefix):
+		return new(ledger.TeamLimit)
+	case strings.HasPrefix(key, ledger.AllotmentPrefix):
 		return new(ledger.Allotment)
-	case strings.HasPrefix(key, ledger.BookKeys):
-		return new(ledger.Bookings)
-	case strings.HasPrefix(key, ledger.HireKeys):
-		return new(ledger.Hire)
-	case strings.HasPrefix(key, ledger.ImageKeys):
-		return new(ledger.Images)
-	case strings.HasPrefix(key, ledger.GatherKeys):
-		return new(ledger.Gather)
-	case strings.HasPrefix(key, ledger.HoldKeys):
-		return new(ledger.Hold)
+	case strings.HasPrefix(key, ledger.ReservationPrefix):
+		return new(ledger.Reservations)
+	case strings.HasPrefix(key, ledger.ProvisionPrefix):
+		return new(ledger.Provision)
+	case strings.HasPrefix(key, ledger.ImagePrefix):
+		return new(ledger.ImageLocations)
+	case strings.HasPrefix(key, ledger.GangReservationPrefix):
+		return new(ledger.GangReservation)
+	case strings.HasPrefix(key, ledger.GangHoldPrefix):
+		return new(ledger.GangHold)
 	case key == ledger.LeaderKey:
 		return new(ledger.Leader)
 	}
 	return nil
 }
 
-func (n *Node) storeJob(ref string, r *ledger.Job, stamp uint64) {
+func (n *Controller) storeJob(ref string, r *ledger.Job, stamp uint64) {
 	j := n.jobs[ref]
 	if r == nil {
 		return // job records are kept for ever
@@ -238,13 +240,13 @@
 		return
 	}
 	if j == nil {
-		if r.Final() && !n.hasClaims(ref) && !n.mayHaveClaims(r, stamp) {
+		if r.IsFinal() && !n.hasClaims(ref) && !n.mayHaveClaims(r, stamp) {
 			n.remember(ref, r, stamp)
 			return
 		}
 		j = &job{ref: ref, claims: make(map[int]*claim), seen: time.Now(), lost: make(map[int]time.Time)}
 		n.jobs[ref] = j
-		if r.Spec != nil && r.Spec.GPUs > 0 && !r.Final() {
+		if r.Spec != nil && r.Spec.GPUs > 0 && !r.IsFinal() {
 			n.cardsAt = j.seen
 		}
 	}
@@ -255,22 +257,22 @@
 	}
 	j.rec, j.stamp = r, stamp
 	n.hungry[ref] = j
-	n.pressing = n.pressing || (r.Spec != nil && r.Spec.Shape != protocol.Array)
-	if r.Final() && j.ended.IsZero() {
+	n.pressing = n.pressing || (r.Spec != nil && r.Spec.Shape != protocol.ShapeArray)
+	if r.IsFinal() && j.ended.IsZero() {
 		j.ended = time.Now()
 		// What counts is when its user was told, not when this process heard of it:
 		// with every restart in between the machine that kept its tasks was given
 		// the full time again.
-		if at := time.UnixMilli(r.Ended); r.Ended != 0 && at.Before(j.ended) {
+		if at := time.UnixMilli(r.CancelledAtMs); r.CancelledAtMs != 0 && at.Before(j.ended) {
 			j.ended = at
 		}
 	}
-	if r.State == protocol.Cancelled {
+	if r.State == protocol.JobCancelled {
 		n.cancelled[ref] = j
 	}
 	if r.Spec != nil {
 		// From the record: every controller must cut a job the same way.
-		j.size = max(1, r.Size)
+		j.size = max(1, r.ChunkSize)
 		j.chunks = (r.Spec.Tasks + j.size - 1) / j.size
 	}
 	for key, c := range n.orphans[ref] {
@@ -286,9 +288,9 @@
 	n.forgetIfOver(j)
 }
 
-func (n *Node) hasClaims(ref string) bool { return len(n.orphans[ref]) > 0 }
+func (n *Controller) hasClaims(ref string) bool { return len(n.orphans[ref]) > 0 }
 
-func (n *Node) attach(j *job, c *claim) {
+func (n *Controller) attach(j *job, c *claim) {
 	j.claims[c.chunk] = c
 	n.setSpec(c, j.spec())
 }
@@ -296,7 +298,7 @@
 // setSpec gives a claim its job's description. The record of a job that is over may have
 // none: a try under way at a job that another shard has finished lost its own by that,
 // and the process ended when the try failed.
-func (n *Node) setSpec(c *claim, spec *protocol.Submission) {
+func (n *Controller) setSpec(c *claim, spec *protocol.Submission) {
 	if spec != nil && c.spec != spec {
 		c.spec, c.freshSpec = spec, true
 		n.reindex(c)
@@ -304,17 +306,17 @@
 }
 
 // setPend says which version of a claim is being committed, if any.
-func (n *Node) setPend(c *claim, next *ledger.Claim) {
+func (n *Controller) setPend(c *claim, next *ledger.Claim) {
 	c.pend = next
 	n.reindex(c)
 }
 
 // remember keeps only a small entry of a final job.
-func (n *Node) remember(ref string, r *ledger.Job, stamp uint64) {
+func (n *Controller) remember(ref string, r *ledger.Job, stamp uint64) {
 	if len(n.final) >= finalCache {
 		for old := range n.final {
 			delete(n.final, old)
-			delete(n.stamps, ledger.JobKeys+old)
+			delete(n.stamps, ledger.JobPrefix+old)
 			break
 		}
 	}
@@ -334,12 +336,12 @@
 // mayHaveClaims tells that a job's cancellation is known ahead of the watch, which may
 // yet bring claims of it. Forgotten at once, the job had to be read again for them, which
 // nobody can in an outage, and they were minded by nobody.
-func (n *Node) mayHaveClaims(r *ledger.Job, stamp uint64) bool {
-	return n.loaded && r.State == protocol.Cancelled && stamp > n.epoch
+func (n *Controller) mayHaveClaims(r *ledger.Job, stamp uint64) bool {
+	return n.loaded && r.State == protocol.JobCancelled && stamp > n.epoch
 }
 
 // reached takes it that the watch is complete up to a revision.
-func (n *Node) reached(epoch uint64) {
+func (n *Controller) reached(epoch uint64) {
 	n.epoch = max(n.epoch, epoch)
 	for _, ref := range slices.Sorted(maps.Keys(n.ahead)) {
 		if j := n.ahead[ref]; !n.mayHaveClaims(j.rec, j.stamp) {
@@ -350,20 +352,20 @@
 	n.tellUntold(time.Now())
 }
 
-func (n *Node) forgetIfOver(j *job) {
+func (n *Controller) forgetIfOver(j *job) {
 	if n.mayHaveClaims(j.rec, j.stamp) {
 		n.ahead[j.ref] = j
 		return
 	}
-	if j.rec.Final() && len(j.claims) == 0 && n.jobs[j.ref] == j {
+	if j.rec.IsFinal() && len(j.claims) == 0 && n.jobs[j.ref] == j {
 		delete(n.jobs, j.ref)
 		delete(n.cancelled, j.ref)
 		n.remember(j.ref, j.rec, j.stamp)
 	}
 }
 
-func (n *Node) storeClaim(key string, r *ledger.Claim, stamp uint64) {
-	ref, chunk, err := ledger.SplitClaimKey(key)
+func (n *Controller) storeClaim(key string, r *ledger.Claim, stamp uint64) {
+	ref, chunk, err := ledger.ParseClaimKey(key)
 	if err != nil {
 		return
 	}
@@ -392,18 +394,18 @@
 	}
 	c.rec, c.stamp = r, stamp
 	c.ripe = time.Time{}
-	if len(r.Open) > 0 {
+	if len(r.Placements) > 0 {
 		c.bare = time.Time{}
 	}
 	n.reindex(c)
-	if j != nil && j.chunks > 1 && r.Full() {
+	if j != nil && j.chunks > 1 && r.IsComplete() {
 		for _, o := range j.claims {
 			n.mark(o) // the job may be over
 		}
 	}
 }
 
-func (n *Node) unlinkClaim(c *claim) {
+func (n *Controller) unlinkClaim(c *claim) {
 	delete(n.claims, c.key)
 	n.reindex(c)
 	if set := n.orphans[c.ref]; set != nil {
@@ -420,7 +422,7 @@
 	}
 }
 
-func (n *Node) team(name string) *teamUse {
+func (n *Controller) team(name string) *teamUse {
 	t := n.teams[name]
 	if t == nil {
 		t = &teamUse{}
@@ -437,7 +439,7 @@
 )
 
 // wavesOf is how often the placements of a chunk of a job may fill a value.
-func (n *Node) wavesOf(s *protocol.Submission) int {
+func (n *Controller) wavesOf(s *protocol.Submission) int {
 	return max(1, min(mostWaves, int(wavesWithin/max(n.estimate(s), time.Second))))
 }
 
@@ -447,32 +449,32 @@
 // chunks as they well can, since each costs its own writes: as many as they have
 // copies, or fewer where a chunk is small beside the shards that may claim it.
 // On small shards a whole array in one of them waited while others had room.
-func (n *Node) chunkSize(s *protocol.Submission, at []string) int {
+func (n *Controller) chunkSize(s *protocol.Submission, at []string) int {
 	const maxChunks = 24 // finishing a job compares them all
-	if s.Shape != protocol.Array || s.SameZone || s.Spread {
+	if s.Shape != protocol.ShapeArray || s.SameZone || s.SpreadZones {
 		return s.Tasks
 	}
 	cpus := math.Inf(1)
 	for _, name := range at {
 		cpus = min(cpus, n.loads[name].load.CPUs)
 	}
-	small := n.cfg.RecordLimits().MaxOpen()
+	small := n.cfg.RecordLimits().MaxPlacements()
 	if s.CPUs > 0 {
 		small = int(min(float64(small), cpus/4/s.CPUs))
 	}
 	// A chunk has no more placements at a time than fit a value: 25,000 tasks of 4 s in
 	// two chunks took longer than 400 s beside free room, and where values are small an
 	// array of 350 tasks of 25 s ran 138 of them at a time.
-	parts := min(max(1, n.pol.Copies, (s.Tasks-1)/(n.wavesOf(s)*n.cfg.RecordLimits().MaxOpen())+1), maxChunks)
-	return min(s.Tasks, max(n.pol.ChunkTasks, (s.Tasks+parts-1)/parts, small))
+	parts := min(max(1, n.pol.Copies, (s.Tasks-1)/(n.wavesOf(s)*n.cfg.RecordLimits().MaxPlacements())+1), maxChunks)
+	return min(s.Tasks, max(n.pol.TasksPerChunk, (s.Tasks+parts-1)/parts, small))
 }
 
 // counts tells how many tasks of a job are done and running, for display.
 func (j *job) counts() (done, running int) {
 	for _, c := range j.claims {
 		if c.rec != nil {
-			done += c.rec.NumDone()
-			running += len(c.rec.Open)
+			done += c.rec.CompletedCount()
+			running += len(c.rec.Placements)
 		}
 	}
 	return done, running
--- a/internal/coordination/workers.go
+++ b/internal/coordination/workers.go
@@ -25,13 +25,13 @@
 	stamp     uint64
 	adoptedAt time.Time // when this process began to answer for it
 
-	rep     *protocol.Report // the newest, by session and sequence
-	tasks   map[string]*protocol.TaskReport
+	rep     *protocol.Heartbeat // the newest, by session and sequence
+	tasks   map[string]*protocol.TaskStatus
 	heard   time.Time // latest sign of life
 	said    time.Time // when a report of its own last arrived
 	back    time.Time // since when it is heard again, after a silence
 	running map[string]time.Time
-	images  []ledger.ImageUse // most recently used last
+	images  []ledger.CachedImage // most recently used last
 	warned  time.Time
 
 	queue    []protocol.Command // not sent yet
@@ -44,13 +44,13 @@
 	asked      time.Time // when it was last asked for cancelled tasks by a node that may not act for it
 	probing    bool
 	mute       time.Time // when it last failed to answer a direct question
-	hearing    recovery.Hearing
+	hearing    recovery.Reachability
 	returning  bool // a commit or a call to return it is under way
 	returnNext time.Time
 	idleSince  time.Time
-	draining   time.Time        // being emptied since, to be returned
-	ev         evidence.Machine // against it
-	denied     time.Time        // refused a start for want of room: nothing new before
+	draining   time.Time                // being emptied since, to be returned
+	ev         evidence.MachineEvidence // against it
+	denied     time.Time                // refused a start for want of room: nothing new before
 	sick       bool
 	sickAt     time.Time
 	late       bool // it did not come up in time
@@ -86,19 +86,19 @@
 // what it is sent, and each token is shown to every machine of the shard: with sixty
 // machines hanging, several hundred calls went out every few seconds for nothing.
 func (s *shard) wantRaise(m *machine) {
-	if !m.hearing.Doubted() && slices.ContainsFunc(m.unsure, func(u sentStart) bool { return m.heard.After(u.at) }) {
+	if !m.hearing.Suspect() && slices.ContainsFunc(m.unsure, func(u sentStart) bool { return m.heard.After(u.at) }) {
 		s.raise = true
 	}
 }
 
 func (m *machine) address() string {
-	if m.rep != nil && m.rep.Addr != "" {
-		return m.rep.Addr
+	if m.rep != nil && m.rep.Address != "" {
+		return m.rep.Address
 	}
 	return m.listed
 }
 
-func (n *Node) storeMachine(host string, r *ledger.Machine, stamp uint64) {
+func (n *Controller) storeMachine(host string, r *ledger.Machine, stamp uint64) {
 	m := n.machines[host]
 	if r == nil {
 		return // kept as a tombstone: a return is final
@@ -121,12 +121,12 @@
 	if r.State != "" {
 		n.shard(r.Shard).discharge(m)
 	}
-	if r.State == ledger.Returning {
+	if r.State == ledger.MachineReturning {
 		n.returns[host] = m
 	} else {
 		delete(n.returns, host)
 	}
-	if r.State == ledger.Gone {
+	if r.State == ledger.MachineGone {
 		for _, p := range m.use.places {
 			n.mark(p.c)
 		}
@@ -136,7 +136,7 @@
 		if len(m.use.places) == 0 {
 			m.tasks = nil
 		}
-		m.running, m.tried, m.stopped, m.ev = map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}, evidence.Machine{}
+		m.running, m.tried, m.stopped, m.ev = map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}, evidence.MachineEvidence{}
 	}
 }
 
@@ -163,25 +163,25 @@
 
 // observe takes a worker's account, from a report or a direct answer. It
 // returns false when a newer one was seen before, or it may be of a former life.
-func (n *Node) observe(m *machine, r *protocol.Report) bool {
-	if m.rep != nil && (!accountOf(r).Newer(accountOf(m.rep)) || !accountOf(r).Counts(m.floor)) {
+func (n *Controller) observe(m *machine, r *protocol.Heartbeat) bool {
+	if m.rep != nil && (!accountOf(r).Supersedes(accountOf(m.rep)) || !accountOf(r).Valid(m.floor)) {
 		return false
 	}
 	n.takeAccount(m, r)
 	return true
 }
 
-func accountOf(r *protocol.Report) recovery.Account {
-	return recovery.Account{Session: r.Session, Seq: r.Seq, Token: r.Token}
+func accountOf(r *protocol.Heartbeat) recovery.Incarnation {
+	return recovery.Incarnation{AgentEpoch: r.AgentEpoch, Sequence: r.Sequence, FencingToken: r.FencingToken}
 }
 
 // beganAgain takes the first account of a machine's later life, an answer to a
 // direct question. Messages of the former life may still come and look newer: one
 // of them could show a task as ended that runs again. So a higher token is shown,
 // and until then nothing that the machine says counts.
-func (n *Node) beganAgain(s *shard, m *machine, r *protocol.Report) {
-	n.log.Info("machine began again", "host", m.host, "seq", r.Seq, "was", m.rep.Seq, "session", r.Session)
-	m.floor = max(m.floor, m.rep.Token, s.token)
+func (n *Controller) beganAgain(s *shard, m *machine, r *protocol.Heartbeat) {
+	n.log.Info("machine began again", "host", m.host, "seq", r.Sequence, "was", m.rep.Sequence, "session", r.AgentEpoch)
+	m.floor = max(m.floor, m.rep.FencingToken, s.token)
 	s.raise = true
 	m.queue, m.running = nil, make(map[string]time.Time)
 	m.tried, m.stopped = make(map[string]time.Time), make(map[string]time.Time)
@@ -189,34 +189,34 @@
 	n.takeAccount(m, r)
 }
 
-func (n *Node) takeAccount(m *machine, r *protocol.Report) {
+func (n *Controller) takeAccount(m *machine, r *protocol.Heartbeat) {
 	now := time.Now()
 	if m.rep == nil {
 		n.cameUp(m, now)
 	}
-	if m.rep != nil && r.Session > m.rep.Session {
-		m.hearing.Rose(now)
+	if m.rep != nil && r.AgentEpoch > m.rep.AgentEpoch {
+		m.hearing.RecordNewEpoch(now)
 	}
-	anew := m.rep == nil || m.rep.Token != r.Token || m.rep.Session != r.Session
+	anew := m.rep == nil || m.rep.FencingToken != r.FencingToken || m.rep.AgentEpoch != r.AgentEpoch
 	before := m.tasks
-	if n.silence(m, now) > n.pol.Suspect {
+	if n.silence(m, now) > n.pol.SuspectAfter {
 		m.back = now // its reports may take a moment longer than its answers
 	}
 	m.rep, m.heard = r, now
-	m.tasks = make(map[string]*protocol.TaskReport, len(r.Tasks))
+	m.tasks = make(map[string]*protocol.TaskStatus, len(r.Tasks))
 	news := anew || len(before) != len(r.Tasks)
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		m.tasks[t.Task] = t
-		if was := before[t.Task]; was == nil || was.Phase != t.Phase || was.Try != t.Try {
+		if was := before[t.Task]; was == nil || was.Phase != t.Phase || was.Attempt != t.Attempt {
 			news = true
 		}
-		if t.Phase == protocol.TaskRunning || t.Phase == protocol.TaskWaiting {
+		if t.Phase == protocol.TaskRunning || t.Phase == protocol.TaskWaitingForGang {
 			if _, ok := m.running[t.Task]; !ok {
 				m.running[t.Task] = now
-				n.log.Debug("task runs", "task", t.Task, "try", t.Try, "host", m.host)
+				n.log.Debug("task runs", "task", t.Task, "try", t.Attempt, "host", m.host)
 				if spec := n.specOf(t.Task); spec != nil {
-					m.touchImage(spec.Image, spec.ImageGB, n.typeOf(m.rec.Type).CacheGB)
+					m.touchImage(spec.Image, spec.ImageGB, n.typeOf(m.rec.Type).ImageCacheGB)
 				}
 			}
 		}
@@ -226,16 +226,16 @@
 			delete(m.running, task)
 		}
 	}
-	m.unsure = slices.DeleteFunc(m.unsure, func(u sentStart) bool { return r.Token > u.token || r.Session > u.session })
-	if r.WarningS != nil && m.warned.IsZero() {
+	m.unsure = slices.DeleteFunc(m.unsure, func(u sentStart) bool { return r.FencingToken > u.token || r.AgentEpoch > u.session })
+	if r.PreemptionNoticeS != nil && m.warned.IsZero() {
 		m.warned = now
-		n.log.Info("spot notice", "host", m.host, "seconds", *r.WarningS)
+		n.log.Info("spot notice", "host", m.host, "seconds", *r.PreemptionNoticeS)
 	}
 	// Only claims about which the report says something new are looked at, and
 	// those it does not mention.
 	for name, p := range m.use.places {
 		was, is := before[name], m.tasks[name]
-		if anew || is == nil || was == nil || was.Phase != is.Phase || was.Try != is.Try {
+		if anew || is == nil || was == nil || was.Phase != is.Phase || was.Attempt != is.Attempt {
 			n.mark(p.c)
 		}
 	}
@@ -246,15 +246,15 @@
 	}
 }
 
-func (n *Node) specOf(task string) *protocol.Submission {
-	ref, _, ok := protocol.SplitTask(task)
+func (n *Controller) specOf(task string) *protocol.Submission {
+	ref, _, ok := protocol.ParseTaskName(task)
 	if j := n.jobs[ref]; ok && j != nil && j.rec != nil {
 		return j.spec()
 	}
 	return nil
 }
 
-func (n *Node) typeOf(name string) protocol.MachineType {
+func (n *Controller) typeOf(name string) protocol.MachineType {
 	if t := n.types[name]; t != nil {
 		return *t
 	}
@@ -264,18 +264,18 @@
 // settled tells whether a machine's own account shows the current token: then
 // no command of an earlier owner can act any more, and the account is complete.
 func (m *machine) settled(s *shard) bool {
-	return m.rep != nil && s.token != 0 && m.rep.Token >= s.token && accountOf(m.rep).Counts(m.floor)
+	return m.rep != nil && s.token != 0 && m.rep.FencingToken >= s.token && accountOf(m.rep).Valid(m.floor)
 }
 
 // outstanding tells whether a start of this attempt may still be executed.
 func (m *machine) outstanding(task string, try uint64) bool {
-	same := func(c protocol.Command) bool { return c.Verb == "start" && c.Task == task && c.Try == try }
+	same := func(c protocol.Command) bool { return c.Verb == "start" && c.Task == task && c.Attempt == try }
 	return slices.ContainsFunc(m.queue, same) || slices.ContainsFunc(m.inflight, same) ||
 		slices.ContainsFunc(m.unsure, func(u sentStart) bool { return u.task == task && u.try == try })
 }
 
 // order queues commands for a machine until the next flush.
-func (n *Node) order(s *shard, m *machine, cmds ...protocol.Command) {
+func (n *Controller) order(s *shard, m *machine, cmds ...protocol.Command) {
 	if m.rec.State != "" || s.token == 0 || m.address() == "" {
 		return
 	}
@@ -284,7 +284,7 @@
 }
 
 // flush sends what has been ordered: the commands for one machine go together.
-func (n *Node) flush(s *shard) {
+func (n *Controller) flush(s *shard) {
 	machines := slices.SortedFunc(maps.Keys(n.outbox), func(a, b *machine) int { return strings.Compare(a.host, b.host) })
 	clear(n.outbox)
 	for _, m := range machines {
@@ -295,20 +295,20 @@
 const commandTimeout = 3 * time.Second
 
 // send delivers the queued commands, one call at a time for each machine.
-func (n *Node) send(s *shard, m *machine) {
+func (n *Controller) send(s *shard, m *machine) {
 	if m.sending || m.rep == nil {
 		return
 	}
 	m.sending = true
 	m.inflight, m.queue = m.queue, nil
-	body := protocol.DirectCommands{Token: s.token, Session: m.rep.Session, Commands: m.inflight}
+	body := protocol.CommandRequest{FencingToken: s.token, AgentEpoch: m.rep.AgentEpoch, Commands: m.inflight}
 	if body.Commands == nil {
 		body.Commands = []protocol.Command{}
 	}
 	addr, ctx := m.address(), n.ctx
-	n.log.Debug("commands", "host", m.host, "token", body.Token, "orders", body.Commands)
+	n.log.Debug("commands", "host", m.host, "token", body.FencingToken, "orders", body.Commands)
 	go func() {
-		var r protocol.Report
+		var r protocol.Heartbeat
 		status, err := n.call(ctx, addr, "POST", protocol.PathCommands, body, &r, commandTimeout)
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -316,20 +316,20 @@
 	}()
 }
 
-func (n *Node) sent(m *machine, body protocol.DirectCommands, r *protocol.Report, status int, err error) {
+func (n *Controller) sent(m *machine, body protocol.CommandRequest, r *protocol.Heartbeat, status int, err error) {
 	m.sending = false
 	m.inflight = nil
 	switch {
 	case err != nil && !errors.Is(err, transport.ErrNotSent), err == nil && status != 200 && status != 409:
 		n.log.Debug("commands of unknown fate", "host", m.host, "status", status, "err", err)
-		m.hearing.Failed(time.Now(), m.heard)
+		m.hearing.RecordFailure(time.Now(), m.heard)
 		for _, c := range body.Commands {
 			if c.Verb == "start" {
-				m.unsure = append(m.unsure, sentStart{c.Task, c.Try, body.Token, body.Session, time.Now()})
+				m.unsure = append(m.unsure, sentStart{c.Task, c.Attempt, body.FencingToken, body.AgentEpoch, time.Now()})
 			}
 		}
 	case err == nil && r.Host == m.host:
-		m.hearing.Answered(time.Now())
+		m.hearing.RecordAnswer(time.Now())
 		n.observe(m, r)
 	}
 	if s := n.shards[m.rec.Shard]; len(m.queue) > 0 && s != nil && s.token != 0 && m.rec.State == "" {
@@ -342,7 +342,7 @@
 
 // steward sends a worker to another controller.
 func steward(node string) transport.Response {
-	b, _ := json.Marshal(protocol.Steward{Node: node})
+	b, _ := json.Marshal(protocol.Redirect{Node: node})
 	return transport.Response{Status: 421, Body: b}
 }
 
@@ -351,8 +351,8 @@
 }
 
 // handleReport answers a worker.
-func (n *Node) handleReport(body []byte, reply func(transport.Response)) {
-	r, err := protocol.ParseReport(body)
+func (n *Controller) handleReport(body []byte, reply func(transport.Response)) {
+	r, err := protocol.ParseHeartbeat(body)
 	if err != nil {
 		reply(badRequest(err))
 		return
@@ -364,7 +364,7 @@
 	reply(resp)
 }
 
-func (n *Node) report(r *protocol.Report) transport.Response {
+func (n *Controller) report(r *protocol.Heartbeat) transport.Response {
 	if !n.loaded {
 		if kept, ok := n.keepUnread(r, time.Now()); ok {
 			return kept
@@ -374,7 +374,7 @@
 	m := n.machines[r.Host]
 	if m == nil {
 		n.adopt(r.Host, r.Type, r.Zone, r.Spot)
-		if _, live := n.nodes[n.lead]; live && n.lead != n.cfg.Node {
+		if _, live := n.nodes[n.lead]; live && n.lead != n.cfg.NodeName {
 			return steward(n.lead)
 		}
 		return unavailable(1)
@@ -387,7 +387,7 @@
 		return steward(s.heir)
 	}
 	if s == nil || s.token == 0 {
-		if s != nil && s.rec != nil && s.rec.Owner != n.cfg.Node {
+		if s != nil && s.rec != nil && s.rec.Owner != n.cfg.NodeName {
 			if kept, ok := n.keepLease(s, r, time.Now()); ok {
 				return kept
 			}
@@ -397,16 +397,16 @@
 		}
 		return unavailable(1)
 	}
-	if r.Token > s.token {
+	if r.FencingToken > s.token {
 		// Someone else owns the shard by now. A 200 would hold the worker here
 		// while its lease runs out.
 		return misdirected
 	}
-	doubtful := m.rep != nil && recovery.Doubtful(accountOf(m.rep), accountOf(r))
+	doubtful := m.rep != nil && recovery.MayBeRestarted(accountOf(m.rep), accountOf(r))
 	if doubtful && !m.probing {
 		n.probe(m)
 	}
-	answer := protocol.ReportAnswer{Token: s.token, Commands: []protocol.Command{}}
+	answer := protocol.HeartbeatResponse{FencingToken: s.token, Commands: []protocol.Command{}}
 	// What a message from who knows when says is no ground for orders, and what was
 	// said before it may be of a former life.
 	if !doubtful && n.observe(m, r) {
@@ -425,9 +425,9 @@
 // housekeeping is what a report's answer orders: an end to what should not
 // run, and the reaping of what has exited and is booked. Commands in answers
 // are never executed late, which is why reaps go nowhere else.
-func (n *Node) housekeeping(s *shard, m *machine) []protocol.Command {
+func (n *Controller) housekeeping(s *shard, m *machine) []protocol.Command {
 	var out []protocol.Command
-	if !m.settled(s) && m.rep.Token != 0 && m.rep.Token < s.token {
+	if !m.settled(s) && m.rep.FencingToken != 0 && m.rep.FencingToken < s.token {
 		// The worker has yet to show the token; wait for its next account.
 		return nil
 	}
@@ -435,34 +435,34 @@
 	for i := range m.rep.Tasks {
 		t := &m.rep.Tasks[i]
 		c, p := n.placementOf(m, t.Task)
-		if p != nil && p.Try == t.Try {
-			if grace, stop := n.wantStop(c, p, now); stop && t.Phase != protocol.TaskExited && (t.Phase != protocol.TaskSaving || grace == 0) {
-				out = append(out, protocol.Stop(t.Task, t.Try, grace))
-			} else if !stop && t.Phase == protocol.TaskExited && t.Cause == protocol.CauseIncomplete && !m.outstanding(t.Task, t.Try) {
-				out = append(out, protocol.Reap(t.Task, t.Try)) // to start again
+		if p != nil && p.Attempt == t.Attempt {
+			if grace, stop := n.wantStop(c, p, now); stop && t.Phase != protocol.TaskExited && (t.Phase != protocol.TaskCheckpointing || grace == 0) {
+				out = append(out, protocol.StopCommand(t.Task, t.Attempt, grace))
+			} else if !stop && t.Phase == protocol.TaskExited && t.Cause == protocol.CauseGangTimeout && !m.outstanding(t.Task, t.Attempt) {
+				out = append(out, protocol.ReapCommand(t.Task, t.Attempt)) // to start again
 			}
 			continue
 		}
 		if t.Phase != protocol.TaskExited {
-			out = append(out, protocol.Stop(t.Task, t.Try, 0))
+			out = append(out, protocol.StopCommand(t.Task, t.Attempt, 0))
 			continue
 		}
-		if m.outstanding(t.Task, t.Try) {
+		if m.outstanding(t.Task, t.Attempt) {
 			s.wantRaise(m)
 			continue
 		}
-		out = append(out, protocol.Reap(t.Task, t.Try))
+		out = append(out, protocol.ReapCommand(t.Task, t.Attempt))
 	}
 	return out
 }
 
 // placementOf finds the claim of a reported task and its placement on a host.
-func (n *Node) placementOf(m *machine, task string) (*claim, *ledger.Placement) {
+func (n *Controller) placementOf(m *machine, task string) (*claim, *ledger.Placement) {
 	host := m.host
 	if p := m.use.places[task]; p != nil && p.c.pend == nil {
-		return p.c, &ledger.Placement{Task: p.task, Try: p.try, Host: host}
+		return p.c, &ledger.Placement{Task: p.task, Attempt: p.try, Host: host}
 	}
-	ref, num, ok := protocol.SplitTask(task)
+	ref, num, ok := protocol.ParseTaskName(task)
 	j := n.jobs[ref]
 	if !ok || j == nil || j.size == 0 {
 		return nil, nil
@@ -475,9 +475,9 @@
 		if rec == nil {
 			continue
 		}
-		for i := range rec.Open {
-			if rec.Open[i].Task == num && rec.Open[i].Host == host {
-				return c, &rec.Open[i]
+		for i := range rec.Placements {
+			if rec.Placements[i].Task == num && rec.Placements[i].Host == host {
+				return c, &rec.Placements[i]
 			}
 		}
 	}
@@ -487,14 +487,14 @@
 // adopt notes a machine that nobody expected. The leader alone records such
 // machines: several nodes that choose shards at once, each blind to the others,
 // would all put theirs into the same one.
-func (n *Node) adopt(host, typ, zone string, loaner bool) {
+func (n *Controller) adopt(host, typ, zone string, loaner bool) {
 	if _, seen := n.unknown[host]; !seen && n.leading() {
 		n.unknown[host] = unknownHost{first: time.Now(), kind: machineKind{typ, zone, loaner}}
 	}
 }
 
 // adoptKnown records the machines noted, all of a kind together.
-func (n *Node) adoptKnown(now time.Time) {
+func (n *Controller) adoptKnown(now time.Time) {
 	hosts := make(map[machineKind][]string)
 	for host, u := range n.unknown {
 		// The answer to a hire may just be on its way; it knows better.
@@ -515,10 +515,10 @@
 	}
 }
 
-func (n *Node) adoptGroup(kind machineKind, hosts []string, now time.Time) {
+func (n *Controller) adoptGroup(kind machineKind, hosts []string, now time.Time) {
 	n.fleet.counter++
-	name := fmt.Sprintf("%s-%d-%d", n.cfg.Node, n.boot.UnixMilli(), n.fleet.counter)
-	rec := &ledger.Hire{Hire: protocol.Hire{Name: name, Type: kind.typ, Zone: kind.zone, Spot: kind.loaner, Count: len(hosts)}, Born: now.UnixMilli()}
+	name := fmt.Sprintf("%s-%d-%d", n.cfg.NodeName, n.boot.UnixMilli(), n.fleet.counter)
+	rec := &ledger.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: name, Type: kind.typ, Zone: kind.zone, Spot: kind.loaner, Count: len(hosts)}, RequestedAtMs: now.UnixMilli()}
 	byShard := make(map[string][]string)
 	for _, host := range hosts {
 		shard := n.smallestShard(kind.zone, kind.typ)
@@ -527,7 +527,7 @@
 	}
 	for _, shard := range slices.Sorted(maps.Keys(byShard)) {
 		for _, host := range byShard[shard] {
-			rec.Share(shard)
+			rec.Allocate(shard)
 			rec.Hosts = append(rec.Hosts, host)
 		}
 	}
@@ -535,24 +535,24 @@
 	// is recorded first, this fails. If this comes first, the hire's record gets a
 	// new version, and an answer that was about to be recorded, or is recorded
 	// late, fails: else a machine is put into two shards, with two owners.
-	conds := []ledger.Cond{{Key: ledger.LeaderKey, Stamp: n.leadStamp}, {Key: ledger.HireKeys + name, Stamp: 0}}
-	ops := []ledger.Op{{Key: ledger.HireKeys + name, Value: rec}}
+	conds := []ledger.Compare{{Key: ledger.LeaderKey, Version: n.leadStamp}, {Key: ledger.ProvisionPrefix + name, Version: 0}}
+	ops := []ledger.Op{{Key: ledger.ProvisionPrefix + name, Value: rec}}
 	for _, name := range slices.Sorted(maps.Keys(n.hires)) {
 		if h := n.hires[name]; h.stamp != 0 && h.rec.Type == kind.typ && h.rec.Zone == kind.zone && h.rec.Spot == kind.loaner {
 			again := h.rec
-			conds = append(conds, ledger.Cond{Key: ledger.HireKeys + h.name, Stamp: h.stamp})
-			ops = append(ops, ledger.Op{Key: ledger.HireKeys + h.name, Value: &again})
+			conds = append(conds, ledger.Compare{Key: ledger.ProvisionPrefix + h.name, Version: h.stamp})
+			ops = append(ops, ledger.Op{Key: ledger.ProvisionPrefix + h.name, Value: &again})
 		}
 	}
-	if len(ops) > n.cfg.RecordLimits().TxnOps {
+	if len(ops) > n.cfg.RecordLimits().MaxTxnOps {
 		for _, host := range hosts {
 			delete(n.unknown, host) // until fewer hires are without an answer
 		}
 		return
 	}
-	n.commit(ledger.PrioLease, conds, ops, 5*time.Second, func(err error) {
+	n.commit(ledger.PriorityLease, conds, ops, 5*time.Second, func(err error) {
 		if err == nil {
-			n.log.Info("machines adopted", "hosts", len(hosts), "type", kind.typ, "zone", kind.zone, "parts", rec.Parts)
+			n.log.Info("machines adopted", "hosts", len(hosts), "type", kind.typ, "zone", kind.zone, "parts", rec.Allocations)
 		}
 		for _, host := range hosts {
 			delete(n.unknown, host)
@@ -562,7 +562,7 @@
 
 // smallestShard is the shard with the fewest machines of a zone and type, the
 // one with the least room among equals.
-func (n *Node) smallestShard(zone, typ string) string {
+func (n *Controller) smallestShard(zone, typ string) string {
 	cpus, like := make(map[string]float64), make(map[string]int)
 	for _, s := range n.shards {
 		for k, count := range s.kinds {
@@ -573,7 +573,7 @@
 		}
 	}
 	for _, h := range n.hires {
-		for _, p := range h.rec.Parts {
+		for _, p := range h.rec.Allocations {
 			cpus[p.Shard] += n.typeOf(h.rec.Type).CPUs * float64(p.Count)
 			if h.rec.Zone == zone && h.rec.Type == typ {
 				like[p.Shard] += p.Count
@@ -599,7 +599,7 @@
 	return best
 }
 
-func (n *Node) shardNames() []string {
+func (n *Controller) shardNames() []string {
 	names := make([]string, 0, len(n.shards))
 	for name := range n.shards {
 		names = append(names, name)
@@ -609,15 +609,15 @@
 }
 
 // listensSince is from when on this process was there to hear a machine's reports.
-func (n *Node) listensSince(m *machine) time.Time {
-	if woke := n.beat.Woke(); woke.After(m.adoptedAt) {
+func (n *Controller) listensSince(m *machine) time.Time {
+	if woke := n.beat.ResumedAt(); woke.After(m.adoptedAt) {
 		return woke
 	}
 	return m.adoptedAt
 }
 
 // hearsSince is from when on this process has heard a machine, by its answers at least.
-func (n *Node) hearsSince(m *machine) time.Time {
+func (n *Controller) hearsSince(m *machine) time.Time {
 	if from := n.listensSince(m); from.After(m.back) {
 		return from
 	}
@@ -625,12 +625,12 @@
 }
 
 // mute tells that a machine answers at best, and does not report.
-func (n *Node) mute(m *machine, now time.Time) bool {
-	return recovery.Mute(m.said, n.hearsSince(m), now, n.cfg.Workers.Lease)
+func (n *Controller) mute(m *machine, now time.Time) bool {
+	return recovery.CannotReport(m.said, n.hearsSince(m), now, n.cfg.Workers.LeaseDuration)
 }
 
 // silence is how long a machine has given no sign of life to this owner.
-func (n *Node) silence(m *machine, now time.Time) time.Duration {
+func (n *Controller) silence(m *machine, now time.Time) time.Duration {
 	since := m.heard
 	if from := n.listensSince(m); from.After(since) {
 		since = from // its silence while this process stood still is this process's own
@@ -639,7 +639,7 @@
 }
 
 // probeLoop asks silent machines directly and fences those that stay silent.
-func (n *Node) probeLoop(ctx context.Context) {
+func (n *Controller) probeLoop(ctx context.Context) {
 	for n.pause(ctx, 300*time.Millisecond) {
 		n.mu.Lock()
 		now := time.Now()
@@ -659,43 +659,43 @@
 	}
 }
 
-func (n *Node) tendMachine(s *shard, m *machine, now time.Time) {
+func (n *Controller) tendMachine(s *shard, m *machine, now time.Time) {
 	quiet := n.silence(m, now)
 	if m.rep == nil {
 		// Not heard by this process yet: it may be booting, or report elsewhere.
-		if m.listed != "" && quiet > n.pol.Suspect && !m.probing {
+		if m.listed != "" && quiet > n.pol.SuspectAfter && !m.probing {
 			n.probe(m)
 		}
-		if quiet > n.fenceAfter(m, 2*n.pol.Fence, now) && len(m.use.places) > 0 && !m.returning {
+		if quiet > n.fenceAfter(m, 2*n.pol.FenceAfter, now) && len(m.use.places) > 0 && !m.returning {
 			n.log.Info("fencing a machine that does not come to its new owner", "host", m.host)
 			n.returnMachine(s, m)
 		}
 		return
 	}
 	// A mute one tells only when asked that its lease has ended, with what it ran.
-	if (quiet > n.pol.Probe || m.hearing.Ask(now, m.heard) || (quiet > n.cfg.Workers.Report/2 && n.mute(m, now))) && !m.probing {
+	if (quiet > n.pol.ProbeAfter || m.hearing.ShouldProbe(now, m.heard) || (quiet > n.cfg.Workers.HeartbeatInterval/2 && n.mute(m, now))) && !m.probing {
 		n.probe(m)
 	}
 	s.wantRaise(m)
-	if recovery.Useless(m.said, n.hearsSince(m), now, n.cfg.Workers.Lease) && quiet <= n.pol.Suspect && !m.returning && !n.ownFault(s, now) && !n.stateDown(now) && m.showsNone() {
+	if recovery.Unreachable(m.said, n.hearsSince(m), now, n.cfg.Workers.LeaseDuration) && quiet <= n.pol.SuspectAfter && !m.returning && !n.ownFault(s, now) && !n.stateDown(now) && m.showsNone() {
 		// It answers, but its lease ends again and again, with all that it is given.
 		n.log.Info("fencing a machine whose reports do not arrive", "host", m.host)
 		n.returnMachine(s, m)
 		return
 	}
-	if m.hearing.Deaf() && !m.settled(s) && !m.returning && len(m.use.places) > 0 && !n.stateDown(now) && m.showsNone() {
+	if m.hearing.CannotReceive() && !m.settled(s) && !m.returning && len(m.use.places) > 0 && !n.stateDown(now) && m.showsNone() {
 		// It can't be shown the token, so nothing it says proves anything, and what was
 		// placed there is not there any more: its lease has run out while it did not hear.
 		n.log.Info("fencing a machine that does not hear and has lost what it ran", "host", m.host)
 		n.returnMachine(s, m)
 		return
 	}
-	fence := n.pol.Fence
-	if quiet > n.pol.FenceUp && m.runsReplicas() {
-		fence = n.pol.FenceUp
+	fence := n.pol.FenceAfter
+	if quiet > n.pol.FenceReplicasAfter && m.runsReplicas() {
+		fence = n.pol.FenceReplicasAfter
 	}
 	if !m.warned.IsZero() {
-		fence = n.pol.Suspect // it was announced to go
+		fence = n.pol.SuspectAfter // it was announced to go
 	}
 	fence = n.fenceAfter(m, fence, now)
 	// A direct question must have failed since: reports alone may be held up.
@@ -727,7 +727,7 @@
 // do not all look silent for as long: each has its own beat. More than a beat
 // without hearing from nearly all of them tells it, before the first is due for
 // fencing.
-func (n *Node) ownFault(s *shard, now time.Time) bool {
+func (n *Controller) ownFault(s *shard, now time.Time) bool {
 	if !s.weighedAlone.Equal(now) { // once for all machines that one pass looks at
 		s.weighedAlone, s.alone = now, n.otherLive() != "" && n.alone(s, n.reportBeat(), now)
 	}
@@ -740,18 +740,18 @@
 
 // probe asks a machine for its account. An answer proves it alive even when
 // its reports do not arrive.
-func (n *Node) probe(m *machine) {
+func (n *Controller) probe(m *machine) {
 	m.probing = true
 	addr, ctx, began, before := m.address(), n.ctx, time.Now(), m.rep
 	go func() {
-		var r protocol.Report
-		status, err := n.call(ctx, addr, "GET", protocol.PathShow, nil, &r, probeTimeout)
+		var r protocol.Heartbeat
+		status, err := n.call(ctx, addr, "GET", protocol.PathStatus, nil, &r, probeTimeout)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		m.probing = false
 		if err == nil && status == 200 && r.Host == m.host {
-			m.hearing.Answered(time.Now())
-			if s := n.shards[m.rec.Shard]; before != nil && m.rep != nil && m.rec.State == "" && recovery.BeganAgain(accountOf(before), accountOf(&r)) {
+			m.hearing.RecordAnswer(time.Now())
+			if s := n.shards[m.rec.Shard]; before != nil && m.rep != nil && m.rec.State == "" && recovery.HasRestarted(accountOf(before), accountOf(&r)) {
 				n.beganAgain(s, m, &r)
 			} else {
 				n.observe(m, &r)
@@ -760,7 +760,7 @@
 			// earlier owner, which the state service and the others do not reach. Once
 			// it has seen the token, no answer of that one counts any more.
 			s := n.shards[m.rec.Shard]
-			if n.active(s) && m.rec.State == "" && r.Token < s.token {
+			if n.active(s) && m.rec.State == "" && r.FencingToken < s.token {
 				n.send(s, m)
 			}
 			if !n.active(s) {
@@ -769,9 +769,9 @@
 			return
 		}
 		n.look(time.Now())
-		if began.After(n.beat.Woke()) {
+		if began.After(n.beat.ResumedAt()) {
 			m.mute = time.Now() // else nobody was there to hear the answer
-			m.hearing.Failed(m.mute, m.heard)
+			m.hearing.RecordFailure(m.mute, m.heard)
 		}
 	}()
 }
--- a/internal/evidence/evidence_test.go
+++ b/internal/evidence/evidence_test.go
@@ -11,24 +11,24 @@
 // court is some jobs and machines, and a story told to them line by line.
 type court struct {
 	now      time.Time
-	jobs     map[string]*Job
-	machines map[string]*Machine
+	jobs     map[string]*JobEvidence
+	machines map[string]*MachineEvidence
 }
 
 func newCourt() *court {
-	return &court{now: time.Unix(1000, 0), jobs: make(map[string]*Job), machines: make(map[string]*Machine)}
+	return &court{now: time.Unix(1000, 0), jobs: make(map[string]*JobEvidence), machines: make(map[string]*MachineEvidence)}
 }
 
-func (c *court) job(ref string) *Job {
+func (c *court) job(ref string) *JobEvidence {
 	if c.jobs[ref] == nil {
-		c.jobs[ref] = &Job{}
+		c.jobs[ref] = &JobEvidence{}
 	}
 	return c.jobs[ref]
 }
 
-func (c *court) machine(host string) *Machine {
+func (c *court) machine(host string) *MachineEvidence {
 	if c.machines[host] == nil {
-		c.machines[host] = &Machine{}
+		c.machines[host] = &MachineEvidence{}
 	}
 	return c.machines[host]
 }
@@ -36,21 +36,21 @@
 // fails has a task of a job that ran for a second fail on machines.
 func (c *court) fails(ref string, hosts ...string) {
 	for _, host := range hosts {
-		c.job(ref).Failed(host, sec, 0.5, c.now)
-		c.machine(host).Failed(ref, c.now.Add(-sec), c.now)
+		c.job(ref).RecordFailure(host, sec, 0.5, c.now)
+		c.machine(host).RecordFailure(ref, c.now.Add(-sec), c.now)
 	}
 }
 
 func (c *court) runsWell(ref, host string) {
-	if c.job(ref).Outlasts(20 * sec) {
-		c.job(ref).Well(c.now)
+	if c.job(ref).OutlastsFailures(20 * sec) {
+		c.job(ref).Succeeded(c.now)
 	}
-	c.machine(host).Well(c.now.Add(-20 * sec))
+	c.machine(host).Succeeded(c.now.Add(-20 * sec))
 }
 
 func (c *court) sick() (out []string) {
 	for _, host := range []string{"a", "b", "c", "d"} {
-		if _, sick := c.machine(host).Sick(func(ref string) Standing { return c.job(ref).Standing(c.now) }, c.now); sick {
+		if _, sick := c.machine(host).Quarantine(func(ref string) Verdict { return c.job(ref).Verdict(c.now) }, c.now); sick {
 			out = append(out, host)
 		}
 	}
@@ -130,7 +130,7 @@
 		c.story(court)
 		got := fmt.Sprint(court.sick())
 		for _, ref := range []string{"bad", "broken", "good", "late", "other", "wrong"} {
-			if court.job(ref).Standing(court.now) == Suspect {
+			if court.job(ref).Verdict(court.now) == Suspect {
 				got += " " + ref
 			}
 		}
@@ -144,29 +144,29 @@
 // and at once again when something of it went well.
 func TestTriesBecomeRarer(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var j Job
+	var j JobEvidence
 	var pauses []time.Duration
 	for i := range 9 {
-		j.Failed(fmt.Sprint("m", i), sec, 0.5, now)
-		j.Failed(fmt.Sprint("n", i), sec, 0.5, now) // of the same try
-		if !j.Waits(now) || j.Waits(j.next) {
+		j.RecordFailure(fmt.Sprint("m", i), sec, 0.5, now)
+		j.RecordFailure(fmt.Sprint("n", i), sec, 0.5, now) // of the same try
+		if !j.InBackoff(now) || j.InBackoff(j.retryAt) {
 			t.Fatal("a try is not put off until its time")
 		}
-		pauses = append(pauses, j.next.Sub(now))
-		now = j.next
+		pauses = append(pauses, j.retryAt.Sub(now))
+		now = j.retryAt
 	}
 	if got, want := fmt.Sprint(pauses), "[2s 4s 8s 16s 30s 30s 30s 30s 30s]"; got != want {
 		t.Errorf("pauses %s, wanted %s", got, want)
 	}
-	if early, late := (&Job{}), (&Job{}); true {
-		early.Failed("a", sec, 0, now)
-		late.Failed("a", sec, 0.99, now)
-		if late.next.Sub(early.next) < sec {
+	if early, late := (&JobEvidence{}), (&JobEvidence{}); true {
+		early.RecordFailure("a", sec, 0, now)
+		late.RecordFailure("a", sec, 0.99, now)
+		if late.retryAt.Sub(early.retryAt) < sec {
 			t.Error("jobs that fail together are tried together")
 		}
 	}
-	j.Well(now)
-	if j.Waits(now) || j.Standing(now) != Sound {
+	j.Succeeded(now)
+	if j.InBackoff(now) || j.Verdict(now) != Healthy {
 		t.Error("a job that went well still waits")
 	}
 }
--- a/internal/ledger/codec_test.go
+++ b/internal/ledger/codec_test.go
@@ -50,8 +50,8 @@
 // without go generate would be lost without a word. Each is compared with what
 // the standard library makes of the same fields, and read back.
 func TestGeneratedCodeIsCurrent(t *testing.T) {
-	for _, msg := range []any{&protocol.Submission{}, &protocol.JobAnswer{}, &protocol.TaskReport{}, &protocol.Report{}, &protocol.Command{},
-		&protocol.ReportAnswer{}, &protocol.DirectCommands{}, &protocol.PeerMessage{}, &Job{}, &Machine{}, &Hire{}, &Part{},
+	for _, msg := range []any{&protocol.Submission{}, &protocol.JobStatus{}, &protocol.TaskStatus{}, &protocol.Heartbeat{}, &protocol.Command{},
+		&protocol.HeartbeatResponse{}, &protocol.CommandRequest{}, &protocol.PeerMessage{}, &Job{}, &Machine{}, &Provision{}, &Allocation{},
 		&wireList{}, &wireWatch{}, &wireMulti{}, &wireResult{}} {
 		typ := reflect.TypeOf(msg).Elem()
 		t.Run(typ.Name(), func(t *testing.T) {
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -12,28 +12,28 @@
 	"madderslip/internal/protocol"
 )
 
-// Cond requires a key to have a version; 0: that it does not exist.
-type Cond struct {
-	Key   string
-	Stamp uint64
+// Compare requires a key to have a version; 0: that it does not exist.
+type Compare struct {
+	Key     string
+	Version uint64
 }
 
 // Op sets a key, or drops it when Value is nil.
 type Op struct {
 	Key   string
 	Value any
-	Grant uint64
+	Lease uint64
 }
 
 // Priorities of transactions under scarcity, the first most urgent.
 const (
-	PrioLease = iota
-	PrioUser
-	PrioClaim
-	PrioArray // claims of arrays, which may wait a little where others may not
-	PrioDone
-	PrioRest
-	prios // how many there are
+	PriorityLease = iota
+	PriorityUser
+	PriorityClaim
+	PriorityArrayClaim // claims of arrays, which may wait a little where others may not
+	PriorityCompletion
+	PriorityBackground
+	priorityCount // how many there are
 )
 
 // spent is what one priority has used of the budgets since it was last logged.
@@ -49,29 +49,29 @@
 	if now.Sub(c.told) < tellEvery {
 		return
 	}
-	var waiting [prios]int
+	var waiting [priorityCount]int
 	for _, t := range c.pending {
-		waiting[t.Prio]++
+		waiting[t.Priority]++
 	}
 	of := func(k int) slog.Attr {
 		return slog.Group([]string{"lease", "user", "claim", "array", "done", "rest"}[k], "changes", c.spent[k].changes, "failed", c.spent[k].failed, "waiting", waiting[k])
 	}
 	if !c.told.IsZero() {
-		c.log.Info("state service budget", "seconds", int(now.Sub(c.told).Seconds()), of(PrioLease), of(PrioUser), of(PrioClaim), of(PrioArray), of(PrioDone), of(PrioRest),
+		c.log.Info("state service budget", "seconds", int(now.Sub(c.told).Seconds()), of(PriorityLease), of(PriorityUser), of(PriorityClaim), of(PriorityArrayClaim), of(PriorityCompletion), of(PriorityBackground),
 			"inflight", c.inflight)
 	}
-	c.told, c.spent = now, [prios]spent{}
+	c.told, c.spent = now, [priorityCount]spent{}
 }
 
 // Txn is one small transaction. Several are sent together; a failed condition
 // of one does not sink its neighbours. Each must be conditional on versions
 // that make it harmless when it is applied late or twice.
 type Txn struct {
-	Conds    []Cond
+	Compares []Compare
 	Ops      []Op
-	Prio     int
+	Priority int
 	Deadline time.Time
-	Done     func(Result)
+	OnResult func(Result)
 
 	raw     []wireOp
 	since   time.Time
@@ -82,12 +82,12 @@
 	unsure  bool // an earlier sending got no answer
 }
 
-// Result tells what became of a transaction. After ErrConflict or ErrUnknown
+// Result tells what became of a transaction. After ErrCompareFailed or ErrOutcomeUnknown
 // the caller reads the keys again and decides anew.
 type Result struct {
-	Err    error
-	Epoch  uint64
-	Failed []string
+	Err        error
+	Revision   uint64
+	FailedKeys []string
 }
 
 // The odd nanoseconds keep apart what would else come at the same instant: nobody could
@@ -109,26 +109,26 @@
 	for _, op := range t.Ops {
 		w := wireOp{}
 		if op.Value == nil {
-			w.Drop = root + op.Key
+			w.Drop = keyRoot + op.Key
 		} else {
 			raw, err := protocol.Encode(op.Value)
 			if err != nil {
 				c.log.Error("record cannot be written", "key", op.Key, "err", err)
-				go t.Done(Result{Err: ErrInvalid})
+				go t.OnResult(Result{Err: ErrInvalid})
 				return
 			}
 			t.largest = max(t.largest, len(raw))
-			w.Set, w.Value, w.Permit = root+op.Key, raw, op.Grant
+			w.Set, w.Value, w.Permit = keyRoot+op.Key, raw, op.Lease
 		}
 		t.size += len(w.Value) + len(op.Key) + 48
 		t.raw = append(t.raw, w)
 	}
-	for _, cond := range t.Conds {
+	for _, cond := range t.Compares {
 		t.size += len(cond.Key) + 48
 	}
 	if !t.fitsIn(c.lim.sizes()) {
 		c.log.Info("transaction is larger than the state service takes", "keys", keysOf(t), "changes", len(t.Ops), "bytes", t.largest)
-		go t.Done(Result{Err: ErrTooLarge})
+		go t.OnResult(Result{Err: ErrTooLarge})
 		return
 	}
 	t.since = time.Now()
@@ -164,11 +164,11 @@
 	}
 	go func() {
 		for _, t := range list {
-			err := ErrRefused
+			err := ErrNotExecuted
 			if t.unsure {
-				err = ErrUnknown
+				err = ErrOutcomeUnknown
 			}
-			t.Done(Result{Err: err})
+			t.OnResult(Result{Err: err})
 		}
 	}()
 }
@@ -266,7 +266,7 @@
 		// Comparisons alone, for users' polls, cost a request each time and
 		// no change: many go together, even if they wait a moment for that.
 		age := now.Sub(oldest)
-		due := (age >= pollGather || reads >= 2*c.lim.sizes().TxnOps) && c.reading < maxReading
+		due := (age >= pollGather || reads >= 2*c.lim.sizes().MaxTxnOps) && c.reading < maxReading
 		// By turns with changes: users who ask many times as often as usual would take
 		// every request, and acceptance and claims would wait behind their questions.
 		if due && !c.readLast {
@@ -310,9 +310,9 @@
 	return batch
 }
 
-// Asked is how many questions wait and how many a second are answered at least:
+// ReadBacklog is how many questions wait and how many a second are answered at least:
 // half of the requests carry as many as fit one.
-func (c *Client) Asked() (waiting int, rate float64) {
+func (c *Client) ReadBacklog() (waiting int, rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, t := range c.pending {
@@ -320,7 +320,7 @@
 			waiting++
 		}
 	}
-	return waiting, float64(c.reqs.Limit()) / 2 * float64(condsPerOp*c.lim.sizes().TxnOps)
+	return waiting, float64(c.reqs.Limit()) / 2 * float64(condsPerOp*c.lim.sizes().MaxTxnOps)
 }
 
 func waitFor(missing float64, limit rate.Limit) time.Duration {
@@ -331,9 +331,9 @@
 // waits for that for ever.
 func (c *Client) reserve(t *Txn, now time.Time) float64 {
 	switch t.rank(now) {
-	case PrioRest:
+	case PriorityBackground:
 		return float64(c.writes.Burst()) * 0.5
-	case PrioDone:
+	case PriorityCompletion:
 		return float64(c.writes.Burst()) * 0.25
 	}
 	return 0
@@ -341,19 +341,19 @@
 
 // rank is a transaction's priority, raised by waiting as far as a claim's.
 func (t *Txn) rank(now time.Time) int {
-	if t.Prio <= PrioClaim {
-		return t.Prio
+	if t.Priority <= PriorityClaim {
+		return t.Priority
 	}
-	return max(PrioClaim, t.Prio-int(now.Sub(t.since)/patience))
+	return max(PriorityClaim, t.Priority-int(now.Sub(t.since)/patience))
 }
 
-// Waiting counts the transactions of a priority that wait for the budget.
-func (c *Client) Waiting(prio int) int {
+// HasPending counts the transactions of a priority that wait for the budget.
+func (c *Client) HasPending(prio int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := 0
 	for _, t := range c.pending {
-		if t.Prio == prio {
+		if t.Priority == prio {
 			k++
 		}
 	}
@@ -369,26 +369,26 @@
 	reads := 0
 	for _, t := range c.pending {
 		switch {
-		case t.Prio > prio:
+		case t.Priority > prio:
 		case len(t.Ops) == 0:
 			reads++
 		default:
 			changes += len(t.Ops)
 		}
 	}
-	return changes + reads/max(1, c.lim.sizes().TxnOps), float64(c.writes.Limit())
+	return changes + reads/max(1, c.lim.sizes().MaxTxnOps), float64(c.writes.Limit())
 }
 
-// Saw tells of a version of a key seen elsewhere. Transactions that wait and
+// ObserveVersion tells of a version of a key seen elsewhere. Transactions that wait and
 // depend on an older one have failed already; sending them would only spend
 // the budget, which failing changes take from as much as others.
-func (c *Client) Saw(key string, stamp uint64, exists bool) {
+func (c *Client) ObserveVersion(key string, stamp uint64, exists bool) {
 	c.mu.Lock()
 	var doomed []*Txn
 	c.pending = slices.DeleteFunc(c.pending, func(t *Txn) bool {
 		// One whose fate is unknown may itself have made that version.
 		// A key that has gone suits those that want it absent.
-		if t.unsure || !slices.ContainsFunc(t.Conds, func(d Cond) bool { return d.Stamp < stamp && d.Key == key && (exists || d.Stamp != 0) }) {
+		if t.unsure || !slices.ContainsFunc(t.Compares, func(d Compare) bool { return d.Version < stamp && d.Key == key && (exists || d.Version != 0) }) {
 			return false
 		}
 		doomed = append(doomed, t)
@@ -400,7 +400,7 @@
 	}
 	go func() { // the caller may hold a lock that Done takes
 		for _, t := range doomed {
-			t.Done(Result{Err: ErrConflict, Epoch: stamp, Failed: []string{key}})
+			t.OnResult(Result{Err: ErrCompareFailed, Revision: stamp, FailedKeys: []string{key}})
 		}
 	}()
 }
@@ -425,7 +425,7 @@
 func (c *Client) pick(reads bool, budget float64, now time.Time) ([]*Txn, int) {
 	var batch, rest []*Txn
 	ops, size := 0, 0
-	most := c.lim.sizes().TxnOps
+	most := c.lim.sizes().MaxTxnOps
 	conds := make(map[string]uint64)
 	written := make(map[string]bool)
 	spent := false
@@ -440,8 +440,8 @@
 		batch = append(batch, t)
 		ops += len(t.Ops)
 		size += t.size
-		for _, cond := range t.Conds {
-			conds[cond.Key] = cond.Stamp
+		for _, cond := range t.Compares {
+			conds[cond.Key] = cond.Version
 		}
 		for _, op := range t.Ops {
 			written[op.Key] = true
@@ -451,7 +451,7 @@
 		c.pending = rest
 		c.inflight++
 		for _, t := range batch {
-			c.spent[t.Prio].changes += len(t.Ops)
+			c.spent[t.Priority].changes += len(t.Ops)
 		}
 	}
 	return batch, ops
@@ -468,10 +468,10 @@
 		return false
 	}
 	extra := 0
-	for _, cond := range t.Conds {
+	for _, cond := range t.Compares {
 		if stamp, ok := conds[cond.Key]; !ok {
 			extra++
-		} else if stamp != cond.Stamp {
+		} else if stamp != cond.Version {
 			return false
 		}
 	}
@@ -490,16 +490,16 @@
 	body := &wireMulti{If: []wireCond{}, Writes: []wireOp{}}
 	seen := make(map[string]bool)
 	for _, t := range batch {
-		for _, cond := range t.Conds {
+		for _, cond := range t.Compares {
 			if !seen[cond.Key] {
 				seen[cond.Key] = true
-				body.If = append(body.If, wireCond{root + cond.Key, cond.Stamp})
+				body.If = append(body.If, wireCond{keyRoot + cond.Key, cond.Version})
 			}
 		}
 		body.Writes = append(body.Writes, t.raw...)
 	}
 	var out wireResult
-	status, err := c.call(ctx, "POST", protocol.PathMulti, body, &out, txnTimeout)
+	status, err := c.call(ctx, "POST", protocol.PathTransactions, body, &out, txnTimeout)
 	c.settle(ctx, batch, status, out, err)
 	c.mu.Lock()
 	c.inflight--
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -16,20 +16,20 @@
 // JSON writers in use spell differently.
 func kinds() []golden.Kind {
 	return []golden.Kind{
-		{Name: "record-node", Value: &Node{Teams: 1<<64 - 1}},
+		{Name: "record-node", Value: &Node{TeamsHash: 1<<64 - 1}},
 		{Name: "record-shard", Value: &Shard{}},
 		{Name: "record-machine", Value: &Machine{}},
 		{Name: "record-job", Value: &Job{}},
-		{Name: "record-claim", Value: &Claim{Done: Bitmap{0b10110011, 0, 0xff, 1}}},
-		{Name: "record-team", Value: &Team{}},
-		{Name: "record-limit", Value: &Limit{Max: [2]float64{1e6, 1e-7}}},
+		{Name: "record-claim", Value: &Claim{Completed: Bitmap{0b10110011, 0, 0xff, 1}}},
+		{Name: "record-team", Value: &TeamUsage{}},
+		{Name: "record-limit", Value: &TeamLimit{Max: [2]float64{1e6, 1e-7}}},
 		{Name: "record-allotment", Value: &Allotment{}},
-		{Name: "record-bookings", Value: &Bookings{}},
-		{Name: "record-hire", Value: &Hire{}},
-		{Name: "record-hire-part", Value: &Part{}},
-		{Name: "record-images", Value: &Images{GB: []float64{1e6, 1e-7}}},
-		{Name: "record-gather", Value: &Gather{}},
-		{Name: "record-hold", Value: &Hold{}},
+		{Name: "record-bookings", Value: &Reservations{}},
+		{Name: "record-hire", Value: &Provision{}},
+		{Name: "record-hire-part", Value: &Allocation{}},
+		{Name: "record-images", Value: &ImageLocations{SizesGB: []float64{1e6, 1e-7}}},
+		{Name: "record-gather", Value: &GangReservation{}},
+		{Name: "record-hold", Value: &GangHold{}},
 		{Name: "record-lead", Value: &Leader{}},
 		{Name: "state-list", Value: &wireList{}},
 		{Name: "state-watch", Value: &wireWatch{}},
@@ -46,11 +46,11 @@
 
 // TestGoldenKeys: the keys of records are spelled as by 096baff.
 func TestGoldenKeys(t *testing.T) {
-	keys := []string{root, NodeKeys, ShardKeys, MachineKeys, JobKeys, ClaimKeys, TeamKeys, LimitKeys, AllotKeys, BookKeys,
-		HireKeys, ImageKeys, GatherKeys, HoldKeys, LeaderKey, ClaimKey("wk-000412", 0), ClaimKey("wk-7", 12)}
+	keys := []string{keyRoot, NodePrefix, ShardPrefix, MachinePrefix, JobPrefix, ClaimPrefix, TeamUsagePrefix, TeamLimitPrefix, AllotmentPrefix, ReservationPrefix,
+		ProvisionPrefix, ImagePrefix, GangReservationPrefix, GangHoldPrefix, LeaderKey, ClaimKey("wk-000412", 0), ClaimKey("wk-7", 12)}
 	golden.CheckText(t, "keys.txt", strings.Join(keys, "\n")+"\n")
 	for key, want := range map[string]int{ClaimKey("wk-000412", 0): 0, ClaimKey("wk-000412", 12): 12} {
-		if ref, chunk, err := SplitClaimKey(key); err != nil || ref != "wk-000412" || chunk != want {
+		if ref, chunk, err := ParseClaimKey(key); err != nil || ref != "wk-000412" || chunk != want {
 			t.Errorf("%s: %q %d %v", key, ref, chunk, err)
 		}
 	}
@@ -71,15 +71,15 @@
 // paths with the same bodies as 096baff, and read the same answers.
 func TestGoldenCalls(t *testing.T) {
 	service := &recorder{answer: `{"value":{"n":1},"stamp":7,"permit":8,"items":[],"truncated":false,"epoch":9,"news":[]}`}
-	client := New(service, "127.0.0.1:1", protocol.StateLimits{RPS: 1000, WriteRPS: 1000, ValueBytes: 8192, TxnOps: 12}, slog.New(slog.DiscardHandler))
+	client := New(service, "127.0.0.1:1", protocol.StateLimits{RequestRate: 1000, WriteRate: 1000, MaxValueBytes: 8192, MaxTxnOps: 12}, slog.New(slog.DiscardHandler))
 	ctx := context.Background()
-	if item, err := client.Get(ctx, ClaimKey("wk-7", 1)); err != nil || string(item.Value) != `{"n":1}` || item.Stamp != 7 {
+	if item, err := client.Get(ctx, ClaimKey("wk-7", 1)); err != nil || string(item.Value) != `{"n":1}` || item.Version != 7 {
 		t.Errorf("%+v %v", item, err)
 	}
-	if lease, err := client.Grant(ctx, 2500*time.Millisecond); err != nil || lease != 8 {
+	if lease, err := client.GrantLease(ctx, 2500*time.Millisecond); err != nil || lease != 8 {
 		t.Errorf("%d %v", lease, err)
 	}
-	if err := client.Extend(ctx, 8); err != nil {
+	if err := client.KeepAlive(ctx, 8); err != nil {
 		t.Error(err)
 	}
 	if _, epoch, err := client.List(ctx); err != nil || epoch != 9 {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -36,7 +36,7 @@
 	results := make(map[string]error)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		c := New(s, "x", protocol.StateLimits{RPS: 100, WriteRPS: 100, ValueBytes: 64, TxnOps: 4}, slog.New(slog.DiscardHandler))
+		c := New(s, "x", protocol.StateLimits{RequestRate: 100, WriteRate: 100, MaxValueBytes: 64, MaxTxnOps: 4}, slog.New(slog.DiscardHandler))
 		go c.Run(ctx)
 		var mu sync.Mutex
 		submit(c, func(name string) func(Result) {
@@ -50,14 +50,14 @@
 }
 
 func set(key string, stamp uint64, done func(Result)) *Txn {
-	return &Txn{Conds: []Cond{{key, stamp}}, Ops: []Op{{Key: key, Value: 1}}, Prio: PrioRest, Done: done}
+	return &Txn{Compares: []Compare{{key, stamp}}, Ops: []Op{{Key: key, Value: 1}}, Priority: PriorityBackground, OnResult: done}
 }
 
 // A failed condition must not sink its neighbours in the same request.
 func TestConflictSparesNeighbours(t *testing.T) {
 	s := &script{answer: func(n int, body string) (int, string, error) {
-		if strings.Contains(body, root+"b") {
-			return 409, `{"failed":["` + root + `b"],"epoch":5}`, nil
+		if strings.Contains(body, keyRoot+"b") {
+			return 409, `{"failed":["` + keyRoot + `b"],"epoch":5}`, nil
 		}
 		return 200, `{"epoch":6}`, nil
 	}}
@@ -66,7 +66,7 @@
 			c.Submit(set(key, 0, done(key)))
 		}
 	})
-	if got["a"] != nil || got["c"] != nil || !errors.Is(got["b"], ErrConflict) || len(s.bodies) != 2 {
+	if got["a"] != nil || got["c"] != nil || !errors.Is(got["b"], ErrCompareFailed) || len(s.bodies) != 2 {
 		t.Fatalf("%v after %d requests", got, len(s.bodies))
 	}
 }
@@ -78,10 +78,10 @@
 		if n == 1 {
 			return 0, "", errors.New("timeout")
 		}
-		return 409, `{"failed":["` + root + `a"],"epoch":5}`, nil
+		return 409, `{"failed":["` + keyRoot + `a"],"epoch":5}`, nil
 	}}
 	got := run(t, s, func(c *Client, done func(string) func(Result)) { c.Submit(set("a", 0, done("a"))) })
-	if !errors.Is(got["a"], ErrConflict) || len(s.bodies) != 2 || s.bodies[0] != s.bodies[1] {
+	if !errors.Is(got["a"], ErrCompareFailed) || len(s.bodies) != 2 || s.bodies[0] != s.bodies[1] {
 		t.Fatalf("%v, requests %v", got, s.bodies)
 	}
 }
@@ -96,7 +96,7 @@
 		late.Deadline = time.Now().Add(time.Second)
 		c.Submit(late)
 	})
-	if !errors.Is(got["big"], ErrInvalid) || !errors.Is(got["late"], ErrRefused) {
+	if !errors.Is(got["big"], ErrInvalid) || !errors.Is(got["late"], ErrNotExecuted) {
 		t.Fatal(got)
 	}
 	s = &script{answer: func(_ int, body string) (int, string, error) {
@@ -122,7 +122,7 @@
 	run(t, s, func(c *Client, done func(string) func(Result)) {
 		c.Submit(set("a", 1, done("1")))
 		c.Submit(set("a", 2, done("2")))
-		c.Submit(&Txn{Conds: []Cond{{"a", 3}}, Prio: PrioUser, Done: done("3")})
+		c.Submit(&Txn{Compares: []Compare{{"a", 3}}, Priority: PriorityUser, OnResult: done("3")})
 	})
 	if len(s.bodies) != 3 {
 		t.Fatalf("%d requests: %v", len(s.bodies), s.bodies)
@@ -130,9 +130,9 @@
 }
 
 func TestClaimRecord(t *testing.T) {
-	c := &Claim{Shard: "s", First: 16, Count: 10, Open: []Placement{{Task: 17, Try: 3, Host: "vm-1"}}}
+	c := &Claim{Shard: "s", FirstTask: 16, TaskCount: 10, Placements: []Placement{{Task: 17, Attempt: 3, Host: "vm-1"}}}
 	for _, task := range []int{16, 25, 20} {
-		c.SetDone(task)
+		c.MarkCompleted(task)
 	}
 	raw, err := json.Marshal(c)
 	if err != nil {
@@ -142,7 +142,7 @@
 	if err := json.Unmarshal(raw, &d); err != nil {
 		t.Fatal(err)
 	}
-	if d.NumDone() != 3 || !d.IsDone(25) || d.IsDone(17) || d.IsDone(15) || d.Full() || d.Open[0] != c.Open[0] {
+	if d.CompletedCount() != 3 || !d.IsCompleted(25) || d.IsCompleted(17) || d.IsCompleted(15) || d.IsComplete() || d.Placements[0] != c.Placements[0] {
 		t.Fatalf("%s -> %+v", raw, d)
 	}
 }
@@ -153,18 +153,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		s := &script{answer: func(int, string) (int, string, error) { return 200, `{"epoch":6}`, nil }}
-		c := New(s, "x", protocol.StateLimits{RPS: 100, WriteRPS: 4, ValueBytes: 64, TxnOps: 8}, slog.New(slog.DiscardHandler))
+		c := New(s, "x", protocol.StateLimits{RequestRate: 100, WriteRate: 4, MaxValueBytes: 64, MaxTxnOps: 8}, slog.New(slog.DiscardHandler))
 		go c.Run(ctx)
 		began := time.Now()
 		var took time.Duration
 		var mu sync.Mutex
 		for i := range 200 {
-			c.Submit(&Txn{Ops: []Op{{Key: "d" + string(rune('a'+i%26)) + string(rune('a'+i/26)), Value: 1}}, Prio: PrioDone, Done: func(Result) {}})
+			c.Submit(&Txn{Ops: []Op{{Key: "d" + string(rune('a'+i%26)) + string(rune('a'+i/26)), Value: 1}}, Priority: PriorityCompletion, OnResult: func(Result) {}})
 		}
 		time.Sleep(10 * time.Second)
 		began = time.Now()
 		ops := []Op{{Key: "u1", Value: 1}, {Key: "u2", Value: 1}, {Key: "u3", Value: 1}, {Key: "u4", Value: 1}}
-		c.Submit(&Txn{Ops: ops, Prio: PrioUser, Done: func(Result) { mu.Lock(); took = time.Since(began); mu.Unlock() }})
+		c.Submit(&Txn{Ops: ops, Priority: PriorityUser, OnResult: func(Result) { mu.Lock(); took = time.Since(began); mu.Unlock() }})
 		time.Sleep(10 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
@@ -185,14 +185,14 @@
 		c.Submit(set("a", 0, done("a")))
 		c.Submit(set("b", 0, done("b")))
 		c.Submit(set("c", 3, done("c")))
-		c.Saw("a", 7, true)
-		c.Saw("b", 7, false)
-		c.Saw("c", 3, true)
+		c.ObserveVersion("a", 7, true)
+		c.ObserveVersion("b", 7, false)
+		c.ObserveVersion("c", 3, true)
 	})
-	if !errors.Is(got["a"], ErrConflict) || got["b"] != nil || got["c"] != nil {
+	if !errors.Is(got["a"], ErrCompareFailed) || got["b"] != nil || got["c"] != nil {
 		t.Fatalf("%v", got)
 	}
-	if sent := strings.Join(s.bodies, ""); strings.Contains(sent, root+"a") {
+	if sent := strings.Join(s.bodies, ""); strings.Contains(sent, keyRoot+"a") {
 		t.Fatal("sent ", sent)
 	}
 }
@@ -209,21 +209,21 @@
 	got := run(t, s, func(c *Client, done func(string) func(Result)) {
 		c.Submit(set("a", 1, done("a")))
 		leased := set("b", 1, done("b"))
-		leased.Ops[0].Grant = 7
+		leased.Ops[0].Lease = 7
 		c.Submit(leased)
 		c.Submit(set("c", 1, done("c")))
 	})
-	if got["a"] != nil || !errors.Is(got["b"], ErrNoGrant) || got["c"] != nil || len(s.bodies) != 2 {
+	if got["a"] != nil || !errors.Is(got["b"], ErrLeaseExpired) || got["c"] != nil || len(s.bodies) != 2 {
 		t.Fatalf("%v in %d requests: %v", got, len(s.bodies), s.bodies)
 	}
 }
 
 // A chunk of any legal size fits a small value.
 func TestBitmapIsShort(t *testing.T) {
-	c := &Claim{Count: protocol.MaxTasks}
+	c := &Claim{TaskCount: protocol.MaxTasks}
 	for task := range protocol.MaxTasks {
 		if task%700 != 3 {
-			c.SetDone(task)
+			c.MarkCompleted(task)
 		}
 	}
 	raw, err := json.Marshal(c)
@@ -231,8 +231,8 @@
 		t.Fatal(len(raw), err)
 	}
 	var back Claim
-	if err := json.Unmarshal(raw, &back); err != nil || back.NumDone() != c.NumDone() || back.IsDone(703) || !back.IsDone(704) {
-		t.Fatal(back.NumDone(), c.NumDone(), err)
+	if err := json.Unmarshal(raw, &back); err != nil || back.CompletedCount() != c.CompletedCount() || back.IsCompleted(703) || !back.IsCompleted(704) {
+		t.Fatal(back.CompletedCount(), c.CompletedCount(), err)
 	}
 	for _, bad := range []string{`{"d":[5,3]}`, `{"d":[1,2,2]}`, `{"d":[-1,3]}`, `{"d":[0,900000]}`, `{"o":[[1,2]]}`, `{"o":[[1,2,"a",4]]}`, `{"n":1}x`} {
 		if err := json.Unmarshal([]byte(bad), new(Claim)); err == nil {
@@ -244,10 +244,10 @@
 // The records stay as they are on disk, whatever code writes them: controllers
 // of two versions run side by side while one after the other is restarted.
 func TestClaimOnTheWire(t *testing.T) {
-	c := &Claim{Shard: "n0", First: 2, Count: 9, Open: []Placement{{Task: 4, Try: 3, Host: "vm-1"}, {Task: 10, Try: 2, Host: "vm-2"}}, Try: 3}
-	c.SetDone(2)
-	c.SetDone(3)
-	c.SetDone(9)
+	c := &Claim{Shard: "n0", FirstTask: 2, TaskCount: 9, Placements: []Placement{{Task: 4, Attempt: 3, Host: "vm-1"}, {Task: 10, Attempt: 2, Host: "vm-2"}}, LastAttempt: 3}
+	c.MarkCompleted(2)
+	c.MarkCompleted(3)
+	c.MarkCompleted(9)
 	const want = `{"h":"n0","f":2,"n":9,"d":[0,2,7,8],"o":[[4,3,"vm-1"],[10,2,"vm-2"]],"a":3}`
 	raw, err := protocol.Encode(c)
 	if err != nil || string(raw) != want {
@@ -260,16 +260,16 @@
 	if again, _ := protocol.Encode(&back); string(again) != want {
 		t.Fatal(string(again))
 	}
-	if raw, _ := protocol.Encode(&Claim{Count: 1}); string(raw) != `{"h":"","n":1}` {
+	if raw, _ := protocol.Encode(&Claim{TaskCount: 1}); string(raw) != `{"h":"","n":1}` {
 		t.Fatal(string(raw))
 	}
 }
 
 // One record stands for all machines of a hire, whatever their shards.
 func TestHireParts(t *testing.T) {
-	var h Hire
+	var h Provision
 	for _, shard := range []string{"x", "y", "x", "z"} {
-		h.Share(shard)
+		h.Allocate(shard)
 	}
 	got := ""
 	for i := range 4 {
@@ -295,8 +295,8 @@
 		run(t, s, func(c *Client, done func(string) func(Result)) {
 			for i := range 400 { // a storm of questions for 10 s
 				for k := range 20 {
-					c.Submit(&Txn{Conds: []Cond{{Key: fmt.Sprint("q", i, "-", k), Stamp: 1}}, Prio: PrioUser, Deadline: time.Now().Add(1700 * time.Millisecond),
-						Done: func(r Result) {
+					c.Submit(&Txn{Compares: []Compare{{Key: fmt.Sprint("q", i, "-", k), Version: 1}}, Priority: PriorityUser, Deadline: time.Now().Add(1700 * time.Millisecond),
+						OnResult: func(r Result) {
 							if r.Err == nil {
 								asked.Add(1)
 							}
@@ -304,7 +304,7 @@
 				}
 				if i == 200 {
 					began := time.Now()
-					c.Submit(&Txn{Conds: []Cond{{Key: "a"}}, Ops: []Op{{Key: "a", Value: 1}}, Prio: PrioArray, Done: func(Result) { waited = time.Since(began) }})
+					c.Submit(&Txn{Compares: []Compare{{Key: "a"}}, Ops: []Op{{Key: "a", Value: 1}}, Priority: PriorityArrayClaim, OnResult: func(Result) { waited = time.Since(began) }})
 				}
 				time.Sleep(25 * time.Millisecond)
 			}
--- a/internal/ledger/limits.go
+++ b/internal/ledger/limits.go
@@ -33,7 +33,7 @@
 func (l *limits) expect(next protocol.StateLimits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.next = l.now.LoweredTo(next)
+	l.next = l.now.LoweredBy(next)
 }
 
 // sizes are the limits on values and transactions.
@@ -78,17 +78,17 @@
 	}
 	l.recover(now)
 	least := leastRate
-	if l.next.WriteRPS < l.now.WriteRPS {
-		least = l.next.WriteRPS / l.base()
+	if l.next.WriteRate < l.now.WriteRate {
+		least = l.next.WriteRate / l.base()
 	}
 	l.rate = max(least, l.rate*slowBy)
 }
 
 func (l *limits) base() float64 {
 	if l.lowered {
-		return l.next.WriteRPS
+		return l.next.WriteRate
 	}
-	return l.now.WriteRPS
+	return l.now.WriteRate
 }
 
 func (l *limits) recover(now time.Time) {
--- a/internal/ledger/limits_test.go
+++ b/internal/ledger/limits_test.go
@@ -25,7 +25,7 @@
 		return 200, `{"epoch":6}`, nil
 	}}
 	got := run(t, s, func(c *Client, done func(string) func(Result)) {
-		c.Expect(protocol.StateLimits{ValueBytes: 32, TxnOps: 2, WriteRPS: 50})
+		c.AnnounceLimits(protocol.StateLimits{MaxValueBytes: 32, MaxTxnOps: 2, WriteRate: 50})
 		big := func(name string) *Txn {
 			t := set(name, 0, done(name))
 			t.Ops[0].Value = strings.Repeat("x", 40)
@@ -37,8 +37,8 @@
 		c.Submit(big("big"))
 		time.Sleep(5 * time.Second)
 		c.Submit(big("again"))
-		if c.ValueBytes() != 32 {
-			t.Errorf("values of %d bytes are thought to fit", c.ValueBytes())
+		if c.MaxValueBytes() != 32 {
+			t.Errorf("values of %d bytes are thought to fit", c.MaxValueBytes())
 		}
 	})
 	for _, key := range []string{"a", "b", "c"} {
@@ -55,11 +55,11 @@
 func TestMalformedIsNoLowerLimit(t *testing.T) {
 	s := &script{answer: func(int, string) (int, string, error) { return 400, `{"error":"malformed"}`, nil }}
 	got := run(t, s, func(c *Client, done func(string) func(Result)) {
-		c.Expect(protocol.StateLimits{ValueBytes: 32, TxnOps: 2})
+		c.AnnounceLimits(protocol.StateLimits{MaxValueBytes: 32, MaxTxnOps: 2})
 		c.Submit(set("a", 0, done("a")))
 		time.Sleep(time.Second)
-		if c.ValueBytes() != 64 {
-			t.Errorf("values of %d bytes are thought to fit", c.ValueBytes())
+		if c.MaxValueBytes() != 64 {
+			t.Errorf("values of %d bytes are thought to fit", c.MaxValueBytes())
 		}
 	})
 	if !errors.Is(got["a"], ErrInvalid) || errors.Is(got["a"], ErrTooLarge) {
@@ -71,8 +71,8 @@
 // again once there are none.
 func TestRateIsFoundFromRefusals(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	l := newLimits(protocol.StateLimits{WriteRPS: 30})
-	l.expect(protocol.StateLimits{WriteRPS: 21})
+	l := newLimits(protocol.StateLimits{WriteRate: 30})
+	l.expect(protocol.StateLimits{WriteRate: 21})
 	l.tooMany(now)
 	l.tooMany(now.Add(time.Millisecond)) // of the same burst
 	if got := l.writeRate(now); got != 30*slowBy {
@@ -100,12 +100,12 @@
 		return 400, `{"error":"the value is too large"}`, nil
 	}}
 	got := run(t, s, func(c *Client, done func(string) func(Result)) {
-		c.Expect(protocol.StateLimits{ValueBytes: 32})
+		c.AnnounceLimits(protocol.StateLimits{MaxValueBytes: 32})
 		big := set("big", 0, done("big"))
 		big.Ops[0].Value = strings.Repeat("x", 40)
 		c.Submit(big)
 	})
-	if !errors.Is(got["big"], ErrTooLarge) || !errors.Is(got["big"], ErrUnknown) {
+	if !errors.Is(got["big"], ErrTooLarge) || !errors.Is(got["big"], ErrOutcomeUnknown) {
 		t.Error(got)
 	}
 }
--- a/internal/ledger/outcome.go
+++ b/internal/ledger/outcome.go
@@ -42,7 +42,7 @@
 		again, pause = batch, againUnsure
 	case status == 200:
 		for _, t := range batch {
-			t.Done(Result{Epoch: out.Epoch})
+			t.OnResult(Result{Revision: out.Epoch})
 		}
 	case status == 409:
 		again = c.sortFailed(batch, out.Failed, out.Epoch)
@@ -78,16 +78,16 @@
 // neighbours sent one by one.
 func (c *Client) sortLeased(batch []*Txn) (again []*Txn) {
 	for _, t := range batch {
-		if !slices.ContainsFunc(t.Ops, func(op Op) bool { return op.Grant != 0 }) {
+		if !slices.ContainsFunc(t.Ops, func(op Op) bool { return op.Lease != 0 }) {
 			again = append(again, t)
 			continue
 		}
 		c.log.Info("lease of a transaction has ended", "keys", keysOf(t))
-		t.refuse(ErrNoGrant)
+		t.refuse(ErrLeaseExpired)
 	}
 	if len(again) == len(batch) { // not one that this client understands
 		for _, t := range again {
-			t.Done(Result{Err: ErrInvalid})
+			t.OnResult(Result{Err: ErrInvalid})
 		}
 		return nil
 	}
@@ -98,14 +98,14 @@
 // answer may have been: its caller then reads the keys again before it decides anew.
 func (t *Txn) refuse(err error) {
 	if t.unsure {
-		err = errors.Join(err, ErrUnknown)
+		err = errors.Join(err, ErrOutcomeUnknown)
 	}
-	t.Done(Result{Err: err})
+	t.OnResult(Result{Err: err})
 }
 
 // fitsIn tells whether a transaction alone keeps limits.
 func (t *Txn) fitsIn(l protocol.StateLimits) bool {
-	return len(t.Ops) <= l.TxnOps && len(t.Conds) <= condsPerOp*l.TxnOps && t.largest <= l.ValueBytes
+	return len(t.Ops) <= l.MaxTxnOps && len(t.Compares) <= condsPerOp*l.MaxTxnOps && t.largest <= l.MaxValueBytes
 }
 
 // sortRefused ends those of a batch that the state service does not take, and sends the
@@ -116,10 +116,10 @@
 	seen := make(map[string]bool)
 	for _, t := range batch {
 		whole.Ops, whole.largest = append(whole.Ops, t.Ops...), max(whole.largest, t.largest)
-		for _, cond := range t.Conds {
+		for _, cond := range t.Compares {
 			if !seen[cond.Key] {
 				seen[cond.Key] = true
-				whole.Conds = append(whole.Conds, cond)
+				whole.Compares = append(whole.Compares, cond)
 			}
 		}
 	}
@@ -154,19 +154,19 @@
 func (c *Client) sortFailed(batch []*Txn, failed []string, epoch uint64) (again []*Txn) {
 	for _, t := range batch {
 		var mine []string
-		for _, cond := range t.Conds {
-			if slices.Contains(failed, root+cond.Key) {
+		for _, cond := range t.Compares {
+			if slices.Contains(failed, keyRoot+cond.Key) {
 				mine = append(mine, cond.Key)
 			}
 		}
 		c.mu.Lock()
-		c.spent[t.Prio].failed += len(t.Ops)
+		c.spent[t.Priority].failed += len(t.Ops)
 		c.mu.Unlock()
 		switch {
 		case len(mine) > 0:
-			t.Done(Result{Err: ErrConflict, Epoch: epoch, Failed: mine})
+			t.OnResult(Result{Err: ErrCompareFailed, Revision: epoch, FailedKeys: mine})
 		case len(batch) == 1:
-			t.Done(Result{Err: errors.Join(ErrConflict, errors.New("no failed key named")), Epoch: epoch})
+			t.OnResult(Result{Err: errors.Join(ErrCompareFailed, errors.New("no failed key named")), Revision: epoch})
 		default:
 			again = append(again, t)
 		}
--- a/internal/ledger/records_easyjson.go
+++ b/internal/ledger/records_easyjson.go
@@ -18,7 +18,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjsonAf922c28DecodeMadderslipInternalLedger(in *jlexer.Lexer, out *Part) {
+func easyjsonAf922c28DecodeMadderslipInternalLedger(in *jlexer.Lexer, out *Provision) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -32,13 +32,91 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "h":
+		case "p":
 			if in.IsNull() {
 				in.Skip()
+				out.Allocations = nil
 			} else {
-				out.Shard = string(in.String())
+				in.Delim('[')
+				if out.Allocations == nil {
+					if !in.IsDelim(']') {
+						out.Allocations = make([]Allocation, 0, 2)
+					} else {
+						out.Allocations = []Allocation{}
+					}
+				} else {
+					out.Allocations = (out.Allocations)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v1 Allocation
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v1).UnmarshalEasyJSON(in)
+					}
+					out.Allocations = append(out.Allocations, v1)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
-		case "n":
+		case "b":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.RequestedAtMs = int64(in.Int64())
+			}
+		case "m":
+			if in.IsNull() {
+				in.Skip()
+				out.Hosts = nil
+			} else {
+				in.Delim('[')
+				if out.Hosts == nil {
+					if !in.IsDelim(']') {
+						out.Hosts = make([]string, 0, 4)
+					} else {
+						out.Hosts = []string{}
+					}
+				} else {
+					out.Hosts = (out.Hosts)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v2 string
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						v2 = string(in.String())
+					}
+					out.Hosts = append(out.Hosts, v2)
+					in.WantComma()
+				}
+				in.Delim(']')
+			}
+		case "hire":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Name = string(in.String())
+			}
+		case "flavour":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Type = string(in.String())
+			}
+		case "hall":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Zone = string(in.String())
+			}
+		case "loaner":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Spot = bool(in.Bool())
+			}
+		case "howMany":
 			if in.IsNull() {
 				in.Skip()
 			} else {
@@ -54,17 +132,67 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeMadderslipInternalLedger(out *jwriter.Writer, in Part) {
+func easyjsonAf922c28EncodeMadderslipInternalLedger(out *jwriter.Writer, in Provision) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"h\":"
+		const prefix string = ",\"p\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Shard))
+		if in.Allocations == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v3, v4 := range in.Allocations {
+				if v3 > 0 {
+					out.RawByte(',')
+				}
+				(v4).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
 	{
-		const prefix string = ",\"n\":"
+		const prefix string = ",\"b\":"
+		out.RawString(prefix)
+		out.Int64(int64(in.RequestedAtMs))
+	}
+	if len(in.Hosts) != 0 {
+		const prefix string = ",\"m\":"
+		out.RawString(prefix)
+		{
+			out.RawByte('[')
+			for v5, v6 := range in.Hosts {
+				if v5 > 0 {
+					out.RawByte(',')
+				}
+				out.String(string(v6))
+			}
+			out.RawByte(']')
+		}
+	}
+	{
+		const prefix string = ",\"hire\":"
+		out.RawString(prefix)
+		out.String(string(in.Name))
+	}
+	{
+		const prefix string = ",\"flavour\":"
+		out.RawString(prefix)
+		out.String(string(in.Type))
+	}
+	{
+		const prefix string = ",\"hall\":"
+		out.RawString(prefix)
+		out.String(string(in.Zone))
+	}
+	{
+		const prefix string = ",\"loaner\":"
+		out.RawString(prefix)
+		out.Bool(bool(in.Spot))
+	}
+	{
+		const prefix string = ",\"howMany\":"
 		out.RawString(prefix)
 		out.Int(int(in.Count))
 	}
@@ -72,26 +200,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Part) MarshalJSON() ([]byte, error) {
+func (v Provision) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonAf922c28EncodeMadderslipInternalLedger(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Part) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Provision) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonAf922c28EncodeMadderslipInternalLedger(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Part) UnmarshalJSON(data []byte) error {
+func (v *Provision) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonAf922c28DecodeMadderslipInternalLedger(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Part) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Provision) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeMadderslipInternalLedger(l, v)
 }
 func easyjsonAf922c28DecodeMadderslipInternalLedger1(in *jlexer.Lexer, out *Machine) {
@@ -142,7 +270,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Born = int64(in.Int64())
+				out.RentedAtMs = int64(in.Int64())
 			}
 		default:
 			in.SkipRecursive()
@@ -183,10 +311,10 @@
 		out.RawString(prefix)
 		out.String(string(in.State))
 	}
-	if in.Born != 0 {
+	if in.RentedAtMs != 0 {
 		const prefix string = ",\"b\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Born))
+		out.Int64(int64(in.RentedAtMs))
 	}
 	out.RawByte('}')
 }
@@ -245,26 +373,26 @@
 		case "q":
 			if in.IsNull() {
 				in.Skip()
-				out.At = nil
+				out.Shards = nil
 			} else {
 				in.Delim('[')
-				if out.At == nil {
+				if out.Shards == nil {
 					if !in.IsDelim(']') {
-						out.At = make([]string, 0, 4)
+						out.Shards = make([]string, 0, 4)
 					} else {
-						out.At = []string{}
+						out.Shards = []string{}
 					}
 				} else {
-					out.At = (out.At)[:0]
+					out.Shards = (out.Shards)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v1 string
+					var v7 string
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v1 = string(in.String())
+						v7 = string(in.String())
 					}
-					out.At = append(out.At, v1)
+					out.Shards = append(out.Shards, v7)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -273,7 +401,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Born = int64(in.Int64())
+				out.AcceptedAtMs = int64(in.Int64())
 			}
 		case "x":
 			if in.IsNull() {
@@ -291,25 +419,25 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Size = int(in.Int())
+				out.ChunkSize = int(in.Int())
 			}
 		case "e":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Ended = int64(in.Int64())
+				out.CancelledAtMs = int64(in.Int64())
 			}
 		case "w":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Needs).UnmarshalEasyJSON(in)
+				(out.Dependencies).UnmarshalEasyJSON(in)
 			}
 		case "r":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Released = int64(in.Int64())
+				out.ReleasedAtMs = int64(in.Int64())
 			}
 		default:
 			in.SkipRecursive()
@@ -331,7 +459,7 @@
 		out.RawString(prefix[1:])
 		(*in.Spec).MarshalEasyJSON(out)
 	}
-	if len(in.At) != 0 {
+	if len(in.Shards) != 0 {
 		const prefix string = ",\"q\":"
 		if first {
 			first = false
@@ -341,16 +469,16 @@
 		}
 		{
 			out.RawByte('[')
-			for v2, v3 := range in.At {
-				if v2 > 0 {
+			for v8, v9 := range in.Shards {
+				if v8 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v3))
+				out.String(string(v9))
 			}
 			out.RawByte(']')
 		}
 	}
-	if in.Born != 0 {
+	if in.AcceptedAtMs != 0 {
 		const prefix string = ",\"b\":"
 		if first {
 			first = false
@@ -358,7 +486,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Int64(int64(in.Born))
+		out.Int64(int64(in.AcceptedAtMs))
 	}
 	if in.State != "" {
 		const prefix string = ",\"x\":"
@@ -380,7 +508,7 @@
 		}
 		out.Int(int(in.Tasks))
 	}
-	if in.Size != 0 {
+	if in.ChunkSize != 0 {
 		const prefix string = ",\"k\":"
 		if first {
 			first = false
@@ -388,9 +516,9 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Int(int(in.Size))
+		out.Int(int(in.ChunkSize))
 	}
-	if in.Ended != 0 {
+	if in.CancelledAtMs != 0 {
 		const prefix string = ",\"e\":"
 		if first {
 			first = false
@@ -398,9 +526,9 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Int64(int64(in.Ended))
+		out.Int64(int64(in.CancelledAtMs))
 	}
-	if len(in.Needs) != 0 {
+	if len(in.Dependencies) != 0 {
 		const prefix string = ",\"w\":"
 		if first {
 			first = false
@@ -408,9 +536,9 @@
 		} else {
 			out.RawString(prefix)
 		}
-		(in.Needs).MarshalEasyJSON(out)
+		(in.Dependencies).MarshalEasyJSON(out)
 	}
-	if in.Released != 0 {
+	if in.ReleasedAtMs != 0 {
 		const prefix string = ",\"r\":"
 		if first {
 			first = false
@@ -418,7 +546,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Int64(int64(in.Released))
+		out.Int64(int64(in.ReleasedAtMs))
 	}
 	out.RawByte('}')
 }
@@ -446,7 +574,7 @@
 func (v *Job) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeMadderslipInternalLedger2(l, v)
 }
-func easyjsonAf922c28DecodeMadderslipInternalLedger3(in *jlexer.Lexer, out *Hire) {
+func easyjsonAf922c28DecodeMadderslipInternalLedger3(in *jlexer.Lexer, out *Claim) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -460,95 +588,62 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "p":
+		case "h":
 			if in.IsNull() {
 				in.Skip()
-				out.Parts = nil
 			} else {
-				in.Delim('[')
-				if out.Parts == nil {
-					if !in.IsDelim(']') {
-						out.Parts = make([]Part, 0, 2)
-					} else {
-						out.Parts = []Part{}
-					}
-				} else {
-					out.Parts = (out.Parts)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v4 Part
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v4).UnmarshalEasyJSON(in)
-					}
-					out.Parts = append(out.Parts, v4)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Shard = string(in.String())
 			}
-		case "b":
+		case "f":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Born = int64(in.Int64())
+				out.FirstTask = int(in.Int())
 			}
-		case "m":
+		case "n":
 			if in.IsNull() {
 				in.Skip()
-				out.Hosts = nil
+			} else {
+				out.TaskCount = int(in.Int())
+			}
+		case "d":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				(out.Completed).UnmarshalEasyJSON(in)
+			}
+		case "o":
+			if in.IsNull() {
+				in.Skip()
+				out.Placements = nil
 			} else {
 				in.Delim('[')
-				if out.Hosts == nil {
+				if out.Placements == nil {
 					if !in.IsDelim(']') {
-						out.Hosts = make([]string, 0, 4)
+						out.Placements = make([]Placement, 0, 2)
 					} else {
-						out.Hosts = []string{}
+						out.Placements = []Placement{}
 					}
 				} else {
-					out.Hosts = (out.Hosts)[:0]
+					out.Placements = (out.Placements)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v5 string
+					var v10 Placement
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						v5 = string(in.String())
+						(v10).UnmarshalEasyJSON(in)
 					}
-					out.Hosts = append(out.Hosts, v5)
+					out.Placements = append(out.Placements, v10)
 					in.WantComma()
 				}
 				in.Delim(']')
 			}
-		case "hire":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Name = string(in.String())
-			}
-		case "flavour":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Type = string(in.String())
-			}
-		case "hall":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Zone = string(in.String())
-			}
-		case "loaner":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Spot = bool(in.Bool())
-			}
-		case "howMany":
+		case "a":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Count = int(in.Int())
+				out.LastAttempt = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -560,97 +655,76 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeMadderslipInternalLedger3(out *jwriter.Writer, in Hire) {
+func easyjsonAf922c28EncodeMadderslipInternalLedger3(out *jwriter.Writer, in Claim) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"p\":"
+		const prefix string = ",\"h\":"
 		out.RawString(prefix[1:])
-		if in.Parts == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v6, v7 := range in.Parts {
-				if v6 > 0 {
-					out.RawByte(',')
-				}
-				(v7).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		out.String(string(in.Shard))
+	}
+	if in.FirstTask != 0 {
+		const prefix string = ",\"f\":"
+		out.RawString(prefix)
+		out.Int(int(in.FirstTask))
 	}
 	{
-		const prefix string = ",\"b\":"
+		const prefix string = ",\"n\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Born))
+		out.Int(int(in.TaskCount))
 	}
-	if len(in.Hosts) != 0 {
-		const prefix string = ",\"m\":"
+	if len(in.Completed) != 0 {
+		const prefix string = ",\"d\":"
+		out.RawString(prefix)
+		(in.Completed).MarshalEasyJSON(out)
+	}
+	if len(in.Placements) != 0 {
+		const prefix string = ",\"o\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v8, v9 := range in.Hosts {
-				if v8 > 0 {
+			for v11, v12 := range in.Placements {
+				if v11 > 0 {
 					out.RawByte(',')
 				}
-				out.String(string(v9))
+				(v12).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
 	}
-	{
-		const prefix string = ",\"hire\":"
-		out.RawString(prefix)
-		out.String(string(in.Name))
-	}
-	{
-		const prefix string = ",\"flavour\":"
-		out.RawString(prefix)
-		out.String(string(in.Type))
-	}
-	{
-		const prefix string = ",\"hall\":"
-		out.RawString(prefix)
-		out.String(string(in.Zone))
-	}
-	{
-		const prefix string = ",\"loaner\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.Spot))
-	}
-	{
-		const prefix string = ",\"howMany\":"
+	if in.LastAttempt != 0 {
+		const prefix string = ",\"a\":"
 		out.RawString(prefix)
-		out.Int(int(in.Count))
+		out.Uint64(uint64(in.LastAttempt))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Hire) MarshalJSON() ([]byte, error) {
+func (v Claim) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonAf922c28EncodeMadderslipInternalLedger3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Hire) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Claim) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonAf922c28EncodeMadderslipInternalLedger3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Hire) UnmarshalJSON(data []byte) error {
+func (v *Claim) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonAf922c28DecodeMadderslipInternalLedger3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Hire) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Claim) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeMadderslipInternalLedger3(l, v)
 }
-func easyjsonAf922c28DecodeMadderslipInternalLedger4(in *jlexer.Lexer, out *Claim) {
+func easyjsonAf922c28DecodeMadderslipInternalLedger4(in *jlexer.Lexer, out *Allocation) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -670,57 +744,12 @@
 			} else {
 				out.Shard = string(in.String())
 			}
-		case "f":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.First = int(in.Int())
-			}
 		case "n":
 			if in.IsNull() {
 				in.Skip()
 			} else {
 				out.Count = int(in.Int())
 			}
-		case "d":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				(out.Done).UnmarshalEasyJSON(in)
-			}
-		case "o":
-			if in.IsNull() {
-				in.Skip()
-				out.Open = nil
-			} else {
-				in.Delim('[')
-				if out.Open == nil {
-					if !in.IsDelim(']') {
-						out.Open = make([]Placement, 0, 2)
-					} else {
-						out.Open = []Placement{}
-					}
-				} else {
-					out.Open = (out.Open)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v10 Placement
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v10).UnmarshalEasyJSON(in)
-					}
-					out.Open = append(out.Open, v10)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "a":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Try = uint64(in.Uint64())
-			}
 		default:
 			in.SkipRecursive()
 		}
@@ -731,7 +760,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonAf922c28EncodeMadderslipInternalLedger4(out *jwriter.Writer, in Claim) {
+func easyjsonAf922c28EncodeMadderslipInternalLedger4(out *jwriter.Writer, in Allocation) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -740,63 +769,34 @@
 		out.RawString(prefix[1:])
 		out.String(string(in.Shard))
 	}
-	if in.First != 0 {
-		const prefix string = ",\"f\":"
-		out.RawString(prefix)
-		out.Int(int(in.First))
-	}
 	{
 		const prefix string = ",\"n\":"
 		out.RawString(prefix)
 		out.Int(int(in.Count))
 	}
-	if len(in.Done) != 0 {
-		const prefix string = ",\"d\":"
-		out.RawString(prefix)
-		(in.Done).MarshalEasyJSON(out)
-	}
-	if len(in.Open) != 0 {
-		const prefix string = ",\"o\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v11, v12 := range in.Open {
-				if v11 > 0 {
-					out.RawByte(',')
-				}
-				(v12).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
-	}
-	if in.Try != 0 {
-		const prefix string = ",\"a\":"
-		out.RawString(prefix)
-		out.Uint64(uint64(in.Try))
-	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Claim) MarshalJSON() ([]byte, error) {
+func (v Allocation) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonAf922c28EncodeMadderslipInternalLedger4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Claim) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Allocation) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonAf922c28EncodeMadderslipInternalLedger4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *Claim) UnmarshalJSON(data []byte) error {
+func (v *Allocation) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonAf922c28DecodeMadderslipInternalLedger4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Claim) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Allocation) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonAf922c28DecodeMadderslipInternalLedger4(l, v)
 }
--- a/internal/ledger/refs.go
+++ b/internal/ledger/refs.go
@@ -7,24 +7,24 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// refPrefix starts every job id; records leave it out of lists.
-const refPrefix = "wk-"
+// jobIDPrefix starts every job id; records leave it out of lists.
+const jobIDPrefix = "wk-"
 
-// Refs is a list of job ids. In a record it is one string of their numbers, so that
+// JobIDs is a list of job ids. In a record it is one string of their numbers, so that
 // some two hundred fit the smallest value.
-type Refs []string
+type JobIDs []string
 
 // MarshalEasyJSON writes the list.
-func (r Refs) MarshalEasyJSON(w *jwriter.Writer) {
+func (r JobIDs) MarshalEasyJSON(w *jwriter.Writer) {
 	numbers := make([]string, len(r))
 	for i, ref := range r {
-		numbers[i] = strings.TrimPrefix(ref, refPrefix)
+		numbers[i] = strings.TrimPrefix(ref, jobIDPrefix)
 	}
 	w.String(strings.Join(numbers, " "))
 }
 
 // UnmarshalEasyJSON undoes MarshalEasyJSON.
-func (r *Refs) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (r *JobIDs) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	*r = nil
 	if l.IsNull() {
 		l.Skip()
@@ -32,14 +32,14 @@
 	}
 	for number := range strings.FieldsSeq(l.String()) {
 		if number[0] >= '0' && number[0] <= '9' {
-			number = refPrefix + number
+			number = jobIDPrefix + number
 		}
 		*r = append(*r, number)
 	}
 }
 
 // MarshalJSON does the same for the standard library.
-func (r Refs) MarshalJSON() ([]byte, error) {
+func (r JobIDs) MarshalJSON() ([]byte, error) {
 	var w jwriter.Writer
 	r.MarshalEasyJSON(&w)
 	return w.BuildBytes()
--- a/internal/leftover/leftover_test.go
+++ b/internal/leftover/leftover_test.go
@@ -9,22 +9,22 @@
 // while others wait.
 func TestMay(t *testing.T) {
 	for name, c := range map[string]struct {
-		r    Room
+		r    BestEffortCapacity
 		want float64
 	}{
-		"an empty shard":                      {Room{Total: 400, Free: 400, Warm: 40}, 360},
-		"only the warm room is free":          {Room{Total: 400, Free: 40, Warm: 40, Idle: 100}, 0},
-		"it, and idle work has nothing yet":   {Room{Total: 400, Free: 40, Warm: 40}, 20},
-		"others wait":                         {Room{Total: 400, Free: 100, Short: true}, 20},
-		"others wait, it has its share":       {Room{Total: 400, Free: 100, Idle: 20, Short: true}, 0},
-		"others wait, little is free":         {Room{Total: 400, Free: 3, Short: true}, 3},
-		"it has much, others have come since": {Room{Total: 400, Free: 10, Idle: 300, Short: true}, 0},
+		"an empty shard":                      {BestEffortCapacity{Total: 400, Free: 400, WarmReserve: 40}, 360},
+		"only the warm room is free":          {BestEffortCapacity{Total: 400, Free: 40, WarmReserve: 40, InUse: 100}, 0},
+		"it, and idle work has nothing yet":   {BestEffortCapacity{Total: 400, Free: 40, WarmReserve: 40}, 20},
+		"others wait":                         {BestEffortCapacity{Total: 400, Free: 100, Contended: true}, 20},
+		"others wait, it has its share":       {BestEffortCapacity{Total: 400, Free: 100, InUse: 20, Contended: true}, 0},
+		"others wait, little is free":         {BestEffortCapacity{Total: 400, Free: 3, Contended: true}, 3},
+		"it has much, others have come since": {BestEffortCapacity{Total: 400, Free: 10, InUse: 300, Contended: true}, 0},
 	} {
-		if got := c.r.May(0.05); got != c.want {
+		if got := c.r.Available(0.05); got != c.want {
 			t.Errorf("%s: %v, wanted %v", name, got, c.want)
 		}
 	}
-	if got := (Room{Total: 400, Free: 41, Warm: 40, Idle: 100}).Tasks(0.05, 0.25, true); got != 4 {
+	if got := (BestEffortCapacity{Total: 400, Free: 41, WarmReserve: 40, InUse: 100}).MaxTasks(0.05, 0.25, true); got != 4 {
 		t.Errorf("%d tasks of a quarter CPU in one CPU", got)
 	}
 }
@@ -32,14 +32,14 @@
 // On a small shard an idle task is larger than the share, and the room that is free is
 // the warm room: six schedules ended with idle arrays that had waited for ever.
 func TestSmallShard(t *testing.T) {
-	r := Room{Total: 8, Free: 2, Warm: 1, Short: true}
-	if got := r.Tasks(0.05, 2, true); got != 1 {
+	r := BestEffortCapacity{Total: 8, Free: 2, WarmReserve: 1, Contended: true}
+	if got := r.MaxTasks(0.05, 2, true); got != 1 {
 		t.Errorf("%d tasks where none runs", got)
 	}
-	if r.Idle = 2; r.Tasks(0.05, 2, true) != 0 {
+	if r.InUse = 2; r.MaxTasks(0.05, 2, true) != 0 {
 		t.Error("more than one while others wait")
 	}
-	if r.Idle = 400; r.Tasks(0.05, 2, false) != 1 {
+	if r.InUse = 400; r.MaxTasks(0.05, 2, false) != 1 {
 		t.Error("a tiny job waits behind another guest's hours of work")
 	}
 }
@@ -52,7 +52,7 @@
 		"a mountain of idle work rents little": {100, 50000, 100, 0, 1000, 0, 150},
 		"the warm room is not for idle work":   {0, 50, 40, 30, 1000, 0, 40},
 	} {
-		if others, idle := Rent(c.need, c.idle, c.have, c.warm, 0.15*c.total); others != c.others || idle != c.forIdle {
+		if others, idle := SplitArrayDemand(c.need, c.idle, c.have, c.warm, 0.15*c.total); others != c.others || idle != c.forIdle {
 			t.Errorf("%s: %v and %v", name, others, idle)
 		}
 	}
@@ -66,7 +66,7 @@
 		waits time.Duration
 		want  bool
 	}{{false, 0, false}, {true, 0, true}, {true, 10 * time.Second, true}, {true, 31 * time.Second, false}} {
-		if got := Begun(c.some, c.waits); got != c.want {
+		if got := HasStarted(c.some, c.waits); got != c.want {
 			t.Errorf("begun %v, waits for %v: %v", c.some, c.waits, got)
 		}
 	}
--- a/internal/pipeline/graph.go
+++ b/internal/pipeline/graph.go
@@ -34,36 +34,36 @@
 
 // Job is a job that waits for others, as its record has it.
 type Job struct {
-	Ref      string
-	Needs    []string
-	Spec     *protocol.Submission
-	Born     time.Time // its acceptance, from which its deadline counts
-	Revision uint64
+	ID           string
+	Dependencies []string
+	Spec         *protocol.Submission
+	AcceptedAt   time.Time // its acceptance, from which its deadline counts
+	Revision     uint64
 }
 
 // Graph holds the jobs that wait and whom each of them waits for.
 type Graph struct {
 	lookup     func(ref string) State
-	waiting    map[string]*node
-	dependents map[string]map[string]*node // by needed job, then by the job that needs it
-	unknown    map[string]struct{}         // needed jobs of which no record has been read
+	waiting    map[string]*blockedJob
+	dependents map[string]map[string]*blockedJob // by needed job, then by the job that needs it
+	unknown    map[string]struct{}               // needed jobs of which no record has been read
 	changes    uint64
 	urgency    map[string]Urgency // worked out since the latest change
 }
 
-// node is a waiting job.
-type node struct {
+// blockedJob is a waiting job.
+type blockedJob struct {
 	Job
-	left      map[string]struct{} // needed jobs that are not known to be done
-	cancelled bool
-	settled   time.Time // when the last needed job was seen done, or one of them cancelled
-	last      string    // the needed job that was the last to be done
+	unfinished     map[string]struct{} // needed jobs that are not known to be done
+	cancelled      bool
+	resolvedAt     time.Time // when the last needed job was seen done, or one of them cancelled
+	lastDependency string    // the needed job that was the last to be done
 }
 
 // NewGraph makes an empty graph. lookup says what the records hold of a job that does
 // not wait itself.
 func NewGraph(lookup func(ref string) State) *Graph {
-	return &Graph{lookup: lookup, waiting: make(map[string]*node), dependents: make(map[string]map[string]*node),
+	return &Graph{lookup: lookup, waiting: make(map[string]*blockedJob), dependents: make(map[string]map[string]*blockedJob),
 		unknown: make(map[string]struct{}), urgency: make(map[string]Urgency)}
 }
 
@@ -73,8 +73,8 @@
 // Len is how many jobs wait.
 func (g *Graph) Len() int { return len(g.waiting) }
 
-// Get is a waiting job.
-func (g *Graph) Get(ref string) (Job, bool) {
+// Lookup is a waiting job.
+func (g *Graph) Lookup(ref string) (Job, bool) {
 	if n := g.waiting[ref]; n != nil {
 		return n.Job, true
 	}
@@ -93,11 +93,11 @@
 	return n != nil && n.ready()
 }
 
-func (n *node) ready() bool { return len(n.left) == 0 && !n.cancelled }
+func (n *blockedJob) ready() bool { return len(n.unfinished) == 0 && !n.cancelled }
 
-// Outlook is how a job that names others would stand: which of them are not done, and
+// Resolve is how a job that names others would stand: which of them are not done, and
 // whether one is cancelled.
-func (g *Graph) Outlook(needs []string) (left []string, cancelled bool) {
+func (g *Graph) Resolve(needs []string) (left []string, cancelled bool) {
 	for _, ref := range needs {
 		switch g.stateOf(ref) {
 		case Done:
@@ -121,18 +121,18 @@
 	return Unfinished
 }
 
-// Hold takes the record of a job that waits. Such a record is written once; what is held
+// Add takes the record of a job that waits. Such a record is written once; what is held
 // already is left as it is.
-func (g *Graph) Hold(j Job, now time.Time) {
-	if g.waiting[j.Ref] != nil {
+func (g *Graph) Add(j Job, now time.Time) {
+	if g.waiting[j.ID] != nil {
 		return
 	}
-	n := &node{Job: j, left: make(map[string]struct{})}
-	g.waiting[j.Ref] = n
+	n := &blockedJob{Job: j, unfinished: make(map[string]struct{})}
+	g.waiting[j.ID] = n
 	g.changed()
-	delete(g.unknown, j.Ref)
+	delete(g.unknown, j.ID)
 	cancelled := false
-	for _, ref := range j.Needs {
+	for _, ref := range j.Dependencies {
 		switch g.stateOf(ref) {
 		case Done:
 			continue
@@ -141,22 +141,22 @@
 		case Unknown:
 			g.unknown[ref] = struct{}{}
 		}
-		n.left[ref] = struct{}{}
+		n.unfinished[ref] = struct{}{}
 		if g.dependents[ref] == nil {
-			g.dependents[ref] = make(map[string]*node)
+			g.dependents[ref] = make(map[string]*blockedJob)
 		}
-		g.dependents[ref][j.Ref] = n
+		g.dependents[ref][j.ID] = n
 	}
-	if len(n.left) == 0 {
-		n.settled = now
+	if len(n.unfinished) == 0 {
+		n.resolvedAt = now
 	}
 	if cancelled {
 		g.cancel(n, now)
 	}
 }
 
-// Seen takes what a record says of a job that does not wait, or does not wait any more.
-func (g *Graph) Seen(ref string, state State, now time.Time) {
+// ObserveState takes what a record says of a job that does not wait, or does not wait any more.
+func (g *Graph) ObserveState(ref string, state State, now time.Time) {
 	g.drop(ref)
 	if state != Unknown {
 		delete(g.unknown, ref)
@@ -174,24 +174,24 @@
 	}
 	delete(g.dependents, ref)
 	for _, n := range needing {
-		delete(n.left, ref)
+		delete(n.unfinished, ref)
 		if n.ready() {
-			n.settled, n.last = now, ref
+			n.resolvedAt, n.lastDependency = now, ref
 		}
 	}
 }
 
 // cancel marks a job and all that need it, directly or through others.
-func (g *Graph) cancel(first *node, now time.Time) {
-	todo := []*node{first}
+func (g *Graph) cancel(first *blockedJob, now time.Time) {
+	todo := []*blockedJob{first}
 	for len(todo) > 0 {
 		n := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
 		if n.cancelled {
 			continue
 		}
-		n.cancelled, n.settled = true, now
-		for _, next := range g.dependents[n.Ref] {
+		n.cancelled, n.resolvedAt = true, now
+		for _, next := range g.dependents[n.ID] {
 			todo = append(todo, next)
 		}
 	}
@@ -205,7 +205,7 @@
 	}
 	g.changed()
 	delete(g.waiting, ref)
-	for need := range n.left {
+	for need := range n.unfinished {
 		delete(g.dependents[need], ref)
 		if len(g.dependents[need]) == 0 {
 			delete(g.dependents, need)
@@ -219,40 +219,40 @@
 	clear(g.urgency)
 }
 
-// Settled is a waiting job whose fate is decided and not yet on record.
-type Settled struct {
+// ResolvedJob is a waiting job whose fate is decided and not yet on record.
+type ResolvedJob struct {
 	Job
-	Since time.Time
-	Last  string // the job whose end decided it, as far as known
+	Since          time.Time
+	LastDependency string // the job whose end decided it, as far as known
 }
 
-// Ready lists the jobs that may be released, in order.
-func (g *Graph) Ready() []Settled {
-	return g.list(func(n *node) bool { return n.ready() })
+// ReadyJobs lists the jobs that may be released, in order.
+func (g *Graph) ReadyJobs() []ResolvedJob {
+	return g.list(func(n *blockedJob) bool { return n.ready() })
 }
 
 // CancelledJobs lists the waiting jobs that are cancelled because one before them is,
 // in order.
-func (g *Graph) CancelledJobs() []Settled {
-	return g.list(func(n *node) bool { return n.cancelled })
+func (g *Graph) CancelledJobs() []ResolvedJob {
+	return g.list(func(n *blockedJob) bool { return n.cancelled })
 }
 
-func (g *Graph) list(which func(*node) bool) []Settled {
-	var out []Settled
+func (g *Graph) list(which func(*blockedJob) bool) []ResolvedJob {
+	var out []ResolvedJob
 	for _, n := range g.waiting {
 		if which(n) {
-			out = append(out, Settled{n.Job, n.settled, n.last})
+			out = append(out, ResolvedJob{n.Job, n.resolvedAt, n.lastDependency})
 		}
 	}
-	slices.SortFunc(out, func(a, b Settled) int { return strings.Compare(a.Ref, b.Ref) })
+	slices.SortFunc(out, func(a, b ResolvedJob) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
-// UnknownNeeds lists the needed jobs of which no record has been read, in order.
-func (g *Graph) UnknownNeeds() []string { return slices.Sorted(maps.Keys(g.unknown)) }
+// UnknownDependencies lists the needed jobs of which no record has been read, in order.
+func (g *Graph) UnknownDependencies() []string { return slices.Sorted(maps.Keys(g.unknown)) }
 
-// Needed lists the jobs that others wait for, in order.
-func (g *Graph) Needed() []string { return slices.Sorted(maps.Keys(g.dependents)) }
+// DependencyIDs lists the jobs that others wait for, in order.
+func (g *Graph) DependencyIDs() []string { return slices.Sorted(maps.Keys(g.dependents)) }
 
-// Dependents counts the jobs that wait for a job directly.
-func (g *Graph) Dependents(ref string) int { return len(g.dependents[ref]) }
+// DependentCount counts the jobs that wait for a job directly.
+func (g *Graph) DependentCount(ref string) int { return len(g.dependents[ref]) }
--- a/internal/pipeline/graph_test.go
+++ b/internal/pipeline/graph_test.go
@@ -22,21 +22,21 @@
 // ends has a job's record say that it is over.
 func (r records) ends(g *Graph, ref string, state State) {
 	r[ref] = state
-	g.Seen(ref, state, noon)
+	g.ObserveState(ref, state, noon)
 }
 
 func waiting(ref string, needs string, rank string, dueS float64) Job {
-	j := Job{Ref: ref, Needs: strings.Fields(needs), Born: noon, Spec: &protocol.Submission{Ref: ref, Rank: rank, ExpectS: 10}}
+	j := Job{ID: ref, Dependencies: strings.Fields(needs), AcceptedAt: noon, Spec: &protocol.Submission{JobID: ref, PriorityClass: rank, RunEstimateS: 10}}
 	if dueS > 0 {
-		j.Spec.DueS = &dueS
+		j.Spec.DeadlineS = &dueS
 	}
 	return j
 }
 
-func refs(list []Settled) string {
+func refs(list []ResolvedJob) string {
 	var out []string
 	for _, s := range list {
-		out = append(out, s.Ref)
+		out = append(out, s.ID)
 	}
 	return strings.Join(out, " ")
 }
@@ -46,27 +46,27 @@
 func TestReadyOnceAllNeededAreDone(t *testing.T) {
 	r := records{"root": Unfinished}
 	g := r.graph()
-	g.Hold(waiting("left", "root", "idle", 0), noon)
-	g.Hold(waiting("right", "root", "idle", 0), noon)
-	g.Hold(waiting("last", "left right", "high", 0), noon)
-	if got := refs(g.Ready()); got != "" {
+	g.Add(waiting("left", "root", "idle", 0), noon)
+	g.Add(waiting("right", "root", "idle", 0), noon)
+	g.Add(waiting("last", "left right", "high", 0), noon)
+	if got := refs(g.ReadyJobs()); got != "" {
 		t.Fatalf("ready before anything is done: %s", got)
 	}
 	r.ends(g, "root", Done)
-	if got := refs(g.Ready()); got != "left right" {
+	if got := refs(g.ReadyJobs()); got != "left right" {
 		t.Fatalf("ready after the root: %s", got)
 	}
-	if g.Ready()[0].Last != "root" {
-		t.Errorf("the job that decided it is %q", g.Ready()[0].Last)
+	if g.ReadyJobs()[0].LastDependency != "root" {
+		t.Errorf("the job that decided it is %q", g.ReadyJobs()[0].LastDependency)
 	}
 	r.ends(g, "left", Unfinished) // released
 	r.ends(g, "right", Unfinished)
 	r.ends(g, "right", Done)
-	if got := refs(g.Ready()); got != "" {
+	if got := refs(g.ReadyJobs()); got != "" {
 		t.Fatalf("ready with one branch: %s", got)
 	}
 	r.ends(g, "left", Done)
-	if got := refs(g.Ready()); got != "last" {
+	if got := refs(g.ReadyJobs()); got != "last" {
 		t.Fatalf("ready with both: %s", got)
 	}
 }
@@ -76,27 +76,27 @@
 func TestCancellationGoesDown(t *testing.T) {
 	r := records{"root": Unfinished}
 	g := r.graph()
-	g.Hold(waiting("grandchild", "child", "high", 0), noon) // its need is not read yet
-	if got := g.UnknownNeeds(); !slices.Equal(got, []string{"child"}) {
+	g.Add(waiting("grandchild", "child", "high", 0), noon) // its need is not read yet
+	if got := g.UnknownDependencies(); !slices.Equal(got, []string{"child"}) {
 		t.Fatalf("unknown: %v", got)
 	}
-	g.Hold(waiting("child", "root", "idle", 0), noon)
-	if got := g.UnknownNeeds(); len(got) > 0 {
+	g.Add(waiting("child", "root", "idle", 0), noon)
+	if got := g.UnknownDependencies(); len(got) > 0 {
 		t.Fatalf("still unknown: %v", got)
 	}
 	r.ends(g, "root", Cancelled)
-	g.Hold(waiting("late", "grandchild", "idle", 0), noon)
+	g.Add(waiting("late", "grandchild", "idle", 0), noon)
 	if got := refs(g.CancelledJobs()); got != "child grandchild late" {
 		t.Fatalf("cancelled: %s", got)
 	}
-	if left, cancelled := g.Outlook([]string{"late"}); !cancelled || len(left) > 0 {
+	if left, cancelled := g.Resolve([]string{"late"}); !cancelled || len(left) > 0 {
 		t.Errorf("a job that names a cancelled one: %v, %v", left, cancelled)
 	}
 	for _, ref := range []string{"late", "grandchild", "child"} {
 		r.ends(g, ref, Cancelled) // written down
 	}
-	if g.Len() > 0 || len(g.Needed()) > 0 {
-		t.Errorf("%d wait, needed %v", g.Len(), g.Needed())
+	if g.Len() > 0 || len(g.DependencyIDs()) > 0 {
+		t.Errorf("%d wait, needed %v", g.Len(), g.DependencyIDs())
 	}
 }
 
@@ -104,12 +104,12 @@
 func TestCancelledWhileWaiting(t *testing.T) {
 	r := records{"root": Unfinished}
 	g := r.graph()
-	g.Hold(waiting("child", "root", "idle", 0), noon)
-	g.Hold(waiting("grandchild", "child", "idle", 0), noon)
+	g.Add(waiting("child", "root", "idle", 0), noon)
+	g.Add(waiting("grandchild", "child", "idle", 0), noon)
 	r.ends(g, "child", Cancelled)
 	r.ends(g, "root", Done)
-	if refs(g.Ready()) != "" || refs(g.CancelledJobs()) != "grandchild" {
-		t.Errorf("ready %q, cancelled %q", refs(g.Ready()), refs(g.CancelledJobs()))
+	if refs(g.ReadyJobs()) != "" || refs(g.CancelledJobs()) != "grandchild" {
+		t.Errorf("ready %q, cancelled %q", refs(g.ReadyJobs()), refs(g.CancelledJobs()))
 	}
 }
 
@@ -118,44 +118,44 @@
 func TestUrgency(t *testing.T) {
 	r := records{"root": Unfinished}
 	g := r.graph()
-	estimate := func(s *protocol.Submission) time.Duration { return s.Expect() }
-	g.Hold(waiting("short", "root", "idle", 0), noon)
-	g.Hold(waiting("long", "root", "normal", 0), noon)
-	g.Hold(waiting("longer", "long", "idle", 0), noon)
-	if u := g.Urgency("root", estimate); u.Rank != 1 || !u.By.IsZero() {
+	estimate := func(s *protocol.Submission) time.Duration { return s.RunEstimate() }
+	g.Add(waiting("short", "root", "idle", 0), noon)
+	g.Add(waiting("long", "root", "normal", 0), noon)
+	g.Add(waiting("longer", "long", "idle", 0), noon)
+	if u := g.Urgency("root", estimate); u.Priority != 1 || !u.FinishBy.IsZero() {
 		t.Fatalf("without a deadline: %+v", u)
 	}
-	g.Hold(waiting("last", "short longer", "high", 100), noon)
-	if u := g.Urgency("root", estimate); u.Rank != 2 || u.By != noon.Add(70*time.Second) {
+	g.Add(waiting("last", "short longer", "high", 100), noon)
+	if u := g.Urgency("root", estimate); u.Priority != 2 || u.FinishBy != noon.Add(70*time.Second) {
 		t.Fatalf("root inherits %+v", u)
 	}
-	if u := g.Urgency("longer", estimate); u.Rank != 2 || u.By != noon.Add(90*time.Second) {
+	if u := g.Urgency("longer", estimate); u.Priority != 2 || u.FinishBy != noon.Add(90*time.Second) {
 		t.Fatalf("longer inherits %+v", u)
 	}
-	spec := &protocol.Submission{Rank: "idle"}
-	if raised := Inherit(spec, g.Urgency("root", estimate), 0); raised == spec || raised.Rank != "high" || spec.Rank != "idle" {
+	spec := &protocol.Submission{PriorityClass: "idle"}
+	if raised := Inherit(spec, g.Urgency("root", estimate), 0); raised == spec || raised.PriorityClass != "high" || spec.PriorityClass != "idle" {
 		t.Errorf("raised %+v, own %+v", raised, spec)
 	}
-	if own := (&protocol.Submission{Rank: "critical"}); Inherit(own, g.Urgency("root", estimate), 0) != own {
+	if own := (&protocol.Submission{PriorityClass: "critical"}); Inherit(own, g.Urgency("root", estimate), 0) != own {
 		t.Error("a higher rank of its own was given up")
 	}
 	r.ends(g, "last", Cancelled)
-	if u := g.Urgency("root", estimate); u.Rank != 1 || !u.By.IsZero() {
+	if u := g.Urgency("root", estimate); u.Priority != 1 || !u.FinishBy.IsZero() {
 		t.Errorf("after the last is cancelled: %+v", u)
 	}
 }
 
 // On the way to a deadline a job keeps off cheap machines for a while, and not for longer.
 func TestOffCheapMachines(t *testing.T) {
-	spec := &protocol.Submission{Rank: "high", Spot: true}
-	due := Urgency{Rank: 1, By: noon}
-	if got := Inherit(spec, due, time.Second); got.Spot || got.Rank != "high" {
+	spec := &protocol.Submission{PriorityClass: "high", AllowSpot: true}
+	due := Urgency{Priority: 1, FinishBy: noon}
+	if got := Inherit(spec, due, time.Second); got.AllowSpot || got.PriorityClass != "high" {
 		t.Errorf("at first: %+v", got)
 	}
-	if got := Inherit(spec, due, offCheap+1); got != spec {
+	if got := Inherit(spec, due, spotAvoidance+1); got != spec {
 		t.Errorf("after a while: %+v", got)
 	}
-	if got := Inherit(spec, Urgency{Rank: 2}, 0); got != spec {
+	if got := Inherit(spec, Urgency{Priority: 2}, 0); got != spec {
 		t.Errorf("without a deadline: %+v", got)
 	}
 }
@@ -202,7 +202,7 @@
 		g := seen.graph()
 		for _, i := range rapid.Permutation(order).Draw(t, "order") {
 			if ref := name(i); len(needs[ref]) > 0 {
-				g.Hold(waiting(ref, strings.Join(needs[ref], " "), "idle", 0), noon)
+				g.Add(waiting(ref, strings.Join(needs[ref], " "), "idle", 0), noon)
 			} else {
 				seen.ends(g, ref, final[ref])
 			}
@@ -213,8 +213,8 @@
 				t.Fatalf("%s needs %v: ready %v, cancelled %v, want %v", ref, needs[ref], g.IsReady(ref), g.IsCancelled(ref), s)
 			}
 		}
-		if len(g.UnknownNeeds()) > 0 {
-			t.Fatalf("unknown: %v", g.UnknownNeeds())
+		if len(g.UnknownDependencies()) > 0 {
+			t.Fatalf("unknown: %v", g.UnknownDependencies())
 		}
 	})
 }
