--- a/internal/pipeline/urgency.go
+++ b/internal/pipeline/urgency.go
@@ -9,10 +9,10 @@
 // Urgency is what a job inherits from the jobs that need it.
 type Urgency struct {
 	// Rank is the highest rank of any of them; 0 where there is none.
-	Rank int
+	Priority int
 	// By is when the job has to be done so that each of them can still meet its
 	// deadline; zero where none has one.
-	By time.Time
+	FinishBy time.Time
 }
 
 // Estimate is how long a job's tasks are expected to run.
@@ -30,25 +30,25 @@
 		if n.cancelled {
 			continue
 		}
-		beyond := g.Urgency(n.Ref, estimate)
-		u.Rank = max(u.Rank, beyond.Rank, n.Spec.Prio())
-		if by := earlier(beyond.By, n.deadline()); !by.IsZero() {
-			u.By = earlier(u.By, by.Add(-estimate(n.Spec)))
+		beyond := g.Urgency(n.ID, estimate)
+		u.Priority = max(u.Priority, beyond.Priority, n.Spec.Priority())
+		if by := earlier(beyond.FinishBy, n.deadline()); !by.IsZero() {
+			u.FinishBy = earlier(u.FinishBy, by.Add(-estimate(n.Spec)))
 		}
 	}
 	g.urgency[ref] = u
 	return u
 }
 
-// Forget drops the answers kept, since estimates have changed.
-func (g *Graph) Forget() { clear(g.urgency) }
+// InvalidateUrgency drops the answers kept, since estimates have changed.
+func (g *Graph) InvalidateUrgency() { clear(g.urgency) }
 
 // deadline is a job's own; zero: none.
 func (j *Job) deadline() time.Time {
-	if j.Spec.Due() == 0 {
+	if j.Spec.Deadline() == 0 {
 		return time.Time{}
 	}
-	return j.Born.Add(j.Spec.Due())
+	return j.AcceptedAt.Add(j.Spec.Deadline())
 }
 
 // earlier is the earlier of two instants, of which zero ones do not count.
@@ -59,9 +59,9 @@
 	return a
 }
 
-// offCheap is for how long a job on the way to a deadline keeps off cheap machines. Longer
+// spotAvoidance is for how long a job on the way to a deadline keeps off cheap machines. Longer
 // it would wait beside room that it may use.
-const offCheap = 15 * time.Second
+const spotAvoidance = 15 * time.Second
 
 // Inherit is a description with the rank that it inherits, the description itself where
 // nothing changes. On the way to a deadline a job keeps off cheap machines at first: what
@@ -71,12 +71,12 @@
 	if spec == nil {
 		return nil
 	}
-	rank := max(u.Rank, spec.Prio())
-	spot := spec.Spot && (u.By.IsZero() || waited > offCheap)
-	if rank == spec.Prio() && spot == spec.Spot {
+	rank := max(u.Priority, spec.Priority())
+	spot := spec.AllowSpot && (u.FinishBy.IsZero() || waited > spotAvoidance)
+	if rank == spec.Priority() && spot == spec.AllowSpot {
 		return spec
 	}
 	raised := *spec
-	raised.Rank, raised.Spot = protocol.RankOf(rank), spot
+	raised.PriorityClass, raised.AllowSpot = protocol.PriorityClassOf(rank), spot
 	return &raised
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -22,28 +22,28 @@
 
 // Policy is the checked and evaluated policy.
 type Policy struct {
-	Copies       int
-	ChunkTasks   int
-	NodeLease    time.Duration
-	Handback     time.Duration
-	Probe        time.Duration
-	Suspect      time.Duration
-	Fence        time.Duration
-	FenceUp      time.Duration // with replicas of services
-	WarmShare    float64
-	CardReserve  int
-	CardShare    float64
-	ArrayWait    time.Duration
-	BeginBy      time.Duration // that an array waits for its turn to begin
-	IdleWait     time.Duration // the same for arrays of the lowest rank
-	IdleShare    float64
-	IdleRent     float64
-	IdleCards    float64
-	Idle         time.Duration
-	RefusedPause time.Duration
-	Book         time.Duration
-	Allotments   bool          // limits are divided among the shards
-	ZonePatience time.Duration // with machines of a zone that seems cut off
+	Copies                    int
+	TasksPerChunk             int
+	NodeLease                 time.Duration
+	HandbackDelay             time.Duration
+	ProbeAfter                time.Duration
+	SuspectAfter              time.Duration
+	FenceAfter                time.Duration
+	FenceReplicasAfter        time.Duration // with replicas of services
+	WarmShare                 float64
+	GPUMachineReserve         int
+	GPUMachineShare           float64
+	ArrayWait                 time.Duration
+	StartAheadAfter           time.Duration // that an array waits for its turn to begin
+	BestEffortWait            time.Duration // the same for arrays of the lowest rank
+	BestEffortShare           float64
+	BestEffortProvisionShare  float64
+	BestEffortGPUMachineShare float64
+	IdleMachineTTL            time.Duration
+	RefusedOfferPause         time.Duration
+	CompletionBatchDelay      time.Duration
+	Allotments                bool          // limits are divided among the shards
+	PartitionPatience         time.Duration // with machines of a zone that seems cut off
 }
 
 // bound is what a name may be.
@@ -58,10 +58,10 @@
 // Load reads the defaults and, if path is not empty, an operators' file over them.
 func Load(path string, s protocol.Settings) (Policy, error) {
 	env := map[string]float64{
-		"report": s.Workers.Report.Seconds(), "lease": s.Workers.Lease.Seconds(), "cancel": s.Workers.Cancel.Seconds(),
-		"list_lag": s.CloudLimit.ListLag.Seconds(), "state_rps": s.StateLimit.RPS,
-		"state_write_rps": s.StateLimit.WriteRPS, "cloud_rps": s.CloudLimit.RPS,
-		"nodes": float64(s.Nodes), "zones": float64(len(s.Zones)),
+		"report": s.Workers.HeartbeatInterval.Seconds(), "lease": s.Workers.LeaseDuration.Seconds(), "cancel": s.Workers.CancelDeadline.Seconds(),
+		"list_lag": s.CloudLimits.ListLag.Seconds(), "state_rps": s.StateLimits.RequestRate,
+		"state_write_rps": s.StateLimits.WriteRate, "cloud_rps": s.CloudLimits.RequestRate,
+		"nodes": float64(s.NodeCount), "zones": float64(len(s.Zones)),
 	}
 	values := make(map[string]float64)
 	if err := read("default.policy", defaults, env, values); err != nil {
@@ -77,15 +77,15 @@
 		}
 	}
 	sec := func(name string) time.Duration { return protocol.Seconds(values[name]) }
-	p := Policy{Copies: int(values["copies"]), ChunkTasks: int(values["chunk_tasks"]) &^ 1,
-		NodeLease: sec("node_lease"), Handback: sec("handback_after"), Probe: sec("probe_after"),
-		Suspect: sec("suspect_after"), Fence: sec("fence_after"), FenceUp: sec("fence_replicas_after"), WarmShare: values["warm_share"],
-		CardReserve: int(values["card_reserve"]), CardShare: values["card_share"], ArrayWait: sec("array_wait"), BeginBy: sec("begin_by"), IdleWait: sec("idle_wait"), IdleShare: values["idle_share"], IdleRent: values["idle_rent"], IdleCards: values["idle_cards"], Idle: sec("idle_after"), RefusedPause: sec("refused_pause"), Book: sec("book_after"), ZonePatience: sec("zone_patience"), Allotments: values["allotments"] != 0}
-	if p.FenceUp <= p.Suspect {
-		return Policy{}, fmt.Errorf("policy: fence_replicas_after (%v) must be above suspect_after (%v)", p.FenceUp, p.Suspect)
+	p := Policy{Copies: int(values["copies"]), TasksPerChunk: int(values["chunk_tasks"]) &^ 1,
+		NodeLease: sec("node_lease"), HandbackDelay: sec("handback_after"), ProbeAfter: sec("probe_after"),
+		SuspectAfter: sec("suspect_after"), FenceAfter: sec("fence_after"), FenceReplicasAfter: sec("fence_replicas_after"), WarmShare: values["warm_share"],
+		GPUMachineReserve: int(values["card_reserve"]), GPUMachineShare: values["card_share"], ArrayWait: sec("array_wait"), StartAheadAfter: sec("begin_by"), BestEffortWait: sec("idle_wait"), BestEffortShare: values["idle_share"], BestEffortProvisionShare: values["idle_rent"], BestEffortGPUMachineShare: values["idle_cards"], IdleMachineTTL: sec("idle_after"), RefusedOfferPause: sec("refused_pause"), CompletionBatchDelay: sec("book_after"), PartitionPatience: sec("zone_patience"), Allotments: values["allotments"] != 0}
+	if p.FenceReplicasAfter <= p.SuspectAfter {
+		return Policy{}, fmt.Errorf("policy: fence_replicas_after (%v) must be above suspect_after (%v)", p.FenceReplicasAfter, p.SuspectAfter)
 	}
-	if p.Fence <= p.Suspect {
-		return Policy{}, fmt.Errorf("policy: fence_after (%v) must be above suspect_after (%v)", p.Fence, p.Suspect)
+	if p.FenceAfter <= p.SuspectAfter {
+		return Policy{}, fmt.Errorf("policy: fence_after (%v) must be above suspect_after (%v)", p.FenceAfter, p.SuspectAfter)
 	}
 	return p, nil
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -11,7 +11,7 @@
 )
 
 func settings() protocol.Settings {
-	return protocol.Settings{Nodes: 3, Zones: []string{"a"}, Workers: protocol.WorkerSettings{Report: 2 * time.Second, Lease: 10 * time.Second}}
+	return protocol.Settings{NodeCount: 3, Zones: []string{"a"}, Workers: protocol.WorkerSettings{HeartbeatInterval: 2 * time.Second, LeaseDuration: 10 * time.Second}}
 }
 
 func TestDefaultsFollowSettings(t *testing.T) {
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Copies != 2 || p.Fence != 8*time.Second {
+	if p.Copies != 2 || p.FenceAfter != 8*time.Second {
 		t.Fatalf("%+v", p)
 	}
 }
@@ -41,7 +41,7 @@
 		}
 		p, err := Load(file, settings())
 		if c.want == "" {
-			if err != nil || p.Copies != 3 || p.Idle != 30*time.Second {
+			if err != nil || p.Copies != 3 || p.IdleMachineTTL != 30*time.Second {
 				t.Fatalf("%q: %+v %v", c.text, p, err)
 			}
 			continue
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -13,21 +13,21 @@
 // use spell differently.
 func kinds() []golden.Kind {
 	return []golden.Kind{
-		{Name: "submission", Value: &protocol.Submission{Class: "é <\"&\\>", Shape: protocol.Gang, Rank: "high", ExpectS: 1e6, SnapshotS: 1e-7}},
-		{Name: "submission-answer", Value: &protocol.JobAnswer{}},
-		{Name: "report-shard", Value: &protocol.TaskReport{}},
-		{Name: "report", Value: &protocol.Report{Session: 1<<64 - 1}},
-		{Name: "report-answer", Value: &protocol.ReportAnswer{}},
+		{Name: "submission", Value: &protocol.Submission{Class: "é <\"&\\>", Shape: protocol.ShapeGang, PriorityClass: "high", RunEstimateS: 1e6, CheckpointS: 1e-7}},
+		{Name: "submission-answer", Value: &protocol.JobStatus{}},
+		{Name: "report-shard", Value: &protocol.TaskStatus{}},
+		{Name: "report", Value: &protocol.Heartbeat{AgentEpoch: 1<<64 - 1}},
+		{Name: "report-answer", Value: &protocol.HeartbeatResponse{}},
 		{Name: "order", Value: &protocol.Command{}},
-		{Name: "commands", Value: &protocol.DirectCommands{}},
-		{Name: "steward", Value: &protocol.Steward{}},
+		{Name: "commands", Value: &protocol.CommandRequest{}},
+		{Name: "steward", Value: &protocol.Redirect{}},
 		{Name: "flavour", Value: &protocol.MachineType{Price: 1e6, SpotPrice: 1e-7}},
 		{Name: "flavours", Value: &protocol.MachineTypes{}},
-		{Name: "hire", Value: &protocol.Hire{}},
-		{Name: "hosts", Value: &protocol.HostNames{}},
+		{Name: "hire", Value: &protocol.ProvisionRequest{}},
+		{Name: "hosts", Value: &protocol.HostList{}},
 		{Name: "listed-host", Value: &protocol.ListedMachine{}},
 		{Name: "listed-hosts", Value: &protocol.MachineList{}},
-		{Name: "peer", Value: &protocol.PeerMessage{Loads: []protocol.Load{{Holds: protocol.Amounts{"b": 1e6, "a": 1e-7, "é <\"&\\>": 0.1}}, {}}}},
+		{Name: "peer", Value: &protocol.PeerMessage{Loads: []protocol.ShardLoad{{FreeCPUsByImage: protocol.Amounts{"b": 1e6, "a": 1e-7, "é <\"&\\>": 0.1}}, {}}}},
 	}
 }
 
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	report, err := protocol.ParseReport(golden.Read(t, "report.json"))
+	report, err := protocol.ParseHeartbeat(golden.Read(t, "report.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 			t.Errorf("%s: written again %s (%v)", file, encoded, err)
 		}
 	}
-	if ref, err := protocol.RefOf(golden.Read(t, "submission.json")); err != nil || ref != submission.Ref {
+	if ref, err := protocol.ParseJobID(golden.Read(t, "submission.json")); err != nil || ref != submission.JobID {
 		t.Errorf("id %q, %v", ref, err)
 	}
 }
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -22,9 +22,9 @@
 
 // The shapes, spelled as on the wire.
 const (
-	Array   Shape = "sweep"
-	Gang    Shape = "group"
-	Service Shape = "service"
+	ShapeArray   Shape = "sweep"
+	ShapeGang    Shape = "group"
+	ShapeService Shape = "service"
 )
 
 // MaxTasks bounds the tasks of one job.
@@ -34,62 +34,64 @@
 //
 //easyjson:json
 type Submission struct {
-	Ref            string   `json:"ref"`
-	Class          string   `json:"jobclass"`
-	Team           string   `json:"owner"`
-	Shape          Shape    `json:"shape"`
-	Rank           string   `json:"rank"`
-	Tasks          int      `json:"shards"`
-	CPUs           float64  `json:"cpus"`
-	GPUs           float64  `json:"cards"`
-	MemGB          float64  `json:"memGb"`
-	Image          string   `json:"bundle"`
-	ImageGB        float64  `json:"sizeGb"`
-	Types          []string `json:"flavours,omitempty"`
-	Zone           string   `json:"hall,omitempty"`
-	SameZone       bool     `json:"samePlace,omitempty"`
-	Spread         bool     `json:"spread,omitempty"`
-	Spot           bool     `json:"loaner,omitempty"`
-	ExpectS        float64  `json:"expectS"`
-	SnapshotEveryS float64  `json:"snapshotEveryS,omitempty"`
-	SnapshotS      float64  `json:"snapshotS,omitempty"`
-	DueS           *float64 `json:"dueS,omitempty"`
+	JobID               string   `json:"ref"`
+	Class               string   `json:"jobclass"`
+	Team                string   `json:"owner"`
+	Shape               Shape    `json:"shape"`
+	PriorityClass       string   `json:"rank"`
+	Tasks               int      `json:"shards"`
+	CPUs                float64  `json:"cpus"`
+	GPUs                float64  `json:"cards"`
+	MemoryGB            float64  `json:"memGb"`
+	Image               string   `json:"bundle"`
+	ImageGB             float64  `json:"sizeGb"`
+	MachineTypes        []string `json:"flavours,omitempty"`
+	Zone                string   `json:"hall,omitempty"`
+	SameZone            bool     `json:"samePlace,omitempty"`
+	SpreadZones         bool     `json:"spread,omitempty"`
+	AllowSpot           bool     `json:"loaner,omitempty"`
+	RunEstimateS        float64  `json:"expectS"`
+	CheckpointIntervalS float64  `json:"snapshotEveryS,omitempty"`
+	CheckpointS         float64  `json:"snapshotS,omitempty"`
+	DeadlineS           *float64 `json:"dueS,omitempty"`
 	// Awaits names the jobs that must be done before a task of this one starts. It is
 	// checked and without duplicates; a job's record keeps it apart from the description.
-	Awaits []string `json:"awaits,omitempty"`
+	Dependencies []string `json:"awaits,omitempty"`
 }
 
-// ranks are spelled as on the wire, the lowest first.
-var ranks = []string{"idle", "normal", "high", "critical"}
+// priorityClasses are spelled as on the wire, the lowest first.
+var priorityClasses = []string{"idle", "normal", "high", "critical"}
 
-// Priority orders ranks: higher goes first. Unknown ranks give false.
-func Priority(rank string) (int, bool) {
-	priority := slices.Index(ranks, rank)
+// ParsePriority orders ranks: higher goes first. Unknown ranks give false.
+func ParsePriority(rank string) (int, bool) {
+	priority := slices.Index(priorityClasses, rank)
 	return max(0, priority), priority >= 0
 }
 
-// RankOf is the rank of a priority.
-func RankOf(priority int) string { return ranks[min(max(0, priority), len(ranks)-1)] }
+// PriorityClassOf is the rank of a priority.
+func PriorityClassOf(priority int) string {
+	return priorityClasses[min(max(0, priority), len(priorityClasses)-1)]
+}
 
-// Expect is the owner's estimate of a task's run time.
-func (s *Submission) Expect() time.Duration { return Seconds(s.ExpectS) }
+// RunEstimate is the owner's estimate of a task's run time.
+func (s *Submission) RunEstimate() time.Duration { return Seconds(s.RunEstimateS) }
 
-// SnapshotEvery is the progress between checkpoints; 0: never saves.
-func (s *Submission) SnapshotEvery() time.Duration { return Seconds(s.SnapshotEveryS) }
+// CheckpointInterval is the progress between checkpoints; 0: never saves.
+func (s *Submission) CheckpointInterval() time.Duration { return Seconds(s.CheckpointIntervalS) }
 
-// Snapshot is the time a stopped task needs to save.
-func (s *Submission) Snapshot() time.Duration { return Seconds(s.SnapshotS) }
+// CheckpointDuration is the time a stopped task needs to save.
+func (s *Submission) CheckpointDuration() time.Duration { return Seconds(s.CheckpointS) }
 
-// Due is the deadline after submission; 0 means none.
-func (s *Submission) Due() time.Duration {
-	if s.DueS == nil {
+// Deadline is the deadline after submission; 0 means none.
+func (s *Submission) Deadline() time.Duration {
+	if s.DeadlineS == nil {
 		return 0
 	}
-	return Seconds(*s.DueS)
+	return Seconds(*s.DeadlineS)
 }
 
-// Prio is the priority of a checked submission.
-func (s *Submission) Prio() int { p, _ := Priority(s.Rank); return p }
+// Priority is the priority of a checked submission.
+func (s *Submission) Priority() int { p, _ := ParsePriority(s.PriorityClass); return p }
 
 // ErrMalformed is wrapped by every reason to answer 400.
 var ErrMalformed = errors.New("malformed")
@@ -98,8 +100,8 @@
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, a...))
 }
 
-// ValidRef tells whether a job id has the form that users give ids.
-func ValidRef(ref string) bool {
+// ValidJobID tells whether a job id has the form that users give ids.
+func ValidJobID(ref string) bool {
 	digits, ok := strings.CutPrefix(ref, "wk-")
 	if !ok || digits == "" || len(ref) > 40 {
 		return false
@@ -112,9 +114,9 @@
 	return true
 }
 
-// RefOf reads only the id of a submission, so that a known job is recognised
+// ParseJobID reads only the id of a submission, so that a known job is recognised
 // whatever else its retry holds.
-func RefOf(body []byte) (string, error) {
+func ParseJobID(body []byte) (string, error) {
 	var w struct {
 		Ref *string `json:"ref"`
 	}
@@ -125,7 +127,7 @@
 	if err := json.Unmarshal(body, &w); err != nil && w.Ref == nil {
 		return "", malformed("not JSON")
 	}
-	if w.Ref == nil || !ValidRef(*w.Ref) {
+	if w.Ref == nil || !ValidJobID(*w.Ref) {
 		return "", malformed("ref")
 	}
 	return *w.Ref, nil
@@ -148,18 +150,18 @@
 	if err := json.Unmarshal(body, &s); err != nil {
 		return nil, malformed("%v", err)
 	}
-	if _, ok := Priority(s.Rank); !ok {
+	if _, ok := ParsePriority(s.PriorityClass); !ok {
 		return nil, malformed("rank")
 	}
 	due := 0.0
-	if s.DueS != nil {
-		due = *s.DueS
+	if s.DeadlineS != nil {
+		due = *s.DeadlineS
 	}
 	amounts := []struct {
 		key string
 		v   float64
-	}{{"cpus", s.CPUs}, {"cards", s.GPUs}, {"memGb", s.MemGB}, {"sizeGb", s.ImageGB}, {"expectS", s.ExpectS},
-		{"snapshotEveryS", s.SnapshotEveryS}, {"snapshotS", s.SnapshotS}, {"dueS", due}}
+	}{{"cpus", s.CPUs}, {"cards", s.GPUs}, {"memGb", s.MemoryGB}, {"sizeGb", s.ImageGB}, {"expectS", s.RunEstimateS},
+		{"snapshotEveryS", s.CheckpointIntervalS}, {"snapshotS", s.CheckpointS}, {"dueS", due}}
 	for _, a := range amounts {
 		// A bound keeps sums and Durations far from overflow.
 		if !(a.v >= 0) || math.IsInf(a.v, 0) || a.v > 1e9 {
@@ -167,112 +169,112 @@
 		}
 	}
 	switch {
-	case !ValidRef(s.Ref):
+	case !ValidJobID(s.JobID):
 		return nil, malformed("ref")
-	case s.Shape != Array && s.Shape != Gang && s.Shape != Service:
+	case s.Shape != ShapeArray && s.Shape != ShapeGang && s.Shape != ShapeService:
 		return nil, malformed("shape")
 	case s.Tasks < 1 || s.Tasks > MaxTasks:
 		return nil, malformed("shards is out of range")
 	case s.Class == "" || len(s.Class) > 200 || s.Team == "" || len(s.Team) > 200:
 		return nil, malformed("jobclass or owner")
-	case s.Image == "" || len(s.Image) > 200 || len(s.Zone) > 200 || len(s.Types) > 64:
+	case s.Image == "" || len(s.Image) > 200 || len(s.Zone) > 200 || len(s.MachineTypes) > 64:
 		return nil, malformed("bundle, hall or flavours")
 	}
-	for _, t := range s.Types {
+	for _, t := range s.MachineTypes {
 		if t == "" || len(t) > 200 {
 			return nil, malformed("flavours")
 		}
 	}
-	if err := s.checkAwaits(); err != nil {
+	if err := s.checkDependencies(); err != nil {
 		return nil, err
 	}
 	return &s, nil
 }
 
-// checkAwaits checks the jobs that a submission waits for and drops repeated names.
-func (s *Submission) checkAwaits() error {
-	for _, ref := range s.Awaits {
-		if !ValidRef(ref) {
+// checkDependencies checks the jobs that a submission waits for and drops repeated names.
+func (s *Submission) checkDependencies() error {
+	for _, ref := range s.Dependencies {
+		if !ValidJobID(ref) {
 			return malformed("awaits names %q, which is no job id", ref)
 		}
-		if ref == s.Ref {
+		if ref == s.JobID {
 			return malformed("awaits names the job itself")
 		}
 	}
-	slices.Sort(s.Awaits)
-	s.Awaits = slices.Compact(s.Awaits)
+	slices.Sort(s.Dependencies)
+	s.Dependencies = slices.Compact(s.Dependencies)
 	return nil
 }
 
-// JobAnswer is what users are told of a job.
+// JobStatus is what users are told of a job.
 //
 //easyjson:json
-type JobAnswer struct {
-	Ref     string `json:"ref"`
-	Phase   string `json:"phase"`
-	Done    int    `json:"done"`
-	Running int    `json:"running"`
+type JobStatus struct {
+	JobID        string `json:"ref"`
+	Phase        string `json:"phase"`
+	DoneTasks    int    `json:"done"`
+	RunningTasks int    `json:"running"`
 }
 
 // Phases of a job, as users see them.
 const (
-	Pending   = "pending"
-	Running   = "running"
-	Done      = "done"
-	Cancelled = "cancelled"
+	JobPending   = "pending"
+	JobRunning   = "running"
+	JobDone      = "done"
+	JobCancelled = "cancelled"
 )
 
 // States of a task on a worker, and why it exited.
 const (
-	TaskFetching = "fetching"
-	TaskWaiting  = "gathering"
-	TaskRunning  = "running"
-	TaskSaving   = "flushing"
-	TaskExited   = "exited"
-	CauseDone    = "done"
-	CauseError   = "error"
-	// CauseIncomplete: a gang's task waited too long for the others.
-	CauseIncomplete = "incomplete"
-	CauseNoRoom     = "no_room"
-	CauseNoSuch     = "no_such"
-	CauseBusy       = "busy"
-	MachineFailed   = "failed"
+	TaskFetching       = "fetching"
+	TaskWaitingForGang = "gathering"
+	TaskRunning        = "running"
+	TaskCheckpointing  = "flushing"
+	TaskExited         = "exited"
+	CauseDone          = "done"
+	CauseError         = "error"
+	// CauseGangTimeout: a gang's task waited too long for the others.
+	CauseGangTimeout = "incomplete"
+	CauseNoCapacity  = "no_room"
+	CauseUnknownJob  = "no_such"
+	CauseBusy        = "busy"
+	MachineFailed    = "failed"
 )
 
-// TaskReport is a task as its worker reports it.
+// TaskStatus is a task as its worker reports it.
 //
 //easyjson:json
-type TaskReport struct {
-	Task  string `json:"shard"`
-	Try   uint64 `json:"try"`
-	Phase string `json:"phase"`
-	Cause string `json:"cause"`
-	Saved bool   `json:"kept"`
+type TaskStatus struct {
+	Task         string `json:"shard"`
+	Attempt      uint64 `json:"try"`
+	Phase        string `json:"phase"`
+	Cause        string `json:"cause"`
+	Checkpointed bool   `json:"kept"`
 }
 
-// Report is a worker's own account of its machine.
+// Heartbeat is a worker's own account of its machine.
 //
 //easyjson:json
-type Report struct {
-	Host     string       `json:"host"`
-	Addr     string       `json:"address"`
-	Type     string       `json:"flavour"`
-	Zone     string       `json:"hall"`
-	Spot     bool         `json:"loaner"`
-	Session  uint64       `json:"tenure"`
-	Seq      uint64       `json:"tick"`
-	Token    uint64       `json:"baton"`
-	WarningS *float64     `json:"warningS"`
-	Tasks    []TaskReport `json:"shards"`
+type Heartbeat struct {
+	Host              string       `json:"host"`
+	Address           string       `json:"address"`
+	Type              string       `json:"flavour"`
+	Zone              string       `json:"hall"`
+	Spot              bool         `json:"loaner"`
+	AgentEpoch        uint64       `json:"tenure"`
+	Sequence          uint64       `json:"tick"`
+	FencingToken      uint64       `json:"baton"`
+	PreemptionNoticeS *float64     `json:"warningS"`
+	Tasks             []TaskStatus `json:"shards"`
 }
 
-// ParseReport checks a worker's report.
-func ParseReport(body []byte) (*Report, error) {
-	var r Report
+// ParseHeartbeat checks a worker's report.
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var r Heartbeat
 	if err := r.UnmarshalJSON(body); err != nil {
 		return nil, malformed("%v", err)
 	}
-	if r.Host == "" || len(r.Host) > 100 || strings.ContainsAny(r.Host, " /") || r.Session == 0 {
+	if r.Host == "" || len(r.Host) > 100 || strings.ContainsAny(r.Host, " /") || r.AgentEpoch == 0 {
 		return nil, malformed("host or tenure")
 	}
 	return &r, nil
@@ -282,70 +284,74 @@
 //
 //easyjson:json
 type Command struct {
-	Verb  string   `json:"verb"`
-	Task  string   `json:"shard"`
-	Try   uint64   `json:"try"`
-	Grace *float64 `json:"windDownS,omitempty"`
+	Verb    string   `json:"verb"`
+	Task    string   `json:"shard"`
+	Attempt uint64   `json:"try"`
+	GraceS  *float64 `json:"windDownS,omitempty"`
 }
 
-// Start is the command that begins an attempt of a task.
-func Start(task string, try uint64) Command { return Command{Verb: "start", Task: task, Try: try} }
+// StartCommand is the command that begins an attempt of a task.
+func StartCommand(task string, try uint64) Command {
+	return Command{Verb: "start", Task: task, Attempt: try}
+}
 
-// Stop is the command that ends a task's attempt within a grace period.
-func Stop(task string, try uint64, grace time.Duration) Command {
+// StopCommand is the command that ends a task's attempt within a grace period.
+func StopCommand(task string, try uint64, grace time.Duration) Command {
 	g := grace.Seconds()
-	return Command{Verb: "stop", Task: task, Try: try, Grace: &g}
+	return Command{Verb: "stop", Task: task, Attempt: try, GraceS: &g}
 }
 
-// Reap is the command that removes an exited task from the worker's memory.
-func Reap(task string, try uint64) Command { return Command{Verb: "reap", Task: task, Try: try} }
+// ReapCommand is the command that removes an exited task from the worker's memory.
+func ReapCommand(task string, try uint64) Command {
+	return Command{Verb: "reap", Task: task, Attempt: try}
+}
 
-// ReportAnswer answers a report.
+// HeartbeatResponse answers a report.
 //
 //easyjson:json
-type ReportAnswer struct {
-	Token    uint64    `json:"baton"`
-	Commands []Command `json:"orders"`
+type HeartbeatResponse struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []Command `json:"orders"`
 }
 
-// DirectCommands is the body of a call of /commands.
+// CommandRequest is the body of a call of /commands.
 //
 //easyjson:json
-type DirectCommands struct {
-	Token    uint64    `json:"baton"`
-	Session  uint64    `json:"tenure"`
-	Commands []Command `json:"orders"`
+type CommandRequest struct {
+	FencingToken uint64    `json:"baton"`
+	AgentEpoch   uint64    `json:"tenure"`
+	Commands     []Command `json:"orders"`
 }
 
-// Steward tells a worker which node to report to.
-type Steward struct {
+// Redirect tells a worker which node to report to.
+type Redirect struct {
 	Node string `json:"steward,omitempty"`
 }
 
 // MachineType is a kind of machine the cloud rents.
 type MachineType struct {
-	Name      string   `json:"label"`
-	CPUs      float64  `json:"cpus"`
-	GPUs      float64  `json:"cards"`
-	MemGB     float64  `json:"memGb"`
-	CacheGB   float64  `json:"cacheGb"`
-	PullGBps  float64  `json:"pullGbPerS"`
-	Price     float64  `json:"hourly"`
-	SpotPrice float64  `json:"marketPrice"`
-	BootS     float64  `json:"bootS"`
-	Zones     []string `json:"halls"`
+	Name          string   `json:"label"`
+	CPUs          float64  `json:"cpus"`
+	GPUs          float64  `json:"cards"`
+	MemoryGB      float64  `json:"memGb"`
+	ImageCacheGB  float64  `json:"cacheGb"`
+	ImagePullGBps float64  `json:"pullGbPerS"`
+	Price         float64  `json:"hourly"`
+	SpotPrice     float64  `json:"marketPrice"`
+	BootS         float64  `json:"bootS"`
+	Zones         []string `json:"halls"`
 }
 
-// Boot is the nominal time from the rental to the first report.
-func (t *MachineType) Boot() time.Duration { return Seconds(t.BootS) }
+// BootTime is the nominal time from the rental to the first report.
+func (t *MachineType) BootTime() time.Duration { return Seconds(t.BootS) }
 
 // MachineTypes is the cloud's list of types.
 type MachineTypes struct {
 	Types []MachineType `json:"flavours"`
 }
 
-// Hire is a rental request; its name is never used again.
-type Hire struct {
+// ProvisionRequest is a rental request; its name is never used again.
+type ProvisionRequest struct {
 	Name  string `json:"hire"`
 	Type  string `json:"flavour"`
 	Zone  string `json:"hall"`
@@ -353,20 +359,20 @@
 	Count int    `json:"howMany"`
 }
 
-// HostNames lists machines, as a rental's answer and as a return's body.
-type HostNames struct {
+// HostList lists machines, as a rental's answer and as a return's body.
+type HostList struct {
 	Hosts []string `json:"hosts"`
 }
 
 // ListedMachine is a machine in the cloud's list.
 type ListedMachine struct {
-	Host  string  `json:"ref"`
-	Addr  string  `json:"address"`
-	Type  string  `json:"flavour"`
-	Zone  string  `json:"hall"`
-	Spot  bool    `json:"loaner"`
-	Phase string  `json:"phase"`
-	HeldS float64 `json:"heldS"`
+	Host    string  `json:"ref"`
+	Address string  `json:"address"`
+	Type    string  `json:"flavour"`
+	Zone    string  `json:"hall"`
+	Spot    bool    `json:"loaner"`
+	Phase   string  `json:"phase"`
+	AgeS    float64 `json:"heldS"`
 }
 
 // MachineList is one page of the cloud's list.
@@ -378,9 +384,9 @@
 // TaskName is how workers name a task: the job's id and the task's number.
 func TaskName(ref string, task int) string { return ref + "/" + strconv.Itoa(task) }
 
-// SplitTask undoes TaskName.
-func SplitTask(name string) (ref string, task int, ok bool) {
+// ParseTaskName undoes TaskName.
+func ParseTaskName(name string) (ref string, task int, ok bool) {
 	ref, num, found := strings.Cut(name, "/")
 	n, err := strconv.Atoi(num)
-	return ref, n, found && err == nil && n >= 0 && ValidRef(ref)
+	return ref, n, found && err == nil && n >= 0 && ValidJobID(ref)
 }
--- a/internal/protocol/messages_easyjson.go
+++ b/internal/protocol/messages_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson66c1e240DecodeMadderslipInternalProtocol(in *jlexer.Lexer, out *TaskReport) {
+func easyjson66c1e240DecodeMadderslipInternalProtocol(in *jlexer.Lexer, out *TaskStatus) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -41,7 +41,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Try = uint64(in.Uint64())
+				out.Attempt = uint64(in.Uint64())
 			}
 		case "phase":
 			if in.IsNull() {
@@ -59,7 +59,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Saved = bool(in.Bool())
+				out.Checkpointed = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -71,7 +71,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeMadderslipInternalProtocol(out *jwriter.Writer, in TaskReport) {
+func easyjson66c1e240EncodeMadderslipInternalProtocol(out *jwriter.Writer, in TaskStatus) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -83,7 +83,7 @@
 	{
 		const prefix string = ",\"try\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Try))
+		out.Uint64(uint64(in.Attempt))
 	}
 	{
 		const prefix string = ",\"phase\":"
@@ -98,32 +98,32 @@
 	{
 		const prefix string = ",\"kept\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Saved))
+		out.Bool(bool(in.Checkpointed))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v TaskReport) MarshalJSON() ([]byte, error) {
+func (v TaskStatus) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson66c1e240EncodeMadderslipInternalProtocol(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v TaskReport) MarshalEasyJSON(w *jwriter.Writer) {
+func (v TaskStatus) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson66c1e240EncodeMadderslipInternalProtocol(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *TaskReport) UnmarshalJSON(data []byte) error {
+func (v *TaskStatus) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson66c1e240DecodeMadderslipInternalProtocol(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *TaskReport) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *TaskStatus) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson66c1e240DecodeMadderslipInternalProtocol(l, v)
 }
 func easyjson66c1e240DecodeMadderslipInternalProtocol1(in *jlexer.Lexer, out *Submission) {
@@ -144,7 +144,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Ref = string(in.String())
+				out.JobID = string(in.String())
 			}
 		case "jobclass":
 			if in.IsNull() {
@@ -168,7 +168,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Rank = string(in.String())
+				out.PriorityClass = string(in.String())
 			}
 		case "shards":
 			if in.IsNull() {
@@ -192,7 +192,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.MemGB = float64(in.Float64())
+				out.MemoryGB = float64(in.Float64())
 			}
 		case "bundle":
 			if in.IsNull() {
@@ -209,17 +209,17 @@
 		case "flavours":
 			if in.IsNull() {
 				in.Skip()
-				out.Types = nil
+				out.MachineTypes = nil
 			} else {
 				in.Delim('[')
-				if out.Types == nil {
+				if out.MachineTypes == nil {
 					if !in.IsDelim(']') {
-						out.Types = make([]string, 0, 4)
+						out.MachineTypes = make([]string, 0, 4)
 					} else {
-						out.Types = []string{}
+						out.MachineTypes = []string{}
 					}
 				} else {
-					out.Types = (out.Types)[:0]
+					out.MachineTypes = (out.MachineTypes)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v1 string
@@ -228,7 +228,7 @@
 					} else {
 						v1 = string(in.String())
 					}
-					out.Types = append(out.Types, v1)
+					out.MachineTypes = append(out.MachineTypes, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -249,60 +249,60 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Spread = bool(in.Bool())
+				out.SpreadZones = bool(in.Bool())
 			}
 		case "loaner":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Spot = bool(in.Bool())
+				out.AllowSpot = bool(in.Bool())
 			}
 		case "expectS":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.ExpectS = float64(in.Float64())
+				out.RunEstimateS = float64(in.Float64())
 			}
 		case "snapshotEveryS":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.SnapshotEveryS = float64(in.Float64())
+				out.CheckpointIntervalS = float64(in.Float64())
 			}
 		case "snapshotS":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.SnapshotS = float64(in.Float64())
+				out.CheckpointS = float64(in.Float64())
 			}
 		case "dueS":
 			if in.IsNull() {
 				in.Skip()
-				out.DueS = nil
+				out.DeadlineS = nil
 			} else {
-				if out.DueS == nil {
-					out.DueS = new(float64)
+				if out.DeadlineS == nil {
+					out.DeadlineS = new(float64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.DueS = float64(in.Float64())
+					*out.DeadlineS = float64(in.Float64())
 				}
 			}
 		case "awaits":
 			if in.IsNull() {
 				in.Skip()
-				out.Awaits = nil
+				out.Dependencies = nil
 			} else {
 				in.Delim('[')
-				if out.Awaits == nil {
+				if out.Dependencies == nil {
 					if !in.IsDelim(']') {
-						out.Awaits = make([]string, 0, 4)
+						out.Dependencies = make([]string, 0, 4)
 					} else {
-						out.Awaits = []string{}
+						out.Dependencies = []string{}
 					}
 				} else {
-					out.Awaits = (out.Awaits)[:0]
+					out.Dependencies = (out.Dependencies)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v2 string
@@ -311,7 +311,7 @@
 					} else {
 						v2 = string(in.String())
 					}
-					out.Awaits = append(out.Awaits, v2)
+					out.Dependencies = append(out.Dependencies, v2)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -333,7 +333,7 @@
 	{
 		const prefix string = ",\"ref\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Ref))
+		out.String(string(in.JobID))
 	}
 	{
 		const prefix string = ",\"jobclass\":"
@@ -353,7 +353,7 @@
 	{
 		const prefix string = ",\"rank\":"
 		out.RawString(prefix)
-		out.String(string(in.Rank))
+		out.String(string(in.PriorityClass))
 	}
 	{
 		const prefix string = ",\"shards\":"
@@ -373,7 +373,7 @@
 	{
 		const prefix string = ",\"memGb\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.MemGB))
+		out.Float64(float64(in.MemoryGB))
 	}
 	{
 		const prefix string = ",\"bundle\":"
@@ -385,12 +385,12 @@
 		out.RawString(prefix)
 		out.Float64(float64(in.ImageGB))
 	}
-	if len(in.Types) != 0 {
+	if len(in.MachineTypes) != 0 {
 		const prefix string = ",\"flavours\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v3, v4 := range in.Types {
+			for v3, v4 := range in.MachineTypes {
 				if v3 > 0 {
 					out.RawByte(',')
 				}
@@ -409,42 +409,42 @@
 		out.RawString(prefix)
 		out.Bool(bool(in.SameZone))
 	}
-	if in.Spread {
+	if in.SpreadZones {
 		const prefix string = ",\"spread\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Spread))
+		out.Bool(bool(in.SpreadZones))
 	}
-	if in.Spot {
+	if in.AllowSpot {
 		const prefix string = ",\"loaner\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Spot))
+		out.Bool(bool(in.AllowSpot))
 	}
 	{
 		const prefix string = ",\"expectS\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.ExpectS))
+		out.Float64(float64(in.RunEstimateS))
 	}
-	if in.SnapshotEveryS != 0 {
+	if in.CheckpointIntervalS != 0 {
 		const prefix string = ",\"snapshotEveryS\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.SnapshotEveryS))
+		out.Float64(float64(in.CheckpointIntervalS))
 	}
-	if in.SnapshotS != 0 {
+	if in.CheckpointS != 0 {
 		const prefix string = ",\"snapshotS\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.SnapshotS))
+		out.Float64(float64(in.CheckpointS))
 	}
-	if in.DueS != nil {
+	if in.DeadlineS != nil {
 		const prefix string = ",\"dueS\":"
 		out.RawString(prefix)
-		out.Float64(float64(*in.DueS))
+		out.Float64(float64(*in.DeadlineS))
 	}
-	if len(in.Awaits) != 0 {
+	if len(in.Dependencies) != 0 {
 		const prefix string = ",\"awaits\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v5, v6 := range in.Awaits {
+			for v5, v6 := range in.Dependencies {
 				if v5 > 0 {
 					out.RawByte(',')
 				}
@@ -479,7 +479,105 @@
 func (v *Submission) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson66c1e240DecodeMadderslipInternalProtocol1(l, v)
 }
-func easyjson66c1e240DecodeMadderslipInternalProtocol2(in *jlexer.Lexer, out *ReportAnswer) {
+func easyjson66c1e240DecodeMadderslipInternalProtocol2(in *jlexer.Lexer, out *JobStatus) {
+	isTopLevel := in.IsStart()
+	if in.IsNull() {
+		if isTopLevel {
+			in.Consumed()
+		}
+		in.Skip()
+		return
+	}
+	in.Delim('{')
+	for !in.IsDelim('}') {
+		key := in.UnsafeFieldName(false)
+		in.WantColon()
+		switch key {
+		case "ref":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.JobID = string(in.String())
+			}
+		case "phase":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.Phase = string(in.String())
+			}
+		case "done":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.DoneTasks = int(in.Int())
+			}
+		case "running":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.RunningTasks = int(in.Int())
+			}
+		default:
+			in.SkipRecursive()
+		}
+		in.WantComma()
+	}
+	in.Delim('}')
+	if isTopLevel {
+		in.Consumed()
+	}
+}
+func easyjson66c1e240EncodeMadderslipInternalProtocol2(out *jwriter.Writer, in JobStatus) {
+	out.RawByte('{')
+	first := true
+	_ = first
+	{
+		const prefix string = ",\"ref\":"
+		out.RawString(prefix[1:])
+		out.String(string(in.JobID))
+	}
+	{
+		const prefix string = ",\"phase\":"
+		out.RawString(prefix)
+		out.String(string(in.Phase))
+	}
+	{
+		const prefix string = ",\"done\":"
+		out.RawString(prefix)
+		out.Int(int(in.DoneTasks))
+	}
+	{
+		const prefix string = ",\"running\":"
+		out.RawString(prefix)
+		out.Int(int(in.RunningTasks))
+	}
+	out.RawByte('}')
+}
+
+// MarshalJSON supports json.Marshaler interface
+func (v JobStatus) MarshalJSON() ([]byte, error) {
+	w := jwriter.Writer{}
+	easyjson66c1e240EncodeMadderslipInternalProtocol2(&w, v)
+	return w.Buffer.BuildBytes(), w.Error
+}
+
+// MarshalEasyJSON supports easyjson.Marshaler interface
+func (v JobStatus) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeMadderslipInternalProtocol2(w, v)
+}
+
+// UnmarshalJSON supports json.Unmarshaler interface
+func (v *JobStatus) UnmarshalJSON(data []byte) error {
+	r := jlexer.Lexer{Data: data}
+	easyjson66c1e240DecodeMadderslipInternalProtocol2(&r, v)
+	return r.Error()
+}
+
+// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
+func (v *JobStatus) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeMadderslipInternalProtocol2(l, v)
+}
+func easyjson66c1e240DecodeMadderslipInternalProtocol3(in *jlexer.Lexer, out *HeartbeatResponse) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -497,7 +595,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Token = uint64(in.Uint64())
+				out.FencingToken = uint64(in.Uint64())
 			}
 		case "orders":
 			if in.IsNull() {
@@ -536,14 +634,14 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeMadderslipInternalProtocol2(out *jwriter.Writer, in ReportAnswer) {
+func easyjson66c1e240EncodeMadderslipInternalProtocol3(out *jwriter.Writer, in HeartbeatResponse) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"baton\":"
 		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Token))
+		out.Uint64(uint64(in.FencingToken))
 	}
 	{
 		const prefix string = ",\"orders\":"
@@ -565,29 +663,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v ReportAnswer) MarshalJSON() ([]byte, error) {
+func (v HeartbeatResponse) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeMadderslipInternalProtocol2(&w, v)
+	easyjson66c1e240EncodeMadderslipInternalProtocol3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v ReportAnswer) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeMadderslipInternalProtocol2(w, v)
+func (v HeartbeatResponse) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson66c1e240EncodeMadderslipInternalProtocol3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *ReportAnswer) UnmarshalJSON(data []byte) error {
+func (v *HeartbeatResponse) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeMadderslipInternalProtocol2(&r, v)
+	easyjson66c1e240DecodeMadderslipInternalProtocol3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *ReportAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeMadderslipInternalProtocol2(l, v)
+func (v *HeartbeatResponse) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson66c1e240DecodeMadderslipInternalProtocol3(l, v)
 }
-func easyjson66c1e240DecodeMadderslipInternalProtocol3(in *jlexer.Lexer, out *Report) {
+func easyjson66c1e240DecodeMadderslipInternalProtocol4(in *jlexer.Lexer, out *Heartbeat) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -611,7 +709,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Addr = string(in.String())
+				out.Address = string(in.String())
 			}
 		case "flavour":
 			if in.IsNull() {
@@ -635,32 +733,32 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Session = uint64(in.Uint64())
+				out.AgentEpoch = uint64(in.Uint64())
 			}
 		case "tick":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Seq = uint64(in.Uint64())
+				out.Sequence = uint64(in.Uint64())
 			}
 		case "baton":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Token = uint64(in.Uint64())
+				out.FencingToken = uint64(in.Uint64())
 			}
 		case "warningS":
 			if in.IsNull() {
 				in.Skip()
-				out.WarningS = nil
+				out.PreemptionNoticeS = nil
 			} else {
-				if out.WarningS == nil {
-					out.WarningS = new(float64)
+				if out.PreemptionNoticeS == nil {
+					out.PreemptionNoticeS = new(float64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.WarningS = float64(in.Float64())
+					*out.PreemptionNoticeS = float64(in.Float64())
 				}
 			}
 		case "shards":
@@ -671,15 +769,15 @@
 				in.Delim('[')
 				if out.Tasks == nil {
 					if !in.IsDelim(']') {
-						out.Tasks = make([]TaskReport, 0, 1)
+						out.Tasks = make([]TaskStatus, 0, 1)
 					} else {
-						out.Tasks = []TaskReport{}
+						out.Tasks = []TaskStatus{}
 					}
 				} else {
 					out.Tasks = (out.Tasks)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v10 TaskReport
+					var v10 TaskStatus
 					if in.IsNull() {
 						in.Skip()
 					} else {
@@ -700,7 +798,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeMadderslipInternalProtocol3(out *jwriter.Writer, in Report) {
+func easyjson66c1e240EncodeMadderslipInternalProtocol4(out *jwriter.Writer, in Heartbeat) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -712,7 +810,7 @@
 	{
 		const prefix string = ",\"address\":"
 		out.RawString(prefix)
-		out.String(string(in.Addr))
+		out.String(string(in.Address))
 	}
 	{
 		const prefix string = ",\"flavour\":"
@@ -732,25 +830,25 @@
 	{
 		const prefix string = ",\"tenure\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Session))
+		out.Uint64(uint64(in.AgentEpoch))
 	}
 	{
 		const prefix string = ",\"tick\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Seq))
+		out.Uint64(uint64(in.Sequence))
 	}
 	{
 		const prefix string = ",\"baton\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Token))
+		out.Uint64(uint64(in.FencingToken))
 	}
 	{
 		const prefix string = ",\"warningS\":"
 		out.RawString(prefix)
-		if in.WarningS == nil {
+		if in.PreemptionNoticeS == nil {
 			out.RawString("null")
 		} else {
-			out.Float64(float64(*in.WarningS))
+			out.Float64(float64(*in.PreemptionNoticeS))
 		}
 	}
 	{
@@ -773,127 +871,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v Report) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjson66c1e240EncodeMadderslipInternalProtocol3(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Report) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeMadderslipInternalProtocol3(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *Report) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeMadderslipInternalProtocol3(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Report) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeMadderslipInternalProtocol3(l, v)
-}
-func easyjson66c1e240DecodeMadderslipInternalProtocol4(in *jlexer.Lexer, out *JobAnswer) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "ref":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Ref = string(in.String())
-			}
-		case "phase":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Phase = string(in.String())
-			}
-		case "done":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Done = int(in.Int())
-			}
-		case "running":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Running = int(in.Int())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson66c1e240EncodeMadderslipInternalProtocol4(out *jwriter.Writer, in JobAnswer) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"ref\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.Ref))
-	}
-	{
-		const prefix string = ",\"phase\":"
-		out.RawString(prefix)
-		out.String(string(in.Phase))
-	}
-	{
-		const prefix string = ",\"done\":"
-		out.RawString(prefix)
-		out.Int(int(in.Done))
-	}
-	{
-		const prefix string = ",\"running\":"
-		out.RawString(prefix)
-		out.Int(int(in.Running))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v JobAnswer) MarshalJSON() ([]byte, error) {
+func (v Heartbeat) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson66c1e240EncodeMadderslipInternalProtocol4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v JobAnswer) MarshalEasyJSON(w *jwriter.Writer) {
+func (v Heartbeat) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson66c1e240EncodeMadderslipInternalProtocol4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *JobAnswer) UnmarshalJSON(data []byte) error {
+func (v *Heartbeat) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson66c1e240DecodeMadderslipInternalProtocol4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *JobAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *Heartbeat) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson66c1e240DecodeMadderslipInternalProtocol4(l, v)
 }
-func easyjson66c1e240DecodeMadderslipInternalProtocol5(in *jlexer.Lexer, out *DirectCommands) {
+func easyjson66c1e240DecodeMadderslipInternalProtocol5(in *jlexer.Lexer, out *CommandRequest) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -911,13 +911,13 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Token = uint64(in.Uint64())
+				out.FencingToken = uint64(in.Uint64())
 			}
 		case "tenure":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Session = uint64(in.Uint64())
+				out.AgentEpoch = uint64(in.Uint64())
 			}
 		case "orders":
 			if in.IsNull() {
@@ -956,19 +956,19 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeMadderslipInternalProtocol5(out *jwriter.Writer, in DirectCommands) {
+func easyjson66c1e240EncodeMadderslipInternalProtocol5(out *jwriter.Writer, in CommandRequest) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"baton\":"
 		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Token))
+		out.Uint64(uint64(in.FencingToken))
 	}
 	{
 		const prefix string = ",\"tenure\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Session))
+		out.Uint64(uint64(in.AgentEpoch))
 	}
 	{
 		const prefix string = ",\"orders\":"
@@ -990,26 +990,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v DirectCommands) MarshalJSON() ([]byte, error) {
+func (v CommandRequest) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjson66c1e240EncodeMadderslipInternalProtocol5(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v DirectCommands) MarshalEasyJSON(w *jwriter.Writer) {
+func (v CommandRequest) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjson66c1e240EncodeMadderslipInternalProtocol5(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *DirectCommands) UnmarshalJSON(data []byte) error {
+func (v *CommandRequest) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjson66c1e240DecodeMadderslipInternalProtocol5(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *DirectCommands) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *CommandRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjson66c1e240DecodeMadderslipInternalProtocol5(l, v)
 }
 func easyjson66c1e240DecodeMadderslipInternalProtocol6(in *jlexer.Lexer, out *Command) {
@@ -1042,20 +1042,20 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Try = uint64(in.Uint64())
+				out.Attempt = uint64(in.Uint64())
 			}
 		case "windDownS":
 			if in.IsNull() {
 				in.Skip()
-				out.Grace = nil
+				out.GraceS = nil
 			} else {
-				if out.Grace == nil {
-					out.Grace = new(float64)
+				if out.GraceS == nil {
+					out.GraceS = new(float64)
 				}
 				if in.IsNull() {
 					in.Skip()
 				} else {
-					*out.Grace = float64(in.Float64())
+					*out.GraceS = float64(in.Float64())
 				}
 			}
 		default:
@@ -1085,12 +1085,12 @@
 	{
 		const prefix string = ",\"try\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Try))
+		out.Uint64(uint64(in.Attempt))
 	}
-	if in.Grace != nil {
+	if in.GraceS != nil {
 		const prefix string = ",\"windDownS\":"
 		out.RawString(prefix)
-		out.Float64(float64(*in.Grace))
+		out.Float64(float64(*in.GraceS))
 	}
 	out.RawByte('}')
 }
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -51,65 +51,65 @@
 //
 //easyjson:json
 type PeerMessage struct {
-	From  string    `json:"from"`
-	Loads []Load    `json:"loads,omitempty"`
-	Fresh []KeyNews `json:"fresh,omitempty"`
+	From    string      `json:"from"`
+	Loads   []ShardLoad `json:"loads,omitempty"`
+	Updates []KeyUpdate `json:"fresh,omitempty"`
 	// Intents are claims that the sender is about to make: its copies of the
 	// same work need not try as well.
-	Intents []string `json:"intents,omitempty"`
+	ClaimIntents []string `json:"intents,omitempty"`
 	// Planned are claims for which the sender is displacing other work.
-	Planned []string `json:"planned,omitempty"`
+	PreemptionIntents []string `json:"planned,omitempty"`
 	// Waits is how many changes wait at the sender for the state service's budget.
-	Waits int `json:"waits,omitempty"`
+	PendingChanges int `json:"waits,omitempty"`
 	// Beat marks the message of every second, which alone tells Waits.
-	Beat bool `json:"beat,omitempty"`
+	Periodic bool `json:"beat,omitempty"`
 	// Wants are what the sender's shards could start if their teams' allotments
 	// reached. Wanting marks a message that tells all of them, none included.
-	Wants   []Want `json:"wants,omitempty"`
-	Wanting bool   `json:"wanting,omitempty"`
-	// StateOK tells that the sender heard from the state service just now.
-	StateOK bool `json:"stateOk"`
+	Demands         []Demand `json:"wants,omitempty"`
+	DemandsComplete bool     `json:"wanting,omitempty"`
+	// StateReachable tells that the sender heard from the state service just now.
+	StateReachable bool `json:"stateOk"`
 	// Took, in an answer, tells that the news were taken. Older versions do not say.
-	Took bool `json:"took,omitempty"`
+	Accepted bool `json:"took,omitempty"`
 }
 
-// Load is a shard's load as its owner sees it.
-type Load struct {
+// ShardLoad is a shard's load as its owner sees it.
+type ShardLoad struct {
 	Shard string `json:"shard"`
 	// Token is the revision at which the sender acquired the shard. A controller
 	// that holds an older one owns it no longer, whatever its records say.
-	Token  uint64  `json:"token,omitempty"`
-	CPUs   float64 `json:"cpus"`   // of all usable machines
-	Used   float64 `json:"used"`   // by placed tasks
-	Queued float64 `json:"queued"` // wanted by its queue
-	Holds  Amounts `json:"holds"`  // image: largest free CPUs on one machine holding it
+	FencingToken    uint64  `json:"token,omitempty"`
+	CPUs            float64 `json:"cpus"`   // of all usable machines
+	UsedCPUs        float64 `json:"used"`   // by placed tasks
+	QueuedCPUs      float64 `json:"queued"` // wanted by its queue
+	FreeCPUsByImage Amounts `json:"holds"`  // image: largest free CPUs on one machine holding it
 	// Barred are machines that do not count: their owner gives them nothing new for
 	// good and they are not returned yet, or they are late in coming up.
-	Barred []string `json:"barred,omitempty"`
+	ExcludedHosts []string `json:"barred,omitempty"`
 	// Shy are kinds, "type/zone", whose machines the owner sees fail to come up, and
 	// how many times as dear as it is each should seem.
-	Shy Amounts `json:"shy,omitempty"`
+	Unreliability Amounts `json:"shy,omitempty"`
 }
 
-// Want is what a shard could start this moment within its team's limit, if its
+// Demand is what a shard could start this moment within its team's limit, if its
 // allotment reached. Amounts are CPUs and cards.
-type Want struct {
-	Team     string     `json:"team"`
-	Holder   string     `json:"holder"` // the shard, or "*": across shards
-	Head     [2]float64 `json:"head"`   // what its first job needs to start
-	Unit     [2]float64 `json:"unit"`   // one task of it
-	Total    [2]float64 `json:"total"`
-	Rank     int        `json:"rank"`
-	Born     int64      `json:"born"` // Unix milliseconds
-	Ref      string     `json:"ref"`
-	Whole    bool       `json:"whole,omitempty"`
-	Ahead    bool       `json:"ahead,omitempty"` // its room is not there yet
-	WaitedMs int64      `json:"waitedMs"`
+type Demand struct {
+	Team         string     `json:"team"`
+	Holder       string     `json:"holder"` // the shard, or "*": across shards
+	Head         [2]float64 `json:"head"`   // what its first job needs to start
+	PerTask      [2]float64 `json:"unit"`   // one task of it
+	Total        [2]float64 `json:"total"`
+	Priority     int        `json:"rank"`
+	AcceptedAtMs int64      `json:"born"` // Unix milliseconds
+	JobID        string     `json:"ref"`
+	AllOrNothing bool       `json:"whole,omitempty"`
+	Anticipated  bool       `json:"ahead,omitempty"` // its room is not there yet
+	WaitedMs     int64      `json:"waitedMs"`
 }
 
-// KeyNews passes a just-committed record on, ahead of the watch.
-type KeyNews struct {
-	Key   string          `json:"key"`
-	Value json.RawMessage `json:"value"`
-	Stamp uint64          `json:"stamp"`
+// KeyUpdate passes a just-committed record on, ahead of the watch.
+type KeyUpdate struct {
+	Key     string          `json:"key"`
+	Value   json.RawMessage `json:"value"`
+	Version uint64          `json:"stamp"`
 }
--- a/internal/protocol/peer_easyjson.go
+++ b/internal/protocol/peer_easyjson.go
@@ -45,15 +45,15 @@
 				in.Delim('[')
 				if out.Loads == nil {
 					if !in.IsDelim(']') {
-						out.Loads = make([]Load, 0, 0)
+						out.Loads = make([]ShardLoad, 0, 0)
 					} else {
-						out.Loads = []Load{}
+						out.Loads = []ShardLoad{}
 					}
 				} else {
 					out.Loads = (out.Loads)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v1 Load
+					var v1 ShardLoad
 					easyjsonC1b1d248DecodeMadderslipInternalProtocol1(in, &v1)
 					out.Loads = append(out.Loads, v1)
 					in.WantComma()
@@ -63,22 +63,22 @@
 		case "fresh":
 			if in.IsNull() {
 				in.Skip()
-				out.Fresh = nil
+				out.Updates = nil
 			} else {
 				in.Delim('[')
-				if out.Fresh == nil {
+				if out.Updates == nil {
 					if !in.IsDelim(']') {
-						out.Fresh = make([]KeyNews, 0, 1)
+						out.Updates = make([]KeyUpdate, 0, 1)
 					} else {
-						out.Fresh = []KeyNews{}
+						out.Updates = []KeyUpdate{}
 					}
 				} else {
-					out.Fresh = (out.Fresh)[:0]
+					out.Updates = (out.Updates)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v2 KeyNews
+					var v2 KeyUpdate
 					easyjsonC1b1d248DecodeMadderslipInternalProtocol2(in, &v2)
-					out.Fresh = append(out.Fresh, v2)
+					out.Updates = append(out.Updates, v2)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -86,17 +86,17 @@
 		case "intents":
 			if in.IsNull() {
 				in.Skip()
-				out.Intents = nil
+				out.ClaimIntents = nil
 			} else {
 				in.Delim('[')
-				if out.Intents == nil {
+				if out.ClaimIntents == nil {
 					if !in.IsDelim(']') {
-						out.Intents = make([]string, 0, 4)
+						out.ClaimIntents = make([]string, 0, 4)
 					} else {
-						out.Intents = []string{}
+						out.ClaimIntents = []string{}
 					}
 				} else {
-					out.Intents = (out.Intents)[:0]
+					out.ClaimIntents = (out.ClaimIntents)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v3 string
@@ -105,7 +105,7 @@
 					} else {
 						v3 = string(in.String())
 					}
-					out.Intents = append(out.Intents, v3)
+					out.ClaimIntents = append(out.ClaimIntents, v3)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -113,17 +113,17 @@
 		case "planned":
 			if in.IsNull() {
 				in.Skip()
-				out.Planned = nil
+				out.PreemptionIntents = nil
 			} else {
 				in.Delim('[')
-				if out.Planned == nil {
+				if out.PreemptionIntents == nil {
 					if !in.IsDelim(']') {
-						out.Planned = make([]string, 0, 4)
+						out.PreemptionIntents = make([]string, 0, 4)
 					} else {
-						out.Planned = []string{}
+						out.PreemptionIntents = []string{}
 					}
 				} else {
-					out.Planned = (out.Planned)[:0]
+					out.PreemptionIntents = (out.PreemptionIntents)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v4 string
@@ -132,7 +132,7 @@
 					} else {
 						v4 = string(in.String())
 					}
-					out.Planned = append(out.Planned, v4)
+					out.PreemptionIntents = append(out.PreemptionIntents, v4)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -141,33 +141,33 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Waits = int(in.Int())
+				out.PendingChanges = int(in.Int())
 			}
 		case "beat":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Beat = bool(in.Bool())
+				out.Periodic = bool(in.Bool())
 			}
 		case "wants":
 			if in.IsNull() {
 				in.Skip()
-				out.Wants = nil
+				out.Demands = nil
 			} else {
 				in.Delim('[')
-				if out.Wants == nil {
+				if out.Demands == nil {
 					if !in.IsDelim(']') {
-						out.Wants = make([]Want, 0, 0)
+						out.Demands = make([]Demand, 0, 0)
 					} else {
-						out.Wants = []Want{}
+						out.Demands = []Demand{}
 					}
 				} else {
-					out.Wants = (out.Wants)[:0]
+					out.Demands = (out.Demands)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v5 Want
+					var v5 Demand
 					easyjsonC1b1d248DecodeMadderslipInternalProtocol3(in, &v5)
-					out.Wants = append(out.Wants, v5)
+					out.Demands = append(out.Demands, v5)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -176,19 +176,19 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Wanting = bool(in.Bool())
+				out.DemandsComplete = bool(in.Bool())
 			}
 		case "stateOk":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.StateOK = bool(in.Bool())
+				out.StateReachable = bool(in.Bool())
 			}
 		case "took":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Took = bool(in.Bool())
+				out.Accepted = bool(in.Bool())
 			}
 		default:
 			in.SkipRecursive()
@@ -223,12 +223,12 @@
 			out.RawByte(']')
 		}
 	}
-	if len(in.Fresh) != 0 {
+	if len(in.Updates) != 0 {
 		const prefix string = ",\"fresh\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v8, v9 := range in.Fresh {
+			for v8, v9 := range in.Updates {
 				if v8 > 0 {
 					out.RawByte(',')
 				}
@@ -237,12 +237,12 @@
 			out.RawByte(']')
 		}
 	}
-	if len(in.Intents) != 0 {
+	if len(in.ClaimIntents) != 0 {
 		const prefix string = ",\"intents\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v10, v11 := range in.Intents {
+			for v10, v11 := range in.ClaimIntents {
 				if v10 > 0 {
 					out.RawByte(',')
 				}
@@ -251,12 +251,12 @@
 			out.RawByte(']')
 		}
 	}
-	if len(in.Planned) != 0 {
+	if len(in.PreemptionIntents) != 0 {
 		const prefix string = ",\"planned\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v12, v13 := range in.Planned {
+			for v12, v13 := range in.PreemptionIntents {
 				if v12 > 0 {
 					out.RawByte(',')
 				}
@@ -265,22 +265,22 @@
 			out.RawByte(']')
 		}
 	}
-	if in.Waits != 0 {
+	if in.PendingChanges != 0 {
 		const prefix string = ",\"waits\":"
 		out.RawString(prefix)
-		out.Int(int(in.Waits))
+		out.Int(int(in.PendingChanges))
 	}
-	if in.Beat {
+	if in.Periodic {
 		const prefix string = ",\"beat\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Beat))
+		out.Bool(bool(in.Periodic))
 	}
-	if len(in.Wants) != 0 {
+	if len(in.Demands) != 0 {
 		const prefix string = ",\"wants\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v14, v15 := range in.Wants {
+			for v14, v15 := range in.Demands {
 				if v14 > 0 {
 					out.RawByte(',')
 				}
@@ -289,20 +289,20 @@
 			out.RawByte(']')
 		}
 	}
-	if in.Wanting {
+	if in.DemandsComplete {
 		const prefix string = ",\"wanting\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Wanting))
+		out.Bool(bool(in.DemandsComplete))
 	}
 	{
 		const prefix string = ",\"stateOk\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.StateOK))
+		out.Bool(bool(in.StateReachable))
 	}
-	if in.Took {
+	if in.Accepted {
 		const prefix string = ",\"took\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Took))
+		out.Bool(bool(in.Accepted))
 	}
 	out.RawByte('}')
 }
@@ -330,7 +330,7 @@
 func (v *PeerMessage) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonC1b1d248DecodeMadderslipInternalProtocol(l, v)
 }
-func easyjsonC1b1d248DecodeMadderslipInternalProtocol3(in *jlexer.Lexer, out *Want) {
+func easyjsonC1b1d248DecodeMadderslipInternalProtocol3(in *jlexer.Lexer, out *Demand) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -388,7 +388,7 @@
 						if in.IsNull() {
 							in.Skip()
 						} else {
-							(out.Unit)[v17] = float64(in.Float64())
+							(out.PerTask)[v17] = float64(in.Float64())
 						}
 						v17++
 					} else {
@@ -423,31 +423,31 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Rank = int(in.Int())
+				out.Priority = int(in.Int())
 			}
 		case "born":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Born = int64(in.Int64())
+				out.AcceptedAtMs = int64(in.Int64())
 			}
 		case "ref":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Ref = string(in.String())
+				out.JobID = string(in.String())
 			}
 		case "whole":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Whole = bool(in.Bool())
+				out.AllOrNothing = bool(in.Bool())
 			}
 		case "ahead":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Ahead = bool(in.Bool())
+				out.Anticipated = bool(in.Bool())
 			}
 		case "waitedMs":
 			if in.IsNull() {
@@ -465,7 +465,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonC1b1d248EncodeMadderslipInternalProtocol3(out *jwriter.Writer, in Want) {
+func easyjsonC1b1d248EncodeMadderslipInternalProtocol3(out *jwriter.Writer, in Demand) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -495,11 +495,11 @@
 		const prefix string = ",\"unit\":"
 		out.RawString(prefix)
 		out.RawByte('[')
-		for v20 := range in.Unit {
+		for v20 := range in.PerTask {
 			if v20 > 0 {
 				out.RawByte(',')
 			}
-			out.Float64(float64((in.Unit)[v20]))
+			out.Float64(float64((in.PerTask)[v20]))
 		}
 		out.RawByte(']')
 	}
@@ -518,27 +518,27 @@
 	{
 		const prefix string = ",\"rank\":"
 		out.RawString(prefix)
-		out.Int(int(in.Rank))
+		out.Int(int(in.Priority))
 	}
 	{
 		const prefix string = ",\"born\":"
 		out.RawString(prefix)
-		out.Int64(int64(in.Born))
+		out.Int64(int64(in.AcceptedAtMs))
 	}
 	{
 		const prefix string = ",\"ref\":"
 		out.RawString(prefix)
-		out.String(string(in.Ref))
+		out.String(string(in.JobID))
 	}
-	if in.Whole {
+	if in.AllOrNothing {
 		const prefix string = ",\"whole\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Whole))
+		out.Bool(bool(in.AllOrNothing))
 	}
-	if in.Ahead {
+	if in.Anticipated {
 		const prefix string = ",\"ahead\":"
 		out.RawString(prefix)
-		out.Bool(bool(in.Ahead))
+		out.Bool(bool(in.Anticipated))
 	}
 	{
 		const prefix string = ",\"waitedMs\":"
@@ -547,7 +547,7 @@
 	}
 	out.RawByte('}')
 }
-func easyjsonC1b1d248DecodeMadderslipInternalProtocol2(in *jlexer.Lexer, out *KeyNews) {
+func easyjsonC1b1d248DecodeMadderslipInternalProtocol2(in *jlexer.Lexer, out *KeyUpdate) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -579,7 +579,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Stamp = uint64(in.Uint64())
+				out.Version = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -591,7 +591,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonC1b1d248EncodeMadderslipInternalProtocol2(out *jwriter.Writer, in KeyNews) {
+func easyjsonC1b1d248EncodeMadderslipInternalProtocol2(out *jwriter.Writer, in KeyUpdate) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -608,11 +608,11 @@
 	{
 		const prefix string = ",\"stamp\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Stamp))
+		out.Uint64(uint64(in.Version))
 	}
 	out.RawByte('}')
 }
-func easyjsonC1b1d248DecodeMadderslipInternalProtocol1(in *jlexer.Lexer, out *Load) {
+func easyjsonC1b1d248DecodeMadderslipInternalProtocol1(in *jlexer.Lexer, out *ShardLoad) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -636,7 +636,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Token = uint64(in.Uint64())
+				out.FencingToken = uint64(in.Uint64())
 			}
 		case "cpus":
 			if in.IsNull() {
@@ -648,34 +648,34 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Used = float64(in.Float64())
+				out.UsedCPUs = float64(in.Float64())
 			}
 		case "queued":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Queued = float64(in.Float64())
+				out.QueuedCPUs = float64(in.Float64())
 			}
 		case "holds":
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Holds).UnmarshalEasyJSON(in)
+				(out.FreeCPUsByImage).UnmarshalEasyJSON(in)
 			}
 		case "barred":
 			if in.IsNull() {
 				in.Skip()
-				out.Barred = nil
+				out.ExcludedHosts = nil
 			} else {
 				in.Delim('[')
-				if out.Barred == nil {
+				if out.ExcludedHosts == nil {
 					if !in.IsDelim(']') {
-						out.Barred = make([]string, 0, 4)
+						out.ExcludedHosts = make([]string, 0, 4)
 					} else {
-						out.Barred = []string{}
+						out.ExcludedHosts = []string{}
 					}
 				} else {
-					out.Barred = (out.Barred)[:0]
+					out.ExcludedHosts = (out.ExcludedHosts)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v22 string
@@ -684,7 +684,7 @@
 					} else {
 						v22 = string(in.String())
 					}
-					out.Barred = append(out.Barred, v22)
+					out.ExcludedHosts = append(out.ExcludedHosts, v22)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -693,7 +693,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				(out.Shy).UnmarshalEasyJSON(in)
+				(out.Unreliability).UnmarshalEasyJSON(in)
 			}
 		default:
 			in.SkipRecursive()
@@ -705,7 +705,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonC1b1d248EncodeMadderslipInternalProtocol1(out *jwriter.Writer, in Load) {
+func easyjsonC1b1d248EncodeMadderslipInternalProtocol1(out *jwriter.Writer, in ShardLoad) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -714,10 +714,10 @@
 		out.RawString(prefix[1:])
 		out.String(string(in.Shard))
 	}
-	if in.Token != 0 {
+	if in.FencingToken != 0 {
 		const prefix string = ",\"token\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Token))
+		out.Uint64(uint64(in.FencingToken))
 	}
 	{
 		const prefix string = ",\"cpus\":"
@@ -727,24 +727,24 @@
 	{
 		const prefix string = ",\"used\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Used))
+		out.Float64(float64(in.UsedCPUs))
 	}
 	{
 		const prefix string = ",\"queued\":"
 		out.RawString(prefix)
-		out.Float64(float64(in.Queued))
+		out.Float64(float64(in.QueuedCPUs))
 	}
 	{
 		const prefix string = ",\"holds\":"
 		out.RawString(prefix)
-		(in.Holds).MarshalEasyJSON(out)
+		(in.FreeCPUsByImage).MarshalEasyJSON(out)
 	}
-	if len(in.Barred) != 0 {
+	if len(in.ExcludedHosts) != 0 {
 		const prefix string = ",\"barred\":"
 		out.RawString(prefix)
 		{
 			out.RawByte('[')
-			for v23, v24 := range in.Barred {
+			for v23, v24 := range in.ExcludedHosts {
 				if v23 > 0 {
 					out.RawByte(',')
 				}
@@ -753,10 +753,10 @@
 			out.RawByte(']')
 		}
 	}
-	if len(in.Shy) != 0 {
+	if len(in.Unreliability) != 0 {
 		const prefix string = ",\"shy\":"
 		out.RawString(prefix)
-		(in.Shy).MarshalEasyJSON(out)
+		(in.Unreliability).MarshalEasyJSON(out)
 	}
 	out.RawByte('}')
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -18,7 +18,7 @@
 
 func TestParseSubmission(t *testing.T) {
 	s, err := ParseSubmission([]byte(goodJob))
-	if err != nil || s.Expect() != 4*time.Minute || s.Due() != 15*time.Minute || s.Zone != "" || !s.SameZone || s.Prio() != 2 {
+	if err != nil || s.RunEstimate() != 4*time.Minute || s.Deadline() != 15*time.Minute || s.Zone != "" || !s.SameZone || s.Priority() != 2 {
 		t.Fatalf("%+v %v", s, err)
 	}
 	faults := map[string][2]string{
@@ -63,7 +63,7 @@
 		`"awaits":["wk-2","wk-1","wk-2","wk-1"]`: "wk-1 wk-2",
 	} {
 		s, err := ParseSubmission([]byte(strings.Replace(goodJob, `"news":1`, with, 1)))
-		if err != nil || strings.Join(s.Awaits, " ") != want {
+		if err != nil || strings.Join(s.Dependencies, " ") != want {
 			t.Errorf("%s: %v %v", with, s, err)
 		}
 	}
@@ -96,11 +96,11 @@
 }
 
 func TestRefOfReadsAnyRetry(t *testing.T) {
-	if ref, err := RefOf([]byte(`{"ref":"wk-1","shards":"many"}`)); err != nil || ref != "wk-1" {
+	if ref, err := ParseJobID([]byte(`{"ref":"wk-1","shards":"many"}`)); err != nil || ref != "wk-1" {
 		t.Fatal(ref, err)
 	}
 	for _, body := range []string{``, `[]`, `{"ref":7}`, `{"ref":"x"}`, `{"ref":"wk-"}`, `"wk-1"`} {
-		if _, err := RefOf([]byte(body)); !errors.Is(err, ErrMalformed) {
+		if _, err := ParseJobID([]byte(body)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", body, err)
 		}
 	}
@@ -112,15 +112,15 @@
 		route          Route
 		id             string
 	}{
-		{"POST", "/submissions", Submit, ""}, {"GET", "/submissions", WrongMethod, ""},
-		{"GET", "/submissions/wk-1", Query, "wk-1"}, {"GET", "/submissions/wk-1?x=1", Query, "wk-1"},
-		{"POST", "/submissions/wk-1/abort", Abort, "wk-1"}, {"GET", "/submissions/wk-1/abort", WrongMethod, ""},
-		{"DELETE", "/submissions/wk-1", WrongMethod, ""}, {"GET", "/submissions/", NotFound, ""},
-		{"GET", "/submissions/a/b", NotFound, ""}, {"POST", "/v1/report", WorkerReport, ""},
-		{"GET", "/ready", Ready, ""}, {"GET", "/readyz", NotFound, ""},
+		{"POST", "/submissions", RouteSubmit, ""}, {"GET", "/submissions", RouteWrongMethod, ""},
+		{"GET", "/submissions/wk-1", RouteQuery, "wk-1"}, {"GET", "/submissions/wk-1?x=1", RouteQuery, "wk-1"},
+		{"POST", "/submissions/wk-1/abort", RouteCancel, "wk-1"}, {"GET", "/submissions/wk-1/abort", RouteWrongMethod, ""},
+		{"DELETE", "/submissions/wk-1", RouteWrongMethod, ""}, {"GET", "/submissions/", RouteNotFound, ""},
+		{"GET", "/submissions/a/b", RouteNotFound, ""}, {"POST", "/v1/report", RouteHeartbeat, ""},
+		{"GET", "/ready", RouteReady, ""}, {"GET", "/readyz", RouteNotFound, ""},
 	}
 	for _, c := range cases {
-		if route, id := Match(c.method, c.target); route != c.route || id != c.id {
+		if route, id := MatchRoute(c.method, c.target); route != c.route || id != c.id {
 			t.Errorf("%s %s: %v %q", c.method, c.target, route, id)
 		}
 	}
@@ -170,7 +170,7 @@
 		return s, file, err
 	}
 	s, _, err := load(goodSettings)
-	if err != nil || s.Workers.Lease != 10*time.Second || s.StateLimit.ValueBytes != 8192 || s.Nodes != 2 {
+	if err != nil || s.Workers.LeaseDuration != 10*time.Second || s.StateLimits.MaxValueBytes != 8192 || s.NodeCount != 2 {
 		t.Fatalf("%+v %v", s, err)
 	}
 	for _, c := range [][3]string{
@@ -201,13 +201,13 @@
 		t.Fatal(err)
 	}
 	s, err := LoadSettings(file)
-	if l := s.RecordLimits(); err != nil || l != (StateLimits{RPS: 100, WriteRPS: 21, ValueBytes: 2048, TxnOps: 12}) {
+	if l := s.RecordLimits(); err != nil || l != (StateLimits{RequestRate: 100, WriteRate: 21, MaxValueBytes: 2048, MaxTxnOps: 12}) {
 		t.Errorf("%+v, %v", l, err)
 	}
-	if open := s.RecordLimits().MaxOpen(); open < 60 || open*24+384 > 2048 {
+	if open := s.RecordLimits().MaxPlacements(); open < 60 || open*24+384 > 2048 {
 		t.Errorf("%d placements in 2 KB", open)
 	}
-	if open := s.StateLimit.MaxOpen(); open != 199 {
+	if open := s.StateLimits.MaxPlacements(); open != 199 {
 		t.Errorf("%d placements in 8 KB, 199 before", open)
 	}
 }
@@ -229,7 +229,7 @@
 		t.Fatal(err)
 	}
 	s, err := LoadSettings(file)
-	if err != nil || len(s.Doubts) != 2 || !strings.Contains(s.Doubts[0], "above its limit of 20") || !strings.Contains(s.Doubts[1], "twice") || s.Teams["guest"].CPUs != 10 {
-		t.Errorf("%v %q %+v", err, s.Doubts, s.Teams["guest"])
+	if err != nil || len(s.Warnings) != 2 || !strings.Contains(s.Warnings[0], "above its limit of 20") || !strings.Contains(s.Warnings[1], "twice") || s.Teams["guest"].GuaranteedCPUs != 10 {
+		t.Errorf("%v %q %+v", err, s.Warnings, s.Teams["guest"])
 	}
 }
--- a/internal/protocol/routes.go
+++ b/internal/protocol/routes.go
@@ -7,13 +7,13 @@
 
 // The routes, and the two ways for a request to match none.
 const (
-	NotFound Route = iota
-	WrongMethod
-	Submit
-	Query
-	Abort
-	WorkerReport
-	Ready
+	RouteNotFound Route = iota
+	RouteWrongMethod
+	RouteSubmit
+	RouteQuery
+	RouteCancel
+	RouteHeartbeat
+	RouteReady
 )
 
 var routes = []struct {
@@ -21,17 +21,17 @@
 	wild                   bool
 	route                  Route
 }{
-	{"POST", "/submissions", "", false, Submit},
-	{"POST", "/submissions/", "/abort", true, Abort},
-	{"GET", "/submissions/", "", true, Query},
-	{"POST", "/v1/report", "", false, WorkerReport},
-	{"GET", "/ready", "", false, Ready},
+	{"POST", "/submissions", "", false, RouteSubmit},
+	{"POST", "/submissions/", "/abort", true, RouteCancel},
+	{"GET", "/submissions/", "", true, RouteQuery},
+	{"POST", "/v1/report", "", false, RouteHeartbeat},
+	{"GET", "/ready", "", false, RouteReady},
 }
 
-// Match finds the route of a request and the id in its path, if it has one.
-func Match(method, target string) (Route, string) {
+// MatchRoute finds the route of a request and the id in its path, if it has one.
+func MatchRoute(method, target string) (Route, string) {
 	path, _, _ := strings.Cut(target, "?")
-	found := NotFound
+	found := RouteNotFound
 	for _, r := range routes {
 		id := ""
 		if r.wild {
@@ -49,27 +49,27 @@
 		if r.method == method {
 			return r.route, id
 		}
-		found = WrongMethod
+		found = RouteWrongMethod
 	}
 	return found, ""
 }
 
-// FromUser tells whether a request comes from a user, not from a worker or the
+// IsUserRequest tells whether a request comes from a user, not from a worker or the
 // load balancer.
-func FromUser(method, target string) bool {
-	route, _ := Match(method, target)
-	return route != WorkerReport && route != Ready
+func IsUserRequest(method, target string) bool {
+	route, _ := MatchRoute(method, target)
+	return route != RouteHeartbeat && route != RouteReady
 }
 
 // Paths of the services that controllers call.
 const (
-	PathCommands     = "/commands"
-	PathShow         = "/show"
-	PathMachineTypes = "/machine_types"
-	PathMachines     = "/machines"
-	PathReturn       = "/machines/return"
-	PathKeys         = "/keys"
-	PathMulti        = "/multi"
-	PathGrants       = "/grants"
-	PathWatch        = "/watch"
+	PathCommands       = "/commands"
+	PathStatus         = "/show"
+	PathMachineTypes   = "/machine_types"
+	PathMachines       = "/machines"
+	PathReturnMachines = "/machines/return"
+	PathKeys           = "/keys"
+	PathTransactions   = "/multi"
+	PathLeases         = "/grants"
+	PathWatch          = "/watch"
 )
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -18,29 +18,29 @@
 
 // Settings is the platform's settings file, checked and in Go's own types.
 type Settings struct {
-	Node       string
-	Zone       string
-	PublicAddr string
-	PeerBind   string
-	Peers      []Peer
-	Cloud      string
-	State      string
-	Nodes      int
-	Zones      []string
-	ClockError time.Duration
-	Teams      map[string]Team
-	Objectives []Objective
-	Workers    WorkerSettings
-	StateLimit StateLimits
-	// StateNext are the limits that the state service will have from some moment on,
+	NodeName    string
+	Zone        string
+	PublicAddr  string
+	PeerAddr    string
+	Peers       []Peer
+	CloudAddr   string
+	StateAddr   string
+	NodeCount   int
+	Zones       []string
+	ClockError  time.Duration
+	Teams       map[string]Team
+	Objectives  []Objective
+	Workers     WorkerSettings
+	StateLimits StateLimits
+	// AnnouncedStateLimits are the limits that the state service will have from some moment on,
 	// without notice. What is 0 is not announced.
-	StateNext  StateLimits
-	CloudLimit CloudLimits
-	Machine    MachineLimits
-	PolicyFile string
+	AnnouncedStateLimits StateLimits
+	CloudLimits          CloudLimits
+	ProcessLimits        ProcessLimits
+	PolicyFile           string
 	// Doubts are what contradicts itself and can be read all the same, one line each.
 	// The service starts: it must not refuse a platform's settings for a guest's.
-	Doubts []string
+	Warnings []string
 }
 
 // Peer is another controller.
@@ -48,74 +48,74 @@
 
 // Team has guarantees and limits; a limit of 0 means there is none.
 type Team struct {
-	Name                      string
-	CPUs, CPUsMax, GPUs, GMax float64
+	Name                                             string
+	GuaranteedCPUs, MaxCPUs, GuaranteedGPUs, MaxGPUs float64
 }
 
 // Objective is one aim on starting or finishing.
 type Objective struct {
-	Kind, Class  string
-	Within       time.Duration
-	Share, Times float64
+	Kind, Class                 string
+	Within                      time.Duration
+	TargetShare, DeadlineFactor float64
 }
 
 // WorkerSettings are the workers' periods and leases.
 type WorkerSettings struct {
-	Report, Lease, GangWait, GangPeer, Cancel time.Duration
+	HeartbeatInterval, LeaseDuration, GangStartTimeout, GangPeerTimeout, CancelDeadline time.Duration
 }
 
 // StateLimits are the budgets of the state service.
 type StateLimits struct {
-	RPS, WriteRPS float64
-	ValueBytes    int
-	TxnOps        int
+	RequestRate, WriteRate float64
+	MaxValueBytes          int
+	MaxTxnOps              int
 }
 
-// MaxOpen is how many placements of one claim fit a value, with room for the
+// MaxPlacements is how many placements of one claim fit a value, with room for the
 // rest of the record. Small values are used more closely: the exact size is
 // checked again when placements are added.
-func (l StateLimits) MaxOpen() int {
+func (l StateLimits) MaxPlacements() int {
 	const mostOfSmall = 100
-	return max(1, (l.ValueBytes-1024)/36, min(mostOfSmall, (l.ValueBytes-384)/24))
+	return max(1, (l.MaxValueBytes-1024)/36, min(mostOfSmall, (l.MaxValueBytes-384)/24))
 }
 
-// LoweredTo are the limits once others, as far as these are announced and lower, hold as
+// LoweredBy are the limits once others, as far as these are announced and lower, hold as
 // well.
-func (l StateLimits) LoweredTo(next StateLimits) StateLimits {
-	if next.RPS > 0 {
-		l.RPS = min(l.RPS, next.RPS)
+func (l StateLimits) LoweredBy(next StateLimits) StateLimits {
+	if next.RequestRate > 0 {
+		l.RequestRate = min(l.RequestRate, next.RequestRate)
 	}
-	if next.WriteRPS > 0 {
-		l.WriteRPS = min(l.WriteRPS, next.WriteRPS)
+	if next.WriteRate > 0 {
+		l.WriteRate = min(l.WriteRate, next.WriteRate)
 	}
-	if next.ValueBytes > 0 {
-		l.ValueBytes = min(l.ValueBytes, next.ValueBytes)
+	if next.MaxValueBytes > 0 {
+		l.MaxValueBytes = min(l.MaxValueBytes, next.MaxValueBytes)
 	}
-	if next.TxnOps > 0 {
-		l.TxnOps = min(l.TxnOps, next.TxnOps)
+	if next.MaxTxnOps > 0 {
+		l.MaxTxnOps = min(l.MaxTxnOps, next.MaxTxnOps)
 	}
 	return l
 }
 
 // RecordLimits are the limits that every new record and transaction keeps: those of
 // today and the announced ones alike.
-func (s *Settings) RecordLimits() StateLimits { return s.StateLimit.LoweredTo(s.StateNext) }
+func (s *Settings) RecordLimits() StateLimits { return s.StateLimits.LoweredBy(s.AnnouncedStateLimits) }
 
-// leastTxnOps is the fewest changes of a transaction that the service can work with:
+// minTxnOps is the fewest changes of a transaction that the service can work with:
 // a job's end, its last claim and its team's record go together.
-const leastTxnOps = 4
+const minTxnOps = 4
 
 // CloudLimits are the budget and the lag of the cloud's API.
 type CloudLimits struct {
-	RPS     float64
-	ListLag time.Duration
+	RequestRate float64
+	ListLag     time.Duration
 }
 
-// MachineLimits bound this process.
-type MachineLimits struct {
-	CPUShare float64
-	RAMBytes int64
-	MaxConns int
+// ProcessLimits bound this process.
+type ProcessLimits struct {
+	CPUShare    float64
+	MemoryBytes int64
+	MaxConns    int
 }
 
 type wireSettings struct {
@@ -226,8 +226,8 @@
 		{"public_addr", w.PublicAddr}, {"peer_bind", w.PeerBind},
 		{"outside.cloud", w.Outside.Cloud}, {"outside.state", w.Outside.State},
 	}
-	s = Settings{Node: w.Node, Zone: w.Area, PublicAddr: w.PublicAddr, PeerBind: w.PeerBind,
-		Cloud: w.Outside.Cloud, State: w.Outside.State, Nodes: c.Nodes, Zones: c.Zones, PolicyFile: w.Policy,
+	s = Settings{NodeName: w.Node, Zone: w.Area, PublicAddr: w.PublicAddr, PeerAddr: w.PeerBind,
+		CloudAddr: w.Outside.Cloud, StateAddr: w.Outside.State, NodeCount: c.Nodes, Zones: c.Zones, PolicyFile: w.Policy,
 		ClockError: Seconds(c.ClockError / 1000), Teams: make(map[string]Team)}
 	seen := map[string]bool{w.Node: true}
 	for i, o := range w.Others {
@@ -265,14 +265,14 @@
 			return s, p.key, fmt.Sprintf("must be above 0, has %v", p.v)
 		}
 	}
-	if c.State.TxnOps < leastTxnOps {
-		return s, "cluster.state.txn_ops", fmt.Sprintf("must be at least %d", leastTxnOps)
+	if c.State.TxnOps < minTxnOps {
+		return s, "cluster.state.txn_ops", fmt.Sprintf("must be at least %d", minTxnOps)
 	}
 	if len(c.Zones) == 0 {
 		return s, "cluster.zones", "is empty"
 	}
-	if s.Nodes == 0 {
-		s.Nodes = 1 + len(s.Peers)
+	if s.NodeCount == 0 {
+		s.NodeCount = 1 + len(s.Peers)
 	}
 	for i, t := range c.Teams {
 		at := fmt.Sprintf("cluster.teams[%d]", i)
@@ -285,14 +285,14 @@
 			}
 		}
 		if _, twice := s.Teams[t.Name]; twice {
-			s.Doubts = append(s.Doubts, fmt.Sprintf("%s: team %s stands there twice, the latter counts", at, t.Name))
+			s.Warnings = append(s.Warnings, fmt.Sprintf("%s: team %s stands there twice, the latter counts", at, t.Name))
 		}
 		for _, x := range []struct {
 			key           string
 			guarantee, of float64
 		}{{"cpus", t.CPUs, t.CPUsMax}, {"gpus", t.GPUs, t.GPUsMax}} {
 			if x.of > 0 && x.guarantee > x.of {
-				s.Doubts = append(s.Doubts, fmt.Sprintf("%s: team %s has %s = %g above its limit of %g, the limit counts", at, t.Name, x.key, x.guarantee, x.of))
+				s.Warnings = append(s.Warnings, fmt.Sprintf("%s: team %s has %s = %g above its limit of %g, the limit counts", at, t.Name, x.key, x.guarantee, x.of))
 			}
 		}
 		s.Teams[t.Name] = Team{t.Name, t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax}
@@ -305,16 +305,16 @@
 	}
 	s.Workers = WorkerSettings{Seconds(c.Workers.Report), Seconds(c.Workers.Lease), Seconds(c.Workers.GangWait),
 		Seconds(c.Workers.GangPeer), Seconds(c.Workers.Cancel)}
-	s.StateLimit = StateLimits{c.State.RPS, c.State.WriteRPS, int(c.State.ValueKB * 1024), c.State.TxnOps}
+	s.StateLimits = StateLimits{c.State.RPS, c.State.WriteRPS, int(c.State.ValueKB * 1024), c.State.TxnOps}
 	next := c.State.Next
 	if !(next.WriteRPS >= 0 && next.ValueKB >= 0 && next.TxnOps >= 0) {
 		return s, "cluster.state.next", "has a negative limit"
 	}
-	if next.TxnOps > 0 && next.TxnOps < leastTxnOps {
-		return s, "cluster.state.next.txn_ops", fmt.Sprintf("must be at least %d", leastTxnOps)
+	if next.TxnOps > 0 && next.TxnOps < minTxnOps {
+		return s, "cluster.state.next.txn_ops", fmt.Sprintf("must be at least %d", minTxnOps)
 	}
-	s.StateNext = StateLimits{WriteRPS: next.WriteRPS, ValueBytes: int(next.ValueKB * 1024), TxnOps: next.TxnOps}
-	s.CloudLimit = CloudLimits{c.Cloud.RPS, Seconds(c.Cloud.ListLag)}
-	s.Machine = MachineLimits{c.Limits.CPUShare, int64(c.Limits.RAM * (1 << 20)), c.Limits.Conns}
+	s.AnnouncedStateLimits = StateLimits{WriteRate: next.WriteRPS, MaxValueBytes: int(next.ValueKB * 1024), MaxTxnOps: next.TxnOps}
+	s.CloudLimits = CloudLimits{c.Cloud.RPS, Seconds(c.Cloud.ListLag)}
+	s.ProcessLimits = ProcessLimits{c.Limits.CPUShare, int64(c.Limits.RAM * (1 << 20)), c.Limits.Conns}
 	return s, "", ""
 }
--- a/internal/quota/booking.go
+++ b/internal/quota/booking.go
@@ -7,162 +7,162 @@
 	"madderslip/internal/ledger"
 )
 
-// World is what bookings are weighed against: the cache of the caller.
-type World interface {
-	Run(team string) Amount      // all that a team has placed, or may have
-	Sure(team string) Amount     // of that, what does not hang on a commit under way
-	Placed(id string) Amount     // what of a chunk is placed
-	Open(task string) Amount     // what a task's placement takes, nothing once it is gone
-	Owns(shard string) uint64    // the token with which this controller decides for a shard, or 0
-	Keeps(id, shard string) bool // the chunk's job is open, and the room made for it there is still held
+// Usage is what bookings are weighed against: the cache of the caller.
+type Usage interface {
+	InUse(team string) Resources         // all that a team has placed, or may have
+	Committed(team string) Resources     // of that, what does not hang on a commit under way
+	PlacedBy(id string) Resources        // what of a chunk is placed
+	TaskUse(task string) Resources       // what a task's placement takes, nothing once it is gone
+	OwnerToken(shard string) uint64      // the token with which this controller decides for a shard, or 0
+	HoldsCapacity(id, shard string) bool // the chunk's job is open, and the room made for it there is still held
 }
 
-// Guaranteed tells whether a team has a guarantee.
-func (k *Keeper) Guaranteed(name string) bool {
-	g := k.set[name]
-	return g.CPUs > 0 || g.GPUs > 0
+// HasGuarantee tells whether a team has a guarantee.
+func (k *Manager) HasGuarantee(name string) bool {
+	g := k.configured[name]
+	return g.GuaranteedCPUs > 0 || g.GuaranteedGPUs > 0
 }
 
 // Standing is how a team stands, the job of its own that is looked at left out.
-func (k *Keeper) Standing(name, but string, w World) Standing {
-	g := k.set[name]
-	s := Standing{Guarantee: Amount{g.CPUs, g.GPUs}, Use: w.Run(name), Sure: w.Sure(name)}
+func (k *Manager) Standing(name, but string, w Usage) Standing {
+	g := k.configured[name]
+	s := Standing{Guarantee: Resources{g.GuaranteedCPUs, g.GuaranteedGPUs}, Use: w.InUse(name), Committed: w.Committed(name)}
 	t := k.teams[name]
 	if t == nil {
 		return s
 	}
 	// In order: sums of fractions depend on it.
-	for _, ref := range slices.Sorted(maps.Keys(t.book.Due)) {
-		if b := t.book.Due[ref]; ref != but {
-			s.Booked = s.Booked.Plus(Amount(b.Use).Less(w.Placed(ref)))
+	for _, ref := range slices.Sorted(maps.Keys(t.reservations.ByClaim)) {
+		if b := t.reservations.ByClaim[ref]; ref != but {
+			s.Reserved = s.Reserved.Plus(Resources(b.Use).Minus(w.PlacedBy(ref)))
 		}
 	}
-	for _, ref := range slices.Sorted(maps.Keys(t.book.Taken)) {
-		for _, task := range t.book.Taken[ref].Tasks {
-			s.Leaving = s.Leaving.Plus(w.Open(task))
+	for _, ref := range slices.Sorted(maps.Keys(t.reservations.Preempted)) {
+		for _, task := range t.reservations.Preempted[ref].Tasks {
+			s.Leaving = s.Leaving.Plus(w.TaskUse(task))
 		}
 	}
 	return s
 }
 
-// StandingBut is Standing for a lender, what leaves for that job left out: it is
+// StandingExcludingPreemptionsFor is Standing for a lender, what leaves for that job left out: it is
 // weighed once more before it is carried out.
-func (k *Keeper) StandingBut(name, ref string, w World) Standing {
+func (k *Manager) StandingExcludingPreemptionsFor(name, ref string, w Usage) Standing {
 	s := k.Standing(name, ref, w)
 	if t := k.teams[name]; t != nil {
-		for _, task := range t.book.Taken[ref].Tasks {
-			s.Leaving = s.Leaving.Less(w.Open(task))
+		for _, task := range t.reservations.Preempted[ref].Tasks {
+			s.Leaving = s.Leaving.Minus(w.TaskUse(task))
 		}
 	}
 	return s
 }
 
-// TakenFor lists the tasks that are stopped for a job.
-func (k *Keeper) TakenFor(ref string) []string {
+// PreemptedFor lists the tasks that are stopped for a job.
+func (k *Manager) PreemptedFor(ref string) []string {
 	var out []string
 	for _, t := range k.teams {
-		out = append(out, t.book.Taken[ref].Tasks...)
+		out = append(out, t.reservations.Preempted[ref].Tasks...)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Booked tells whether a job has a claim on its team's guarantee on record.
-func (k *Keeper) Booked(name, ref string) bool {
+// HasReservation tells whether a job has a claim on its team's guarantee on record.
+func (k *Manager) HasReservation(name, ref string) bool {
 	t := k.teams[name]
 	if t == nil {
 		return false
 	}
-	_, has := t.book.Due[ref]
+	_, has := t.reservations.ByClaim[ref]
 	return has
 }
 
-// BookCond is the condition of every start of a team with a guarantee: that its
+// ReservationCompare is the condition of every start of a team with a guarantee: that its
 // bookings are as this controller knows them.
-func (k *Keeper) BookCond(name string) (ledger.Cond, bool) {
-	if !k.Guaranteed(name) {
-		return ledger.Cond{}, false
+func (k *Manager) ReservationCompare(name string) (ledger.Compare, bool) {
+	if !k.HasGuarantee(name) {
+		return ledger.Compare{}, false
 	}
-	return ledger.Cond{Key: ledger.BookKeys + name, Stamp: k.team(name).books}, true
+	return ledger.Compare{Key: ledger.ReservationPrefix + name, Version: k.team(name).reservationsVersion}, true
 }
 
-// Claim is what is to be booked: a job's claim on its team's guarantee, and the
+// ReservationRequest is what is to be booked: a job's claim on its team's guarantee, and the
 // tasks that it has stopped, by their teams.
-type Claim struct {
-	Team, ID, Shard string // ID: the chunk, by the key of its claim
-	Token           uint64
-	Use             Amount
-	Victims         map[string][]string
+type ReservationRequest struct {
+	Team, ClaimKey, Shard string // ID: the chunk, by the key of its claim
+	FencingToken          uint64
+	Use                   Resources
+	Victims               map[string][]string
 }
 
-// Book makes the transaction that books a claim at the team and at the lenders. It
+// Reserve makes the transaction that books a claim at the team and at the lenders. It
 // fails if any of their bookings has changed, so two claimants never count the same
 // room, and two never stop the same team's work for it.
-func (k *Keeper) Book(c Claim) ([]ledger.Cond, []ledger.Op) {
-	recs := map[string]*ledger.Bookings{c.Team: k.copyOf(c.Team)}
-	recs[c.Team].Due[c.ID] = ledger.Booking{Shard: c.Shard, Use: c.Use, Token: c.Token}
+func (k *Manager) Reserve(c ReservationRequest) ([]ledger.Compare, []ledger.Op) {
+	recs := map[string]*ledger.Reservations{c.Team: k.copyReservations(c.Team)}
+	recs[c.Team].ByClaim[c.ClaimKey] = ledger.Reservation{Shard: c.Shard, Use: c.Use, FencingToken: c.FencingToken}
 	for lender, tasks := range c.Victims {
 		if recs[lender] == nil {
-			recs[lender] = k.copyOf(lender)
+			recs[lender] = k.copyReservations(lender)
 		}
-		recs[lender].Taken[c.ID] = ledger.Taking{By: c.Team, Shard: c.Shard, Tasks: tasks}
+		recs[lender].Preempted[c.ClaimKey] = ledger.Preemption{BeneficiaryTeam: c.Team, Shard: c.Shard, Tasks: tasks}
 	}
-	return k.write(recs)
+	return k.writeReservations(recs)
 }
 
-// Unbook makes the transaction that frees what a job has booked anywhere.
-func (k *Keeper) Unbook(refs []string) ([]ledger.Cond, []ledger.Op) {
-	recs := make(map[string]*ledger.Bookings)
+// Release makes the transaction that frees what a job has booked anywhere.
+func (k *Manager) Release(refs []string) ([]ledger.Compare, []ledger.Op) {
+	recs := make(map[string]*ledger.Reservations)
 	for name, t := range k.teams {
 		for _, ref := range refs {
-			_, due := t.book.Due[ref]
-			_, taken := t.book.Taken[ref]
+			_, due := t.reservations.ByClaim[ref]
+			_, taken := t.reservations.Preempted[ref]
 			if !due && !taken {
 				continue
 			}
 			if recs[name] == nil {
-				recs[name] = k.copyOf(name)
+				recs[name] = k.copyReservations(name)
 			}
-			delete(recs[name].Due, ref)
-			delete(recs[name].Taken, ref)
+			delete(recs[name].ByClaim, ref)
+			delete(recs[name].Preempted, ref)
 		}
 	}
-	return k.write(recs)
+	return k.writeReservations(recs)
 }
 
-func (k *Keeper) copyOf(name string) *ledger.Bookings {
+func (k *Manager) copyReservations(name string) *ledger.Reservations {
 	t := k.team(name)
-	b := &ledger.Bookings{Due: make(map[string]ledger.Booking), Taken: make(map[string]ledger.Taking)}
-	maps.Copy(b.Due, t.book.Due)
-	maps.Copy(b.Taken, t.book.Taken)
+	b := &ledger.Reservations{ByClaim: make(map[string]ledger.Reservation), Preempted: make(map[string]ledger.Preemption)}
+	maps.Copy(b.ByClaim, t.reservations.ByClaim)
+	maps.Copy(b.Preempted, t.reservations.Preempted)
 	return b
 }
 
-func (k *Keeper) write(recs map[string]*ledger.Bookings) (conds []ledger.Cond, ops []ledger.Op) {
+func (k *Manager) writeReservations(recs map[string]*ledger.Reservations) (conds []ledger.Compare, ops []ledger.Op) {
 	for _, name := range slices.Sorted(maps.Keys(recs)) {
 		// Never dropped when empty: a start that was conditional on there being no record
 		// could be carried out late once there is none again.
-		key := ledger.BookKeys + name
-		conds = append(conds, ledger.Cond{Key: key, Stamp: k.team(name).books})
+		key := ledger.ReservationPrefix + name
+		conds = append(conds, ledger.Compare{Key: key, Version: k.team(name).reservationsVersion})
 		ops = append(ops, ledger.Op{Key: key, Value: recs[name]})
 	}
 	return conds, ops
 }
 
-// Spent lists the jobs whose bookings can go, of the shards that this controller
+// ExpiredReservations lists the jobs whose bookings can go, of the shards that this controller
 // decides for: made by an earlier owner, placed, over, or without room held any more.
-func (k *Keeper) Spent(w World) []string {
+func (k *Manager) ExpiredReservations(w Usage) []string {
 	out := make(map[string]bool)
 	for _, t := range k.teams {
-		for ref, b := range t.book.Due {
-			if token := w.Owns(b.Shard); token != 0 && (token != b.Token || !w.Keeps(ref, b.Shard) || Amount(b.Use).Within(w.Placed(ref))) {
+		for ref, b := range t.reservations.ByClaim {
+			if token := w.OwnerToken(b.Shard); token != 0 && (token != b.FencingToken || !w.HoldsCapacity(ref, b.Shard) || Resources(b.Use).Within(w.PlacedBy(ref))) {
 				out[ref] = true
 			}
 		}
-		for ref, taken := range t.book.Taken {
+		for ref, taken := range t.reservations.Preempted {
 			// Its claim has gone by itself; nothing should be left alone, but a record
 			// that nobody tidies would lend less for ever.
-			if by := k.teams[taken.By]; w.Owns(taken.Shard) != 0 && (by == nil || by.book.Due[ref].Shard == "") {
+			if by := k.teams[taken.BeneficiaryTeam]; w.OwnerToken(taken.Shard) != 0 && (by == nil || by.reservations.ByClaim[ref].Shard == "") {
 				out[ref] = true
 			}
 		}
--- a/internal/quota/divide.go
+++ b/internal/quota/divide.go
@@ -9,131 +9,131 @@
 
 // Member is a live controller as its own record tells.
 type Member struct {
-	Version int
-	Teams   uint64
+	QuotaVersion int
+	TeamsHash    uint64
 }
 
-// Change is one step of a limit's own record, as a transaction.
-type Change struct {
-	Team  string
-	What  string // for the log
-	Conds []ledger.Cond
-	Ops   []ledger.Op
-	t     *team
+// LimitChange is one step of a limit's own record, as a transaction.
+type LimitChange struct {
+	Team        string
+	Description string // for the log
+	Compares    []ledger.Compare
+	Ops         []ledger.Op
+	team        *team
 }
 
-// Changed ends a change, whatever came of it.
-func (k *Keeper) Changed(c Change) { c.t.busy = false }
+// FinishChange ends a change, whatever came of it.
+func (k *Manager) FinishChange(c LimitChange) { c.team.busy = false }
 
-// Situation is what changes of limits are decided on.
-type Situation struct {
-	Epoch    uint64                              // the cache is complete up to here
-	Complete bool                                // and knows the size of every claim
-	Leads    bool                                // this controller leads
-	Lead     ledger.Cond                         // under this condition
-	Members  []Member                            // all live controllers, this one included
-	Holders  []string                            // the shards
-	Least    Amount                              // what a holder is given at first, if there is enough: a machine's worth
-	Legacy   func(team string) uint64            // the revision of the team's one record
-	Uses     func(team string) map[string]Amount // by the names that the one record has for holders
+// ClusterState is what changes of limits are decided on.
+type ClusterState struct {
+	Revision         uint64                                 // the cache is complete up to here
+	Complete         bool                                   // and knows the size of every claim
+	IsLeader         bool                                   // this controller leads
+	LeaderCompare    ledger.Compare                         // under this condition
+	Members          []Member                               // all live controllers, this one included
+	Holders          []string                               // the shards
+	InitialShare     Resources                              // what a holder is given at first, if there is enough: a machine's worth
+	TeamUsageVersion func(team string) uint64               // the revision of the team's one record
+	TeamUsage        func(team string) map[string]Resources // by the names that the one record has for holders
 }
 
-// Changes lists the steps that are due. A limit begins and changes in two steps:
+// LimitChanges lists the steps that are due. A limit begins and changes in two steps:
 // the first voids all starts under way and lets none begin, the second divides anew
 // once the cache holds all that was committed before the first. So no start passes
 // a limit from the revision of its record on, whoever decided it and when. Lowered
 // below what is used it is divided once enough has ended; nothing is stopped.
-func (k *Keeper) Changes(s Situation) []Change {
-	var out []Change
+func (k *Manager) LimitChanges(s ClusterState) []LimitChange {
+	var out []LimitChange
 	for _, name := range slices.Sorted(maps.Keys(k.teams)) {
 		t := k.teams[name]
 		if t.busy {
 			continue
 		}
-		if c, due := k.change(t, s); due {
-			c.Team, c.t, t.busy = name, t, true
-			c.Conds = append(c.Conds, ledger.Cond{Key: ledger.LimitKeys + name, Stamp: t.stamp})
+		if c, due := k.nextLimitChange(t, s); due {
+			c.Team, c.team, t.busy = name, t, true
+			c.Compares = append(c.Compares, ledger.Compare{Key: ledger.TeamLimitPrefix + name, Version: t.limitVersion})
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// barrier is the shard under which a limit that is allotted stands in the team's one
+// legacyBarrier is the shard under which a limit that is allotted stands in the team's one
 // record, as used up: sources that know no allotments start nothing then.
-const barrier = "*"
+const legacyBarrier = "*"
 
-func (k *Keeper) change(t *team, s Situation) (Change, bool) {
-	able, agreed := k.on, true
+func (k *Manager) nextLimitChange(t *team, s ClusterState) (LimitChange, bool) {
+	able, agreed := k.allotmentsEnabled, true
 	for _, m := range s.Members {
-		able = able && m.Version >= Version
-		agreed = agreed && m.Teams == k.hash
+		able = able && m.QuotaVersion >= ProtocolVersion
+		agreed = agreed && m.TeamsHash == k.configuredHash
 	}
 	rec := t.limit
 	rec.Base = nil
 	switch {
-	case !t.allotted():
-		if !s.Leads || !able || !agreed || t.set.Zero() {
-			return Change{}, false
+	case !t.isAllotted():
+		if !s.IsLeader || !able || !agreed || t.configured.IsZero() {
+			return LimitChange{}, false
 		}
-		stamp := s.Legacy(t.name)
-		next := &ledger.Limit{Gen: rec.Gen + 1, Max: t.set}
-		return Change{What: "to be divided", Conds: []ledger.Cond{s.Lead, {Key: ledger.TeamKeys + t.name, Stamp: stamp}},
-			Ops: []ledger.Op{{Key: ledger.LimitKeys + t.name, Value: next},
-				{Key: ledger.TeamKeys + t.name, Value: &ledger.Team{Use: map[string][2]float64{barrier: t.set}}}}}, true
-	case t.lowers():
+		stamp := s.TeamUsageVersion(t.name)
+		next := &ledger.TeamLimit{Generation: rec.Generation + 1, Max: t.configured}
+		return LimitChange{Description: "to be divided", Compares: []ledger.Compare{s.LeaderCompare, {Key: ledger.TeamUsagePrefix + t.name, Version: stamp}},
+			Ops: []ledger.Op{{Key: ledger.TeamLimitPrefix + t.name, Value: next},
+				{Key: ledger.TeamUsagePrefix + t.name, Value: &ledger.TeamUsage{ByShard: map[string][2]float64{legacyBarrier: t.configured}}}}}, true
+	case t.lowersLimit():
 		// Any controller may lower a limit that it was given; to wait for the leader
 		// would let the others go on with the higher one.
-		next := &ledger.Limit{Gen: rec.Gen + 1, Max: lower(rec.Max, t.set), Closing: rec.Closing}
-		return Change{What: "lowered", Ops: []ledger.Op{{Key: ledger.LimitKeys + t.name, Value: next}}}, true
-	case !s.Leads:
-		return Change{}, false
+		next := &ledger.TeamLimit{Generation: rec.Generation + 1, Max: lowerLimit(rec.Max, t.configured), Closing: rec.Closing}
+		return LimitChange{Description: "lowered", Ops: []ledger.Op{{Key: ledger.TeamLimitPrefix + t.name, Value: next}}}, true
+	case !s.IsLeader:
+		return LimitChange{}, false
 	case rec.Closing:
-		if s.Epoch < t.stamp || !s.Complete {
-			return Change{}, false
+		if s.Revision < t.limitVersion || !s.Complete {
+			return LimitChange{}, false
 		}
-		stamp, uses := s.Legacy(t.name), s.Uses(t.name)
-		team := &ledger.Team{Use: make(map[string][2]float64)}
+		stamp, uses := s.TeamUsageVersion(t.name), s.TeamUsage(t.name)
+		team := &ledger.TeamUsage{ByShard: make(map[string][2]float64)}
 		for holder, a := range uses {
-			if !a.Zero() {
-				team.Use[holder] = a
+			if !a.IsZero() {
+				team.ByShard[holder] = a
 			}
 		}
-		next := &ledger.Limit{Gen: rec.Gen + 1, Max: rec.Max, Off: true}
-		return Change{What: "counted in one record again", Conds: []ledger.Cond{s.Lead, {Key: ledger.TeamKeys + t.name, Stamp: stamp}},
-			Ops: []ledger.Op{{Key: ledger.LimitKeys + t.name, Value: next}, {Key: ledger.TeamKeys + t.name, Value: team}}}, true
-	case !able || (agreed && t.set.Zero()):
-		next := &ledger.Limit{Gen: rec.Gen + 1, Max: rec.Max, Closing: true}
-		return Change{What: "to be counted in one record again", Conds: []ledger.Cond{s.Lead}, Ops: []ledger.Op{{Key: ledger.LimitKeys + t.name, Value: next}}}, true
-	case agreed && t.set != Amount(rec.Max):
-		next := &ledger.Limit{Gen: rec.Gen + 1, Max: t.set}
-		return Change{What: "raised", Conds: []ledger.Cond{s.Lead}, Ops: []ledger.Op{{Key: ledger.LimitKeys + t.name, Value: next}}}, true
+		next := &ledger.TeamLimit{Generation: rec.Generation + 1, Max: rec.Max, Closed: true}
+		return LimitChange{Description: "counted in one record again", Compares: []ledger.Compare{s.LeaderCompare, {Key: ledger.TeamUsagePrefix + t.name, Version: stamp}},
+			Ops: []ledger.Op{{Key: ledger.TeamLimitPrefix + t.name, Value: next}, {Key: ledger.TeamUsagePrefix + t.name, Value: team}}}, true
+	case !able || (agreed && t.configured.IsZero()):
+		next := &ledger.TeamLimit{Generation: rec.Generation + 1, Max: rec.Max, Closing: true}
+		return LimitChange{Description: "to be counted in one record again", Compares: []ledger.Compare{s.LeaderCompare}, Ops: []ledger.Op{{Key: ledger.TeamLimitPrefix + t.name, Value: next}}}, true
+	case agreed && t.configured != Resources(rec.Max):
+		next := &ledger.TeamLimit{Generation: rec.Generation + 1, Max: t.configured}
+		return LimitChange{Description: "raised", Compares: []ledger.Compare{s.LeaderCompare}, Ops: []ledger.Op{{Key: ledger.TeamLimitPrefix + t.name, Value: next}}}, true
 	case t.limit.Base == nil:
-		if s.Epoch < t.stamp || !s.Complete {
-			return Change{}, false
+		if s.Revision < t.limitVersion || !s.Complete {
+			return LimitChange{}, false
 		}
-		base, ok := Divide(rec.Max, s.Holders, func(holder string) Amount { return k.uses(t.name, holder) }, s.Least)
+		base, ok := Divide(rec.Max, s.Holders, func(holder string) Resources { return k.usage(t.name, holder) }, s.InitialShare)
 		if !ok {
-			return Change{}, false
+			return LimitChange{}, false
 		}
-		next := &ledger.Limit{Gen: rec.Gen + 1, Max: rec.Max, Base: base}
-		return Change{What: "divided", Conds: []ledger.Cond{s.Lead}, Ops: []ledger.Op{{Key: ledger.LimitKeys + t.name, Value: next}}}, true
+		next := &ledger.TeamLimit{Generation: rec.Generation + 1, Max: rec.Max, Base: base}
+		return LimitChange{Description: "divided", Compares: []ledger.Compare{s.LeaderCompare}, Ops: []ledger.Op{{Key: ledger.TeamLimitPrefix + t.name, Value: next}}}, true
 	}
-	return Change{}, false
+	return LimitChange{}, false
 }
 
-// lowers tells that this controller was given a lower limit than the record has.
-func (t *team) lowers() bool {
-	for p := range t.set {
-		if t.set[p] > 0 && (t.limit.Max[p] == 0 || t.set[p] < t.limit.Max[p]-eps) {
+// lowersLimit tells that this controller was given a lower limit than the record has.
+func (t *team) lowersLimit() bool {
+	for p := range t.configured {
+		if t.configured[p] > 0 && (t.limit.Max[p] == 0 || t.configured[p] < t.limit.Max[p]-eps) {
 			return true
 		}
 	}
 	return false
 }
 
-// lower is the lower of two limits, part by part; 0 is none.
-func lower(a, b Amount) Amount {
+// lowerLimit is the lower of two limits, part by part; 0 is none.
+func lowerLimit(a, b Resources) Resources {
 	for p := range a {
 		if a[p] == 0 || (b[p] > 0 && b[p] < a[p]) {
 			a[p] = b[p]
@@ -145,26 +145,26 @@
 // Divide splits a limit among the holders: each gets what it uses, then a machine's
 // worth if half of the rest suffices for that, and what remains is with Wide, from
 // which they ask for it. Nothing is divided while more is used than the limit.
-func Divide(limit Amount, holders []string, uses func(holder string) Amount, least Amount) (map[string][2]float64, bool) {
+func Divide(limit Resources, holders []string, uses func(holder string) Resources, least Resources) (map[string][2]float64, bool) {
 	base := make(map[string][2]float64)
 	left := limit
-	for _, holder := range append([]string{Wide}, holders...) {
+	for _, holder := range append([]string{CrossShard}, holders...) {
 		u := uses(holder).masked(limit)
 		if !u.Within(left) {
 			return nil, false
 		}
-		left = left.Less(u)
+		left = left.Minus(u)
 		base[holder] = u
 	}
 	part := left.Times(0.5 / float64(max(1, len(holders))))
 	if least = least.masked(limit); least.Within(part) {
 		for _, holder := range slices.Sorted(maps.Keys(base)) {
-			if holder != Wide {
-				base[holder] = Amount(base[holder]).Plus(part)
-				left = left.Less(part)
+			if holder != CrossShard {
+				base[holder] = Resources(base[holder]).Plus(part)
+				left = left.Minus(part)
 			}
 		}
 	}
-	base[Wide] = Amount(base[Wide]).Plus(left)
+	base[CrossShard] = Resources(base[CrossShard]).Plus(left)
 	return base, true
 }
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -14,221 +14,225 @@
 	"madderslip/internal/protocol"
 )
 
-// Version is what controllers of these sources say of themselves: they allot limits.
-const Version = 1
+// ProtocolVersion is what controllers of these sources say of themselves: they allot limits.
+const ProtocolVersion = 1
 
-// Keeper holds what the records and the other controllers say about teams' limits
+// Manager holds what the records and the other controllers say about teams' limits
 // and guarantees. Its caller guards it, and tells it every version of a record in
 // the order of their revisions.
-type Keeper struct {
-	on    bool
-	set   map[string]protocol.Team
-	hash  uint64
-	teams map[string]*team
-	uses  Uses
+type Manager struct {
+	allotmentsEnabled bool
+	configured        map[string]protocol.Team
+	configuredHash    uint64
+	teams             map[string]*team
+	usage             UsageFunc
 }
 
-// Uses tells what a team's placements in a shard come to, or with Wide those across
+// UsageFunc tells what a team's placements in a shard come to, or with Wide those across
 // shards: committed ones and those being committed, whichever is more.
-type Uses func(team, holder string) Amount
+type UsageFunc func(team, holder string) Resources
 
 type team struct {
-	name  string
-	set   Amount // the limit that this controller was given
-	limit ledger.Limit
-	stamp uint64
-	allot map[string]allotment // by holder
-	grant map[string]Amount    // kept until a record changes
-	busy  bool                 // a change of the limit's record is under way
-	book  ledger.Bookings
-	books uint64             // its revision
-	lent  map[string]Amount  // gifts under way, by giver
-	wants map[string]*wanted // by holder
-	began time.Time          // when a job of it was first held up by the limit, until none is
-	told  time.Time
+	name                string
+	configured          Resources // the limit that this controller was given
+	limit               ledger.TeamLimit
+	limitVersion        uint64
+	allotments          map[string]allotment // by holder
+	grantCache          map[string]Resources // kept until a record changes
+	busy                bool                 // a change of the limit's record is under way
+	reservations        ledger.Reservations
+	reservationsVersion uint64                   // its revision
+	transferring        map[string]Resources     // gifts under way, by giver
+	demands             map[string]*holderDemand // by holder
+	waitingSince        time.Time                // when a job of it was first held up by the limit, until none is
+	reportedAt          time.Time
 }
 
 type allotment struct {
-	rec   ledger.Allotment
-	stamp uint64
+	record  ledger.Allotment
+	version uint64
 }
 
-type wanted struct {
-	Want
-	at   time.Time // when it was said last
-	from string    // by whom; empty: this controller
-	made time.Time // since when it waits
+type holderDemand struct {
+	Demand
+	reportedAt time.Time // when it was said last
+	reportedBy string    // by whom; empty: this controller
+	since      time.Time // since when it waits
 }
 
-// stale is how long another controller's want counts after it was last said.
-const stale = 3 * time.Second
+// demandTTL is how long another controller's want counts after it was last said.
+const demandTTL = 3 * time.Second
 
 // New makes a keeper for the teams of the settings. With on unset no limit is
 // allotted, and what is allotted is counted in one record again.
-func New(set map[string]protocol.Team, on bool, uses Uses) *Keeper {
-	k := &Keeper{on: on, set: set, teams: make(map[string]*team), uses: uses}
+func New(set map[string]protocol.Team, on bool, uses UsageFunc) *Manager {
+	k := &Manager{allotmentsEnabled: on, configured: set, teams: make(map[string]*team), usage: uses}
 	d := xxhash.New()
 	for _, name := range slices.Sorted(maps.Keys(set)) {
 		t := set[name]
-		fmt.Fprintf(d, "%s\x00%v\x00%v\x00", name, t.CPUsMax, t.GMax)
+		fmt.Fprintf(d, "%s\x00%v\x00%v\x00", name, t.MaxCPUs, t.MaxGPUs)
 		k.team(name)
 	}
-	k.hash = d.Sum64()
+	k.configuredHash = d.Sum64()
 	return k
 }
 
-// Says is what this controller's own record tells the others.
-func (k *Keeper) Says() (version int, teams uint64) {
-	if !k.on {
-		return 0, k.hash
+// Advertised is what this controller's own record tells the others.
+func (k *Manager) Advertised() (version int, teams uint64) {
+	if !k.allotmentsEnabled {
+		return 0, k.configuredHash
 	}
-	return Version, k.hash
+	return ProtocolVersion, k.configuredHash
 }
 
-// Idle tells that no team has a limit, by the settings or on record.
-func (k *Keeper) Idle() bool {
+// HasNoLimits tells that no team has a limit, by the settings or on record.
+func (k *Manager) HasNoLimits() bool {
 	for _, t := range k.teams {
-		if t.stamp != 0 || !t.set.Zero() {
+		if t.limitVersion != 0 || !t.configured.IsZero() {
 			return false
 		}
 	}
 	return true
 }
 
-func (k *Keeper) team(name string) *team {
+func (k *Manager) team(name string) *team {
 	t := k.teams[name]
 	if t == nil {
-		t = &team{name: name, set: Amount{k.set[name].CPUsMax, k.set[name].GMax}, allot: make(map[string]allotment),
-			lent: make(map[string]Amount), wants: make(map[string]*wanted)}
+		t = &team{name: name, configured: Resources{k.configured[name].MaxCPUs, k.configured[name].MaxGPUs}, allotments: make(map[string]allotment),
+			transferring: make(map[string]Resources), demands: make(map[string]*holderDemand)}
 		k.teams[name] = t
 	}
 	return t
 }
 
-// StoreLimit takes a version of a team's limit.
-func (k *Keeper) StoreLimit(name string, r *ledger.Limit, stamp uint64) {
+// ApplyLimit takes a version of a team's limit.
+func (k *Manager) ApplyLimit(name string, r *ledger.TeamLimit, stamp uint64) {
 	t := k.team(name)
-	t.limit, t.stamp, t.grant = ledger.Limit{}, stamp, nil
+	t.limit, t.limitVersion, t.grantCache = ledger.TeamLimit{}, stamp, nil
 	if r != nil {
 		t.limit = *r
 	}
 }
 
-// StoreAllotment takes a version of what a holder has given; the key is below
-// ledger.AllotKeys.
-func (k *Keeper) StoreAllotment(key string, r *ledger.Allotment, stamp uint64) {
+// ApplyAllotment takes a version of what a holder has given; the key is below
+// ledger.AllotmentPrefix.
+func (k *Manager) ApplyAllotment(key string, r *ledger.Allotment, stamp uint64) {
 	cut := strings.LastIndexByte(key, '/')
 	if cut < 0 {
 		return
 	}
 	t := k.team(key[:cut])
-	t.grant = nil
+	t.grantCache = nil
 	if r == nil {
 		r = &ledger.Allotment{}
 	}
-	t.allot[key[cut+1:]] = allotment{*r, stamp}
+	t.allotments[key[cut+1:]] = allotment{*r, stamp}
 }
 
-// StoreBookings takes a version of a team's bookings.
-func (k *Keeper) StoreBookings(name string, r *ledger.Bookings, stamp uint64) {
+// ApplyReservations takes a version of a team's bookings.
+func (k *Manager) ApplyReservations(name string, r *ledger.Reservations, stamp uint64) {
 	t := k.team(name)
-	t.book, t.books = ledger.Bookings{}, stamp
+	t.reservations, t.reservationsVersion = ledger.Reservations{}, stamp
 	if r != nil {
-		t.book = *r
+		t.reservations = *r
 	}
 }
 
-// allotted tells whether the limit is divided, or about to be: starts are not
+// isAllotted tells whether the limit is divided, or about to be: starts are not
 // counted in the team's one record.
-func (t *team) allotted() bool { return t.stamp != 0 && t.limit.Gen > 0 && !t.limit.Off }
+func (t *team) isAllotted() bool {
+	return t.limitVersion != 0 && t.limit.Generation > 0 && !t.limit.Closed
+}
 
-// limitNow is the limit that counts: the record's while it is allotted.
-func (t *team) limitNow() Amount {
-	if t.allotted() {
+// effectiveLimit is the limit that counts: the record's while it is allotted.
+func (t *team) effectiveLimit() Resources {
+	if t.isAllotted() {
 		return t.limit.Max
 	}
-	return t.set
+	return t.configured
 }
 
-// Limited tells whether a task of a size counts against its team's limit.
-func (k *Keeper) Limited(name string, unit Amount) bool {
+// IsLimited tells whether a task of a size counts against its team's limit.
+func (k *Manager) IsLimited(name string, unit Resources) bool {
 	t := k.teams[name]
 	if t == nil {
 		return false
 	}
-	limit := t.limitNow()
+	limit := t.effectiveLimit()
 	return (limit[0] > 0 && unit[0] > 0) || (limit[1] > 0 && unit[1] > 0)
 }
 
 // Limit is what a team may use altogether; 0 in a part: no limit.
-func (k *Keeper) Limit(name string) Amount {
+func (k *Manager) Limit(name string) Resources {
 	if t := k.teams[name]; t != nil {
-		return t.limitNow()
+		return t.effectiveLimit()
 	}
-	return Amount{}
+	return Resources{}
 }
 
-// Allotted tells whether a team's starts are bounded by allotments.
-func (k *Keeper) Allotted(name string) bool { return k.teams[name] != nil && k.teams[name].allotted() }
+// IsAllotted tells whether a team's starts are bounded by allotments.
+func (k *Manager) IsAllotted(name string) bool {
+	return k.teams[name] != nil && k.teams[name].isAllotted()
+}
 
-// Conds are the conditions of every change of a limited team's claims: the limit is
+// LimitCompares are the conditions of every change of a limited team's claims: the limit is
 // as this controller knows it. A change of the limit so voids what is under way, and
 // no start passes it from its record's revision on.
-func (k *Keeper) Conds(name string) []ledger.Cond {
+func (k *Manager) LimitCompares(name string) []ledger.Compare {
 	t := k.teams[name]
-	if t == nil || (t.stamp == 0 && t.set.Zero()) {
+	if t == nil || (t.limitVersion == 0 && t.configured.IsZero()) {
 		return nil
 	}
-	return []ledger.Cond{{Key: ledger.LimitKeys + name, Stamp: t.stamp}}
+	return []ledger.Compare{{Key: ledger.TeamLimitPrefix + name, Version: t.limitVersion}}
 }
 
 // grants works out what each holder may use.
-func (t *team) grants() map[string]Amount {
-	if t.grant != nil {
-		return t.grant
+func (t *team) grants() map[string]Resources {
+	if t.grantCache != nil {
+		return t.grantCache
 	}
-	t.grant = make(map[string]Amount, len(t.limit.Base))
+	t.grantCache = make(map[string]Resources, len(t.limit.Base))
 	if t.limit.Base == nil || t.limit.Closing {
-		return t.grant
+		return t.grantCache
 	}
-	sum := make(map[string]Amount)
+	sum := make(map[string]Resources)
 	for holder, a := range t.limit.Base {
 		sum[holder] = a
 	}
-	for _, holder := range slices.Sorted(maps.Keys(t.allot)) {
-		a := t.allot[holder].rec
-		if a.Gen != t.limit.Gen {
+	for _, holder := range slices.Sorted(maps.Keys(t.allotments)) {
+		a := t.allotments[holder].record
+		if a.Generation != t.limit.Generation {
 			continue // of an earlier division
 		}
-		for _, to := range slices.Sorted(maps.Keys(a.Given)) {
-			sum[to] = sum[to].Plus(a.Given[to])
-			sum[holder] = Amount{sum[holder][0] - a.Given[to][0], sum[holder][1] - a.Given[to][1]}
+		for _, to := range slices.Sorted(maps.Keys(a.Transferred)) {
+			sum[to] = sum[to].Plus(a.Transferred[to])
+			sum[holder] = Resources{sum[holder][0] - a.Transferred[to][0], sum[holder][1] - a.Transferred[to][1]}
 		}
 	}
 	for holder, a := range sum {
-		t.grant[holder] = a.Less(Amount{})
+		t.grantCache[holder] = a.Minus(Resources{})
 	}
-	return t.grant
+	return t.grantCache
 }
 
 // Free is what a holder may still use; a part without a limit is endless.
-func (k *Keeper) Free(name, holder string) Amount {
-	free := Amount{math.Inf(1), math.Inf(1)}
+func (k *Manager) Free(name, holder string) Resources {
+	free := Resources{math.Inf(1), math.Inf(1)}
 	t := k.teams[name]
-	if t == nil || !t.allotted() {
+	if t == nil || !t.isAllotted() {
 		return free
 	}
 	for p := range free {
 		// Of two limits that controllers were given the lower one counts, and from
 		// this very moment for this one.
-		if t.set[p] > 0 && (t.limit.Max[p] == 0 || t.set[p] < t.limit.Max[p]-eps) {
-			return Amount{}
+		if t.configured[p] > 0 && (t.limit.Max[p] == 0 || t.configured[p] < t.limit.Max[p]-eps) {
+			return Resources{}
 		}
 	}
 	if t.limit.Base == nil {
-		return Amount{}
+		return Resources{}
 	}
-	left := t.grants()[holder].Less(t.lent[holder]).Less(k.uses(name, holder))
+	left := t.grants()[holder].Minus(t.transferring[holder]).Minus(k.usage(name, holder))
 	for p := range free {
 		if t.limit.Max[p] > 0 {
 			free[p] = left[p]
@@ -239,14 +243,14 @@
 
 // Allowance is how many tasks of a size a holder may still start, if others are not
 // to be served first.
-func (k *Keeper) Allowance(name, holder string, unit Amount) int {
+func (k *Manager) Allowance(name, holder string, unit Resources) int {
 	return k.Free(name, holder).count(unit, k.Limit(name))
 }
 
 // Grant is what a holder may use altogether, for the log.
-func (k *Keeper) Grant(name, holder string) Amount {
-	if t := k.teams[name]; t != nil && t.allotted() {
+func (k *Manager) Grant(name, holder string) Resources {
+	if t := k.teams[name]; t != nil && t.isAllotted() {
 		return t.grants()[holder]
 	}
-	return Amount{}
+	return Resources{}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -13,20 +13,20 @@
 	"madderslip/internal/protocol"
 )
 
-func cpus(k float64) Amount { return Amount{k, 0} }
+func cpus(k float64) Resources { return Resources{k, 0} }
 
-func want(ref string, born int64, head, total float64) *Want {
-	return &Want{Ref: ref, Born: born, Head: cpus(head), Unit: cpus(2), Total: cpus(total), Whole: head > 2}
+func want(ref string, born int64, head, total float64) *Demand {
+	return &Demand{JobID: ref, AcceptedAtMs: born, Head: cpus(head), PerTask: cpus(2), Total: cpus(total), AllOrNothing: head > 2}
 }
 
 // What nobody wants goes to who could use it, and no more than that.
 func TestShareGivesWhatIsUnused(t *testing.T) {
-	got := Share(cpus(20), []Holder{
+	got := Rebalance(cpus(20), []Holder{
 		{Name: "*", Grant: cpus(12)},
-		{Name: "n0", Grant: cpus(4), Use: cpus(4), Want: want("wk-1", 1, 2, 6)},
+		{Name: "n0", Grant: cpus(4), Use: cpus(4), Demand: want("wk-1", 1, 2, 6)},
 		{Name: "n1", Grant: cpus(4), Use: cpus(1)},
 	})
-	if len(got) != 1 || got[0] != (Gift{"*", "n0", cpus(6)}) {
+	if len(got) != 1 || got[0] != (Transfer{"*", "n0", cpus(6)}) {
 		t.Fatal(got)
 	}
 }
@@ -35,16 +35,16 @@
 // a job that starves is served from younger work's part.
 func TestShareLeavesOthersWorkAlone(t *testing.T) {
 	old, young := want("wk-1", 1, 2, 10), want("wk-2", 2, 2, 10)
-	holders := []Holder{{Name: "n0", Grant: cpus(0), Want: old}, {Name: "n1", Grant: cpus(4), Want: young}}
-	if got := Share(cpus(4), holders); len(got) != 0 {
+	holders := []Holder{{Name: "n0", Grant: cpus(0), Demand: old}, {Name: "n1", Grant: cpus(4), Demand: young}}
+	if got := Rebalance(cpus(4), holders); len(got) != 0 {
 		t.Fatal("took from work that could start at once:", got)
 	}
-	old.Waited = Patience
-	if got := Share(cpus(4), holders); len(got) != 1 || got[0].From != "n1" || got[0].Amount != cpus(2) {
+	old.Waited = StarvationThreshold
+	if got := Rebalance(cpus(4), holders); len(got) != 1 || got[0].From != "n1" || got[0].Amount != cpus(2) {
 		t.Fatal("the older job starves on:", got)
 	}
-	old.Waited, young.Waited = 0, Patience
-	if got := Share(cpus(4), []Holder{{Name: "n0", Grant: cpus(4), Want: old}, {Name: "n1", Want: young}}); len(got) != 0 {
+	old.Waited, young.Waited = 0, StarvationThreshold
+	if got := Rebalance(cpus(4), []Holder{{Name: "n0", Grant: cpus(4), Demand: old}, {Name: "n1", Demand: young}}); len(got) != 0 {
 		t.Fatal("older work gave way to younger:", got)
 	}
 }
@@ -54,9 +54,9 @@
 func TestShareTwoWholeGangs(t *testing.T) {
 	for _, refs := range [][2]string{{"wk-1", "wk-2"}, {"wk-1", "wk-1"}} {
 		a, b := want(refs[0], 1, 8, 8), want(refs[1], 1, 8, 8)
-		a.Waited, b.Waited = Patience, Patience
-		got := Share(cpus(8), []Holder{{Name: "n0", Grant: cpus(4), Want: a}, {Name: "n1", Grant: cpus(4), Want: b}})
-		if len(got) != 1 || got[0] != (Gift{"n1", "n0", cpus(4)}) {
+		a.Waited, b.Waited = StarvationThreshold, StarvationThreshold
+		got := Rebalance(cpus(8), []Holder{{Name: "n0", Grant: cpus(4), Demand: a}, {Name: "n1", Grant: cpus(4), Demand: b}})
+		if len(got) != 1 || got[0] != (Transfer{"n1", "n0", cpus(4)}) {
 			t.Fatal(refs, got)
 		}
 	}
@@ -65,10 +65,10 @@
 // What a job asks for ahead of its room is served from idle parts alone.
 func TestShareAheadComesLast(t *testing.T) {
 	ahead := want("wk-1", 1, 8, 8)
-	ahead.Ahead, ahead.Waited = true, time.Hour
-	got := Share(cpus(12), []Holder{
-		{Name: "n0", Want: ahead},
-		{Name: "n1", Grant: cpus(8), Want: want("wk-2", 2, 2, 4)},
+	ahead.Anticipated, ahead.Waited = true, time.Hour
+	got := Rebalance(cpus(12), []Holder{
+		{Name: "n0", Demand: ahead},
+		{Name: "n1", Grant: cpus(8), Demand: want("wk-2", 2, 2, 4)},
 		{Name: "n2", Grant: cpus(4)},
 	})
 	if len(got) != 0 {
@@ -87,14 +87,14 @@
 			h.Use = cpus(float64(rapid.IntRange(0, int(h.Grant[0])).Draw(t, "use")))
 			if rapid.Bool().Draw(t, "wants") {
 				head := float64(rapid.IntRange(1, 12).Draw(t, "head"))
-				h.Want = &Want{Ref: fmt.Sprint("wk-", rapid.IntRange(1, 4).Draw(t, "ref")), Head: cpus(head), Unit: cpus(1), Total: cpus(head + float64(rapid.IntRange(0, 20).Draw(t, "more"))),
-					Waited: time.Duration(rapid.IntRange(0, 6).Draw(t, "waited")) * time.Second, Born: int64(rapid.IntRange(1, 3).Draw(t, "born"))}
+				h.Demand = &Demand{JobID: fmt.Sprint("wk-", rapid.IntRange(1, 4).Draw(t, "ref")), Head: cpus(head), PerTask: cpus(1), Total: cpus(head + float64(rapid.IntRange(0, 20).Draw(t, "more"))),
+					Waited: time.Duration(rapid.IntRange(0, 6).Draw(t, "waited")) * time.Second, AcceptedAtMs: int64(rapid.IntRange(1, 3).Draw(t, "born"))}
 			}
 			limit += h.Grant[0]
 			use += h.Use[0]
 			holders = append(holders, h)
 		}
-		gifts := Share(cpus(limit), holders)
+		gifts := Rebalance(cpus(limit), holders)
 		after := make(map[string]float64)
 		for _, h := range holders {
 			after[h.Name] = h.Grant[0]
@@ -118,24 +118,24 @@
 		}
 		var first *Holder
 		for i := range holders {
-			if h := &holders[i]; h.Want != nil && (first == nil || h.before(first) < 0) {
+			if h := &holders[i]; h.Demand != nil && (first == nil || h.before(first) < 0) {
 				first = h
 			}
 		}
-		if first != nil && first.starving() && first.Want.Head[0] <= limit-use+eps && after[first.Name]-first.Use[0] < first.Want.Head[0]-eps {
-			t.Fatalf("%v could have had what it needs of %v unused: %v", first.Want, limit-use, gifts)
+		if first != nil && first.isStarving() && first.Demand.Head[0] <= limit-use+eps && after[first.Name]-first.Use[0] < first.Demand.Head[0]-eps {
+			t.Fatalf("%v could have had what it needs of %v unused: %v", first.Demand, limit-use, gifts)
 		}
 	})
 }
 
 // A limit is divided only if what is used fits it; each holder keeps what it uses.
 func TestDivide(t *testing.T) {
-	uses := func(holder string) Amount { return map[string]Amount{"n0": cpus(6), Wide: cpus(2)}[holder] }
+	uses := func(holder string) Resources { return map[string]Resources{"n0": cpus(6), CrossShard: cpus(2)}[holder] }
 	base, ok := Divide(cpus(40), []string{"n0", "n1"}, uses, cpus(8))
-	if !ok || base["n0"] != [2]float64{14, 0} || base["n1"] != [2]float64{8, 0} || base[Wide] != [2]float64{18, 0} {
+	if !ok || base["n0"] != [2]float64{14, 0} || base["n1"] != [2]float64{8, 0} || base[CrossShard] != [2]float64{18, 0} {
 		t.Fatal(base, ok)
 	}
-	if base, ok = Divide(cpus(12), []string{"n0", "n1"}, uses, cpus(8)); !ok || base[Wide] != [2]float64{6, 0} {
+	if base, ok = Divide(cpus(12), []string{"n0", "n1"}, uses, cpus(8)); !ok || base[CrossShard] != [2]float64{6, 0} {
 		t.Fatal("a small limit is not split into parts that hold no task:", base, ok)
 	}
 	if _, ok = Divide(cpus(7), []string{"n0", "n1"}, uses, cpus(8)); ok {
@@ -143,16 +143,16 @@
 	}
 }
 
-// records is a state service for keepers: each takes what is committed at once.
-type records struct {
-	keepers []*Keeper
+// fakeStore is a state service for keepers: each takes what is committed at once.
+type fakeStore struct {
+	keepers []*Manager
 	stamps  map[string]uint64
 	epoch   uint64
 }
 
-func (r *records) commit(conds []ledger.Cond, ops []ledger.Op) bool {
+func (r *fakeStore) commit(conds []ledger.Compare, ops []ledger.Op) bool {
 	for _, c := range conds {
-		if r.stamps[c.Key] != c.Stamp {
+		if r.stamps[c.Key] != c.Version {
 			return false
 		}
 	}
@@ -161,12 +161,12 @@
 		r.stamps[op.Key] = r.epoch
 		for _, k := range r.keepers {
 			switch v := op.Value.(type) {
-			case *ledger.Limit:
-				k.StoreLimit(op.Key[len(ledger.LimitKeys):], v, r.epoch)
+			case *ledger.TeamLimit:
+				k.ApplyLimit(op.Key[len(ledger.TeamLimitPrefix):], v, r.epoch)
 			case *ledger.Allotment:
-				k.StoreAllotment(op.Key[len(ledger.AllotKeys):], v, r.epoch)
-			case *ledger.Bookings:
-				k.StoreBookings(op.Key[len(ledger.BookKeys):], v, r.epoch)
+				k.ApplyAllotment(op.Key[len(ledger.AllotmentPrefix):], v, r.epoch)
+			case *ledger.Reservations:
+				k.ApplyReservations(op.Key[len(ledger.ReservationPrefix):], v, r.epoch)
 			}
 		}
 	}
@@ -176,34 +176,34 @@
 // The life of a limit: divided, lowered below its use by a controller that was given
 // less, not used again before enough has ended, and raised once all agree.
 func TestLimitChanges(t *testing.T) {
-	use := map[string]Amount{}
-	uses := func(_, holder string) Amount { return use[holder] }
-	with := func(most float64) *Keeper {
-		return New(map[string]protocol.Team{"t": {Name: "t", CPUsMax: most}}, true, uses)
+	use := map[string]Resources{}
+	uses := func(_, holder string) Resources { return use[holder] }
+	with := func(most float64) *Manager {
+		return New(map[string]protocol.Team{"t": {Name: "t", MaxCPUs: most}}, true, uses)
 	}
 	a := with(40)
-	r := &records{keepers: []*Keeper{a}, stamps: make(map[string]uint64)}
-	situation := func(leads bool) Situation {
-		s := Situation{Epoch: r.epoch, Complete: true, Leads: leads, Holders: []string{"n0", "n1"}, Least: cpus(8), Lead: ledger.Cond{Key: ledger.LeaderKey},
-			Legacy: func(string) uint64 { return r.stamps[ledger.TeamKeys+"t"] }, Uses: func(string) map[string]Amount { return use }}
+	r := &fakeStore{keepers: []*Manager{a}, stamps: make(map[string]uint64)}
+	situation := func(leads bool) ClusterState {
+		s := ClusterState{Revision: r.epoch, Complete: true, IsLeader: leads, Holders: []string{"n0", "n1"}, InitialShare: cpus(8), LeaderCompare: ledger.Compare{Key: ledger.LeaderKey},
+			TeamUsageVersion: func(string) uint64 { return r.stamps[ledger.TeamUsagePrefix+"t"] }, TeamUsage: func(string) map[string]Resources { return use }}
 		for _, k := range r.keepers {
 			m := Member{}
-			m.Version, m.Teams = k.Says()
+			m.QuotaVersion, m.TeamsHash = k.Advertised()
 			s.Members = append(s.Members, m)
 		}
 		return s
 	}
 	used := map[string][2]float64{} // by the one record, for older sources
-	tend := func(k *Keeper, leads bool) (what []string) {
-		for _, c := range k.Changes(situation(leads)) {
-			what = append(what, c.What)
+	tend := func(k *Manager, leads bool) (what []string) {
+		for _, c := range k.LimitChanges(situation(leads)) {
+			what = append(what, c.Description)
 			for _, op := range c.Ops {
-				if one, is := op.Value.(*ledger.Team); is {
-					used = one.Use
+				if one, is := op.Value.(*ledger.TeamUsage); is {
+					used = one.ByShard
 				}
 			}
-			r.commit(c.Conds, c.Ops)
-			k.Changed(c)
+			r.commit(c.Compares, c.Ops)
+			k.FinishChange(c)
 		}
 		return what
 	}
@@ -220,42 +220,42 @@
 	r.epoch-- // its cache lacks what was committed just before
 	expect(tend(a, true))
 	r.epoch++
-	if a.Allowance("t", Wide, cpus(2)) != 0 {
+	if a.Allowance("t", CrossShard, cpus(2)) != 0 {
 		t.Fatal("something may start while the use is counted")
 	}
 	expect(tend(a, true), "divided")
 	expect(tend(a, true))
-	if a.Allowance("t", "n0", cpus(2)) != 5 || a.Allowance("t", Wide, cpus(2)) != 10 {
-		t.Fatal(a.Grant("t", "n0"), a.Grant("t", Wide))
+	if a.Allowance("t", "n0", cpus(2)) != 5 || a.Allowance("t", CrossShard, cpus(2)) != 10 {
+		t.Fatal(a.Grant("t", "n0"), a.Grant("t", CrossShard))
 	}
 	use["n0"] = cpus(10)
 
 	b := with(6)
-	b.StoreLimit("t", &a.teams["t"].limit, a.teams["t"].stamp)
+	b.ApplyLimit("t", &a.teams["t"].limit, a.teams["t"].limitVersion)
 	r.keepers = append(r.keepers, b)
 	if b.Allowance("t", "n1", cpus(2)) != 0 {
 		t.Fatal("a controller with a lower limit starts within the higher one")
 	}
 	expect(tend(a, true))
 	expect(tend(b, false), "lowered")
-	if a.Allowance("t", Wide, cpus(2)) != 0 {
+	if a.Allowance("t", CrossShard, cpus(2)) != 0 {
 		t.Fatal("started from the record's revision on")
 	}
 	expect(tend(a, true)) // 10 are used of 6
 	use["n0"] = cpus(4)
 	expect(tend(a, true), "divided")
-	if got := a.Allowance("t", Wide, cpus(2)) + a.Allowance("t", "n0", cpus(2)) + a.Allowance("t", "n1", cpus(2)); got != 1 {
+	if got := a.Allowance("t", CrossShard, cpus(2)) + a.Allowance("t", "n0", cpus(2)) + a.Allowance("t", "n1", cpus(2)); got != 1 {
 		t.Fatalf("%d may start of 6 with 4 used", got)
 	}
 	r.keepers = r.keepers[:1] // the other has ended
 	expect(tend(a, true), "raised")
 	expect(tend(a, true), "divided")
 
-	old := New(map[string]protocol.Team{"t": {Name: "t", CPUsMax: 40}}, false, uses)
+	old := New(map[string]protocol.Team{"t": {Name: "t", MaxCPUs: 40}}, false, uses)
 	r.keepers = append(r.keepers, old)
 	expect(tend(a, true), "to be counted in one record again")
 	expect(tend(a, true), "counted in one record again")
-	if a.Allotted("t") || used["*"] != [2]float64{} || used["n0"] != [2]float64{4, 0} {
+	if a.IsAllotted("t") || used["*"] != [2]float64{} || used["n0"] != [2]float64{4, 0} {
 		t.Fatal("still allotted, or older sources do not find what is used:", used)
 	}
 }
@@ -264,102 +264,102 @@
 // word that is older than the gift does not have it made again.
 func TestGiftsUnderWayCount(t *testing.T) {
 	now := time.Unix(0, 0)
-	k := New(map[string]protocol.Team{"t": {Name: "t", CPUsMax: 16}}, true, func(string, string) Amount { return Amount{} })
-	r := &records{keepers: []*Keeper{k}, stamps: map[string]uint64{ledger.ShardKeys + "n0": 5}, epoch: 5}
-	r.commit(nil, []ledger.Op{{Key: ledger.LimitKeys + "t", Value: &ledger.Limit{Gen: 1, Max: [2]float64{16, 0}, Base: map[string][2]float64{"n0": {16, 0}}}}})
-	k.Heard("other", []protocol.Want{{Team: "t", Holder: "n1", Head: [2]float64{2, 0}, Unit: [2]float64{2, 0}, Total: [2]float64{6, 0}, Ref: "wk-1"}}, now)
-	own := func(holder string) (ledger.Cond, bool) {
-		return ledger.Cond{Key: ledger.ShardKeys + "n0", Stamp: 5}, holder == "n0"
-	}
-	gifts := k.Gifts(own, now)
+	k := New(map[string]protocol.Team{"t": {Name: "t", MaxCPUs: 16}}, true, func(string, string) Resources { return Resources{} })
+	r := &fakeStore{keepers: []*Manager{k}, stamps: map[string]uint64{ledger.ShardPrefix + "n0": 5}, epoch: 5}
+	r.commit(nil, []ledger.Op{{Key: ledger.TeamLimitPrefix + "t", Value: &ledger.TeamLimit{Generation: 1, Max: [2]float64{16, 0}, Base: map[string][2]float64{"n0": {16, 0}}}}})
+	k.ObserveDemands("other", []protocol.Demand{{Team: "t", Holder: "n1", Head: [2]float64{2, 0}, PerTask: [2]float64{2, 0}, Total: [2]float64{6, 0}, JobID: "wk-1"}}, now)
+	own := func(holder string) (ledger.Compare, bool) {
+		return ledger.Compare{Key: ledger.ShardPrefix + "n0", Version: 5}, holder == "n0"
+	}
+	gifts := k.DueTransfers(own, now)
 	if len(gifts) != 1 || len(gifts[0].Ops) != 1 || k.Allowance("t", "n0", cpus(2)) != 5 {
 		t.Fatal(gifts, k.Allowance("t", "n0", cpus(2)))
 	}
-	if again := k.Gifts(own, now); len(again) != 0 {
+	if again := k.DueTransfers(own, now); len(again) != 0 {
 		t.Fatal("given twice:", again)
 	}
-	if !r.commit(gifts[0].Conds, gifts[0].Ops) {
-		t.Fatal("conditions:", gifts[0].Conds)
+	if !r.commit(gifts[0].Compares, gifts[0].Ops) {
+		t.Fatal("conditions:", gifts[0].Compares)
 	}
-	k.Moved(gifts[0])
-	if k.Grant("t", "n0") != cpus(10) || k.Grant("t", "n1") != cpus(6) || len(k.Gifts(own, now)) != 0 {
+	k.FinishTransfer(gifts[0])
+	if k.Grant("t", "n0") != cpus(10) || k.Grant("t", "n1") != cpus(6) || len(k.DueTransfers(own, now)) != 0 {
 		t.Fatal(k.Grant("t", "n0"), k.Grant("t", "n1"))
 	}
-	r.stamps[ledger.ShardKeys+"n0"] = 9 // another owner
-	k.Heard("other", []protocol.Want{{Team: "t", Holder: "n1", Head: [2]float64{2, 0}, Unit: [2]float64{2, 0}, Total: [2]float64{8, 0}, Ref: "wk-1"}}, now)
-	if g := k.Gifts(own, now); len(g) != 1 || r.commit(g[0].Conds, g[0].Ops) {
+	r.stamps[ledger.ShardPrefix+"n0"] = 9 // another owner
+	k.ObserveDemands("other", []protocol.Demand{{Team: "t", Holder: "n1", Head: [2]float64{2, 0}, PerTask: [2]float64{2, 0}, Total: [2]float64{8, 0}, JobID: "wk-1"}}, now)
+	if g := k.DueTransfers(own, now); len(g) != 1 || r.commit(g[0].Compares, g[0].Ops) {
 		t.Fatal("a former owner gave")
 	}
 }
 
 // one is a world of one claimant and its lenders.
 type one struct {
-	run, placed map[string]Amount
-	trying      map[string]Amount
-	open        map[string]Amount
+	run, placed map[string]Resources
+	trying      map[string]Resources
+	open        map[string]Resources
 	owns        uint64
 	keeps       bool
 }
 
-func (w one) Run(team string) Amount    { return w.run[team] }
-func (w one) Sure(team string) Amount   { return w.run[team].Less(w.trying[team]) }
-func (w one) Placed(ref string) Amount  { return w.placed[ref] }
-func (w one) Open(task string) Amount   { return w.open[task] }
-func (w one) Owns(string) uint64        { return w.owns }
-func (w one) Keeps(string, string) bool { return w.keeps }
+func (w one) InUse(team string) Resources       { return w.run[team] }
+func (w one) Committed(team string) Resources   { return w.run[team].Minus(w.trying[team]) }
+func (w one) PlacedBy(ref string) Resources     { return w.placed[ref] }
+func (w one) TaskUse(task string) Resources     { return w.open[task] }
+func (w one) OwnerToken(string) uint64          { return w.owns }
+func (w one) HoldsCapacity(string, string) bool { return w.keeps }
 
 // What is booked, placed and leaving counts together, at the claimant and at the
 // lender, and a booking that has served its time goes.
 func TestBookings(t *testing.T) {
-	k := New(map[string]protocol.Team{"due": {CPUs: 8}, "lend": {CPUs: 4}, "poor": {}}, true, nil)
-	r := &records{keepers: []*Keeper{k}, stamps: make(map[string]uint64)}
-	w := one{run: map[string]Amount{"due": cpus(2), "lend": cpus(12)}, placed: map[string]Amount{}, open: map[string]Amount{"x": cpus(4)}, owns: 7, keeps: true}
-	if got := k.Standing("due", "", w).Due(cpus(2)); got != 3 {
+	k := New(map[string]protocol.Team{"due": {GuaranteedCPUs: 8}, "lend": {GuaranteedCPUs: 4}, "poor": {}}, true, nil)
+	r := &fakeStore{keepers: []*Manager{k}, stamps: make(map[string]uint64)}
+	w := one{run: map[string]Resources{"due": cpus(2), "lend": cpus(12)}, placed: map[string]Resources{}, open: map[string]Resources{"x": cpus(4)}, owns: 7, keeps: true}
+	if got := k.Standing("due", "", w).Entitled(cpus(2)); got != 3 {
 		t.Fatalf("%d tasks are due of 8 CPUs with 2 used", got)
 	}
-	if got := k.Standing("due", "", w).Due(Amount{1, 1}); got != 0 {
+	if got := k.Standing("due", "", w).Entitled(Resources{1, 1}); got != 0 {
 		t.Fatal("a guarantee of CPUs claims cards:", got)
 	}
-	claim := Claim{Team: "due", ID: "wk-1", Shard: "n0", Token: 7, Use: cpus(4), Victims: map[string][]string{"lend": {"x"}}}
-	conds, ops := k.Book(claim)
+	claim := ReservationRequest{Team: "due", ClaimKey: "wk-1", Shard: "n0", FencingToken: 7, Use: cpus(4), Victims: map[string][]string{"lend": {"x"}}}
+	conds, ops := k.Reserve(claim)
 	if !r.commit(conds, ops) || r.commit(conds, ops) {
 		t.Fatal("the same booking was made twice, or not at all")
 	}
-	if got := k.Standing("due", "", w).Due(cpus(2)); got != 1 {
+	if got := k.Standing("due", "", w).Entitled(cpus(2)); got != 1 {
 		t.Fatalf("%d are due with 2 used and 4 booked", got)
 	}
-	if got := k.Standing("lend", "", w).Lends(cpus(1)); got != 4 {
+	if got := k.Standing("lend", "", w).Surplus(cpus(1)); got != 4 {
 		t.Fatalf("lends %v of 12 with 4 leaving and 4 guaranteed", got)
 	}
-	if got := k.Standing("poor", "", one{run: map[string]Amount{"poor": cpus(5)}}).Lends(cpus(1)); got != 5 {
+	if got := k.Standing("poor", "", one{run: map[string]Resources{"poor": cpus(5)}}).Surplus(cpus(1)); got != 5 {
 		t.Fatal("a team without a guarantee lends all that it uses, not", got)
 	}
-	w.trying = map[string]Amount{"lend": cpus(2)}
-	if got := k.Standing("lend", "", w).Lends(cpus(1)); got != 2 {
+	w.trying = map[string]Resources{"lend": cpus(2)}
+	if got := k.Standing("lend", "", w).Surplus(cpus(1)); got != 2 {
 		t.Fatal("what is only being placed was lent:", got)
 	}
 	w.trying = nil
-	taker := Taker{Claimed: cpus(2), Of: func(team string) Standing { return k.Standing(team, "", w) }}
-	if !taker.May("lend", cpus(4), Amount{}) || taker.May("lend", cpus(4), cpus(2)) || taker.May("lend", Amount{0, 1}, Amount{}) {
+	taker := Preemptor{ClaimedTask: cpus(2), StandingOf: func(team string) Standing { return k.Standing(team, "", w) }}
+	if !taker.MayPreempt("lend", cpus(4), Resources{}) || taker.MayPreempt("lend", cpus(4), cpus(2)) || taker.MayPreempt("lend", Resources{0, 1}, Resources{}) {
 		t.Fatal("what may be taken")
 	}
-	if taker.Take("lend", cpus(4)); taker.May("lend", cpus(1), Amount{}) {
+	if taker.RecordPreemption("lend", cpus(4)); taker.MayPreempt("lend", cpus(1), Resources{}) {
 		t.Fatal("the lender is pushed below its guarantee")
 	}
-	if spent := k.Spent(w); len(spent) != 0 {
+	if spent := k.ExpiredReservations(w); len(spent) != 0 {
 		t.Fatal("tidied too early:", spent)
 	}
 	for name, over := range map[string]one{
-		"placed":              {placed: map[string]Amount{"wk-1": cpus(4)}, owns: 7, keeps: true},
+		"placed":              {placed: map[string]Resources{"wk-1": cpus(4)}, owns: 7, keeps: true},
 		"of an earlier owner": {owns: 9, keeps: true},
 		"not kept":            {owns: 7},
 	} {
-		if spent := k.Spent(over); !slices.Equal(spent, []string{"wk-1"}) {
+		if spent := k.ExpiredReservations(over); !slices.Equal(spent, []string{"wk-1"}) {
 			t.Error(name, spent)
 		}
 	}
-	conds, ops = k.Unbook([]string{"wk-1"})
-	if !r.commit(conds, ops) || len(k.teams["lend"].book.Taken) > 0 || k.Booked("due", "wk-1") {
+	conds, ops = k.Release([]string{"wk-1"})
+	if !r.commit(conds, ops) || len(k.teams["lend"].reservations.Preempted) > 0 || k.HasReservation("due", "wk-1") {
 		t.Fatal("still booked")
 	}
 }
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -7,93 +7,93 @@
 	"time"
 )
 
-// Wide holds the allotment of work that is placed across shards, and what no shard
+// CrossShard holds the allotment of work that is placed across shards, and what no shard
 // has been given yet. The leading controller decides about it.
-const Wide = "*"
+const CrossShard = "*"
 
-// Want is what a holder could start this moment if its allotment reached: there is
+// Demand is what a holder could start this moment if its allotment reached: there is
 // room for it, and all else permits it. How much work is queued says nothing; but a
 // job that waits for room asks ahead for what nobody wants, since the room would go
 // to others while the allotment moves.
-type Want struct {
-	Head   Amount // what its first job needs to start: one task, or all of a gang
-	Unit   Amount // one task of it
-	Total  Amount // what could be started altogether
-	Rank   int    // of the first job
-	Born   int64  // when that was accepted, Unix milliseconds
-	Ref    string // the first job
-	Whole  bool   // it starts whole or not at all
-	Ahead  bool   // the room is not there yet: asked for in time, and served last
-	Waited time.Duration
+type Demand struct {
+	Head         Resources // what its first job needs to start: one task, or all of a gang
+	PerTask      Resources // one task of it
+	Total        Resources // what could be started altogether
+	Priority     int       // of the first job
+	AcceptedAtMs int64     // when that was accepted, Unix milliseconds
+	JobID        string    // the first job
+	AllOrNothing bool      // it starts whole or not at all
+	Anticipated  bool      // the room is not there yet: asked for in time, and served last
+	Waited       time.Duration
 }
 
 // before is the order in which wants are served: rank, then first come. All
 // controllers compute the same, so that of two gangs that each hold half of the
 // limit one yields.
-func (w *Want) before(o *Want) int {
-	return cmp.Or(order(w.Ahead, o.Ahead), cmp.Compare(o.Rank, w.Rank), cmp.Compare(w.Born, o.Born), strings.Compare(w.Ref, o.Ref))
+func (w *Demand) before(o *Demand) int {
+	return cmp.Or(compareBool(w.Anticipated, o.Anticipated), cmp.Compare(o.Priority, w.Priority), cmp.Compare(w.AcceptedAtMs, o.AcceptedAtMs), strings.Compare(w.JobID, o.JobID))
 }
 
-// least is the smallest part that helps: a task or, if it starts whole, all of it.
-func (w *Want) least() Amount {
-	if w.Whole {
+// minUsefulTransfer is the smallest part that helps: a task or, if it starts whole, all of it.
+func (w *Demand) minUsefulTransfer() Resources {
+	if w.AllOrNothing {
 		return w.Head
 	}
-	return w.Unit
+	return w.PerTask
 }
 
-// Patience is how long a holder's first job waits before it is served ahead of
+// StarvationThreshold is how long a holder's first job waits before it is served ahead of
 // younger work that could start elsewhere. Until then holders use their own first:
 // to move every task's allotment to the oldest job in the cluster would leave it
 // unused while it moves.
-const Patience = 3 * time.Second
+const StarvationThreshold = 3 * time.Second
 
 // Holder is a shard, or Wide, with its part of one team's limit.
 type Holder struct {
-	Name  string
-	Grant Amount
-	Use   Amount
-	Want  *Want // nil: nothing
+	Name   string
+	Grant  Resources
+	Use    Resources
+	Demand *Demand // nil: nothing
 }
 
 // before is the order in which holders are served. Copies of one job wait at several:
 // without an order among them each kept half of what the job needed.
 func (h *Holder) before(o *Holder) int {
-	return cmp.Or(h.Want.before(o.Want), strings.Compare(h.Name, o.Name))
+	return cmp.Or(h.Demand.before(o.Demand), strings.Compare(h.Name, o.Name))
 }
 
-func (h *Holder) starving() bool {
-	return h.Want != nil && !h.Want.Ahead && h.Want.Waited >= Patience
+func (h *Holder) isStarving() bool {
+	return h.Demand != nil && !h.Demand.Anticipated && h.Demand.Waited >= StarvationThreshold
 }
 
-// Gift is a part of an allotment that passes from one holder to another.
-type Gift struct {
+// Transfer is a part of an allotment that passes from one holder to another.
+type Transfer struct {
 	From, To string
-	Amount   Amount
+	Amount   Resources
 }
 
-// shares is the state of one division.
-type shares struct {
-	limit   Amount
-	holders []Holder
-	spare   []Amount // unused and not promised
-	kept    []Amount // of that, kept for the holder's own first job
-	gifts   []Gift
+// rebalancing is the state of one division.
+type rebalancing struct {
+	limit     Resources
+	holders   []Holder
+	unused    []Resources // unused and not promised
+	reserved  []Resources // of that, kept for the holder's own first job
+	transfers []Transfer
 }
 
-// Share decides who gives what to whom, of what nobody uses. Each controller carries
+// Rebalance decides who gives what to whom, of what nobody uses. Each controller carries
 // out the gifts of the holders that it decides for; that the others see slightly
 // different uses only makes a gift a little larger or smaller than it need be.
 //
 // First every holder's first job is served, in order; then what holders without
 // any want have left goes to those that could start more, in proportion. Nothing is
 // given to a holder that could not use it now, so nothing goes to and fro.
-func Share(limit Amount, holders []Holder) []Gift {
-	s := &shares{limit: limit, holders: holders, spare: make([]Amount, len(holders)), kept: make([]Amount, len(holders))}
+func Rebalance(limit Resources, holders []Holder) []Transfer {
+	s := &rebalancing{limit: limit, holders: holders, unused: make([]Resources, len(holders)), reserved: make([]Resources, len(holders))}
 	var wanting []int
 	for i := range holders {
-		s.spare[i] = holders[i].Grant.Less(holders[i].Use).masked(limit)
-		if holders[i].Want != nil {
+		s.unused[i] = holders[i].Grant.Minus(holders[i].Use).masked(limit)
+		if holders[i].Demand != nil {
 			wanting = append(wanting, i)
 		}
 	}
@@ -102,62 +102,62 @@
 	}
 	slices.SortFunc(wanting, func(a, b int) int { return holders[a].before(&holders[b]) })
 	for place, i := range wanting {
-		s.serveHead(i, place == 0)
+		s.serveFirstJob(i, place == 0)
 	}
-	s.serveRest(wanting)
-	return s.gifts
+	s.distributeUnused(wanting)
+	return s.transfers
 }
 
-// offer is what a holder has for another's first job.
-func (s *shares) offer(from, to int) Amount {
-	left := s.spare[from].Less(s.kept[from])
+// surplusFor is what a holder has for another's first job.
+func (s *rebalancing) surplusFor(from, to int) Resources {
+	left := s.unused[from].Minus(s.reserved[from])
 	h := &s.holders[from]
-	if s.holders[to].Want.Ahead && h.Want != nil {
-		return Amount{}
+	if s.holders[to].Demand.Anticipated && h.Demand != nil {
+		return Resources{}
 	}
-	if h.Want == nil || (s.holders[to].starving() && s.holders[to].before(h) < 0) {
+	if h.Demand == nil || (s.holders[to].isStarving() && s.holders[to].before(h) < 0) {
 		return left
 	}
-	return left.Less(h.Want.Total)
+	return left.Minus(h.Demand.Total)
 }
 
-// serveHead gathers what a holder's first job needs. Unless all of it is there
+// serveFirstJob gathers what a holder's first job needs. Unless all of it is there
 // nothing is moved, but for the first of all: it gathers what comes free, since
 // others would use that up again and again.
-func (s *shares) serveHead(i int, first bool) {
-	w := s.holders[i].Want
+func (s *rebalancing) serveFirstJob(i int, first bool) {
+	w := s.holders[i].Demand
 	head := w.Head.masked(s.limit)
-	s.kept[i] = s.spare[i].Least(head)
-	need := head.Less(s.spare[i])
-	if need.Zero() {
+	s.reserved[i] = s.unused[i].Min(head)
+	need := head.Minus(s.unused[i])
+	if need.IsZero() {
 		return
 	}
 	var givers []int
-	sum := Amount{}
+	sum := Resources{}
 	for j := range s.holders {
-		if o := s.offer(j, i); j != i && !o.Zero() {
+		if o := s.surplusFor(j, i); j != i && !o.IsZero() {
 			givers = append(givers, j)
 			sum = sum.Plus(o)
 		}
 	}
-	if !need.Within(sum) && !(first && s.holders[i].starving()) {
+	if !need.Within(sum) && !(first && s.holders[i].isStarving()) {
 		return
 	}
 	slices.SortStableFunc(givers, func(a, b int) int {
-		wa, wb := s.holders[a].Want != nil, s.holders[b].Want != nil
-		oa, ob := s.offer(a, i), s.offer(b, i)
-		return cmp.Or(order(wa, wb), cmp.Compare(ob[0]+ob[1], oa[0]+oa[1]), strings.Compare(s.holders[a].Name, s.holders[b].Name))
+		wa, wb := s.holders[a].Demand != nil, s.holders[b].Demand != nil
+		oa, ob := s.surplusFor(a, i), s.surplusFor(b, i)
+		return cmp.Or(compareBool(wa, wb), cmp.Compare(ob[0]+ob[1], oa[0]+oa[1]), strings.Compare(s.holders[a].Name, s.holders[b].Name))
 	})
 	for _, j := range givers {
-		s.give(j, i, s.offer(j, i).Least(need))
-		if need = head.Less(s.spare[i]); need.Zero() {
+		s.transfer(j, i, s.surplusFor(j, i).Min(need))
+		if need = head.Minus(s.unused[i]); need.IsZero() {
 			break
 		}
 	}
-	s.kept[i] = s.spare[i].Least(head)
+	s.reserved[i] = s.unused[i].Min(head)
 }
 
-func order(a, b bool) int {
+func compareBool(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -167,53 +167,53 @@
 	return -1
 }
 
-func (s *shares) give(from, to int, a Amount) {
-	if a.Zero() {
+func (s *rebalancing) transfer(from, to int, a Resources) {
+	if a.IsZero() {
 		return
 	}
-	s.spare[from] = s.spare[from].Less(a)
-	s.spare[to] = s.spare[to].Plus(a)
-	for k := range s.gifts {
-		if g := &s.gifts[k]; g.From == s.holders[from].Name && g.To == s.holders[to].Name {
+	s.unused[from] = s.unused[from].Minus(a)
+	s.unused[to] = s.unused[to].Plus(a)
+	for k := range s.transfers {
+		if g := &s.transfers[k]; g.From == s.holders[from].Name && g.To == s.holders[to].Name {
 			g.Amount = g.Amount.Plus(a)
 			return
 		}
 	}
-	s.gifts = append(s.gifts, Gift{s.holders[from].Name, s.holders[to].Name, a})
+	s.transfers = append(s.transfers, Transfer{s.holders[from].Name, s.holders[to].Name, a})
 }
 
-// serveRest divides what holders without a want have left among those that could
+// distributeUnused divides what holders without a want have left among those that could
 // start more, task by task.
-func (s *shares) serveRest(wanting []int) {
+func (s *rebalancing) distributeUnused(wanting []int) {
 	more := make([]int, len(s.holders)) // tasks that each could start beyond its first job
 	sum := 0
 	for _, i := range wanting {
-		w := s.holders[i].Want
-		unit := w.least().masked(s.limit)
-		if unit.Zero() {
+		w := s.holders[i].Demand
+		unit := w.minUsefulTransfer().masked(s.limit)
+		if unit.IsZero() {
 			continue
 		}
-		more[i] = min(w.Total.masked(s.limit).Less(s.spare[i]).count(unit, s.limit), 1<<20)
+		more[i] = min(w.Total.masked(s.limit).Minus(s.unused[i]).count(unit, s.limit), 1<<20)
 		sum += more[i]
 	}
 	if sum == 0 {
 		return
 	}
 	for j := range s.holders {
-		if s.holders[j].Want != nil {
+		if s.holders[j].Demand != nil {
 			continue
 		}
-		pool := s.spare[j]
+		pool := s.unused[j]
 		for _, i := range wanting {
-			unit := s.holders[i].Want.least().masked(s.limit)
-			if more[i] == 0 || unit.Zero() {
+			unit := s.holders[i].Demand.minUsefulTransfer().masked(s.limit)
+			if more[i] == 0 || unit.IsZero() {
 				continue
 			}
 			// Its part of the pool, in whole tasks, rounded up: the last one then gets
 			// what is left, and a pool of a few tasks is not left lying.
 			part := pool.count(unit, s.limit)*more[i]/sum + 1
-			k := min(part, more[i], s.spare[j].count(unit, s.limit))
-			s.give(j, i, unit.Times(float64(k)))
+			k := min(part, more[i], s.unused[j].count(unit, s.limit))
+			s.transfer(j, i, unit.Times(float64(k)))
 			more[i] -= k
 		}
 	}
--- a/internal/quota/wants.go
+++ b/internal/quota/wants.go
@@ -11,65 +11,65 @@
 	"madderslip/internal/protocol"
 )
 
-// Wish notes what a holder of this controller's could start if its allotment
+// SetDemand notes what a holder of this controller's could start if its allotment
 // reached; nil: nothing. started tells that work of the team has begun there since
 // the last time: what is not starving waits anew.
-func (k *Keeper) Wish(name, holder string, w *Want, started bool, now time.Time) {
+func (k *Manager) SetDemand(name, holder string, w *Demand, started bool, now time.Time) {
 	t := k.team(name)
-	was := t.wants[holder]
+	was := t.demands[holder]
 	if w == nil {
-		delete(t.wants, holder)
+		delete(t.demands, holder)
 		return
 	}
 	made := now
-	if was != nil && was.from == "" && was.Ref == w.Ref && was.Ahead == w.Ahead && (!started || w.Whole) {
-		made = was.made
+	if was != nil && was.reportedBy == "" && was.JobID == w.JobID && was.Anticipated == w.Anticipated && (!started || w.AllOrNothing) {
+		made = was.since
 	}
-	next := &wanted{Want: *w, at: now, made: made}
+	next := &holderDemand{Demand: *w, reportedAt: now, since: made}
 	next.Waited = now.Sub(made)
-	t.wants[holder] = next
+	t.demands[holder] = next
 }
 
-// Wants lists what this controller's holders want, to be told to the others.
-func (k *Keeper) Wants(now time.Time) []protocol.Want {
-	var out []protocol.Want
+// Demands lists what this controller's holders want, to be told to the others.
+func (k *Manager) Demands(now time.Time) []protocol.Demand {
+	var out []protocol.Demand
 	for _, name := range slices.Sorted(maps.Keys(k.teams)) {
 		t := k.teams[name]
-		for _, holder := range slices.Sorted(maps.Keys(t.wants)) {
-			if w := t.wants[holder]; w.from == "" && now.Sub(w.at) <= stale && t.allotted() {
-				out = append(out, protocol.Want{Team: name, Holder: holder, Head: w.Head, Unit: w.Unit, Total: w.Total,
-					Rank: w.Rank, Born: w.Born, Ref: w.Ref, Whole: w.Whole, Ahead: w.Ahead, WaitedMs: w.Waited.Milliseconds()})
+		for _, holder := range slices.Sorted(maps.Keys(t.demands)) {
+			if w := t.demands[holder]; w.reportedBy == "" && now.Sub(w.reportedAt) <= demandTTL && t.isAllotted() {
+				out = append(out, protocol.Demand{Team: name, Holder: holder, Head: w.Head, PerTask: w.PerTask, Total: w.Total,
+					Priority: w.Priority, AcceptedAtMs: w.AcceptedAtMs, JobID: w.JobID, AllOrNothing: w.AllOrNothing, Anticipated: w.Anticipated, WaitedMs: w.Waited.Milliseconds()})
 			}
 		}
 	}
 	return out
 }
 
-// Heard takes all that another controller's holders want. It is advice: a want that
+// ObserveDemands takes all that another controller's holders want. It is advice: a want that
 // is missing, old or made up moves an allotment late, or for nothing, and starts
 // nothing.
-func (k *Keeper) Heard(from string, list []protocol.Want, now time.Time) {
+func (k *Manager) ObserveDemands(from string, list []protocol.Demand, now time.Time) {
 	for _, t := range k.teams {
-		maps.DeleteFunc(t.wants, func(_ string, w *wanted) bool { return w.from == from })
+		maps.DeleteFunc(t.demands, func(_ string, w *holderDemand) bool { return w.reportedBy == from })
 	}
 	for _, w := range list {
 		t := k.teams[w.Team]
 		if t == nil {
 			continue
 		}
-		if was := t.wants[w.Holder]; was != nil && was.from == "" && now.Sub(was.at) < stale {
+		if was := t.demands[w.Holder]; was != nil && was.reportedBy == "" && now.Sub(was.reportedAt) < demandTTL {
 			continue // this controller decides for it, or did until just now
 		}
-		t.wants[w.Holder] = &wanted{from: from, at: now, made: now.Add(-time.Duration(w.WaitedMs) * time.Millisecond),
-			Want: Want{Head: w.Head, Unit: w.Unit, Total: w.Total, Rank: w.Rank, Born: w.Born, Ref: w.Ref, Whole: w.Whole, Ahead: w.Ahead}}
+		t.demands[w.Holder] = &holderDemand{reportedBy: from, reportedAt: now, since: now.Add(-time.Duration(w.WaitedMs) * time.Millisecond),
+			Demand: Demand{Head: w.Head, PerTask: w.PerTask, Total: w.Total, Priority: w.Priority, AcceptedAtMs: w.AcceptedAtMs, JobID: w.JobID, AllOrNothing: w.AllOrNothing, Anticipated: w.Anticipated}}
 	}
 }
 
-// Sought tells whether any holder wants more of a team's limit.
-func (k *Keeper) Sought(name string) bool {
+// IsDemanded tells whether any holder wants more of a team's limit.
+func (k *Manager) IsDemanded(name string) bool {
 	if t := k.teams[name]; t != nil {
-		for _, w := range t.wants {
-			if !w.Ahead {
+		for _, w := range t.demands {
+			if !w.Anticipated {
 				return true
 			}
 		}
@@ -78,24 +78,24 @@
 }
 
 // holders is a snapshot of a team's division.
-func (k *Keeper) holders(t *team, now time.Time) []Holder {
+func (k *Manager) holders(t *team, now time.Time) []Holder {
 	names := make(map[string]bool)
 	for holder := range t.grants() {
 		names[holder] = true
 	}
-	for holder, w := range t.wants {
-		if now.Sub(w.at) > stale {
-			delete(t.wants, holder) // nobody decides for it who still wants that
+	for holder, w := range t.demands {
+		if now.Sub(w.reportedAt) > demandTTL {
+			delete(t.demands, holder) // nobody decides for it who still wants that
 			continue
 		}
-		w.Waited = now.Sub(w.made)
+		w.Waited = now.Sub(w.since)
 		names[holder] = true
 	}
 	out := make([]Holder, 0, len(names))
 	for _, holder := range slices.Sorted(maps.Keys(names)) {
-		h := Holder{Name: holder, Grant: t.grants()[holder].Less(t.lent[holder]), Use: k.uses(t.name, holder)}
-		if w := t.wants[holder]; w != nil {
-			h.Want = &w.Want
+		h := Holder{Name: holder, Grant: t.grants()[holder].Minus(t.transferring[holder]), Use: k.usage(t.name, holder)}
+		if w := t.demands[holder]; w != nil {
+			h.Demand = &w.Demand
 		}
 		out = append(out, h)
 	}
@@ -104,130 +104,130 @@
 
 // YieldsTo tells that a holder's own work must wait: older work at another holder
 // starves for what this one has left, and a gift to it is due.
-func (k *Keeper) YieldsTo(name string, rank int, born int64, ref string, now time.Time) bool {
+func (k *Manager) YieldsTo(name string, rank int, born int64, ref string, now time.Time) bool {
 	t := k.teams[name]
-	if t == nil || !t.allotted() {
+	if t == nil || !t.isAllotted() {
 		return false
 	}
-	mine := Want{Rank: rank, Born: born, Ref: ref}
-	for _, w := range t.wants {
-		if now.Sub(w.at) > stale {
+	mine := Demand{Priority: rank, AcceptedAtMs: born, JobID: ref}
+	for _, w := range t.demands {
+		if now.Sub(w.reportedAt) > demandTTL {
 			continue
 		}
-		if !w.Ahead && now.Sub(w.made) >= Patience && w.before(&mine) < 0 {
+		if !w.Anticipated && now.Sub(w.since) >= StarvationThreshold && w.before(&mine) < 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Move is a gift as a transaction: one change of the giver's own key.
-type Move struct {
-	Gift
-	Team  string
-	Conds []ledger.Cond
-	Ops   []ledger.Op
-	t     *team
-	to    map[string]Amount
+// PendingTransfer is a gift as a transaction: one change of the giver's own key.
+type PendingTransfer struct {
+	Transfer
+	Team      string
+	Compares  []ledger.Compare
+	Ops       []ledger.Op
+	team      *team
+	receivers map[string]Resources
 }
 
-// Gifts makes the gifts that are due from holders that this controller decides for.
+// DueTransfers makes the gifts that are due from holders that this controller decides for.
 // decides gives the condition under which it does, its ownership's version.
-func (k *Keeper) Gifts(decides func(holder string) (ledger.Cond, bool), now time.Time) []Move {
-	var out []Move
+func (k *Manager) DueTransfers(decides func(holder string) (ledger.Compare, bool), now time.Time) []PendingTransfer {
+	var out []PendingTransfer
 	for _, name := range slices.Sorted(maps.Keys(k.teams)) {
 		t := k.teams[name]
-		if !t.allotted() || t.limit.Base == nil || t.limit.Closing || len(t.wants) == 0 {
+		if !t.isAllotted() || t.limit.Base == nil || t.limit.Closing || len(t.demands) == 0 {
 			continue
 		}
-		due := make(map[string]map[string]Amount)
-		for _, g := range Share(t.limit.Max, k.holders(t, now)) {
+		due := make(map[string]map[string]Resources)
+		for _, g := range Rebalance(t.limit.Max, k.holders(t, now)) {
 			if due[g.From] == nil {
-				due[g.From] = make(map[string]Amount)
+				due[g.From] = make(map[string]Resources)
 			}
 			due[g.From][g.To] = g.Amount
 		}
 		for _, from := range slices.Sorted(maps.Keys(due)) {
 			own, ok := decides(from)
-			if _, busy := t.lent[from]; !ok || busy {
+			if _, busy := t.transferring[from]; !ok || busy {
 				continue
 			}
-			out = append(out, t.move(from, due[from], own))
+			out = append(out, t.newTransfer(from, due[from], own))
 		}
 	}
 	return out
 }
 
-func (t *team) move(from string, to map[string]Amount, own ledger.Cond) Move {
-	was := t.allot[from]
-	rec := &ledger.Allotment{Gen: t.limit.Gen, Given: make(map[string][2]float64)}
-	if was.rec.Gen == rec.Gen {
-		maps.Copy(rec.Given, was.rec.Given)
+func (t *team) newTransfer(from string, to map[string]Resources, own ledger.Compare) PendingTransfer {
+	was := t.allotments[from]
+	rec := &ledger.Allotment{Generation: t.limit.Generation, Transferred: make(map[string][2]float64)}
+	if was.record.Generation == rec.Generation {
+		maps.Copy(rec.Transferred, was.record.Transferred)
 	}
-	sum := Amount{}
+	sum := Resources{}
 	for holder, a := range to {
-		rec.Given[holder] = Amount(rec.Given[holder]).Plus(a)
+		rec.Transferred[holder] = Resources(rec.Transferred[holder]).Plus(a)
 		sum = sum.Plus(a)
 	}
-	t.lent[from] = sum
-	key := ledger.AllotKeys + t.name + "/" + from
-	m := Move{Gift: Gift{From: from, Amount: sum}, Team: t.name, t: t,
-		Conds: []ledger.Cond{own, {Key: ledger.LimitKeys + t.name, Stamp: t.stamp}, {Key: key, Stamp: was.stamp}},
-		Ops:   []ledger.Op{{Key: key, Value: rec}}}
-	m.To, m.to = strings.Join(slices.Sorted(maps.Keys(to)), ","), to
+	t.transferring[from] = sum
+	key := ledger.AllotmentPrefix + t.name + "/" + from
+	m := PendingTransfer{Transfer: Transfer{From: from, Amount: sum}, Team: t.name, team: t,
+		Compares: []ledger.Compare{own, {Key: ledger.TeamLimitPrefix + t.name, Version: t.limitVersion}, {Key: key, Version: was.version}},
+		Ops:      []ledger.Op{{Key: key, Value: rec}}}
+	m.To, m.receivers = strings.Join(slices.Sorted(maps.Keys(to)), ","), to
 	return m
 }
 
-// Moved ends a gift, whatever came of it: the records show. What was wanted is not
+// FinishTransfer ends a gift, whatever came of it: the records show. What was wanted is not
 // known any more until its holder says so again: it was given over and over while
 // word of what it had done with it was on its way.
-func (k *Keeper) Moved(m Move) {
-	delete(m.t.lent, m.From)
-	for holder := range m.to {
-		if w := m.t.wants[holder]; w != nil && w.from != "" {
-			delete(m.t.wants, holder)
+func (k *Manager) FinishTransfer(m PendingTransfer) {
+	delete(m.team.transferring, m.From)
+	for holder := range m.receivers {
+		if w := m.team.demands[holder]; w != nil && w.reportedBy != "" {
+			delete(m.team.demands, holder)
 		}
 	}
 }
 
-// Held is a team that waits for its limit, for people to read.
-type Held struct {
-	Team   string
-	Since  time.Duration
-	Limit  Amount
-	Grants map[string]Amount
-	Uses   map[string]Amount
+// WaitingTeam is a team that waits for its limit, for people to read.
+type WaitingTeam struct {
+	Team      string
+	WaitedFor time.Duration
+	Limit     Resources
+	Grants    map[string]Resources
+	Usage     map[string]Resources
 }
 
-// Waiting lists the teams whose jobs the limit holds up at this controller's
+// WaitingTeams lists the teams whose jobs the limit holds up at this controller's
 // holders, each at most once in every so long.
-func (k *Keeper) Waiting(every time.Duration, now time.Time) []Held {
-	var out []Held
+func (k *Manager) WaitingTeams(every time.Duration, now time.Time) []WaitingTeam {
+	var out []WaitingTeam
 	for _, name := range slices.Sorted(maps.Keys(k.teams)) {
 		t := k.teams[name]
 		var first time.Time
-		for _, w := range t.wants {
-			if w.from == "" && !w.Ahead && (first.IsZero() || w.made.Before(first)) {
-				first = w.made
+		for _, w := range t.demands {
+			if w.reportedBy == "" && !w.Anticipated && (first.IsZero() || w.since.Before(first)) {
+				first = w.since
 			}
 		}
 		if first.IsZero() {
-			t.began = time.Time{}
+			t.waitingSince = time.Time{}
 			continue
 		}
-		if t.began.IsZero() || first.Before(t.began) {
-			t.began = first
+		if t.waitingSince.IsZero() || first.Before(t.waitingSince) {
+			t.waitingSince = first
 		}
-		if now.Sub(t.began) < every || now.Sub(t.told) < every {
+		if now.Sub(t.waitingSince) < every || now.Sub(t.reportedAt) < every {
 			continue
 		}
-		t.told = now
-		h := Held{Team: name, Since: now.Sub(t.began), Limit: t.limitNow(), Grants: maps.Clone(t.grants()), Uses: make(map[string]Amount)}
+		t.reportedAt = now
+		h := WaitingTeam{Team: name, WaitedFor: now.Sub(t.waitingSince), Limit: t.effectiveLimit(), Grants: maps.Clone(t.grants()), Usage: make(map[string]Resources)}
 		for holder := range h.Grants {
-			h.Uses[holder] = k.uses(name, holder)
+			h.Usage[holder] = k.usage(name, holder)
 		}
 		out = append(out, h)
 	}
-	slices.SortFunc(out, func(a, b Held) int { return cmp.Compare(b.Since, a.Since) })
+	slices.SortFunc(out, func(a, b WaitingTeam) int { return cmp.Compare(b.WaitedFor, a.WaitedFor) })
 	return out
 }
--- a/internal/recovery/hearing_test.go
+++ b/internal/recovery/hearing_test.go
@@ -10,32 +10,48 @@
 func TestHearing(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1000, 0).Add(time.Duration(s) * sec) }
 	for name, c := range map[string]struct {
-		happens       func(h *Hearing)
+		happens       func(h *Reachability)
 		doubted, deaf bool
 	}{
-		"one call is lost":                          {func(h *Hearing) { h.Answered(at(1)); h.Failed(at(5), at(4)) }, false, false},
-		"two are, and it was heard in between":      {func(h *Hearing) { h.Answered(at(1)); h.Failed(at(5), at(4)); h.Failed(at(9), at(7)) }, true, false},
-		"two are, and it was silent":                {func(h *Hearing) { h.Answered(at(1)); h.Failed(at(5), at(4)); h.Failed(at(9), at(4)) }, false, false},
-		"its lease ran out, it was not asked since": {func(h *Hearing) { h.Failed(at(5), at(4)); h.Rose(at(30)) }, false, false},
-		"and it does not answer":                    {func(h *Hearing) { h.Failed(at(5), at(4)); h.Rose(at(30)); h.Failed(at(32), at(31)) }, true, true},
-		"it hung, and answers":                      {func(h *Hearing) { h.Failed(at(5), at(4)); h.Rose(at(30)); h.Answered(at(31)) }, false, false},
-		"it hears again":                            {func(h *Hearing) { h.Rose(at(30)); h.Failed(at(32), at(31)); h.Answered(at(40)) }, false, false},
+		"one call is lost": {func(h *Reachability) { h.RecordAnswer(at(1)); h.RecordFailure(at(5), at(4)) }, false, false},
+		"two are, and it was heard in between": {func(h *Reachability) {
+			h.RecordAnswer(at(1))
+			h.RecordFailure(at(5), at(4))
+			h.RecordFailure(at(9), at(7))
+		}, true, false},
+		"two are, and it was silent": {func(h *Reachability) {
+			h.RecordAnswer(at(1))
+			h.RecordFailure(at(5), at(4))
+			h.RecordFailure(at(9), at(4))
+		}, false, false},
+		"its lease ran out, it was not asked since": {func(h *Reachability) { h.RecordFailure(at(5), at(4)); h.RecordNewEpoch(at(30)) }, false, false},
+		"and it does not answer": {func(h *Reachability) {
+			h.RecordFailure(at(5), at(4))
+			h.RecordNewEpoch(at(30))
+			h.RecordFailure(at(32), at(31))
+		}, true, true},
+		"it hung, and answers": {func(h *Reachability) { h.RecordFailure(at(5), at(4)); h.RecordNewEpoch(at(30)); h.RecordAnswer(at(31)) }, false, false},
+		"it hears again": {func(h *Reachability) {
+			h.RecordNewEpoch(at(30))
+			h.RecordFailure(at(32), at(31))
+			h.RecordAnswer(at(40))
+		}, false, false},
 	} {
-		var h Hearing
+		var h Reachability
 		c.happens(&h)
-		if h.Doubted() != c.doubted || h.Deaf() != c.deaf {
-			t.Errorf("%s: doubted %v, deaf %v", name, h.Doubted(), h.Deaf())
+		if h.Suspect() != c.doubted || h.CannotReceive() != c.deaf {
+			t.Errorf("%s: doubted %v, deaf %v", name, h.Suspect(), h.CannotReceive())
 		}
 	}
-	var h Hearing
-	if h.Answered(at(1)); h.Ask(at(29), at(28)) {
+	var h Reachability
+	if h.RecordAnswer(at(1)); h.ShouldProbe(at(29), at(28)) {
 		t.Error("asked for nothing")
 	}
-	h.Rose(at(30))
-	if !h.Ask(at(31), at(30)) {
+	h.RecordNewEpoch(at(30))
+	if !h.ShouldProbe(at(31), at(30)) {
 		t.Error("not asked once its session has risen")
 	}
-	if h.Failed(at(32), at(31)); h.Ask(at(33), at(33)) || !h.Ask(at(35), at(33)) {
+	if h.RecordFailure(at(32), at(31)); h.ShouldProbe(at(33), at(33)) || !h.ShouldProbe(at(35), at(33)) {
 		t.Error("asked at once again, or never")
 	}
 }
@@ -58,7 +74,7 @@
 		{time.Hour, 31 * time.Second, true, true},
 	} {
 		reported, acting := now.Add(-c.reported), now.Add(-c.acting)
-		if mute, useless := Mute(reported, acting, now, lease), Useless(reported, acting, now, lease); mute != c.mute || useless != c.useless {
+		if mute, useless := CannotReport(reported, acting, now, lease), Unreachable(reported, acting, now, lease); mute != c.mute || useless != c.useless {
 			t.Errorf("reported %v ago, heard for %v: mute %v, useless %v", c.reported, c.acting, mute, useless)
 		}
 	}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -9,15 +9,15 @@
 const sec = time.Second
 
 // signs makes so many machines of a zone, silent for that long.
-func signs(zone string, count int, silent time.Duration) []Sign {
-	out := make([]Sign, count)
+func signs(zone string, count int, silent time.Duration) []MachineSilence {
+	out := make([]MachineSilence, count)
 	for i := range out {
-		out[i] = Sign{zone, silent}
+		out[i] = MachineSilence{zone, silent}
 	}
 	return out
 }
 
-func join(parts ...[]Sign) (all []Sign) {
+func join(parts ...[]MachineSilence) (all []MachineSilence) {
 	for _, p := range parts {
 		all = append(all, p...)
 	}
@@ -27,10 +27,10 @@
 // A zone is taken for cut off only when that is the one thing that explains the
 // silence: its machines were fenced for it by the hundred.
 func TestCutZones(t *testing.T) {
-	gone, here := []Witness{{"b", false}, {"a", true}}, []Witness{{"b", true}, {"a", true}}
+	gone, here := []PeerStatus{{"b", false}, {"a", true}}, []PeerStatus{{"b", true}, {"a", true}}
 	for name, c := range map[string]struct {
-		signs []Sign
-		who   []Witness
+		signs []MachineSilence
+		who   []PeerStatus
 		want  string
 	}{
 		"all of b silent, its controller gone":     {join(signs("a", 20, sec), signs("b", 20, 9*sec)), gone, "map[b:true]"},
@@ -39,12 +39,12 @@
 		"b's controller lives: its machines hang":  {join(signs("a", 20, sec), signs("b", 20, 9*sec)), here, "map[]"},
 		"not for a beat yet":                       {join(signs("a", 20, sec), signs("b", 20, 5*sec)), gone, "map[]"},
 		"all silent: the fault is its own":         {join(signs("a", 20, 9*sec), signs("b", 20, 9*sec)), gone, "map[]"},
-		"its own zone silent":                      {join(signs("a", 20, 9*sec), signs("b", 20, sec)), []Witness{{"b", true}}, "map[]"},
+		"its own zone silent":                      {join(signs("a", 20, 9*sec), signs("b", 20, sec)), []PeerStatus{{"b", true}}, "map[]"},
 		"too few to tell":                          {join(signs("a", 20, sec), signs("b", 2, 9*sec)), gone, "map[]"},
 		"no controller stands there":               {join(signs("a", 20, sec), signs("c", 9, 9*sec)), here, "map[c:true]"},
 		"two zones cut, one heard besides its own": {join(signs("d", 9, sec), signs("b", 9, 9*sec), signs("c", 9, 9*sec)), gone, "map[b:true c:true]"},
 	} {
-		if got := fmt.Sprint(CutZones("a", c.signs, 6500*time.Millisecond, c.who)); got != c.want {
+		if got := fmt.Sprint(PartitionedZones("a", c.signs, 6500*time.Millisecond, c.who)); got != c.want {
 			t.Errorf("%s: %s, wanted %s", name, got, c.want)
 		}
 	}
@@ -63,27 +63,27 @@
 		"the owner is away alone":       {sec, 9 * sec, false},
 		"all is well":                   {sec, sec, false},
 	} {
-		if got := KeepLease(Word{now.Add(-c.state), now.Add(-c.owner)}, now, 4*sec); got != c.want {
+		if got := MayExtendLease(LastContact{now.Add(-c.state), now.Add(-c.owner)}, now, 4*sec); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
 	for name, c := range map[string]struct {
-		u             Unread
+		u             ColdStart
 		cancel, lease time.Duration
 		want          bool
 	}{
-		"began behind a cut":              {Unread{3 * sec, false, true}, 47 * sec, 27 * sec, true},
-		"just begun":                      {Unread{sec / 2, false, true}, 47 * sec, 27 * sec, false},
-		"for too long already":            {Unread{10 * sec, false, true}, 47 * sec, 27 * sec, false},
-		"somebody speaks":                 {Unread{3 * sec, true, true}, 47 * sec, 27 * sec, false},
-		"no controller in another zone":   {Unread{3 * sec, false, false}, 47 * sec, 27 * sec, false},
-		"the bound leaves no time for it": {Unread{3 * sec, false, true}, 38 * sec, 27 * sec, false},
+		"began behind a cut":              {ColdStart{3 * sec, false, true}, 47 * sec, 27 * sec, true},
+		"just begun":                      {ColdStart{sec / 2, false, true}, 47 * sec, 27 * sec, false},
+		"for too long already":            {ColdStart{10 * sec, false, true}, 47 * sec, 27 * sec, false},
+		"somebody speaks":                 {ColdStart{3 * sec, true, true}, 47 * sec, 27 * sec, false},
+		"no controller in another zone":   {ColdStart{3 * sec, false, false}, 47 * sec, 27 * sec, false},
+		"the bound leaves no time for it": {ColdStart{3 * sec, false, true}, 38 * sec, 27 * sec, false},
 	} {
-		if got := KeepUnread(c.u, c.cancel, c.lease); got != c.want {
+		if got := MayExtendUnread(c.u, c.cancel, c.lease); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
-	if Fence(11*sec, 67*sec, false) != 11*sec || Fence(11*sec, 67*sec, true) != 67*sec || Fence(90*sec, 67*sec, true) != 90*sec {
+	if FenceDelay(11*sec, 67*sec, false) != 11*sec || FenceDelay(11*sec, 67*sec, true) != 67*sec || FenceDelay(90*sec, 67*sec, true) != 90*sec {
 		t.Error("a cut gives patience, never less than usual")
 	}
 }
@@ -91,37 +91,37 @@
 // A process that stood still must not hold others' silence against them.
 func TestBeat(t *testing.T) {
 	at := time.Unix(1000, 0)
-	var b Beat
+	var b PauseDetector
 	for _, step := range []struct {
 		after, still time.Duration
 	}{{0, 0}, {300 * time.Millisecond, 0}, {sec, 0}, {30 * sec, 30 * sec}, {200 * time.Millisecond, 0}, {-5 * sec, 0}} {
 		at = at.Add(step.after)
-		if got := b.Look(at); got != step.still {
+		if got := b.Observe(at); got != step.still {
 			t.Fatalf("at %v: stood still for %v, wanted %v", at, got, step.still)
 		}
 	}
 	woke := time.Unix(1000, 0).Add(31300 * time.Millisecond)
-	if !b.Woke().Equal(woke) || b.Settled(woke.Add(2*sec), 2500*time.Millisecond) || !b.Settled(woke.Add(3*sec), 2500*time.Millisecond) {
-		t.Fatal(b.Woke())
+	if !b.ResumedAt().Equal(woke) || b.Stable(woke.Add(2*sec), 2500*time.Millisecond) || !b.Stable(woke.Add(3*sec), 2500*time.Millisecond) {
+		t.Fatal(b.ResumedAt())
 	}
 }
 
 // The one with the fewest machines goes first, and all agree on the order.
 func TestTurn(t *testing.T) {
 	all := []Candidate{{"n2", 100}, {"n0", 300}, {"n1", 100}}
-	for me, want := range map[string]time.Duration{"n1": 0, "n2": turn, "n0": 2 * turn} {
-		if got := Turn(me, all); got != want {
+	for me, want := range map[string]time.Duration{"n1": 0, "n2": turnDelay, "n0": 2 * turnDelay} {
+		if got := TakeoverDelay(me, all); got != want {
 			t.Errorf("%s waits %v, wanted %v", me, got, want)
 		}
 	}
-	if Turn("gone", all) != 0 {
+	if TakeoverDelay("gone", all) != 0 {
 		t.Error("a node that is not among them waits for nobody")
 	}
 }
 
 // However long a pass takes, most of the time is left.
 func TestPace(t *testing.T) {
-	p := Pace{Share: 0.25, Least: 15 * time.Millisecond, Calm: 50 * time.Millisecond, Most: 150 * time.Millisecond}
+	p := Throttle{MaxShare: 0.25, MinPause: 15 * time.Millisecond, IdlePause: 50 * time.Millisecond, MaxPause: 150 * time.Millisecond}
 	for _, c := range []struct {
 		took, want time.Duration
 		urgent     bool
@@ -140,8 +140,8 @@
 func TestShareSockets(t *testing.T) {
 	for _, limit := range []int{150, 1000, 1803, 3604} {
 		for _, peers := range []int{2, 6} {
-			s := ShareSockets(limit, peers)
-			if s.Public+s.Calls+s.State+s.Peers > limit || s.Users >= s.Public || s.Users < s.Public/2 || s.Calls < 16 || s.State < 8 {
+			s := DivideSockets(limit, peers)
+			if s.Public+s.WorkerCalls+s.State+s.Peers > limit || s.Users >= s.Public || s.Users < s.Public/2 || s.WorkerCalls < 16 || s.State < 8 {
 				t.Errorf("%d with %d peers: %+v", limit, peers, s)
 			}
 		}
@@ -164,8 +164,8 @@
 		{Backlog{9000, 10, false}, 0.99, 20 * sec, true},
 		{Backlog{1, 0, false}, 0, 10 * sec, true},
 	} {
-		if got := c.b.ComeBack(c.spread); got != c.want || c.b.Refuse(4*sec) != c.refuse {
-			t.Errorf("%+v: come back in %v, refused %v", c.b, got, c.b.Refuse(4*sec))
+		if got := c.b.RetryAfter(c.spread); got != c.want || c.b.ShouldShed(4*sec) != c.refuse {
+			t.Errorf("%+v: come back in %v, refused %v", c.b, got, c.b.ShouldShed(4*sec))
 		}
 	}
 }
@@ -175,21 +175,21 @@
 func TestCancelled(t *testing.T) {
 	const limit, beat = 47 * sec, 6500 * time.Millisecond
 	for name, c := range map[string]struct {
-		c     Cancelled
+		c     CancelledTask
 		down  bool
 		fence bool
 		bare  bool
 	}{
-		"its stop is on the way":               {Cancelled{Age: 10 * sec, Heard: true, Acting: 60 * sec}, false, false, false},
-		"it keeps the task though it is heard": {Cancelled{Age: 19 * sec, Heard: true, Acting: 60 * sec}, false, true, false},
-		"silent":                               {Cancelled{Age: sec, Silent: true, Acting: 60 * sec}, false, true, false},
-		"its owner has just begun":             {Cancelled{Age: 30 * sec, Acting: sec}, false, false, false},
-		"and has not heard it in two beats":    {Cancelled{Age: 30 * sec, Acting: 14 * sec}, false, true, false},
-		"the bound leaves no time for that":    {Cancelled{Age: 33 * sec, Acting: sec}, false, true, false},
-		"no record can be made":                {Cancelled{Age: 24 * sec, Heard: true, Acting: 60 * sec}, true, true, true},
-		"records are slow":                     {Cancelled{Age: 36 * sec, Heard: true, Acting: 60 * sec}, false, true, true},
+		"its stop is on the way":               {CancelledTask{Age: 10 * sec, Heard: true, OwnedFor: 60 * sec}, false, false, false},
+		"it keeps the task though it is heard": {CancelledTask{Age: 19 * sec, Heard: true, OwnedFor: 60 * sec}, false, true, false},
+		"silent":                               {CancelledTask{Age: sec, Silent: true, OwnedFor: 60 * sec}, false, true, false},
+		"its owner has just begun":             {CancelledTask{Age: 30 * sec, OwnedFor: sec}, false, false, false},
+		"and has not heard it in two beats":    {CancelledTask{Age: 30 * sec, OwnedFor: 14 * sec}, false, true, false},
+		"the bound leaves no time for that":    {CancelledTask{Age: 33 * sec, OwnedFor: sec}, false, true, false},
+		"no record can be made":                {CancelledTask{Age: 24 * sec, Heard: true, OwnedFor: 60 * sec}, true, true, true},
+		"records are slow":                     {CancelledTask{Age: 36 * sec, Heard: true, OwnedFor: 60 * sec}, false, true, true},
 	} {
-		if fence, bare := c.c.Fence(limit, beat), c.c.Bare(limit, c.down); fence != c.fence || (fence && bare != c.bare) {
+		if fence, bare := c.c.ShouldFence(limit, beat), c.c.ReturnUnrecorded(limit, c.down); fence != c.fence || (fence && bare != c.bare) {
 			t.Errorf("%s: fence %v, without a record %v", name, fence, bare)
 		}
 	}
@@ -200,7 +200,7 @@
 	for _, waits := range [][]int{{0}, {0, 0, 0}, {50, 0, 3}, {1000, 0, 0, 0, 0, 0, 0}} {
 		sum := 0.0
 		for own := range waits {
-			p := Part(waits, own)
+			p := BudgetShare(waits, own)
 			if p < 0.5/float64(len(waits)) {
 				t.Errorf("%v: %v for %d", waits, p, own)
 			}
@@ -210,7 +210,7 @@
 			t.Errorf("%v: %v in all", waits, sum)
 		}
 	}
-	if a, b := Part([]int{50, 0, 3}, 0), Part([]int{50, 0, 3}, 1); a < 2*b {
+	if a, b := BudgetShare([]int{50, 0, 3}, 0), BudgetShare([]int{50, 0, 3}, 1); a < 2*b {
 		t.Errorf("%v with a backlog, %v without", a, b)
 	}
 }
--- a/internal/recovery/zone.go
+++ b/internal/recovery/zone.go
@@ -11,22 +11,22 @@
 
 import "time"
 
-// Sign is what an owner knows of one of its machines.
-type Sign struct {
+// MachineSilence is what an owner knows of one of its machines.
+type MachineSilence struct {
 	Zone   string
 	Silent time.Duration // since it gave the last sign of life
 }
 
-// Witness is a controller as another one sees it.
-type Witness struct {
+// PeerStatus is a controller as another one sees it.
+type PeerStatus struct {
 	Zone string
 	Live bool // its lease holds, or it has spoken just now
 }
 
-// fewest is how many machines it takes to speak of a zone.
-const fewest = 3
+// minMachines is how many machines it takes to speak of a zone.
+const minMachines = 3
 
-// CutZones tells which zones seem to be cut off from everything, as one
+// PartitionedZones tells which zones seem to be cut off from everything, as one
 // controller sees it: nearly all of the machines it knows there have been silent
 // for longer than a beat, no controller there is live, and machines elsewhere are
 // heard, so that the fault is not its own. A zone's machines hardly die all
@@ -34,7 +34,7 @@
 //
 // Its own zone is never taken for cut off: whoever is inside a cut sees the rest
 // of the world silent.
-func CutZones(own string, signs []Sign, beat time.Duration, controllers []Witness) map[string]bool {
+func PartitionedZones(own string, signs []MachineSilence, beat time.Duration, controllers []PeerStatus) map[string]bool {
 	type count struct{ silent, total int }
 	zones := make(map[string]count)
 	heard, elsewhere := make(map[string]int), 0
@@ -51,7 +51,7 @@
 	}
 	cut := make(map[string]bool)
 	for zone, c := range zones {
-		if zone == own || c.total < fewest || c.silent*10 < c.total*8 || elsewhere-heard[zone] < fewest {
+		if zone == own || c.total < minMachines || c.silent*10 < c.total*8 || elsewhere-heard[zone] < minMachines {
 			continue
 		}
 		witnessed := false
@@ -65,36 +65,36 @@
 	return cut
 }
 
-// Word is when a controller last heard from those that matter for a lease.
-type Word struct {
+// LastContact is when a controller last heard from those that matter for a lease.
+type LastContact struct {
 	State time.Time // the state service executed a call
 	Owner time.Time // the shard's owner spoke
 }
 
-// KeepLease tells whether a controller that does not own a shard keeps the leases
+// MayExtendLease tells whether a controller that does not own a shard keeps the leases
 // of its machines, with the shard's token as recorded and without any order:
 // when it hears neither the state service nor the owner, it is cut off from both,
 // and so are the workers that turn to it. To send them back to the owner, as is
 // done otherwise, lets their leases run out and with them all that they run.
-func KeepLease(w Word, now time.Time, deaf time.Duration) bool {
+func MayExtendLease(w LastContact, now time.Time, deaf time.Duration) bool {
 	return now.Sub(w.State) > deaf && now.Sub(w.Owner) > deaf
 }
 
-// Unread is what a controller knows that has not read its records since it began.
-type Unread struct {
-	Up       time.Duration // for how long it has run
-	Heard    bool          // state service, cloud or another controller have spoken since
-	Isolated bool          // there are controllers in other zones that should have
+// ColdStart is what a controller knows that has not read its records since it began.
+type ColdStart struct {
+	Uptime         time.Duration // for how long it has run
+	HeardAnyone    bool          // state service, cloud or another controller have spoken since
+	HasRemotePeers bool          // there are controllers in other zones that should have
 }
 
-// settleIn is how long a controller needs to hear from others after its start,
+// startupSettleTime is how long a controller needs to hear from others after its start,
 // when all is well.
-const settleIn = 800 * time.Millisecond
+const startupSettleTime = 800 * time.Millisecond
 
 // restartTime is how long a controller may have been away before its start.
 const restartTime = 10 * time.Second
 
-// KeepUnread tells whether a controller that could not read its records keeps the
+// MayExtendUnread tells whether a controller that could not read its records keeps the
 // leases of the workers that turn to it, each with the token that it shows itself
 // and without any order: it began behind a cut, and nobody else can.
 //
@@ -103,14 +103,14 @@
 // that was cancelled then is gone in time once its lease runs out; and not in an
 // outage of the state service alone, in which no other controller might know
 // either.
-func KeepUnread(u Unread, cancel, lease time.Duration) bool {
-	return u.Isolated && !u.Heard && u.Up > settleIn && u.Up < cancel-lease-restartTime
+func MayExtendUnread(u ColdStart, cancel, lease time.Duration) bool {
+	return u.HasRemotePeers && !u.HeardAnyone && u.Uptime > startupSettleTime && u.Uptime < cancel-lease-restartTime
 }
 
-// Fence is how long a machine may be silent before it is given up for lost.
+// FenceDelay is how long a machine may be silent before it is given up for lost.
 // Behind a cut its work most likely goes on, so it is given the patience of a
 // cut; once that is over, the zone is not waited for any longer.
-func Fence(usual, patience time.Duration, cut bool) time.Duration {
+func FenceDelay(usual, patience time.Duration, cut bool) time.Duration {
 	if cut {
 		return max(usual, patience)
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -79,14 +79,14 @@
 
 // open makes the world and starts the controllers.
 func (r *run) open(ctx context.Context) error {
-	s := protocol.WorkerSettings{Report: seconds(r.cfg.ReportS), Lease: seconds(r.cfg.LeaseS), GangWait: 50 * time.Second, GangPeer: 8 * time.Second, Cancel: 47 * time.Second}
+	s := protocol.WorkerSettings{HeartbeatInterval: seconds(r.cfg.ReportS), LeaseDuration: seconds(r.cfg.LeaseS), GangStartTimeout: 50 * time.Second, GangPeerTimeout: 8 * time.Second, CancelDeadline: 47 * time.Second}
 	r.w = standin.NewWorld(ctx, r.cfg.Seed, s, map[string]protocol.Team{"open": {Name: "open"}})
-	r.w.Hollow = true
+	r.w.RecordStartsOnly = true
 	r.w.OnStart(r.started)
-	r.w.Lag = 3 * time.Second
-	r.w.Types = []protocol.MachineType{{Name: "m", CPUs: float64(r.cfg.Load.TasksOnEach), MemGB: float64(4 * r.cfg.Load.TasksOnEach), CacheGB: 50, PullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: zones}}
-	r.w.State.Limit(r.cfg.State.RPS, r.cfg.State.WriteRPS)
-	r.w.State.Bound(standin.Sizes{ValueBytes: int(r.cfg.State.ValueKB * 1024), Changes: r.cfg.State.TxnOps})
+	r.w.ListLag = 3 * time.Second
+	r.w.Types = []protocol.MachineType{{Name: "m", CPUs: float64(r.cfg.Load.TasksOnEach), MemoryGB: float64(4 * r.cfg.Load.TasksOnEach), ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: zones}}
+	r.w.State.SetRateLimits(r.cfg.State.RPS, r.cfg.State.WriteRPS)
+	r.w.State.SetSizeLimits(standin.SizeLimits{ValueBytes: int(r.cfg.State.ValueKB * 1024), Changes: r.cfg.State.TxnOps})
 	var err error
 	if r.l, err = standin.NewLoopback(ctx, r.w); err != nil {
 		return err
@@ -188,14 +188,14 @@
 			node := r.all[int(r.submitted.Load())%len(r.all)].name
 			if urgent {
 				r.mu.Lock()
-				r.asked[j.Spec.Ref] = false
+				r.asked[j.Spec.JobID] = false
 				r.mu.Unlock()
 			}
-			if status := r.w.Insist(node, func(node string) int { return r.w.Submit(node, j) }); status == 201 || status == 200 {
+			if status := r.w.RequestUntilAnswered(node, func(node string) int { return r.w.Submit(node, j) }); status == 201 || status == 200 {
 				r.accepted.Add(1)
 				if urgent {
 					time.Sleep(seconds(r.cfg.Load.RunS))
-					r.w.Insist(node, func(node string) int { return r.w.Abort(node, j.Spec.Ref) })
+					r.w.RequestUntilAnswered(node, func(node string) int { return r.w.Cancel(node, j.Spec.JobID) })
 				}
 			}
 		}()
@@ -215,16 +215,16 @@
 }
 
 func (r *run) array() *standin.Job {
-	j := r.job("array", protocol.Array, "normal", r.cfg.Load.ArrayTasks)
-	j.Run, j.Spec.ExpectS = seconds(r.cfg.Load.RunS), r.cfg.Load.RunS
+	j := r.job("array", protocol.ShapeArray, "normal", r.cfg.Load.ArrayTasks)
+	j.Run, j.Spec.RunEstimateS = seconds(r.cfg.Load.RunS), r.cfg.Load.RunS
 	return j
 }
 
-func (r *run) service() *standin.Job { return r.job("urgent", protocol.Service, "critical", 1) }
+func (r *run) service() *standin.Job { return r.job("urgent", protocol.ShapeService, "critical", 1) }
 
 func (r *run) job(class string, shape protocol.Shape, rank string, tasks int) *standin.Job {
-	return &standin.Job{Spec: protocol.Submission{Ref: fmt.Sprintf("wk-%06d", r.refs.Add(1)), Class: class, Team: "open", Shape: shape, Rank: rank, Tasks: tasks,
-		CPUs: 1, MemGB: 2, Image: "img-1", ImageGB: 1}}
+	return &standin.Job{Spec: protocol.Submission{JobID: fmt.Sprintf("wk-%06d", r.refs.Add(1)), Class: class, Team: "open", Shape: shape, PriorityClass: rank, Tasks: tasks,
+		CPUs: 1, MemoryGB: 2, Image: "img-1", ImageGB: 1}}
 }
 
 // measure takes the figures of the measured time, with the troubles in it.
@@ -250,9 +250,9 @@
 	fmt.Fprintf(r.says, "trouble: %s\n", t.Kind)
 	switch t.Kind {
 	case "slow":
-		r.w.Trouble("slow", true)
+		r.w.SetFault("slow", true)
 		time.Sleep(seconds(t.ForS))
-		r.w.Trouble("slow", false)
+		r.w.SetFault("slow", false)
 	case "reboot":
 		hosts := r.w.Hosts(false)
 		for _, host := range hosts[:int(t.Part*float64(len(hosts)))] {
--- a/internal/schedule/calm.go
+++ b/internal/schedule/calm.go
@@ -30,7 +30,7 @@
 // accepted is final or runs, every controller says the same, and once all is
 // over nothing of it is left anywhere.
 func (c *cluster) calm() error {
-	c.w.Calm(calmSpare)
+	c.w.EndFaults(calmSpare)
 	for _, name := range c.names {
 		if err := c.start(name); err != nil {
 			return err
@@ -43,8 +43,8 @@
 		return err
 	}
 	for _, j := range c.w.Accepted() {
-		if j.Fails || j.Shape == protocol.Service {
-			if got := c.w.Insist(c.names[0], func(node string) int { return c.w.Abort(node, j.Ref) }); got != 200 {
+		if j.Fails || j.Shape == protocol.ShapeService {
+			if got := c.w.RequestUntilAnswered(c.names[0], func(node string) int { return c.w.Cancel(node, j.Ref) }); got != 200 {
 				return fmt.Errorf("unanswered: the abort of %s got %d after calm", j.Ref, got)
 			}
 		}
@@ -124,14 +124,14 @@
 			if status != 200 {
 				return fmt.Errorf("not_answered: %s answers %d for %s after calm", name, status, j.Ref)
 			}
-			if a.Phase == protocol.Done || a.Phase == protocol.Cancelled {
+			if a.Phase == protocol.JobDone || a.Phase == protocol.JobCancelled {
 				final++
 			}
 		}
 		switch {
 		case final == len(c.names):
-		case final == 0 && c.w.Endless(j.Ref) && j.Shape != protocol.Service:
-		case final > 0 || (j.Shape != protocol.Service && !j.Fails):
+		case final == 0 && c.w.Endless(j.Ref) && j.Shape != protocol.ShapeService:
+		case final > 0 || (j.Shape != protocol.ShapeService && !j.Fails):
 			return fmt.Errorf("not_final: %s is final at %d controllers after calm", j.Ref, final)
 		case !j.Fails:
 			if got := c.w.Running(j.Ref); got != j.Tasks {
@@ -148,9 +148,9 @@
 	if k := c.w.Running(""); k > 0 {
 		return fmt.Errorf("leaked: %d tasks run though every job is over", k)
 	}
-	records := c.records()
-	for _, key := range slices.Sorted(maps.Keys(records)) {
-		if why := leaked(key, records[key]); why != "" {
+	stored := c.records()
+	for _, key := range slices.Sorted(maps.Keys(stored)) {
+		if why := leaked(key, stored[key]); why != "" {
 			return fmt.Errorf("leaked: %s: %s", key, why)
 		}
 	}
@@ -161,7 +161,7 @@
 		c.mu.Lock()
 		p := c.nodes[name]
 		c.mu.Unlock()
-		if left := p.node.Leftovers(); len(left) > 0 {
+		if left := p.node.Residue(); len(left) > 0 {
 			return fmt.Errorf("leaked: %s keeps %s", name, strings.Join(left, ", "))
 		}
 	}
@@ -170,55 +170,55 @@
 
 // records is what the state service holds, without the prefix of all keys.
 func (c *cluster) records() map[string]json.RawMessage {
-	records := make(map[string]json.RawMessage)
+	stored := make(map[string]json.RawMessage)
 	for key, value := range c.w.State.Keys() {
 		_, key, _ = strings.Cut(key, "/")
-		records[key] = value
+		stored[key] = value
 	}
-	return records
+	return stored
 }
 
 // leaked tells why a record should not be there once every job is over and
 // every machine returned.
 func leaked(key string, value json.RawMessage) string {
 	switch {
-	case strings.HasPrefix(key, ledger.ClaimKeys):
+	case strings.HasPrefix(key, ledger.ClaimPrefix):
 		return "a claim of a job that is over"
-	case strings.HasPrefix(key, ledger.GatherKeys), strings.HasPrefix(key, ledger.HoldKeys):
+	case strings.HasPrefix(key, ledger.GangReservationPrefix), strings.HasPrefix(key, ledger.GangHoldPrefix):
 		return "room held for nobody"
-	case strings.HasPrefix(key, ledger.TeamKeys):
-		var t ledger.Team
+	case strings.HasPrefix(key, ledger.TeamUsagePrefix):
+		var t ledger.TeamUsage
 		if err := json.Unmarshal(value, &t); err != nil {
 			return err.Error()
 		}
-		for shard, use := range t.Use {
+		for shard, use := range t.ByShard {
 			// "*" alone stands for a limit that is allotted.
 			if use != [2]float64{} && shard != "*" {
 				return fmt.Sprintf("%v reserved in %s", use, shard)
 			}
 		}
-	case strings.HasPrefix(key, ledger.BookKeys):
-		var b ledger.Bookings
+	case strings.HasPrefix(key, ledger.ReservationPrefix):
+		var b ledger.Reservations
 		if err := json.Unmarshal(value, &b); err != nil {
 			return err.Error()
 		}
-		if len(b.Due)+len(b.Taken) > 0 {
+		if len(b.ByClaim)+len(b.Preempted) > 0 {
 			return "a booked guarantee of a job that is over"
 		}
-	case strings.HasPrefix(key, ledger.HireKeys):
-		var h ledger.Hire
+	case strings.HasPrefix(key, ledger.ProvisionPrefix):
+		var h ledger.Provision
 		if err := json.Unmarshal(value, &h); err != nil {
 			return err.Error()
 		}
 		if len(h.Hosts) == 0 {
 			return "a hire without an answer"
 		}
-	case strings.HasPrefix(key, ledger.MachineKeys):
+	case strings.HasPrefix(key, ledger.MachinePrefix):
 		var m ledger.Machine
 		if err := json.Unmarshal(value, &m); err != nil {
 			return err.Error()
 		}
-		if m.State != ledger.Gone {
+		if m.State != ledger.MachineGone {
 			return "a machine that is not gone"
 		}
 	}
