--- a/internal/schedule/cluster.go
+++ b/internal/schedule/cluster.go
@@ -61,7 +61,7 @@
 	endings int // steps so far that end by themselves
 
 	judge  sync.Mutex // taken under the world's lock, and guards the next two
-	judged map[string]*coordination.Node
+	judged map[string]*coordination.Controller
 	teams  map[string]protocol.Team
 
 	calmSince time.Time
@@ -75,21 +75,21 @@
 
 // process is a controller that runs.
 type process struct {
-	node  *coordination.Node
+	node  *coordination.Controller
 	stop  context.CancelFunc
 	ended chan struct{}
 }
 
 // settings are what the platform hands to a controller.
 func settings(names []string, name string) protocol.Settings {
-	s := protocol.Settings{Node: name, Zone: zoneOf(names, name), Cloud: "cloud", State: "state", Nodes: len(names), Zones: []string{"a", "b"},
-		Teams: map[string]protocol.Team{"open": {Name: "open"}, "tight": {Name: "tight", CPUsMax: 4}, "cards": {Name: "cards", GPUs: 2, GMax: 4},
-			"lent": {Name: "lent", CPUs: 8, CPUsMax: 16}, "guest": {Name: "guest"}},
-		Workers: protocol.WorkerSettings{Report: 2 * time.Second, Lease: 12 * time.Second, GangWait: 30 * time.Second,
-			GangPeer: 6 * time.Second, Cancel: 30 * time.Second},
-		StateLimit: protocol.StateLimits{RPS: 200, WriteRPS: 80, ValueBytes: 8192, TxnOps: 12},
-		CloudLimit: protocol.CloudLimits{RPS: 8, ListLag: 2 * time.Second},
-		Machine:    protocol.MachineLimits{CPUShare: 0.3, RAMBytes: 128 << 20, MaxConns: 1000}}
+	s := protocol.Settings{NodeName: name, Zone: zoneOf(names, name), CloudAddr: "cloud", StateAddr: "state", NodeCount: len(names), Zones: []string{"a", "b"},
+		Teams: map[string]protocol.Team{"open": {Name: "open"}, "tight": {Name: "tight", MaxCPUs: 4}, "cards": {Name: "cards", GuaranteedGPUs: 2, MaxGPUs: 4},
+			"lent": {Name: "lent", GuaranteedCPUs: 8, MaxCPUs: 16}, "guest": {Name: "guest"}},
+		Workers: protocol.WorkerSettings{HeartbeatInterval: 2 * time.Second, LeaseDuration: 12 * time.Second, GangStartTimeout: 30 * time.Second,
+			GangPeerTimeout: 6 * time.Second, CancelDeadline: 30 * time.Second},
+		StateLimits:   protocol.StateLimits{RequestRate: 200, WriteRate: 80, MaxValueBytes: 8192, MaxTxnOps: 12},
+		CloudLimits:   protocol.CloudLimits{RequestRate: 8, ListLag: 2 * time.Second},
+		ProcessLimits: protocol.ProcessLimits{CPUShare: 0.3, MemoryBytes: 128 << 20, MaxConns: 1000}}
 	for _, other := range names {
 		if other != name {
 			s.Peers = append(s.Peers, protocol.Peer{Node: other, Zone: zoneOf(names, other), Addr: other})
@@ -101,16 +101,16 @@
 func newCluster(ctx context.Context, seed uint64, count int) *cluster {
 	names := controllers(count)
 	s := settings(names, names[0])
-	c := &cluster{names: names, began: time.Now(), ctx: ctx, seed: seed, teams: maps.Clone(s.Teams), nodes: make(map[string]*process), judged: make(map[string]*coordination.Node), answered: make(map[string]time.Time), older: make(map[string]bool)}
+	c := &cluster{names: names, began: time.Now(), ctx: ctx, seed: seed, teams: maps.Clone(s.Teams), nodes: make(map[string]*process), judged: make(map[string]*coordination.Controller), answered: make(map[string]time.Time), older: make(map[string]bool)}
 	c.w = standin.NewWorld(ctx, seed, s.Workers, maps.Clone(s.Teams))
 	c.w.OnStop = c.judgeStop
-	c.w.State.Limit(s.StateLimit.RPS, s.StateLimit.WriteRPS)
-	c.w.State.Bound(standin.Sizes{ValueBytes: s.StateLimit.ValueBytes, Changes: s.StateLimit.TxnOps})
-	c.w.Lag = s.CloudLimit.ListLag
+	c.w.State.SetRateLimits(s.StateLimits.RequestRate, s.StateLimits.WriteRate)
+	c.w.State.SetSizeLimits(standin.SizeLimits{ValueBytes: s.StateLimits.MaxValueBytes, Changes: s.StateLimits.MaxTxnOps})
+	c.w.ListLag = s.CloudLimits.ListLag
 	for _, name := range names {
 		c.w.SetZone(name, zoneOf(names, name))
 	}
-	c.w.Types = append(c.w.Types, protocol.MachineType{Name: "g2", CPUs: 16, GPUs: 2, MemGB: 64, CacheGB: 50, PullGBps: 1, Price: 6, SpotPrice: 2, BootS: 12, Zones: []string{"a", "b"}})
+	c.w.Types = append(c.w.Types, protocol.MachineType{Name: "g2", CPUs: 16, GPUs: 2, MemoryGB: 64, ImageCacheGB: 50, ImagePullGBps: 1, Price: 6, SpotPrice: 2, BootS: 12, Zones: []string{"a", "b"}})
 	return c
 }
 
@@ -133,7 +133,7 @@
 		if other == nil {
 			return fmt.Errorf("%s is down", p.to)
 		}
-		answer, err := other.node.HandlePeer(ctx, raw)
+		answer, err := other.node.HandlePeerMessage(ctx, raw)
 		if err != nil || older {
 			return err
 		}
@@ -145,7 +145,7 @@
 // limits: "announce VALUE-BYTES CHANGES RATE".
 func (c *cluster) announce(f []string) error {
 	var next protocol.StateLimits
-	if _, err := fmt.Sscan(strings.Join(f, " "), &next.ValueBytes, &next.TxnOps, &next.WriteRPS); err != nil || len(f) != 3 {
+	if _, err := fmt.Sscan(strings.Join(f, " "), &next.MaxValueBytes, &next.MaxTxnOps, &next.WriteRate); err != nil || len(f) != 3 {
 		return fmt.Errorf("script: announce VALUE-BYTES CHANGES RATE, not %q", strings.Join(f, " "))
 	}
 	c.mu.Lock()
@@ -162,9 +162,9 @@
 	if next == (protocol.StateLimits{}) {
 		return errors.New("script: no limits are announced")
 	}
-	rps := settings(c.names, c.names[0]).StateLimit.RPS
-	c.w.State.Limit(rps, next.WriteRPS)
-	c.w.State.Bound(standin.Sizes{ValueBytes: next.ValueBytes, Changes: next.TxnOps})
+	rps := settings(c.names, c.names[0]).StateLimits.RequestRate
+	c.w.State.SetRateLimits(rps, next.WriteRate)
+	c.w.State.SetSizeLimits(standin.SizeLimits{ValueBytes: next.MaxValueBytes, Changes: next.MaxTxnOps})
 	c.w.Note("the state service lowers its limits")
 	return nil
 }
@@ -186,7 +186,7 @@
 	for _, kv := range f[2:] {
 		key, value, _ := strings.Cut(kv, "=")
 		n, err := strconv.ParseFloat(value, 64)
-		part := map[string]*float64{"cpus": &t.CPUs, "most": &t.CPUsMax, "cards": &t.GPUs, "mostcards": &t.GMax}[key]
+		part := map[string]*float64{"cpus": &t.GuaranteedCPUs, "most": &t.MaxCPUs, "cards": &t.GuaranteedGPUs, "mostcards": &t.MaxGPUs}[key]
 		if err != nil || part == nil {
 			return fmt.Errorf("script: a team has cpus, most, cards or mostcards, not %q", kv)
 		}
@@ -198,7 +198,7 @@
 	c.judge.Unlock()
 	if time.Since(c.began) > 0 {
 		// Until all controllers have been given it the higher one may be used.
-		t.CPUsMax, t.GMax = higher(t.CPUsMax, was.CPUsMax), higher(t.GMax, was.GMax)
+		t.MaxCPUs, t.MaxGPUs = higher(t.MaxCPUs, was.MaxCPUs), higher(t.MaxGPUs, was.MaxGPUs)
 	}
 	c.w.SetTeam(t)
 	return nil
@@ -216,31 +216,31 @@
 // that has its guarantee. What of the team's other jobs runs, and what is booked for
 // the one that it is stopped for, must fit it together.
 func (c *cluster) judgeStop(task, host string, use map[string][2]float64) string {
-	ref, num, _ := protocol.SplitTask(task)
+	ref, num, _ := protocol.ParseTaskName(task)
 	claimant := ""
 	c.judge.Lock()
 	for _, name := range slices.Sorted(maps.Keys(c.judged)) {
-		claimant = cmp.Or(claimant, c.judged[name].StoppedFor(ref, num, host))
+		claimant = cmp.Or(claimant, c.judged[name].PreemptedFor(ref, num, host))
 	}
 	teams := maps.Clone(c.teams)
 	c.judge.Unlock()
 	if claimant == "" {
 		return ""
 	}
-	records := c.records()
-	ref, _, _ = ledger.SplitClaimKey(claimant)
+	stored := c.records()
+	ref, _, _ = ledger.ParseClaimKey(claimant)
 	var chunk ledger.Claim
-	_ = json.Unmarshal(records[claimant], &chunk)
-	own := c.w.JobUse(ref, chunk.First, chunk.First+chunk.Count)
-	for _, key := range slices.Sorted(maps.Keys(records)) {
-		raw := records[key]
-		team, is := strings.CutPrefix(key, ledger.BookKeys)
-		var b ledger.Bookings
+	_ = json.Unmarshal(stored[claimant], &chunk)
+	own := c.w.JobUse(ref, chunk.FirstTask, chunk.FirstTask+chunk.TaskCount)
+	for _, key := range slices.Sorted(maps.Keys(stored)) {
+		raw := stored[key]
+		team, is := strings.CutPrefix(key, ledger.ReservationPrefix)
+		var b ledger.Reservations
 		if !is || json.Unmarshal(raw, &b) != nil {
 			continue
 		}
-		claim := b.Due[claimant]
-		for k, guarantee := range [2]float64{teams[team].CPUs, teams[team].GPUs} {
+		claim := b.ByClaim[claimant]
+		for k, guarantee := range [2]float64{teams[team].GuaranteedCPUs, teams[team].GuaranteedGPUs} {
 			if guarantee > 0 && claim.Use[k] > 0 && use[team][k]-own[k]+max(claim.Use[k], own[k]) > guarantee+1e-6 {
 				return fmt.Sprintf("%s is stopped for %s of %s, which has %v of %v and books %v", task, claimant, team, use[team][k], guarantee, claim.Use[k])
 			}
@@ -260,7 +260,7 @@
 	c.judge.Lock()
 	s.Teams = maps.Clone(c.teams)
 	c.judge.Unlock()
-	s.StateNext = c.next
+	s.AnnouncedStateLimits = c.next
 	pol, err := policy.Load("", s)
 	if err != nil {
 		return err
@@ -272,16 +272,16 @@
 	}
 	ctx, stop := context.WithCancel(c.ctx)
 	link := standin.Link{W: c.w, Node: name, Ctx: ctx}
-	led := ledger.New(link, "state", s.StateLimit, log)
-	led.Expect(s.StateNext)
-	peers := make(map[string]coordination.PeerCaller)
+	led := ledger.New(link, "state", s.StateLimits, log)
+	led.AnnounceLimits(s.AnnouncedStateLimits)
+	peers := make(map[string]coordination.PeerClient)
 	for _, p := range s.Peers {
 		peers[p.Node] = peer{c, name, p.Node}
 	}
 	h := fnv.New64a()
 	h.Write([]byte(name))
-	n := coordination.New(coordination.Options{Settings: s, Policy: pol, Ledger: led, HTTP: link, Peers: peers, Log: log, Rand: rand.New(rand.NewPCG(c.seed, h.Sum64())),
-		Stand: func(ctx context.Context) { c.w.Stand(ctx, name) }})
+	n := coordination.New(coordination.Options{Settings: s, Policy: pol, Store: led, HTTP: link, Peers: peers, Log: log, Rand: rand.New(rand.NewPCG(c.seed, h.Sum64())),
+		WaitWhilePaused: func(ctx context.Context) { c.w.WaitWhilePaused(ctx, name) }})
 	p := &process{node: n, stop: stop, ended: make(chan struct{})}
 	c.nodes[name] = p
 	c.judge.Lock()
--- a/internal/schedule/day.go
+++ b/internal/schedule/day.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Day draws some minutes of steady work on machines that suffice for it, with troubles
+// GenerateDay draws some minutes of steady work on machines that suffice for it, with troubles
 // apart from one another: what is judged is that no class and no team starves.
-func Day() *rapid.Generator[string] {
+func GenerateDay() *rapid.Generator[string] {
 	return rapid.Custom(func(t *rapid.T) string {
 		d := &draft{t: t, names: controllers(usual)}
 		d.add(0, "machines %d a", d.number("in a", 4, 7))
--- a/internal/schedule/expect.go
+++ b/internal/schedule/expect.go
@@ -69,12 +69,12 @@
 		}
 		large := 0
 		for _, value := range c.records() {
-			if len(value) > c.next.ValueBytes {
+			if len(value) > c.next.MaxValueBytes {
 				large++
 			}
 		}
 		if large < least {
-			return fmt.Errorf("%d records are larger than %d bytes", large, c.next.ValueBytes)
+			return fmt.Errorf("%d records are larger than %d bytes", large, c.next.MaxValueBytes)
 		}
 		return nil
 	}
@@ -83,7 +83,7 @@
 		if err != nil {
 			return fmt.Errorf("script: expect vain MOST: %w", err)
 		}
-		if got := c.w.Vain(); got > most {
+		if got := c.w.WastedStarts(); got > most {
 			return fmt.Errorf("%d tasks started after their cancellation was confirmed", got)
 		}
 		return nil
--- a/internal/schedule/generate.go
+++ b/internal/schedule/generate.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// Script draws a schedule: jobs of every shape on a few machines, with troubles
+// GenerateScript draws a schedule: jobs of every shape on a few machines, with troubles
 // that come in storms, since single ones are covered by the kept traces.
-func Script() *rapid.Generator[string] {
+func GenerateScript() *rapid.Generator[string] {
 	return rapid.Custom(func(t *rapid.T) string { return storms(t).text() })
 }
 
--- a/internal/schedule/guards_test.go
+++ b/internal/schedule/guards_test.go
@@ -22,15 +22,15 @@
 
 // taken are the guards that docs/DESIGN.md names.
 var taken = []guard{
-	{"a claim must not exist yet", "claim.go", `ledger.Cond{Key: ledger.ShardKeys + s.name, Stamp: s.token}, ledger.Cond{Key: c.key, Stamp: 0})`, `ledger.Cond{Key: ledger.ShardKeys + s.name, Stamp: s.token})`},
-	{"a claim must be the version decided on", "settle.go", `ledger.Cond{Key: c.key, Stamp: c.stamp})
-	if j := n.jobs`, `ledger.Cond{Key: ledger.ShardKeys + s.name, Stamp: s.token})
+	{"a claim must not exist yet", "claim.go", `ledger.Compare{Key: ledger.ShardPrefix + s.name, Version: s.token}, ledger.Compare{Key: c.key, Version: 0})`, `ledger.Compare{Key: ledger.ShardPrefix + s.name, Version: s.token})`},
+	{"a claim must be the version decided on", "settle.go", `ledger.Compare{Key: c.key, Version: c.stamp})
+	if j := n.jobs`, `ledger.Compare{Key: ledger.ShardPrefix + s.name, Version: s.token})
 	if j := n.jobs`},
-	{"a placement needs the shard still owned", "settle.go", `	conds = append(conds, ledger.Cond{Key: ledger.ShardKeys + s.name, Stamp: s.token}, ledger.Cond{Key: c.key, Stamp: c.stamp})
-	if j`, `	conds = append(conds, ledger.Cond{Key: c.key, Stamp: c.stamp})
+	{"a placement needs the shard still owned", "settle.go", `	conds = append(conds, ledger.Compare{Key: ledger.ShardPrefix + s.name, Version: s.token}, ledger.Compare{Key: c.key, Version: c.stamp})
+	if j`, `	conds = append(conds, ledger.Compare{Key: c.key, Version: c.stamp})
 	if j`},
-	{"a placement needs the job as it was", "settle.go", `conds = append(conds, ledger.Cond{Key: ledger.JobKeys + c.ref, Stamp: j.stamp})`, `_ = j`},
-	{"write ahead", "claim.go", `	n.commit(claimPrio(u.spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })`, `	for _, p := range next.Open {
+	{"a placement needs the job as it was", "settle.go", `conds = append(conds, ledger.Compare{Key: ledger.JobPrefix + c.ref, Version: j.stamp})`, `_ = j`},
+	{"write ahead", "claim.go", `	n.commit(claimPrio(u.spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })`, `	for _, p := range next.Placements {
 		if m := n.machines[p.Host]; m != nil {
 			n.order(s, m, protocol.Start(protocol.TaskName(c.ref, p.Task), p.Try))
 		}
@@ -49,68 +49,68 @@
 		return gone
 	}
 	grace`},
-	{"an account counts under the present token only", "workers.go", `return m.rep != nil && s.token != 0 && m.rep.Token >= s.token`, `return m.rep != nil && s.token != 0`},
+	{"an account counts under the present token only", "workers.go", `return m.rep != nil && s.token != 0 && m.rep.FencingToken >= s.token`, `return m.rep != nil && s.token != 0`},
 	{"commands of unknown fate", "workers.go", `slices.ContainsFunc(m.unsure, func(u sentStart) bool { return u.task == task && u.try == try })`, `false`},
 	{"a machine that keeps a cancelled task is fenced", "workers.go", `		n.enforceCancels(now)
 `, ``},
-	{"fenced without a record if need be", "cancel.go", `return c.Bare(limit, n.stateDown(now)) && m.rec.State == "" && !n.refusedAlone(now)`, `return false`},
+	{"fenced without a record if need be", "cancel.go", `return c.ReturnUnrecorded(limit, n.stateDown(now)) && m.rec.State == "" && !n.refusedAlone(now)`, `return false`},
 	{"whoever knows stops cancelled tasks", "workers.go", `n.stopStrayed(m, &r)`, `_ = m`},
-	{"and asks again", "../recovery/cancelled.go", `s.Asked >= again`, `s.Asked > 1000*again`},
-	{"its owner may begin them again", "../recovery/cancelled.go", `if s.Found == Ended || s.Age > limit {`, `if s.Found == Ended {
+	{"and asks again", "../recovery/cancelled.go", `s.SinceProbe >= again`, `s.SinceProbe > 1000*again`},
+	{"its owner may begin them again", "../recovery/cancelled.go", `if s.Finding == Ended || s.Age > limit {`, `if s.Finding == Ended {
 		return false
 	}
 	if s.Age > limit {`},
 	{"who hears nobody begins nothing", "settle.go", `if !n.hearsNobody(now) && `, `if `},
 	{"all cancellations are repeated", "peers.go", `n.repeatFrom = ref`, `n.repeatFrom = ""`},
-	{"the bound counts from the record", "view.go", `r.Ended != 0 && at.Before(j.ended)`, `false && at.Before(j.ended)`},
-	{"team limits are conditions", "limits.go", `return append(conds, ledger.Cond{Key: key, Stamp: t.stamp}), []ledger.Op`, `return conds, []ledger.Op`},
-	{"a start needs its limit as it was", "limits.go", `	conds = append(conds, n.quota.Conds(team)...)`, ``},
+	{"the bound counts from the record", "view.go", `r.CancelledAtMs != 0 && at.Before(j.ended)`, `false && at.Before(j.ended)`},
+	{"team limits are conditions", "limits.go", `return append(conds, ledger.Compare{Key: key, Version: t.stamp}), []ledger.Op`, `return conds, []ledger.Op`},
+	{"a start needs its limit as it was", "limits.go", `	conds = append(conds, n.quota.LimitCompares(team)...)`, ``},
 	{"a start needs the bookings as they were", "limits.go", `has && grows {`, `has && grows && false {`},
 	{"a shard starts within its allotment", "limits.go", `!grows || (n.sized(holder) && more <= n.quota.Allowance(team, holder, unitOf(c.spec)))`, `true || more < 0 || holder == ""`},
-	{"claims of unknown size are not nothing", "limits.go", `			if c.rec == nil || c.rec.Shard == holder || (c.rec.Shard == "" && holder == quota.Wide) {`, `			if false && c.rec == nil && holder == "" {`},
-	{"the larger of two versions counts", "limits.go", `return max(c.placed(), len(c.pend.Open))`, `return c.placed()`},
+	{"claims of unknown size are not nothing", "limits.go", `			if c.rec == nil || c.rec.Shard == holder || (c.rec.Shard == "" && holder == quota.CrossShard) {`, `			if false && c.rec == nil && holder == "" {`},
+	{"the larger of two versions counts", "limits.go", `return max(c.placed(), len(c.pend.Placements))`, `return c.placed()`},
 	{"what became of a start is found out", "commit.go", `for err != nil && insist && life`, `for err != nil && false && insist && life`},
-	{"only who decides for a holder gives", "../quota/wants.go", `Conds: []ledger.Cond{own, {Key`, `Conds: []ledger.Cond{{Key`},
-	{"gifts under way are given", "../quota/keeper.go", `left := t.grants()[holder].Less(t.lent[holder]).Less(`, `left := t.grants()[holder].Less(`},
+	{"only who decides for a holder gives", "../quota/wants.go", `Compares: []ledger.Compare{own, {Key`, `Compares: []ledger.Compare{{Key`},
+	{"gifts under way are given", "../quota/keeper.go", `left := t.grants()[holder].Minus(t.transferring[holder]).Minus(`, `left := t.grants()[holder].Minus(`},
 	{"a limit is divided once all starts are known", "../quota/divide.go", `	case t.limit.Base == nil:
-		if s.Epoch < t.stamp || !s.Complete {`, `	case t.limit.Base == nil:
+		if s.Revision < t.limitVersion || !s.Complete {`, `	case t.limit.Base == nil:
 		if false {`},
-	{"older sources find the limit used up", "../quota/divide.go", `Use: map[string][2]float64{barrier: t.set}`, `Use: map[string][2]float64{}`},
-	{"the lower limit counts", "../quota/keeper.go", `if t.set[p] > 0 && (t.limit.Max[p] == 0 || t.set[p] < t.limit.Max[p]-eps) {
-			return Amount{}`, `if false && t.set[p] > 0 {
-			return Amount{}`},
+	{"older sources find the limit used up", "../quota/divide.go", `ByShard: map[string][2]float64{legacyBarrier: t.configured}`, `ByShard: map[string][2]float64{}`},
+	{"the lower limit counts", "../quota/keeper.go", `if t.configured[p] > 0 && (t.limit.Max[p] == 0 || t.configured[p] < t.limit.Max[p]-eps) {
+			return Resources{}`, `if false && t.configured[p] > 0 {
+			return Resources{}`},
 	{"a booking is carried out once all before it is known", "guarantee.go", `b.at == 0 || n.epoch < b.at {`, `b.at == 0 {`},
 	{"a booking that does not hold any more goes", "guarantee.go", `if due < b.tasks ||`, `if (due < 0) ||`},
-	{"bookings exclude one another", "../quota/booking.go", `		conds = append(conds, ledger.Cond{Key: key, Stamp: k.team(name).books})
+	{"bookings exclude one another", "../quota/booking.go", `		conds = append(conds, ledger.Compare{Key: key, Version: k.team(name).reservationsVersion})
 `, ``},
-	{"a lender keeps its guarantee", "../quota/due.go", `return t.taken[team]+beside[k]+task[k] <= t.Of(team).Lends(t.Claimed)+eps`, `return true`},
+	{"a lender keeps its guarantee", "../quota/due.go", `return t.taken[team]+beside[k]+task[k] <= t.StandingOf(team).Surplus(t.ClaimedTask)+eps`, `return true`},
 	{"team use by the record", "limits.go", `	return use, [2]float64{max(use[0], sum[0]), max(use[1], sum[1])}`, `	return sum, sum`},
-	{"404 is confirmed", "users.go", `	n.commitAt(ledger.PrioUser, []ledger.Cond{{Key: ledger.JobKeys + ref, Stamp: stamp}}, nil, within, func(err error, revision uint64) {
+	{"404 is confirmed", "users.go", `	n.commitAt(ledger.PriorityUser, []ledger.Compare{{Key: ledger.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
 		switch {
 		case err == nil &&`, `	func(do func(error, uint64)) { do(nil, 0) }(func(err error, revision uint64) {
 		switch {
 		case err == nil &&`},
-	{"what could not be read anew is not answered", "commit.go", `if !read && prio == ledger.PrioUser {`, `if false && !read {`},
-	{"a cancellation is told once its claims are known", "users.go", `if a.Phase != protocol.Cancelled || n.epoch >= stamp {`, `if true {`},
-	{"claims may come after their job's cancellation", "view.go", `return n.loaded && r.State == protocol.Cancelled && stamp > n.epoch`, `return false`},
-	{"done needs all chunks", "settle.go", `(o != c && !o.rec.Full())`, `false`},
+	{"what could not be read anew is not answered", "commit.go", `if !read && prio == ledger.PriorityUser {`, `if false && !read {`},
+	{"a cancellation is told once its claims are known", "users.go", `if a.Phase != protocol.JobCancelled || n.epoch >= stamp {`, `if true {`},
+	{"claims may come after their job's cancellation", "view.go", `return n.loaded && r.State == protocol.JobCancelled && stamp > n.epoch`, `return false`},
+	{"done needs all chunks", "settle.go", `(o != c && !o.rec.IsComplete())`, `false`},
 	{"a job that waits is in no queue", "view.go", `	if n.storeHeld(ref, r, stamp) {
 		return
 	}
 `, ``},
-	{"a job is released once all that it needs is done", "../pipeline/graph.go", `return len(n.left) == 0 && !n.cancelled`, `return len(n.left) <= 1 && !n.cancelled`},
+	{"a job is released once all that it needs is done", "../pipeline/graph.go", `return len(n.unfinished) == 0 && !n.cancelled`, `return len(n.unfinished) <= 1 && !n.cancelled`},
 	{"a job is refused on proof that one it names is not there", "pipeline.go", `		n.proveNeeds(spec, missing, until, reply)
 		return
 `, `		reply(transport.Response{Status: 422})
 		return
 `},
-	{"jobs that were never accepted are not waited for", "pipeline.go", `if missing := n.notRead(spec.Awaits); len(missing) > 0 {`, `if missing := n.notRead(spec.Awaits); len(missing) > 1000 {`},
-	{"a cancellation goes down the graph", "../pipeline/graph.go", `		for _, next := range g.dependents[n.Ref] {
+	{"jobs that were never accepted are not waited for", "pipeline.go", `if missing := n.notRead(spec.Dependencies); len(missing) > 0 {`, `if missing := n.notRead(spec.Dependencies); len(missing) > 1000 {`},
+	{"a cancellation goes down the graph", "../pipeline/graph.go", `		for _, next := range g.dependents[n.ID] {
 			todo = append(todo, next)
 		}
 `, ``},
 	{"a job that waits is answered by what was read since", "users.go", `case err == nil && n.undecided(ref):`, `case false:`},
-	{"what an urgent job needs is urgent", "../pipeline/urgency.go", `u.Rank = max(u.Rank, beyond.Rank, n.Spec.Prio())`, `_ = beyond`},
+	{"what an urgent job needs is urgent", "../pipeline/urgency.go", `u.Priority = max(u.Priority, beyond.Priority, n.Spec.Priority())`, `_ = beyond`},
 	{"a refused transaction proves lower limits", "../ledger/limits.go", `	l.lowered = true
 	return true
 `, `	return false
@@ -119,37 +119,37 @@
 	{"a gang claimed meanwhile is not placed again", "gather.go", `|| !gatherable(j) {
 			n.endGather`, `|| false {
 			n.endGather`},
-	{"a gang's old attempt has to be gone", "queue.go", `	if whole && u.c != nil && len(u.c.rec.Open) > 0 {
+	{"a gang's old attempt has to be gone", "queue.go", `	if whole && u.c != nil && len(u.c.rec.Placements) > 0 {
 		undo(u.spec, picks, rooms)
 		return false, false // the old attempt has to be gone first
 	}
 `, ``},
-	{"done frees a placement under the present token only", "settle.go", `if !m.settled(s) && !m.gone && m.rec.State != ledger.Gone {
+	{"done frees a placement under the present token only", "settle.go", `if !m.settled(s) && !m.gone && m.rec.State != ledger.MachineGone {
 			return unsettled`, `if false {
 			return unsettled`},
 	{"orders of an earlier token are void", "shards.go", `		m.queue = nil
 		delete(n.outbox, m)
 `, `		_ = m
 `},
-	{"adoption and a hire's answer exclude one another", "workers.go", `			ops = append(ops, ledger.Op{Key: ledger.HireKeys + h.name, Value: &again})
+	{"adoption and a hire's answer exclude one another", "workers.go", `			ops = append(ops, ledger.Op{Key: ledger.ProvisionPrefix + h.name, Value: &again})
 `, `			_ = again
 `},
-	{"the lead is known by its record", "shards.go", `n.leadMine = r.Node == n.cfg.Node && r.Boot == n.boot.UnixMilli(); n.leadMine {`, `n.leadMine = r.Node == n.cfg.Node && r.Boot == n.boot.UnixMilli() && !n.leadBusy; n.leadMine {`},
+	{"the lead is known by its record", "shards.go", `n.leadMine = r.Node == n.cfg.NodeName && r.StartedAtMs == n.boot.UnixMilli(); n.leadMine {`, `n.leadMine = r.NodeName == n.cfg.NodeName && r.StartedAtMs == n.boot.UnixMilli() && !n.leadBusy; n.leadMine {`},
 	{"no empty set of claims without a job", "view.go", `if delete(set, c.key); len(set) == 0 {`, `if delete(set, c.key); false {`},
-	{"leases are kept behind a cut", "outlook.go", `	if r.Token > s.stamp || !recovery.KeepLease`, `	if true || r.Token > s.stamp || !recovery.KeepLease`},
+	{"leases are kept behind a cut", "outlook.go", `	if r.FencingToken > s.stamp || !recovery.MayExtendLease`, `	if true || r.FencingToken > s.stamp || !recovery.MayExtendLease`},
 	{"a zone that seems cut off is not fenced", "outlook.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
 	{"no lease is kept for a cancelled task", "outlook.go", `r.Tasks[i].Phase != protocol.TaskExited && (`, `false && (`},
-	{"silence counts from waking", "workers.go", `	if woke := n.beat.Woke(); woke.After(m.adoptedAt) {`, `	if woke := n.beat.Woke(); false && woke.After(m.adoptedAt) {`},
-	{"an answer tells that a machine began again", "workers.go", `m.rec.State == "" && recovery.BeganAgain(accountOf(before), accountOf(&r)) {`, `m.rec.State == "" && false {`},
-	{"accounts of a former life do not count", "../recovery/life.go", `return floor == 0 || a.Token > floor`, `return floor == 0 || a.Token >= 0`},
+	{"silence counts from waking", "workers.go", `	if woke := n.beat.ResumedAt(); woke.After(m.adoptedAt) {`, `	if woke := n.beat.ResumedAt(); false && woke.After(m.adoptedAt) {`},
+	{"an answer tells that a machine began again", "workers.go", `m.rec.State == "" && recovery.HasRestarted(accountOf(before), accountOf(&r)) {`, `m.rec.State == "" && false {`},
+	{"accounts of a former life do not count", "../recovery/life.go", `return floor == 0 || a.FencingToken > floor`, `return floor == 0 || a.FencingToken >= 0`},
 	{"a doubtful report brings no orders", "workers.go", `	if !doubtful && n.active(s) {`, `	if n.active(s) {`},
-	{"registration is conditional", "node.go", `[]ledger.Cond{{Key: key, Stamp: n.nodes[n.cfg.Node].stamp}}`, `nil`},
-	{"nothing begins under a limit lowered since", "settle.go", `	case stop, n.overUsed(c.spec), m.hearing.Deaf(), n.mute(m, now) && !n.stateDown(now):`, `	case stop, m.hearing.Deaf(), n.mute(m, now) && !n.stateDown(now):`},
-	{"what a mute machine has lost is not begun there again", "settle.go", `m.hearing.Deaf(), n.mute(m, now) && !n.stateDown(now):`, `m.hearing.Deaf():`},
+	{"registration is conditional", "node.go", `[]ledger.Compare{{Key: key, Version: n.nodes[n.cfg.NodeName].stamp}}`, `nil`},
+	{"nothing begins under a limit lowered since", "settle.go", `	case stop, n.overUsed(c.spec), m.hearing.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`, `	case stop, m.hearing.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`},
+	{"what a mute machine has lost is not begun there again", "settle.go", `m.hearing.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`, `m.hearing.CannotReceive():`},
 	{"nothing new is placed on a mute machine", "queue.go", ` && !n.mute(m, now)`, ``},
-	{"a machine that stays mute is returned", "../recovery/hearing.go", `return Mute(reported, acting, now.Add(-2*lease), lease)`, `return false`},
-	{"a machine that does not hear and lost its work is returned", "workers.go", `m.hearing.Deaf() && !m.settled(s) && !m.returning`, `false && !m.returning`},
-	{"no token is raised for a machine that may not hear it", "workers.go", `!m.hearing.Doubted() && `, ``},
+	{"a machine that stays mute is returned", "../recovery/hearing.go", `return CannotReport(reported, acting, now.Add(-2*lease), lease)`, `return false`},
+	{"a machine that does not hear and lost its work is returned", "workers.go", `m.hearing.CannotReceive() && !m.settled(s) && !m.returning`, `false && !m.returning`},
+	{"no token is raised for a machine that may not hear it", "workers.go", `!m.hearing.Suspect() && `, ``},
 	{"who stands in is told from machines that are silent", "../recovery/alone.go", `	if s.Home {
 		return true
 	}
@@ -163,19 +163,19 @@
 `, `		case Suspect:
 			weight += weightUnknown
 `},
-	{"two unknown jobs condemn no machine", "../evidence/machine.go", `sickAt = 3`, `sickAt = 2`},
-	{"a suspect is tried with one task", "queue.go", `	if u.trial && u.spec.Shape != protocol.Gang {
+	{"two unknown jobs condemn no machine", "../evidence/machine.go", `quarantineWeight = 3`, `quarantineWeight = 2`},
+	{"a suspect is tried with one task", "queue.go", `	if u.trial && u.spec.Shape != protocol.ShapeGang {
 		return min(count, 1)
 	}
 `, ``},
-	{"tries become rarer", "../evidence/evidence.go", `j.next = now.Add(wait/2`, `j.next = now.Add(0*wait`},
-	{"late boots do not count", "boots.go", `return out[:boots.Replaced(late, coming)]`, `return out[:0*boots.Replaced(late, coming)]`},
+	{"tries become rarer", "../evidence/evidence.go", `j.retryAt = now.Add(wait/2`, `j.retryAt = now.Add(0*wait`},
+	{"late boots do not count", "boots.go", `return out[:boots.ReplacementCount(late, coming)]`, `return out[:0*boots.ReplacementCount(late, coming)]`},
 	{"late ones are replaced a few at a time", "../boots/boots.go", `return min(late, 1+coming/4)`, `return late`},
-	{"boots are judged by who saw them", "boots.go", ` || !s.since.Before(time.UnixMilli(m.rec.Born)) {
+	{"boots are judged by who saw them", "boots.go", ` || !s.since.Before(time.UnixMilli(m.rec.RentedAtMs)) {
 			continue`, ` {
 			continue`},
-	{"idle work starts little while others wait", "../leftover/leftover.go", `	if r.Short {`, `	if false {`},
-	{"idle work that has begun has its turn again", "../leftover/leftover.go", `return some && waits < turn`, `return some`},
+	{"idle work starts little while others wait", "../leftover/leftover.go", `	if r.Contended {`, `	if false {`},
+	{"idle work that has begun has its turn again", "../leftover/leftover.go", `return some && waits < bestEffortTurn`, `return some`},
 	{"an array is owed a machine kept for cards", "place.go", `			r.kept, r.keptIdle = false, false
 			return true`, `			return false`},
 	{"a hire's machines wait for the watch", "fleet.go", `if n.epoch < h.stamp {`, `if false {`},
--- a/internal/schedule/held.go
+++ b/internal/schedule/held.go
@@ -27,11 +27,11 @@
 func (c *cluster) watchHeld() {
 	since := make(map[string]time.Time)
 	for time.Sleep(heldLook); c.ctx.Err() == nil; time.Sleep(heldLook) {
-		now, records, held := time.Now(), c.records(), c.w.Held()
+		now, stored, held := time.Now(), c.records(), c.w.MachineTokens()
 		calm := c.onlyApart()
 		shards, stamps := make(map[string]string), make(map[string]uint64)
-		eachHired(records, func(_, host, shard string) { shards[host] = shard })
-		for key, stamp := range c.w.State.Stamps() {
+		eachHired(stored, func(_, host, shard string) { shards[host] = shard })
+		for key, stamp := range c.w.State.Versions() {
 			_, key, _ = strings.Cut(key, "/")
 			stamps[key] = stamp
 		}
@@ -39,8 +39,8 @@
 			shard := shards[host]
 			token, well := held[host]
 			var rec ledger.Shard
-			_ = json.Unmarshal(records[ledger.ShardKeys+shard], &rec)
-			newest := stamps[ledger.ShardKeys+shard]
+			_ = json.Unmarshal(stored[ledger.ShardPrefix+shard], &rec)
+			newest := stamps[ledger.ShardPrefix+shard]
 			if !well || !calm || token >= newest || !c.served(rec.Owner) {
 				delete(since, host)
 				continue
@@ -59,21 +59,21 @@
 // onlyApart tells that no trouble is on but those that part one controller from
 // the state service or from the other controllers.
 func (c *cluster) onlyApart() bool {
-	return !slices.ContainsFunc(c.w.Troubled(), func(name string) bool {
+	return !slices.ContainsFunc(c.w.FaultyMachines(), func(name string) bool {
 		return !strings.HasPrefix(name, "refuse ") && !strings.HasPrefix(name, "alone ")
 	})
 }
 
 // served tells that a controller runs and the state service serves it.
 func (c *cluster) served(name string) bool {
-	return slices.Contains(c.live(), name) && !slices.Contains(c.w.Troubled(), "refuse "+name)
+	return slices.Contains(c.live(), name) && !slices.Contains(c.w.FaultyMachines(), "refuse "+name)
 }
 
 // eachHired reads from the hires which shard each machine is in.
-func eachHired(records map[string]json.RawMessage, tell func(key, host, shard string)) {
-	for _, key := range slices.Sorted(maps.Keys(records)) {
-		var h ledger.Hire
-		if !strings.HasPrefix(key, ledger.HireKeys) || json.Unmarshal(records[key], &h) != nil {
+func eachHired(stored map[string]json.RawMessage, tell func(key, host, shard string)) {
+	for _, key := range slices.Sorted(maps.Keys(stored)) {
+		var h ledger.Provision
+		if !strings.HasPrefix(key, ledger.ProvisionPrefix) || json.Unmarshal(stored[key], &h) != nil {
 			continue
 		}
 		for i, host := range h.Hosts {
--- a/internal/schedule/one_test.go
+++ b/internal/schedule/one_test.go
@@ -30,5 +30,5 @@
 	if *script != "-" {
 		t.Skip("no -script -")
 	}
-	fmt.Print(Script().Example(*from))
+	fmt.Print(GenerateScript().Example(*from))
 }
--- a/internal/schedule/pipelines.go
+++ b/internal/schedule/pipelines.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Pipelines draws a schedule as Script does and adds pipelines to it, with troubles of
+// GenerateDependencies draws a schedule as Script does and adds pipelines to it, with troubles of
 // their own: what Script draws from a seed stays as it was.
-func Pipelines() *rapid.Generator[string] {
+func GenerateDependencies() *rapid.Generator[string] {
 	return rapid.Custom(func(t *rapid.T) string {
 		d := storms(t)
 		lowers := d.yes(35, "limits are announced")
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -33,14 +33,14 @@
 
 // TestSeeds plays schedules drawn from seeds. A failing one is shrunk; with
 // -found it is written down, ready to be kept among the traces.
-func TestSeeds(t *testing.T) { playSeeds(t, Script(), *seeds) }
+func TestSeeds(t *testing.T) { playSeeds(t, GenerateScript(), *seeds) }
 
 // TestDays plays days drawn from seeds, fewer of them since they are longer: no class
 // and no team may starve.
-func TestDays(t *testing.T) { playSeeds(t, Day(), max(2, *seeds/6)) }
+func TestDays(t *testing.T) { playSeeds(t, GenerateDay(), max(2, *seeds/6)) }
 
 // TestPipelines plays schedules with pipelines drawn from seeds.
-func TestPipelines(t *testing.T) { playSeeds(t, Pipelines(), *seeds) }
+func TestPipelines(t *testing.T) { playSeeds(t, GenerateDependencies(), *seeds) }
 
 // TestPipelineDeepAndWide: a job fifty deep and two hundred side by side need one, and a
 // last one all of those. Cancelled at the root while the state service takes 21 changes a
@@ -108,7 +108,7 @@
 	for seed := *from; seed < *from+max(2, *seeds/4); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			script := Script().Example(seed)
+			script := GenerateScript().Example(seed)
 			once, again := play(t, script, uint64(seed)).Events, play(t, script, uint64(seed)).Events
 			for i := range min(len(once), len(again)) {
 				if once[i] != again[i] {
--- a/internal/schedule/script.go
+++ b/internal/schedule/script.go
@@ -120,10 +120,10 @@
 		}
 	}
 	out.Broken, out.Events = c.w.Broken(), c.w.Events()
-	if records := c.records(); out.Kind() != "" {
-		for _, key := range slices.Sorted(maps.Keys(records)) {
-			if !strings.HasPrefix(key, ledger.MachineKeys) && !strings.HasPrefix(key, ledger.ImageKeys) && !strings.Contains(string(records[key]), `"x":`) {
-				out.Left = append(out.Left, key+" "+string(records[key]))
+	if stored := c.records(); out.Kind() != "" {
+		for _, key := range slices.Sorted(maps.Keys(stored)) {
+			if !strings.HasPrefix(key, ledger.MachinePrefix) && !strings.HasPrefix(key, ledger.ImagePrefix) && !strings.Contains(string(stored[key]), `"x":`) {
+				out.Left = append(out.Left, key+" "+string(stored[key]))
 			}
 		}
 	}
@@ -227,9 +227,9 @@
 			return c.given(f)
 		}
 	case "zone": // zone ZONE cut|heal
-		c.w.Trouble("zone "+arg(1), arg(2) == "cut")
+		c.w.SetFault("zone "+arg(1), arg(2) == "cut")
 	case "freeze": // freeze NODE on|off, or all
-		return each(func(name string) error { c.w.Trouble("freeze "+name, arg(2) == "on"); return nil })
+		return each(func(name string) error { c.w.SetFault("freeze "+name, arg(2) == "on"); return nil })
 	case "death": // death PERCENT [ZONE]: so many of the machines die at once
 		percent, _ := strconv.Atoi(arg(1))
 		hosts := c.w.Hosts(false)
@@ -251,7 +251,7 @@
 			return fmt.Errorf("answered %d, wanted %d", got, want)
 		}
 	case "abort": // abort NODE REF
-		if got := c.w.Abort(arg(1), arg(2)); got != 200 {
+		if got := c.w.Cancel(arg(1), arg(2)); got != 200 {
 			return fmt.Errorf("answered %d", got)
 		}
 	case "user": // user NODE submit|abort|poll REF ...: not waited for, repeated as users do
@@ -261,20 +261,20 @@
 	case "start":
 		return each(c.start)
 	case "outage":
-		c.w.Trouble("outage", arg(1) == "on")
+		c.w.SetFault("outage", arg(1) == "on")
 	case "refuse":
-		c.w.Trouble("refuse "+arg(1), arg(2) == "on")
+		c.w.SetFault("refuse "+arg(1), arg(2) == "on")
 	case "deafen":
-		c.w.Trouble("deaf "+arg(1), arg(2) == "on")
+		c.w.SetFault("deaf "+arg(1), arg(2) == "on")
 	case "trouble": // trouble NAME [NODE] on|off
-		if name, how := strings.Join(f[1:max(1, len(f)-1)], " "), f[len(f)-1]; !standin.Knows(name, append(slices.Clone(c.names), "a", "b")) || (how != "on" && how != "off") {
+		if name, how := strings.Join(f[1:max(1, len(f)-1)], " "), f[len(f)-1]; !standin.IsFault(name, append(slices.Clone(c.names), "a", "b")) || (how != "on" && how != "off") {
 			return fmt.Errorf("script: trouble NAME [NODE] on|off, not %q %q", name, how)
 		}
-		c.w.Trouble(strings.Join(f[1:len(f)-1], " "), f[len(f)-1] == "on")
+		c.w.SetFault(strings.Join(f[1:len(f)-1], " "), f[len(f)-1] == "on")
 	case "calloff": // calloff COUNT [hang TIME]: of jobs that run; up to eight of their machines hang so long
 		return c.callOff(f[1:])
 	case "vm": // vm HOST hang|resume|cut|heal|sick|slow|well|deaf|hears|mute|speaks|notice|take|die|reboot
-		if !standin.KnowsCondition(arg(2)) {
+		if !standin.IsMachineFault(arg(2)) {
 			return fmt.Errorf("script: a machine does not %q", arg(2))
 		}
 		host := "vm-" + arg(1)
@@ -321,7 +321,7 @@
 	if err != nil || count < 1 {
 		return fmt.Errorf("script: calloff COUNT [hang TIME], not %q", strings.Join(f, " "))
 	}
-	_, hosts := c.w.CallOff(count)
+	_, hosts := c.w.CancelRunning(count)
 	for _, host := range hosts {
 		if last == 0 {
 			break
@@ -343,9 +343,9 @@
 		if err != nil {
 			return err
 		}
-		c.users.Go(func() { c.w.Insist(node, func(node string) int { return c.w.Submit(node, j) }) })
+		c.users.Go(func() { c.w.RequestUntilAnswered(node, func(node string) int { return c.w.Submit(node, j) }) })
 	case "abort":
-		c.users.Go(func() { c.w.Insist(node, func(node string) int { return c.w.Abort(node, f[0]) }) })
+		c.users.Go(func() { c.w.RequestUntilAnswered(node, func(node string) int { return c.w.Cancel(node, f[0]) }) })
 	case "poll":
 		c.users.Go(func() { c.w.Query(node, f[0]) })
 	default:
@@ -357,12 +357,12 @@
 // job reads REF SHAPE key=value ... and the status that its submission should
 // get.
 func job(f []string) (*standin.Job, int, error) {
-	shapes := map[string]protocol.Shape{"array": protocol.Array, "gang": protocol.Gang, "service": protocol.Service}
+	shapes := map[string]protocol.Shape{"array": protocol.ShapeArray, "gang": protocol.ShapeGang, "service": protocol.ShapeService}
 	if len(f) < 2 || shapes[f[1]] == "" {
 		return nil, 0, fmt.Errorf("script: no job in %v", f)
 	}
-	j := &standin.Job{Spec: protocol.Submission{Ref: f[0], Class: f[1], Team: "open", Shape: shapes[f[1]], Rank: "normal", Tasks: 1,
-		CPUs: 2, MemGB: 2, Image: "img-1", ImageGB: 1}}
+	j := &standin.Job{Spec: protocol.Submission{JobID: f[0], Class: f[1], Team: "open", Shape: shapes[f[1]], PriorityClass: "normal", Tasks: 1,
+		CPUs: 2, MemoryGB: 2, Image: "img-1", ImageGB: 1}}
 	want := 201
 	for _, kv := range f[2:] {
 		key, value, _ := strings.Cut(kv, "=")
@@ -376,23 +376,23 @@
 			j.Spec.GPUs = n
 		case "run":
 			j.Run = protocol.Seconds(n)
-			j.Spec.ExpectS = n
+			j.Spec.RunEstimateS = n
 		case "saves": // every so many seconds
-			j.Spec.SnapshotEveryS, j.Spec.SnapshotS = n, 2
+			j.Spec.CheckpointIntervalS, j.Spec.CheckpointS = n, 2
 		case "due":
-			j.Spec.DueS = &n
+			j.Spec.DeadlineS = &n
 		case "rank":
-			j.Spec.Rank = value
+			j.Spec.PriorityClass = value
 		case "team":
 			j.Spec.Team = value
 		case "zone":
 			j.Spec.Zone = value
 		case "spread":
-			j.Spec.Spread = true
+			j.Spec.SpreadZones = true
 		case "samezone":
 			j.Spec.SameZone = true
 		case "cheap":
-			j.Spec.Spot = true
+			j.Spec.AllowSpot = true
 		case "fails":
 			j.Fail = true
 		case "class":
@@ -402,7 +402,7 @@
 		case "fetch":
 			j.Fetch = protocol.Seconds(n)
 		case "needs":
-			j.Spec.Awaits = strings.Split(value, ",")
+			j.Spec.Dependencies = strings.Split(value, ",")
 		case "answer":
 			want = int(n)
 		default:
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -23,8 +23,8 @@
 		return reply(200, protocol.MachineTypes{Types: w.Types})
 	case target == protocol.PathMachines && method == "POST":
 		return w.rent(body)
-	case target == protocol.PathReturn:
-		var h protocol.HostNames
+	case target == protocol.PathReturnMachines:
+		var h protocol.HostList
 		if json.Unmarshal(body, &h) != nil {
 			return 400, nil
 		}
@@ -38,7 +38,7 @@
 	}
 	// The list is as old as its lag; what is younger is missing, and what has
 	// gone since is still there.
-	asOf := time.Now().Add(-w.Lag)
+	asOf := time.Now().Add(-w.ListLag)
 	from, most := page(target)
 	var list protocol.MachineList
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
@@ -52,8 +52,8 @@
 		if m.born.After(asOf) || (m.gone && m.goneAt.Before(asOf)) {
 			continue
 		}
-		list.Hosts = append(list.Hosts, protocol.ListedMachine{Host: m.host, Addr: w.Address(m.host), Type: m.typ, Zone: m.zone, Spot: m.spot, Phase: m.listedAs(asOf),
-			HeldS: asOf.Sub(m.born).Seconds()})
+		list.Hosts = append(list.Hosts, protocol.ListedMachine{Host: m.host, Address: w.Address(m.host), Type: m.typ, Zone: m.zone, Spot: m.spot, Phase: m.listedAs(asOf),
+			AgeS: asOf.Sub(m.born).Seconds()})
 	}
 	return reply(200, list)
 }
@@ -71,7 +71,7 @@
 }
 
 func (w *World) rent(body []byte) (int, []byte) {
-	var h protocol.Hire
+	var h protocol.ProvisionRequest
 	if json.Unmarshal(body, &h) != nil {
 		return 400, nil
 	}
@@ -93,7 +93,7 @@
 		}
 		w.hires[h.Name] = hosts
 	}
-	return reply(200, protocol.HostNames{Hosts: hosts})
+	return reply(200, protocol.HostList{Hosts: hosts})
 }
 
 // never is longer than anybody waits.
@@ -101,7 +101,7 @@
 
 // bootTime is how long a machine takes to come up: some take several times as long,
 // or never come, if the cloud is in trouble.
-func (w *World) bootTime(h protocol.Hire) time.Duration {
+func (w *World) bootTime(h protocol.ProvisionRequest) time.Duration {
 	took := w.between(6*time.Second, 15*time.Second, h.Name)
 	switch {
 	case w.trouble["fast boots"]:
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -43,10 +43,10 @@
 	}
 }
 
-// Stand waits for as long as a controller stands still. What waits goes on one after
+// WaitWhilePaused waits for as long as a controller stands still. What waits goes on one after
 // the other, by what was drawn when each began to wait: all at the same instant they
 // would be in an order that nobody could repeat.
-func (w *World) Stand(ctx context.Context, node string) {
+func (w *World) WaitWhilePaused(ctx context.Context, node string) {
 	late := time.Duration(0)
 	for {
 		w.mu.Lock()
@@ -72,7 +72,7 @@
 // alive wraps what a controller is asked: it hears nothing while it stands still,
 // and a process that has ended meanwhile hears nothing any more.
 func (w *World) alive(name string, life int, h func()) {
-	w.Stand(w.ctx, name)
+	w.WaitWhilePaused(w.ctx, name)
 	w.mu.Lock()
 	same := w.lives[name] == life
 	w.mu.Unlock()
--- a/internal/standin/looks.go
+++ b/internal/standin/looks.go
@@ -19,7 +19,7 @@
 	raw, _ := json.Marshal(s)
 	var all map[string]any
 	_ = json.Unmarshal(raw, &all)
-	for key, value := range map[string]any{"samePlace": s.SameZone, "spread": s.Spread, "loaner": s.Spot, "snapshotEveryS": s.SnapshotEveryS, "snapshotS": s.SnapshotS} {
+	for key, value := range map[string]any{"samePlace": s.SameZone, "spread": s.SpreadZones, "loaner": s.AllowSpot, "snapshotEveryS": s.CheckpointIntervalS, "snapshotS": s.CheckpointS} {
 		all[key] = value
 	}
 	raw, _ = json.Marshal(all)
@@ -52,7 +52,7 @@
 				}
 				switch asked := time.Now(); {
 				case off:
-					w.Abort(node, ref)
+					w.Cancel(node, ref)
 				case again:
 					status, raw := w.Ask(node, "POST", "/submissions", body, 5*time.Second)
 					w.told(ref, asked, status, raw, status == 200 || status == 201)
@@ -71,7 +71,7 @@
 		return
 	}
 	j.endedAt = time.Now()
-	ref := j.Spec.Ref
+	ref := j.Spec.JobID
 	w.look(ref, "ended")
 	if w.trouble["cancel at end"] && !j.accepted.IsZero() && w.chance(40, "at end", ref) {
 		node := w.names[int(w.roll("at end", ref)%uint64(len(w.names)))]
@@ -79,22 +79,22 @@
 		w.aborted[ref] = true
 		go func() {
 			if wait(w.ctx, after) {
-				w.Insist(node, func(node string) int { return w.Abort(node, ref) })
+				w.RequestUntilAnswered(node, func(node string) int { return w.Cancel(node, ref) })
 			}
 		}()
 	}
 }
 
-// CallOff has users cancel so many of the jobs that run, within a fifth of a second, and
+// CancelRunning has users cancel so many of the jobs that run, within a fifth of a second, and
 // tells which, and up to eight of their machines.
-func (w *World) CallOff(count int) (refs, hosts []string) {
+func (w *World) CancelRunning(count int) (refs, hosts []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	on := make(map[string][]string)
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
 		m := w.machines[host]
 		for name, t := range m.tasks {
-			ref, _, _ := protocol.SplitTask(name)
+			ref, _, _ := protocol.ParseTaskName(name)
 			j := w.jobs[ref]
 			if j != nil && !m.gone && t.on() && !j.accepted.IsZero() && !w.aborted[ref] && !slices.Contains(on[ref], host) {
 				on[ref] = append(on[ref], host)
@@ -115,7 +115,7 @@
 		node, after := w.names[int(w.roll("off", ref)%uint64(len(w.names)))], w.between(0, 200*time.Millisecond, "off", ref)
 		go func() {
 			if wait(w.ctx, after) {
-				w.Insist(node, func(node string) int { return w.Abort(node, ref) })
+				w.RequestUntilAnswered(node, func(node string) int { return w.Cancel(node, ref) })
 			}
 		}()
 	}
@@ -144,18 +144,18 @@
 		if len(known) > 0 {
 			j = known[int(w.roll("odd job", n)%uint64(len(known)))]
 		}
-		done := j != nil && j.told == protocol.Done
+		done := j != nil && j.told == protocol.JobDone
 		w.mu.Unlock()
 		go func() {
 			switch {
 			case k%3 == 0:
 				w.unfit(node, k)
 			case done && k%3 == 1:
-				w.Abort(node, j.Spec.Ref) // which it will not be, and told says so
+				w.Cancel(node, j.Spec.JobID) // which it will not be, and told says so
 			case j != nil:
 				asked := time.Now()
 				status, raw := w.Ask(node, "POST", "/submissions", form(&j.Spec), 5*time.Second)
-				w.told(j.Spec.Ref, asked, status, raw, false)
+				w.told(j.Spec.JobID, asked, status, raw, false)
 			}
 		}()
 	}
@@ -163,16 +163,16 @@
 
 // unfit submits a job that no node may accept.
 func (w *World) unfit(node string, k int) {
-	s := protocol.Submission{Ref: fmt.Sprintf("wk-9%05d", k), Class: "odd", Team: "open", Shape: protocol.Array, Rank: "normal", Tasks: 1, CPUs: 2, MemGB: 2, Image: "img-1", ImageGB: 1}
+	s := protocol.Submission{JobID: fmt.Sprintf("wk-9%05d", k), Class: "odd", Team: "open", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "img-1", ImageGB: 1}
 	lacks := ""
 	switch fields := []string{"samePlace", "spread", "loaner", "snapshotEveryS", "snapshotS", "expectS", "cards", "rank", "owner"}; k / 3 % 4 {
 	case 0:
 		s.CPUs = 1e4
 	case 1:
-		s.Team, s.Shape, s.Tasks = "tight", protocol.Gang, 50
+		s.Team, s.Shape, s.Tasks = "tight", protocol.ShapeGang, 50
 	case 2:
 		if s.Team = "nobody"; k%2 == 0 {
-			s.Team, s.Awaits = "open", []string{fmt.Sprintf("wk-8%05d", k)} // never submitted
+			s.Team, s.Dependencies = "open", []string{fmt.Sprintf("wk-8%05d", k)} // never submitted
 		}
 	default:
 		lacks = fields[k/12%len(fields)]
@@ -188,7 +188,7 @@
 	if status == 200 || status == 201 {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.breakRule("accepted", "%s, which can't run or lacks a field (%q): %s", s.Ref, lacks, bytes.TrimSpace(raw))
+		w.breakRule("accepted", "%s, which can't run or lacks a field (%q): %s", s.JobID, lacks, bytes.TrimSpace(raw))
 	}
 }
 
--- a/internal/standin/loopback.go
+++ b/internal/standin/loopback.go
@@ -176,7 +176,7 @@
 		if !j.accepted.IsZero() {
 			since = time.Since(j.accepted)
 		}
-		started(j.Spec.Ref, since)
+		started(j.Spec.JobID, since)
 	}
 }
 
--- a/internal/standin/loopback_test.go
+++ b/internal/standin/loopback_test.go
@@ -16,7 +16,7 @@
 func TestLoopbackWorkersHaveAddresses(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w := NewWorld(ctx, 1, protocol.WorkerSettings{Report: time.Second, Lease: 10 * time.Second}, nil)
+	w := NewWorld(ctx, 1, protocol.WorkerSettings{HeartbeatInterval: time.Second, LeaseDuration: 10 * time.Second}, nil)
 	l, err := NewLoopback(ctx, w)
 	if err != nil {
 		t.Fatal(err)
@@ -26,19 +26,19 @@
 	time.Sleep(100 * time.Millisecond) // they come up within a moment
 	client := &http.Client{Timeout: 2 * time.Second}
 	for _, host := range []string{"vm-000001", "vm-000249", "vm-000250", "vm-000251", "vm-000300"} {
-		resp, err := client.Get("http://" + w.Address(host) + protocol.PathShow)
+		resp, err := client.Get("http://" + w.Address(host) + protocol.PathStatus)
 		if err != nil {
 			t.Errorf("%s: %v", host, err)
 			continue
 		}
-		var r protocol.Report
+		var r protocol.Heartbeat
 		err = json.NewDecoder(resp.Body).Decode(&r)
 		_ = resp.Body.Close()
-		if err != nil || r.Host != host || r.Addr != w.Address(host) {
-			t.Errorf("%s: answers as %s at %s (%v)", host, r.Host, r.Addr, err)
+		if err != nil || r.Host != host || r.Address != w.Address(host) {
+			t.Errorf("%s: answers as %s at %s (%v)", host, r.Host, r.Address, err)
 		}
 	}
-	resp, err := client.Post("http://"+l.StateAddr+protocol.PathMulti, "application/json", bytes.NewReader([]byte(`{"if":[],"writes":[{"set":"a","value":1}]}`)))
+	resp, err := client.Post("http://"+l.StateAddr+protocol.PathTransactions, "application/json", bytes.NewReader([]byte(`{"if":[],"writes":[{"set":"a","value":1}]}`)))
 	if err != nil || resp.StatusCode != 200 {
 		t.Errorf("the state service: %v %v", resp, err)
 	}
--- a/internal/standin/pipeline.go
+++ b/internal/standin/pipeline.go
@@ -14,7 +14,7 @@
 
 // needsDone tells that all jobs that one needs are done. The world's lock is held.
 func (w *World) needsDone(j *Job) bool {
-	for _, ref := range j.Spec.Awaits {
+	for _, ref := range j.Spec.Dependencies {
 		if need := w.jobs[ref]; need == nil || !need.finished() {
 			return false
 		}
@@ -26,7 +26,7 @@
 // job that it needs was done. The world's lock is held.
 func (w *World) queuedAt(j *Job) time.Time {
 	at := j.accepted
-	for _, ref := range j.Spec.Awaits {
+	for _, ref := range j.Spec.Dependencies {
 		if need := w.jobs[ref]; need != nil && need.endedAt.After(at) {
 			at = need.endedAt
 		}
@@ -46,14 +46,14 @@
 		if j == nil {
 			continue
 		}
-		for _, need := range j.Spec.Awaits {
+		for _, need := range j.Spec.Dependencies {
 			before := w.jobs[need]
 			if seen[need] || before == nil {
 				continue
 			}
 			seen[need] = true
 			todo = append(todo, need)
-			if w.aborted[need] && before.told != protocol.Done {
+			if w.aborted[need] && before.told != protocol.JobDone {
 				asked = true
 			}
 			if at := before.cancelled; w.aborted[need] && !at.IsZero() && (told.IsZero() || at.Before(told)) {
@@ -77,17 +77,17 @@
 // idles tells that a job does not have to run: nobody accepted it, it fails, it is
 // cancelled, or jobs that it needs are not done. The world's lock is held.
 func (w *World) idles(j *Job) bool {
-	return j.Fail || j.accepted.IsZero() || !w.needsDone(j) || w.off(j.Spec.Ref)
+	return j.Fail || j.accepted.IsZero() || !w.needsDone(j) || w.off(j.Spec.JobID)
 }
 
 // judgePhase checks what a user was told of a job against what is known of those before
 // it. The world's lock is held.
 func (w *World) judgePhase(ref, phase string, asked time.Time) {
 	off, told := w.cancelledBefore(ref)
-	if phase == protocol.Cancelled && !w.aborted[ref] && !off {
+	if phase == protocol.JobCancelled && !w.aborted[ref] && !off {
 		w.breakRule("went_back", "%s cancelled by nobody", ref)
 	}
-	if phase != protocol.Cancelled && phase != protocol.Done && !told.IsZero() && asked.Sub(told) > w.Workers.Cancel {
+	if phase != protocol.JobCancelled && phase != protocol.JobDone && !told.IsZero() && asked.Sub(told) > w.Workers.CancelDeadline {
 		w.breakRule("orphaned", "%s is called %s, a job before it was called cancelled %v before", ref, phase, asked.Sub(told).Round(time.Millisecond))
 	}
 }
@@ -97,15 +97,15 @@
 // world's lock is held.
 func (w *World) judgeAcceptance(j *Job, asked time.Time, status int) {
 	all := true
-	for _, ref := range j.Spec.Awaits {
+	for _, ref := range j.Spec.Dependencies {
 		need := w.jobs[ref]
 		if need == nil && (status == 200 || status == 201) {
-			w.breakRule("invented", "%s needs %s, which nobody submitted", j.Spec.Ref, ref)
+			w.breakRule("invented", "%s needs %s, which nobody submitted", j.Spec.JobID, ref)
 		}
 		all = all && need != nil && !need.accepted.IsZero() && need.accepted.Before(asked)
 	}
-	if len(j.Spec.Awaits) > 0 && all && status == 422 {
-		w.breakRule("forgotten", "%s got 422, and all that it needs was accepted", j.Spec.Ref)
+	if len(j.Spec.Dependencies) > 0 && all && status == 422 {
+		w.breakRule("forgotten", "%s got 422, and all that it needs was accepted", j.Spec.JobID)
 	}
 }
 
@@ -121,10 +121,10 @@
 	if j == nil || w.off(ref) || j.finished() {
 		return false
 	}
-	if j.Fail || j.Spec.Shape == protocol.Service {
+	if j.Fail || j.Spec.Shape == protocol.ShapeService {
 		return true
 	}
-	for _, need := range j.Spec.Awaits {
+	for _, need := range j.Spec.Dependencies {
 		if w.endless(need) {
 			return true
 		}
--- a/internal/standin/served.go
+++ b/internal/standin/served.go
@@ -9,11 +9,11 @@
 	"madderslip/internal/protocol"
 )
 
-// Served is what was served of all that could have been, in the class's own measure.
-type Served struct{ Could, Was float64 }
+// ServedShare is what was served of all that could have been, in the class's own measure.
+type ServedShare struct{ Could, Was float64 }
 
 // Share is the part that was served; 1 where nothing could have been.
-func (s Served) Share() float64 {
+func (s ServedShare) Share() float64 {
 	if s.Could == 0 {
 		return 1
 	}
@@ -29,15 +29,15 @@
 	running := make(map[string]int)
 	for _, m := range w.machines {
 		for name, t := range m.tasks {
-			if ref, _, _ := protocol.SplitTask(name); !m.gone && !m.hung && !m.dead && t.phase == protocol.TaskRunning {
+			if ref, _, _ := protocol.ParseTaskName(name); !m.gone && !m.hung && !m.dead && t.phase == protocol.TaskRunning {
 				running[ref]++
 			}
 		}
 	}
 	for _, j := range w.jobs {
-		if j.Spec.Shape == protocol.Service && !w.idles(j) && time.Since(w.queuedAt(j)) > servedAfter {
+		if j.Spec.Shape == protocol.ShapeService && !w.idles(j) && time.Since(w.queuedAt(j)) > servedAfter {
 			j.served.Could += float64(j.Spec.Tasks) * moment.Seconds()
-			j.served.Was += float64(min(running[j.Spec.Ref], j.Spec.Tasks)) * moment.Seconds()
+			j.served.Was += float64(min(running[j.Spec.JobID], j.Spec.Tasks)) * moment.Seconds()
 		}
 	}
 }
@@ -86,10 +86,10 @@
 // from some time after they were accepted; of arrays and gangs the tasks done, of jobs
 // that were accepted at least early ago. Jobs that fail or that their users cancelled do
 // not count.
-func (w *World) Served(early time.Duration) map[string]Served {
+func (w *World) Served(early time.Duration) map[string]ServedShare {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := make(map[string]Served)
+	out := make(map[string]ServedShare)
 	largest := w.largest()
 	for _, ref := range slices.Sorted(maps.Keys(w.jobs)) {
 		j := w.jobs[ref]
@@ -97,11 +97,11 @@
 		if w.idles(j) {
 			continue
 		}
-		if j.Spec.Shape != protocol.Service {
+		if j.Spec.Shape != protocol.ShapeService {
 			if time.Since(w.queuedAt(j)) < early {
 				continue
 			}
-			s = Served{float64(j.Spec.Tasks), float64(len(j.done))}
+			s = ServedShare{float64(j.Spec.Tasks), float64(len(j.done))}
 		}
 		names := []string{j.Spec.Class}
 		if largest[j] {
@@ -110,10 +110,10 @@
 		for _, name := range append(names, "team "+j.Spec.Team) {
 			// A class of one shape adds up; a team's classes count alike whatever their measure.
 			if strings.HasPrefix(name, "team ") && s.Could > 0 {
-				s = Served{1, s.Was / s.Could}
+				s = ServedShare{1, s.Was / s.Could}
 			}
 			sum := out[name]
-			out[name] = Served{sum.Could + s.Could, sum.Was + s.Was}
+			out[name] = ServedShare{sum.Could + s.Could, sum.Was + s.Was}
 		}
 	}
 	return out
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -15,11 +15,11 @@
 // guards nothing.
 func TestChecksCanFail(t *testing.T) {
 	job := func(ref string, tasks int) *Job {
-		return &Job{Run: time.Hour, Spec: protocol.Submission{Ref: ref, Team: "t", Shape: protocol.Array, Tasks: tasks, CPUs: 2, Image: "i"}}
+		return &Job{Run: time.Hour, Spec: protocol.Submission{JobID: ref, Team: "t", Shape: protocol.ShapeArray, Tasks: tasks, CPUs: 2, Image: "i"}}
 	}
 	start := func(w *World, host, task string, try uint64) {
 		w.mu.Lock()
-		w.machines[host].execute([]protocol.Command{protocol.Start(task, try)})
+		w.machines[host].execute([]protocol.Command{protocol.StartCommand(task, try)})
 		w.mu.Unlock()
 		time.Sleep(2 * time.Second)
 	}
@@ -45,7 +45,7 @@
 		},
 		"wrong_place": func(w *World) {
 			j := job("wk-1", 2)
-			j.Spec.Spread = true
+			j.Spec.SpreadZones = true
 			w.jobs["wk-1"] = j
 			start(w, "vm-000001", "wk-1/0", 1)
 			start(w, "vm-000002", "wk-1/1", 1)
@@ -80,7 +80,7 @@
 		"went_back": func(w *World) {
 			says(w, `{"phase":"cancelled"}`, `{"phase":"running"}`)
 			w.jobs["wk-1"] = job("wk-1", 1)
-			w.Abort("n", "wk-1")
+			w.Cancel("n", "wk-1")
 			w.Query("n", "wk-1")
 		},
 	}
@@ -103,12 +103,12 @@
 			}
 			reply(transport.Response{Status: status, Body: []byte(`{"phase":"pending"}`)})
 		})
-		w.Trouble("odd requests", true)
+		w.SetFault("odd requests", true)
 		time.Sleep(5 * time.Second)
 	}
 	// Close looks: another node answers what is older, milliseconds after an acceptance.
 	cases["forgotten: wk-3"] = func(w *World) {
-		w.Trouble("close looks", true)
+		w.SetFault("close looks", true)
 		for _, name := range []string{"n", "m"} {
 			w.SetNode(name, func(method, _ string, _ []byte, reply func(transport.Response)) {
 				if method == "POST" && name == "n" {
@@ -126,8 +126,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
 				defer func() { cancel(); time.Sleep(2 * time.Hour) }()
-				w := NewWorld(ctx, 1, protocol.WorkerSettings{Report: time.Second, Lease: time.Hour, Cancel: 5 * time.Second},
-					map[string]protocol.Team{"t": {CPUsMax: 3}})
+				w := NewWorld(ctx, 1, protocol.WorkerSettings{HeartbeatInterval: time.Second, LeaseDuration: time.Hour, CancelDeadline: 5 * time.Second},
+					map[string]protocol.Team{"t": {MaxCPUs: 3}})
 				w.AddMachines(2, "a")
 				time.Sleep(time.Second)
 				if got := w.Broken(); len(got) > 0 {
@@ -151,18 +151,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(2 * time.Hour) }()
-		w := NewWorld(ctx, 1, protocol.WorkerSettings{Report: time.Second, Lease: time.Hour, Cancel: 50 * time.Second},
-			map[string]protocol.Team{"t": {}, "none": {CPUsMax: 1}})
+		w := NewWorld(ctx, 1, protocol.WorkerSettings{HeartbeatInterval: time.Second, LeaseDuration: time.Hour, CancelDeadline: 50 * time.Second},
+			map[string]protocol.Team{"t": {}, "none": {MaxCPUs: 1}})
 		w.AddMachines(2, "a")
 		w.mu.Lock()
 		for ref, s := range map[string]protocol.Submission{
-			"wk-1": {Team: "t", Shape: protocol.Array, Tasks: 1, CPUs: 8},
-			"wk-2": {Team: "none", Shape: protocol.Array, Tasks: 1, CPUs: 2},
-			"wk-3": {Team: "t", Shape: protocol.Gang, Tasks: 3, CPUs: 8},
-			"wk-4": {Team: "t", Shape: protocol.Gang, Tasks: 2, CPUs: 8, SameZone: true},
-			"wk-5": {Team: "t", Shape: protocol.Service, Tasks: 1, CPUs: 2, Zone: "b"},
+			"wk-1": {Team: "t", Shape: protocol.ShapeArray, Tasks: 1, CPUs: 8},
+			"wk-2": {Team: "none", Shape: protocol.ShapeArray, Tasks: 1, CPUs: 2},
+			"wk-3": {Team: "t", Shape: protocol.ShapeGang, Tasks: 3, CPUs: 8},
+			"wk-4": {Team: "t", Shape: protocol.ShapeGang, Tasks: 2, CPUs: 8, SameZone: true},
+			"wk-5": {Team: "t", Shape: protocol.ShapeService, Tasks: 1, CPUs: 2, Zone: "b"},
 		} {
-			s.Ref, s.Image = ref, "i"
+			s.JobID, s.Image = ref, "i"
 			w.jobs[ref] = &Job{Spec: s, Run: time.Hour, accepted: time.Now(), done: make(map[int]bool)}
 		}
 		w.mu.Unlock()
@@ -170,17 +170,17 @@
 		if got := w.Waiting(90 * time.Second); len(got) != 0 {
 			t.Errorf("before all is calm: %v", got)
 		}
-		w.Calm(0)
+		w.EndFaults(0)
 		time.Sleep(2 * time.Minute)
 		if got := strings.Join(w.Waiting(90*time.Second), " "); got != "wk-1 wk-4" {
 			t.Errorf("waiting beside room: %s", got)
 		}
 		w.mu.Lock()
 		w.jobs["wk-1"].cancelled = time.Now()
-		w.machines["vm-000001"].execute([]protocol.Command{protocol.Start("wk-1/0", 1)})
+		w.machines["vm-000001"].execute([]protocol.Command{protocol.StartCommand("wk-1/0", 1)})
 		w.mu.Unlock()
 		time.Sleep(2 * time.Second)
-		if got := w.Vain(); got != 1 {
+		if got := w.WastedStarts(); got != 1 {
 			t.Errorf("%d starts after a cancellation, wanted 1", got)
 		}
 	})
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -39,8 +39,8 @@
 	ends time.Time
 }
 
-// State is the state service.
-type State struct {
+// StateService is the state service.
+type StateService struct {
 	mu      sync.Mutex
 	keys    map[string]kv
 	log     []change
@@ -55,16 +55,16 @@
 	writes  *rate.Limiter
 	done    Counts
 	onShard func() // told, on its own, of a shard's new token
-	most    Sizes
+	most    SizeLimits
 	refused map[string]int // transactions refused for their size, by the first key
 }
 
-// Sizes bound values and transactions; 0 is no bound. Four times as many conditions as
+// SizeLimits bound values and transactions; 0 is no bound. Four times as many conditions as
 // changes may be in a transaction.
-type Sizes struct{ ValueBytes, Changes int }
+type SizeLimits struct{ ValueBytes, Changes int }
 
-// Bound sets the bounds on sizes from now on. What is stored stays readable.
-func (s *State) Bound(most Sizes) {
+// SetSizeLimits sets the bounds on sizes from now on. What is stored stays readable.
+func (s *StateService) SetSizeLimits(most SizeLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.most = most
@@ -72,7 +72,7 @@
 
 // RefusedForSize tells how many transactions were refused for their size, by the first
 // key that each changes.
-func (s *State) RefusedForSize() map[string]int {
+func (s *StateService) RefusedForSize() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.refused)
@@ -82,19 +82,19 @@
 type Counts struct{ Changes, Refused int }
 
 // Counts tells how many changes were carried out, and transactions refused.
-func (s *State) Counts() Counts {
+func (s *StateService) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.done
 }
 
-func newState() *State {
-	return &State{keys: make(map[string]kv), keep: 10_000, grants: make(map[uint64]*grant), changed: make(chan struct{}),
+func newState() *StateService {
+	return &StateService{keys: make(map[string]kv), keep: 10_000, grants: make(map[uint64]*grant), changed: make(chan struct{}),
 		refused: make(map[string]int), reqs: rate.NewLimiter(rate.Inf, 0), writes: rate.NewLimiter(rate.Inf, 0)}
 }
 
-// Limit sets the budgets; both allow bursts of one second's worth.
-func (s *State) Limit(rps, writeRPS float64) {
+// SetRateLimits sets the budgets; both allow bursts of one second's worth.
+func (s *StateService) SetRateLimits(rps, writeRPS float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reqs = rate.NewLimiter(rate.Limit(rps), int(rps))
@@ -103,7 +103,7 @@
 
 // run ends leases until the context does. They end as much as 100 ms late, but
 // never early.
-func (s *State) run(ctx context.Context) {
+func (s *StateService) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -121,7 +121,7 @@
 	}
 }
 
-func (s *State) end(id uint64) {
+func (s *StateService) end(id uint64) {
 	delete(s.grants, id)
 	for _, key := range slices.Sorted(maps.Keys(s.keys)) {
 		if s.keys[key].grant == id {
@@ -133,7 +133,7 @@
 	s.wake()
 }
 
-func (s *State) record(c change) {
+func (s *StateService) record(c change) {
 	if s.log = append(s.log, c); len(s.log) > 2*s.keep {
 		s.dropped = s.log[len(s.log)-s.keep-1].Stamp
 		s.log = slices.Clone(s.log[len(s.log)-s.keep:])
@@ -141,7 +141,7 @@
 }
 
 // Keys is what is stored, for checks once a test's work is over.
-func (s *State) Keys() map[string]json.RawMessage {
+func (s *StateService) Keys() map[string]json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]json.RawMessage, len(s.keys))
@@ -151,8 +151,8 @@
 	return out
 }
 
-// Stamps is the revision of each key's latest change.
-func (s *State) Stamps() map[string]uint64 {
+// Versions is the revision of each key's latest change.
+func (s *StateService) Versions() map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]uint64, len(s.keys))
@@ -162,13 +162,13 @@
 	return out
 }
 
-func (s *State) wake() {
+func (s *StateService) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // setDown begins or ends an outage; after it every lease has its full time.
-func (s *State) setDown(down bool) {
+func (s *StateService) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
@@ -183,7 +183,7 @@
 	return status, b
 }
 
-func (s *State) do(ctx context.Context, method, target string, body []byte) (int, []byte) {
+func (s *StateService) do(ctx context.Context, method, target string, body []byte) (int, []byte) {
 	u, err := url.Parse(target)
 	if err != nil {
 		return 400, nil
@@ -236,7 +236,7 @@
 	return 404, nil
 }
 
-func (s *State) list(q url.Values) (int, []byte) {
+func (s *StateService) list(q url.Values) (int, []byte) {
 	var names []string
 	for key := range s.keys {
 		if strings.HasPrefix(key, q.Get("under")) && key > q.Get("from") {
@@ -270,7 +270,7 @@
 	} `json:"writes"`
 }
 
-func (t *transaction) within(most Sizes) bool {
+func (t *transaction) within(most SizeLimits) bool {
 	if most.Changes > 0 && (len(t.Writes) > most.Changes || len(t.If) > 4*most.Changes) {
 		return false
 	}
@@ -282,7 +282,7 @@
 	return true
 }
 
-func (s *State) multi(body []byte) (int, []byte) {
+func (s *StateService) multi(body []byte) (int, []byte) {
 	var in transaction
 	if json.Unmarshal(body, &in) != nil {
 		return 400, nil
@@ -335,7 +335,7 @@
 	return reply(200, map[string]uint64{"epoch": s.epoch})
 }
 
-func (s *State) watch(ctx context.Context, q url.Values) (int, []byte) {
+func (s *StateService) watch(ctx context.Context, q url.Values) (int, []byte) {
 	from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
 	block, _ := strconv.Atoi(q.Get("blockMs"))
 	deadline := time.Now().Add(time.Duration(block) * time.Millisecond)
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -22,31 +22,31 @@
 	toldAt    time.Time     // when it was first told that
 	cancelled time.Time
 	done      map[int]bool
-	served    Served    // of a service
-	waits     time.Time // since when it waits beside room that it fits, once all is calm
-	began     time.Time // when its first task ran, of a gang all of them
-	endedAt   time.Time // when its last task was done
+	served    ServedShare // of a service
+	waits     time.Time   // since when it waits beside room that it fits, once all is calm
+	began     time.Time   // when its first task ran, of a gang all of them
+	endedAt   time.Time   // when its last task was done
 }
 
 // Submit sends a job to a node and waits for the answer.
 func (w *World) Submit(node string, j *Job) int {
 	w.mu.Lock()
-	if old := w.jobs[j.Spec.Ref]; old != nil {
+	if old := w.jobs[j.Spec.JobID]; old != nil {
 		j = old
 	} else {
 		j.done = make(map[int]bool)
-		w.jobs[j.Spec.Ref] = j
+		w.jobs[j.Spec.JobID] = j
 	}
 	w.mu.Unlock()
 	body := form(&j.Spec)
 	asked := time.Now()
 	status, raw := w.Ask(node, "POST", "/submissions", body, 5*time.Second)
-	w.told(j.Spec.Ref, asked, status, raw, status == 200 || status == 201)
+	w.told(j.Spec.JobID, asked, status, raw, status == 200 || status == 201)
 	return status
 }
 
-// Abort asks a node to cancel a job.
-func (w *World) Abort(node, ref string) int {
+// Cancel asks a node to cancel a job.
+func (w *World) Cancel(node, ref string) int {
 	w.mu.Lock()
 	w.aborted[ref] = true
 	w.mu.Unlock()
@@ -57,7 +57,7 @@
 }
 
 // Query asks a node for a job; phase is empty without an answer.
-func (w *World) Query(node, ref string) (status int, a protocol.JobAnswer) {
+func (w *World) Query(node, ref string) (status int, a protocol.JobStatus) {
 	asked := time.Now()
 	status, raw := w.Ask(node, "GET", "/submissions/"+ref, nil, 2*time.Second)
 	w.told(ref, asked, status, raw, false)
@@ -65,9 +65,9 @@
 	return status, a
 }
 
-// Insist repeats a request as a user does, at one node after the other, for up
+// RequestUntilAnswered repeats a request as a user does, at one node after the other, for up
 // to a minute, until it has a definite answer.
-func (w *World) Insist(node string, request func(node string) int) int {
+func (w *World) RequestUntilAnswered(node string, request func(node string) int) int {
 	w.mu.Lock()
 	names := slices.Clone(w.names)
 	w.mu.Unlock()
@@ -131,19 +131,19 @@
 	if (status == 404 || status == 400 || status == 422) && !j.accepted.IsZero() && !j.accepted.After(asked) {
 		w.breakRule("forgotten", "%s got %d", ref, status)
 	}
-	var a protocol.JobAnswer
+	var a protocol.JobStatus
 	if (status != 200 && status != 201) || json.Unmarshal(raw, &a) != nil {
 		return
 	}
-	final := func(p string) bool { return p == protocol.Done || p == protocol.Cancelled }
+	final := func(p string) bool { return p == protocol.JobDone || p == protocol.JobCancelled }
 	if final(j.told) && a.Phase != j.told && (final(a.Phase) || !j.toldAt.After(asked)) {
 		w.breakRule("went_back", "%s was %s, is %s", ref, j.told, a.Phase)
 	}
 	w.judgePhase(ref, a.Phase, asked)
-	if a.Phase == protocol.Done && len(j.done) < j.Spec.Tasks {
+	if a.Phase == protocol.JobDone && len(j.done) < j.Spec.Tasks {
 		w.breakRule("not_done", "%s has %d of %d", ref, len(j.done), j.Spec.Tasks)
 	}
-	if a.Phase == protocol.Cancelled && j.cancelled.IsZero() {
+	if a.Phase == protocol.JobCancelled && j.cancelled.IsZero() {
 		j.cancelled = time.Now()
 		w.note("%s is cancelled", ref)
 		w.look(ref, "cancelled")
@@ -198,7 +198,7 @@
 		}
 		return max(limit, min(was, use))
 	}
-	now := protocol.Team{CPUsMax: most(limit.CPUsMax, was.CPUsMax, use[0]), GMax: most(limit.GMax, was.GMax, use[1])}
+	now := protocol.Team{MaxCPUs: most(limit.MaxCPUs, was.MaxCPUs, use[0]), MaxGPUs: most(limit.MaxGPUs, was.MaxGPUs, use[1])}
 	w.above[team] = now
 	return now
 }
@@ -207,7 +207,7 @@
 func (w *World) check() {
 	for wait(w.ctx, 500*time.Millisecond+73*time.Nanosecond) {
 		w.mu.Lock()
-		if w.Hollow {
+		if w.RecordStartsOnly {
 			w.mu.Unlock()
 			continue
 		}
@@ -219,20 +219,20 @@
 		for _, host := range slices.Sorted(maps.Keys(w.machines)) {
 			m := w.machines[host]
 			for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
-				ref, _, _ := protocol.SplitTask(name)
+				ref, _, _ := protocol.ParseTaskName(name)
 				j := w.jobs[ref]
 				if m.gone || j == nil || !m.tasks[name].on() {
 					continue
 				}
-				if !j.cancelled.IsZero() && time.Since(j.cancelled) > w.Workers.Cancel {
+				if !j.cancelled.IsZero() && time.Since(j.cancelled) > w.Workers.CancelDeadline {
 					w.breakRule("ran_cancelled", "%s on %s", name, m.host)
 				}
 			}
 		}
 		for _, team := range slices.Sorted(maps.Keys(use)) {
 			limit := w.permitted(team, use[team])
-			if u := use[team]; (limit.CPUsMax > 0 && u[0] > limit.CPUsMax+1e-6) || (limit.GMax > 0 && u[1] > limit.GMax+1e-6) {
-				w.breakRule("quota", "%s uses %v of %v CPUs and %v cards", team, u, limit.CPUsMax, limit.GMax)
+			if u := use[team]; (limit.MaxCPUs > 0 && u[0] > limit.MaxCPUs+1e-6) || (limit.MaxGPUs > 0 && u[1] > limit.MaxGPUs+1e-6) {
+				w.breakRule("quota", "%s uses %v of %v CPUs and %v cards", team, u, limit.MaxCPUs, limit.MaxGPUs)
 			}
 		}
 		w.mu.Unlock()
--- a/internal/standin/waiting.go
+++ b/internal/standin/waiting.go
@@ -16,11 +16,11 @@
 		return room
 	}
 	typ := m.w.typeOf(m.typ)
-	room = [3]float64{typ.CPUs, typ.GPUs, typ.MemGB}
+	room = [3]float64{typ.CPUs, typ.GPUs, typ.MemoryGB}
 	for name, t := range m.tasks {
-		ref, _, _ := protocol.SplitTask(name)
+		ref, _, _ := protocol.ParseTaskName(name)
 		if j := m.w.jobs[ref]; j != nil && t.phase != protocol.TaskExited {
-			room = [3]float64{room[0] - j.Spec.CPUs, room[1] - j.Spec.GPUs, room[2] - j.Spec.MemGB}
+			room = [3]float64{room[0] - j.Spec.CPUs, room[1] - j.Spec.GPUs, room[2] - j.Spec.MemoryGB}
 		}
 	}
 	return room
@@ -31,11 +31,11 @@
 func (w *World) fits(s *protocol.Submission) int {
 	byZone, all := make(map[string]int), 0
 	for _, m := range w.machines {
-		if (len(s.Types) > 0 && !slices.Contains(s.Types, m.typ)) || (s.Zone != "" && s.Zone != m.zone) || (m.spot && !s.Spot) {
+		if (len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, m.typ)) || (s.Zone != "" && s.Zone != m.zone) || (m.spot && !s.AllowSpot) {
 			continue
 		}
 		room, count := m.free(), math.Inf(1)
-		for k, need := range [3]float64{s.CPUs, s.GPUs, s.MemGB} {
+		for k, need := range [3]float64{s.CPUs, s.GPUs, s.MemoryGB} {
 			if need > 0 {
 				count = min(count, math.Floor((room[k]+1e-6)/need))
 			}
@@ -62,18 +62,18 @@
 	there := make(map[string]bool)
 	for _, m := range w.machines {
 		for name, t := range m.tasks {
-			if ref, _, _ := protocol.SplitTask(name); !m.gone && t.phase != protocol.TaskExited {
+			if ref, _, _ := protocol.ParseTaskName(name); !m.gone && t.phase != protocol.TaskExited {
 				there[ref] = true
 			}
 		}
 	}
 	for ref, j := range w.jobs {
 		need := 1
-		if j.Spec.Shape == protocol.Gang {
+		if j.Spec.Shape == protocol.ShapeGang {
 			need = j.Spec.Tasks
 		}
 		limit, u := w.Teams[j.Spec.Team], use[j.Spec.Team]
-		over := (limit.CPUsMax > 0 && u[0]+j.Spec.CPUs*float64(need) > limit.CPUsMax+1e-6) || (limit.GMax > 0 && u[1]+j.Spec.GPUs*float64(need) > limit.GMax+1e-6)
+		over := (limit.MaxCPUs > 0 && u[0]+j.Spec.CPUs*float64(need) > limit.MaxCPUs+1e-6) || (limit.MaxGPUs > 0 && u[1]+j.Spec.GPUs*float64(need) > limit.MaxGPUs+1e-6)
 		switch {
 		case w.calmAt.IsZero(), there[ref], j.finished(), over, w.idles(j), w.fits(&j.Spec) < need:
 			j.waits = time.Time{}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -53,7 +53,7 @@
 // on tells whether a task is on its machine by the rules: from when it has its
 // image until it exits.
 func (t *task) on() bool {
-	return t.phase == protocol.TaskRunning || t.phase == protocol.TaskWaiting || t.phase == protocol.TaskSaving
+	return t.phase == protocol.TaskRunning || t.phase == protocol.TaskWaitingForGang || t.phase == protocol.TaskCheckpointing
 }
 
 // AddMachines starts machines that are up at once.
@@ -158,7 +158,7 @@
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
 		m := w.machines[host]
 		for name, t := range m.tasks {
-			if r, _, _ := protocol.SplitTask(name); r == ref && !m.gone && t.phase != protocol.TaskExited {
+			if r, _, _ := protocol.ParseTaskName(name); r == ref && !m.gone && t.phase != protocol.TaskExited {
 				if best == "" || w.machines[best].hung || w.machines[best].cutOff {
 					best = host
 				}
@@ -210,7 +210,7 @@
 }
 
 func (m *Machine) expire() {
-	if !m.lease.IsZero() && time.Since(m.lease) > m.byClock(m.w.Workers.Lease) {
+	if !m.lease.IsZero() && time.Since(m.lease) > m.byClock(m.w.Workers.LeaseDuration) {
 		m.w.note("%s lease over, session %d", m.host, m.session+1)
 		m.kill()
 		m.session++
@@ -252,17 +252,17 @@
 	}
 }
 
-func (m *Machine) account() protocol.Report {
+func (m *Machine) account() protocol.Heartbeat {
 	m.seq++
-	r := protocol.Report{Host: m.host, Addr: m.w.Address(m.host), Type: m.typ, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq,
-		Token: m.token, Tasks: []protocol.TaskReport{}}
+	r := protocol.Heartbeat{Host: m.host, Address: m.w.Address(m.host), Type: m.typ, Zone: m.zone, Spot: m.spot, AgentEpoch: m.session, Sequence: m.seq,
+		FencingToken: m.token, Tasks: []protocol.TaskStatus{}}
 	if !m.warning.IsZero() {
 		left := time.Until(m.warning).Seconds()
-		r.WarningS = &left
+		r.PreemptionNoticeS = &left
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 		t := m.tasks[name]
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: name, Try: t.try, Phase: t.phase, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: name, Attempt: t.try, Phase: t.phase, Cause: t.cause, Checkpointed: t.saved})
 	}
 	return r
 }
@@ -301,7 +301,7 @@
 		w.keep(m, body)
 	}
 	if h != nil && !m.cutOff && w.trouble["late reports"] && w.chance(40, "copy", m.host, tick) {
-		m.later(w.between(2*time.Second, w.Workers.Lease*3/2, "copy", m.host, tick), m.said)
+		m.later(w.between(2*time.Second, w.Workers.LeaseDuration*3/2, "copy", m.host, tick), m.said)
 	}
 	life := m.life
 	there, back := w.between(300*time.Microsecond, 3*time.Millisecond, m.host, tick), w.between(300*time.Microsecond, 3*time.Millisecond, m.host, tick)
@@ -352,18 +352,18 @@
 	}
 	switch r.Status {
 	case 200:
-		var a protocol.ReportAnswer
-		if json.Unmarshal(r.Body, &a) == nil && a.Token >= m.token && a.Token > 0 {
-			if a.Token > m.token {
+		var a protocol.HeartbeatResponse
+		if json.Unmarshal(r.Body, &a) == nil && a.FencingToken >= m.token && a.FencingToken > 0 {
+			if a.FencingToken > m.token {
 				m.poke()
 			}
-			m.token, m.lease = a.Token, sent
+			m.token, m.lease = a.FencingToken, sent
 			m.execute(a.Commands)
 		}
 		// Give or take a quarter, as workers do.
-		return w.between(w.Workers.Report*3/4, w.Workers.Report*5/4, m.host, tick)
+		return w.between(w.Workers.HeartbeatInterval*3/4, w.Workers.HeartbeatInterval*5/4, m.host, tick)
 	case 421:
-		var s protocol.Steward
+		var s protocol.Redirect
 		_ = json.Unmarshal(r.Body, &s)
 		for i, n := range w.names {
 			if n == s.Node && n != name {
@@ -408,7 +408,7 @@
 	}
 	var status int
 	var out []byte
-	if target == protocol.PathShow {
+	if target == protocol.PathStatus {
 		status, out = reply(200, m.account())
 	} else {
 		status, out = m.commands(body)
@@ -421,15 +421,15 @@
 }
 
 func (m *Machine) commands(body []byte) (int, []byte) {
-	var in protocol.DirectCommands
-	if json.Unmarshal(body, &in) != nil || in.Token == 0 || in.Session == 0 {
+	var in protocol.CommandRequest
+	if json.Unmarshal(body, &in) != nil || in.FencingToken == 0 || in.AgentEpoch == 0 {
 		return 400, nil
 	}
-	if in.Token < m.token || in.Session != m.session {
+	if in.FencingToken < m.token || in.AgentEpoch != m.session {
 		return reply(409, m.account())
 	}
-	if in.Token > m.token {
-		m.token = in.Token
+	if in.FencingToken > m.token {
+		m.token = in.FencingToken
 		m.poke()
 	}
 	m.execute(in.Commands)
@@ -442,17 +442,17 @@
 		switch c.Verb {
 		case "start":
 			switch {
-			case t == nil || (t.try != c.Try && t.phase == protocol.TaskExited):
-				m.start(c.Task, c.Try)
-			case t.try != c.Try:
-				m.w.note("%s %s/%d refused: busy with attempt %d", m.host, c.Task, c.Try, t.try)
+			case t == nil || (t.try != c.Attempt && t.phase == protocol.TaskExited):
+				m.start(c.Task, c.Attempt)
+			case t.try != c.Attempt:
+				m.w.note("%s %s/%d refused: busy with attempt %d", m.host, c.Task, c.Attempt, t.try)
 			}
 		case "stop":
-			if t != nil && t.try == c.Try && t.phase != protocol.TaskExited {
-				m.stop(c.Task, t, c.Grace)
+			if t != nil && t.try == c.Attempt && t.phase != protocol.TaskExited {
+				m.stop(c.Task, t, c.GraceS)
 			}
 		case "reap":
-			if t != nil && t.try == c.Try && t.phase == protocol.TaskExited {
+			if t != nil && t.try == c.Attempt && t.phase == protocol.TaskExited {
 				delete(m.tasks, c.Task)
 			}
 		}
@@ -462,9 +462,9 @@
 // stop ends a task. One that runs and can save does so if its grace suffices; a
 // gang's saves only if all of its tasks are told in time.
 func (m *Machine) stop(name string, t *task, grace *float64) {
-	ref, _, _ := protocol.SplitTask(name)
+	ref, _, _ := protocol.ParseTaskName(name)
 	j := m.w.jobs[ref]
-	saves := t.phase == protocol.TaskRunning && j != nil && j.Spec.SnapshotEveryS > 0 && grace != nil && *grace >= j.Spec.SnapshotS
+	saves := t.phase == protocol.TaskRunning && j != nil && j.Spec.CheckpointIntervalS > 0 && grace != nil && *grace >= j.Spec.CheckpointS
 	if m.w.OnStop != nil && t.phase == protocol.TaskRunning {
 		if why := m.w.OnStop(name, m.host, m.w.teamUse()); why != "" {
 			m.w.breakRule("guarantee", "%s", why)
@@ -474,10 +474,10 @@
 		m.exit(name, t, "halted")
 		return
 	}
-	t.phase, t.stop = protocol.TaskSaving, time.Now()
+	t.phase, t.stop = protocol.TaskCheckpointing, time.Now()
 	m.poke()
-	m.after(name, t, j.Spec.Snapshot(), func() {
-		if t.saved = j.Spec.Shape != protocol.Gang || m.w.allSaving(ref, t.try, j); t.saved {
+	m.after(name, t, j.Spec.CheckpointDuration(), func() {
+		if t.saved = j.Spec.Shape != protocol.ShapeGang || m.w.allSaving(ref, t.try, j); t.saved {
 			m.exit(name, t, "halted")
 		} else {
 			m.exit(name, t, causePeers)
@@ -495,7 +495,7 @@
 	told := 0
 	for _, o := range w.machines {
 		for name, t := range o.tasks {
-			if r, _, _ := protocol.SplitTask(name); r == ref && t.try == try && (t.phase == protocol.TaskSaving || t.saved) && !o.gone {
+			if r, _, _ := protocol.ParseTaskName(name); r == ref && t.try == try && (t.phase == protocol.TaskCheckpointing || t.saved) && !o.gone {
 				told++
 			}
 		}
@@ -515,17 +515,17 @@
 
 // missed has the others of a running gang notice that one of them is gone.
 func (w *World) missed(name string, t *task) {
-	ref, _, ok := protocol.SplitTask(name)
+	ref, _, ok := protocol.ParseTaskName(name)
 	j := w.jobs[ref]
-	if !ok || j == nil || j.Spec.Shape != protocol.Gang || t.phase != protocol.TaskRunning {
+	if !ok || j == nil || j.Spec.Shape != protocol.ShapeGang || t.phase != protocol.TaskRunning {
 		return
 	}
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
 		m := w.machines[host]
 		for _, other := range slices.Sorted(maps.Keys(m.tasks)) {
 			x := m.tasks[other]
-			if r, _, _ := protocol.SplitTask(other); r == ref && x.try == t.try && x != t && x.phase == protocol.TaskRunning {
-				m.after(other, x, w.between(w.Workers.GangPeer/2, w.Workers.GangPeer, other, m.host), func() {
+			if r, _, _ := protocol.ParseTaskName(other); r == ref && x.try == t.try && x != t && x.phase == protocol.TaskRunning {
+				m.after(other, x, w.between(w.Workers.GangPeerTimeout/2, w.Workers.GangPeerTimeout, other, m.host), func() {
 					if x.phase == protocol.TaskRunning {
 						m.exit(other, x, causePeers)
 					}
@@ -540,12 +540,12 @@
 func (m *Machine) leaveGangs() {
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 		t := m.tasks[name]
-		ref, _, _ := protocol.SplitTask(name)
-		if j := m.w.jobs[ref]; j == nil || j.Spec.Shape != protocol.Gang || j.Spec.Tasks < 2 || t.phase != protocol.TaskRunning {
+		ref, _, _ := protocol.ParseTaskName(name)
+		if j := m.w.jobs[ref]; j == nil || j.Spec.Shape != protocol.ShapeGang || j.Spec.Tasks < 2 || t.phase != protocol.TaskRunning {
 			continue
 		}
 		m.w.missed(name, t)
-		m.after(name, t, m.w.Workers.GangPeer, func() {
+		m.after(name, t, m.w.Workers.GangPeerTimeout, func() {
 			if t.phase == protocol.TaskRunning {
 				m.exit(name, t, causePeers)
 			}
@@ -555,24 +555,24 @@
 
 func (m *Machine) start(name string, try uint64) {
 	w := m.w
-	ref, num, _ := protocol.SplitTask(name)
+	ref, num, _ := protocol.ParseTaskName(name)
 	t := &task{try: try, phase: protocol.TaskFetching}
 	m.tasks[name] = t
 	j := w.jobs[ref]
 	if j == nil || num >= j.Spec.Tasks {
-		m.exit(name, t, protocol.CauseNoSuch)
+		m.exit(name, t, protocol.CauseUnknownJob)
 		return
 	}
 	var used [3]float64
 	for other, o := range m.tasks {
-		r, _, _ := protocol.SplitTask(other)
+		r, _, _ := protocol.ParseTaskName(other)
 		if x := w.jobs[r]; o.phase != protocol.TaskExited && x != nil {
-			used = [3]float64{used[0] + x.Spec.CPUs, used[1] + x.Spec.GPUs, used[2] + x.Spec.MemGB}
+			used = [3]float64{used[0] + x.Spec.CPUs, used[1] + x.Spec.GPUs, used[2] + x.Spec.MemoryGB}
 		}
 	}
 	typ := w.typeOf(m.typ)
-	if used[0] > typ.CPUs+1e-6 || used[1] > typ.GPUs+1e-6 || used[2] > typ.MemGB+1e-6 {
-		m.exit(name, t, protocol.CauseNoRoom)
+	if used[0] > typ.CPUs+1e-6 || used[1] > typ.GPUs+1e-6 || used[2] > typ.MemoryGB+1e-6 {
+		m.exit(name, t, protocol.CauseNoCapacity)
 		return
 	}
 	fetch := max(time.Second, j.Fetch)
@@ -620,12 +620,12 @@
 	t.phase, t.began = protocol.TaskRunning, time.Now()
 	w.note("%s %s/%d runs", m.host, name, t.try)
 	m.poke()
-	if j.Spec.Shape == protocol.Gang && j.Spec.Tasks > 1 {
-		t.phase = protocol.TaskWaiting
+	if j.Spec.Shape == protocol.ShapeGang && j.Spec.Tasks > 1 {
+		t.phase = protocol.TaskWaitingForGang
 		if !w.assemble(j, t.try) {
-			m.after(name, t, w.Workers.GangWait, func() {
-				if t.phase == protocol.TaskWaiting {
-					m.exit(name, t, protocol.CauseIncomplete)
+			m.after(name, t, w.Workers.GangStartTimeout, func() {
+				if t.phase == protocol.TaskWaitingForGang {
+					m.exit(name, t, protocol.CauseGangTimeout)
 				}
 			})
 			return
@@ -648,14 +648,14 @@
 			if t.phase != protocol.TaskRunning {
 				return // it is being stopped
 			}
-			if j.Spec.Shape == protocol.Gang {
+			if j.Spec.Shape == protocol.ShapeGang {
 				w.finishGang(j, t.try)
 				if t.phase == protocol.TaskRunning {
 					m.after(name, t, time.Second, end) // another one's machine hangs
 				}
 				return
 			}
-			_, num, _ := protocol.SplitTask(name)
+			_, num, _ := protocol.ParseTaskName(name)
 			j.done[num] = true
 			m.exit(name, t, protocol.CauseDone)
 			m.w.ended(j)
@@ -666,7 +666,7 @@
 
 // checkStart judges a start by the rules.
 func (w *World) checkStart(m *Machine, name string, t *task, j *Job) {
-	if w.Hollow {
+	if w.RecordStartsOnly {
 		w.started(j)
 		return
 	}
@@ -678,8 +678,8 @@
 			continue
 		}
 		for other, x := range o.tasks {
-			ref, _, _ := protocol.SplitTask(other)
-			if ref != s.Ref || !x.on() {
+			ref, _, _ := protocol.ParseTaskName(other)
+			if ref != s.JobID || !x.on() {
 				continue
 			}
 			if other == name && x != t {
@@ -692,13 +692,13 @@
 			}
 		}
 	}
-	if s.Spread && inZone > (s.Tasks+1)/2 {
-		w.breakRule("wrong_place", "%s has %d tasks in %s", s.Ref, inZone, m.zone)
+	if s.SpreadZones && inZone > (s.Tasks+1)/2 {
+		w.breakRule("wrong_place", "%s has %d tasks in %s", s.JobID, inZone, m.zone)
 	}
-	if (len(s.Types) > 0 && !slices.Contains(s.Types, m.typ)) || (s.Zone != "" && s.Zone != m.zone) || (m.spot && !s.Spot) {
-		w.breakRule("wrong_place", "%s on %s: %s in %s, cheap %v", s.Ref, m.host, m.typ, m.zone, m.spot)
+	if (len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, m.typ)) || (s.Zone != "" && s.Zone != m.zone) || (m.spot && !s.AllowSpot) {
+		w.breakRule("wrong_place", "%s on %s: %s in %s, cheap %v", s.JobID, m.host, m.typ, m.zone, m.spot)
 	}
-	if !j.cancelled.IsZero() && time.Since(j.cancelled) > w.Workers.Cancel {
+	if !j.cancelled.IsZero() && time.Since(j.cancelled) > w.Workers.CancelDeadline {
 		w.breakRule("ran_cancelled", "%s starts on %s", name, m.host)
 	}
 	if !w.needsDone(j) {
@@ -715,7 +715,7 @@
 	var there []*task
 	for _, m := range w.machines {
 		for name, t := range m.tasks {
-			if ref, _, _ := protocol.SplitTask(name); ref == j.Spec.Ref && t.try == try && t.phase == protocol.TaskWaiting && !m.gone {
+			if ref, _, _ := protocol.ParseTaskName(name); ref == j.Spec.JobID && t.try == try && t.phase == protocol.TaskWaitingForGang && !m.gone {
 				there = append(there, t)
 			}
 		}
@@ -737,7 +737,7 @@
 	running := 0
 	for _, m := range w.machines {
 		for name, t := range m.tasks {
-			if ref, _, _ := protocol.SplitTask(name); ref == j.Spec.Ref && t.try == try && t.phase == protocol.TaskRunning && !m.gone && !m.hung {
+			if ref, _, _ := protocol.ParseTaskName(name); ref == j.Spec.JobID && t.try == try && t.phase == protocol.TaskRunning && !m.gone && !m.hung {
 				running++
 			}
 		}
@@ -752,7 +752,7 @@
 		m := w.machines[host]
 		for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 			t := m.tasks[name]
-			if ref, _, _ := protocol.SplitTask(name); ref == j.Spec.Ref && t.try == try && t.on() && !m.gone {
+			if ref, _, _ := protocol.ParseTaskName(name); ref == j.Spec.JobID && t.try == try && t.on() && !m.gone {
 				m.exit(name, t, protocol.CauseDone)
 			}
 		}
@@ -760,22 +760,22 @@
 	w.ended(j)
 }
 
-// Held is the highest token that each worker obeys which nothing keeps from being
+// MachineTokens is the highest token that each worker obeys which nothing keeps from being
 // answered: its machine is well, reached by all, and has had an answer lately.
-func (w *World) Held() map[string]uint64 {
+func (w *World) MachineTokens() map[string]uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := make(map[string]uint64)
 	for host, m := range w.machines {
-		if !m.gone && !m.hung && !m.dead && !m.cutOff && !w.trouble["zone "+m.zone] && m.token > 0 && time.Since(m.lease) < 2*w.Workers.Report {
+		if !m.gone && !m.hung && !m.dead && !m.cutOff && !w.trouble["zone "+m.zone] && m.token > 0 && time.Since(m.lease) < 2*w.Workers.HeartbeatInterval {
 			out[host] = m.token
 		}
 	}
 	return out
 }
 
-// Troubled lists the troubles that are on, in order.
-func (w *World) Troubled() []string {
+// FaultyMachines lists the troubles that are on, in order.
+func (w *World) FaultyMachines() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.DeleteFunc(slices.Sorted(maps.Keys(w.trouble)), func(name string) bool { return !w.trouble[name] })
@@ -793,7 +793,7 @@
 func (w *World) JobUse(ref string, from, upTo int) (use [2]float64) {
 	for _, m := range w.machines {
 		for name, t := range m.tasks {
-			r, num, _ := protocol.SplitTask(name)
+			r, num, _ := protocol.ParseTaskName(name)
 			if j := w.jobs[ref]; r == ref && num >= from && num < upTo && j != nil && !m.gone && t.on() {
 				use = [2]float64{use[0] + j.Spec.CPUs, use[1] + j.Spec.GPUs}
 			}
@@ -806,7 +806,7 @@
 	use := make(map[string][2]float64)
 	for _, m := range w.machines {
 		for name, t := range m.tasks {
-			ref, _, _ := protocol.SplitTask(name)
+			ref, _, _ := protocol.ParseTaskName(name)
 			if j := w.jobs[ref]; j != nil && !m.gone && t.on() {
 				u := use[j.Spec.Team]
 				use[j.Spec.Team] = [2]float64{u[0] + j.Spec.CPUs, u[1] + j.Spec.GPUs}
@@ -823,7 +823,7 @@
 	count := 0
 	for _, m := range w.machines {
 		for name, t := range m.tasks {
-			if r, _, _ := protocol.SplitTask(name); (r == ref || ref == "") && !m.gone && t.on() {
+			if r, _, _ := protocol.ParseTaskName(name); (r == ref || ref == "") && !m.gone && t.on() {
 				count++
 			}
 		}
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -24,11 +24,11 @@
 // seed and on what it is told alone: every delay is drawn from the seed and the
 // message it delays, never from the order in which goroutines happen to run.
 type World struct {
-	State   *State
+	State   *StateService
 	Workers protocol.WorkerSettings
 	Teams   map[string]protocol.Team
 	above   map[string]protocol.Team // what teams may use still, whose limit was changed
-	Lag     time.Duration            // of the cloud's list
+	ListLag time.Duration            // of the cloud's list
 
 	mu       sync.Mutex
 	ctx      context.Context
@@ -53,8 +53,8 @@
 	// Hollow has the world keep no events, look at no rule that needs a walk over all
 	// machines, and count starts instead: for measurements at sizes where its own work
 	// would be what is measured.
-	Hollow  bool
-	started func(j *Job)
+	RecordStartsOnly bool
+	started          func(j *Job)
 	// OnStop, if set, is told of every running task that a command stops, with what
 	// the teams use, and says what rule that breaks. The world's lock is held.
 	OnStop func(task, host string, use map[string][2]float64) (rule string)
@@ -70,7 +70,7 @@
 		nodes: make(map[string]NodeHandler), trouble: make(map[string]bool),
 		machines: make(map[string]*Machine), hires: make(map[string][]string), jobs: make(map[string]*Job), aborted: make(map[string]bool),
 		held: make(map[string][]func()), began: time.Now(), faults: newFaults(), above: make(map[string]protocol.Team), kept: make(map[string][][]byte),
-		Types: []protocol.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 50, PullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a", "b"}}}}
+		Types: []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a", "b"}}}}
 	go world.State.run(ctx)
 	world.State.onShard = world.newLeader
 	go world.check()
@@ -101,7 +101,7 @@
 func (w *World) chance(percent uint64, parts ...string) bool { return w.roll(parts...)%100 < percent }
 
 func (w *World) note(format string, a ...any) {
-	if w.Hollow {
+	if w.RecordStartsOnly {
 		return
 	}
 	w.events = append(w.events, fmt.Sprintf("%8.3f %s", time.Since(w.began).Seconds(), fmt.Sprintf(format, a...)))
@@ -154,7 +154,7 @@
 	}
 }
 
-// Trouble begins or ends a trouble that has no host:
+// SetFault begins or ends a trouble that has no host:
 //
 //	outage         the state service is down
 //	slow           the state service takes up to 2.5 s for an answer
@@ -188,7 +188,7 @@
 //	no boots       none of the machines rented ever comes up
 //	fast boots     all are up within a second
 //	lost           answers of the cloud get lost, and some requests are carried out late
-func (w *World) Trouble(name string, on bool) {
+func (w *World) SetFault(name string, on bool) {
 	w.mu.Lock()
 	was := w.trouble[name]
 	w.trouble[name] = on
@@ -208,8 +208,8 @@
 	"close looks", "hasty users", "cancel at end", "odd requests", "swallow", "refuse ", "severed ", "deaf ", "freeze ", "zone ", "alone ",
 	"cloud", "stingy", "half", "slow boots", "no boots", "fast boots", "lost"}
 
-// Knows tells whether Trouble knows a name, and what it may have for its second word.
-func Knows(name string, second []string) bool {
+// IsFault tells whether Trouble knows a name, and what it may have for its second word.
+func IsFault(name string, second []string) bool {
 	return slices.ContainsFunc(troubles, func(known string) bool {
 		rest, found := strings.CutPrefix(name, known)
 		return found && (rest == "" && !strings.HasSuffix(known, " ") || strings.HasSuffix(known, " ") && slices.Contains(second, rest))
@@ -219,11 +219,11 @@
 // conditions are what Set knows.
 var conditions = []string{"hang", "resume", "cut", "heal", "sick", "slow", "well", "deaf", "hears", "mute", "speaks", "notice", "take", "die", "reboot"}
 
-// KnowsCondition tells whether Set knows it.
-func KnowsCondition(what string) bool { return slices.Contains(conditions, what) }
+// IsMachineFault tells whether Set knows it.
+func IsMachineFault(what string) bool { return slices.Contains(conditions, what) }
 
-// Vain counts the starts after a confirmed cancellation.
-func (w *World) Vain() int {
+// WastedStarts counts the starts after a confirmed cancellation.
+func (w *World) WastedStarts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.vain
@@ -236,15 +236,15 @@
 	w.spare = count
 }
 
-// Calm ends all troubles and leaves the cloud at least so many machines to rent.
-func (w *World) Calm(spare int) {
+// EndFaults ends all troubles and leaves the cloud at least so many machines to rent.
+func (w *World) EndFaults(spare int) {
 	w.mu.Lock()
 	w.spare, w.calmAt = max(w.spare, spare), time.Now()
 	troubles := slices.Sorted(maps.Keys(w.trouble))
 	hosts := slices.Sorted(maps.Keys(w.machines))
 	w.mu.Unlock()
 	for _, name := range troubles {
-		w.Trouble(name, false)
+		w.SetFault(name, false)
 	}
 	for _, host := range hosts {
 		for _, what := range []string{"resume", "heal", "well", "hears", "speaks"} {
@@ -277,8 +277,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer context.AfterFunc(l.Ctx, cancel)()
 	defer cancel()
-	w.Stand(l.Ctx, l.Node)
-	defer w.Stand(l.Ctx, l.Node) // whatever comes back is heard when the process goes on
+	w.WaitWhilePaused(l.Ctx, l.Node)
+	defer w.WaitWhilePaused(l.Ctx, l.Node) // whatever comes back is heard when the process goes on
 	what := []string{l.Node, addr, target, string(body)}
 	w.mu.Lock()
 	there, back := w.between(300*time.Microsecond, 3*time.Millisecond, what...), w.between(300*time.Microsecond, 3*time.Millisecond, what...)
@@ -308,7 +308,7 @@
 					go func() {
 						if addr == "cloud" {
 							w.cloud(method, target, body)
-						} else if target == protocol.PathMulti {
+						} else if target == protocol.PathTransactions {
 							w.State.do(w.ctx, method, target, body)
 						}
 					}()
@@ -381,16 +381,16 @@
 )
 
 func (w *World) fateOf(addr, target string, what []string) int {
-	if addr == "state" && target == protocol.PathMulti && w.trouble["swallow"] {
+	if addr == "state" && target == protocol.PathTransactions && w.trouble["swallow"] {
 		return lost
 	}
-	if addr == "state" && target == protocol.PathMulti && w.trouble["late writes"] && w.chance(40, what...) {
+	if addr == "state" && target == protocol.PathTransactions && w.trouble["late writes"] && w.chance(40, what...) {
 		return late
 	}
-	if addr == "state" && target == protocol.PathMulti && w.trouble["unanswered writes"] && w.chance(40, what...) {
+	if addr == "state" && target == protocol.PathTransactions && w.trouble["unanswered writes"] && w.chance(40, what...) {
 		return lost
 	}
-	lossy := addr == "state" && target == protocol.PathMulti && w.trouble["lossy"]
+	lossy := addr == "state" && target == protocol.PathTransactions && w.trouble["lossy"]
 	if !lossy && (addr != "cloud" || !w.trouble["lost"] || strings.HasPrefix(target, protocol.PathMachines+"?")) {
 		return fine
 	}
@@ -421,6 +421,6 @@
 	if !wait(ctx, delay) {
 		return ctx.Err()
 	}
-	w.Stand(ctx, to)
+	w.WaitWhilePaused(ctx, to)
 	return deliver(ctx, raw)
 }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -14,23 +14,23 @@
 	"strings"
 )
 
-// Most is how many tests may be known to fail at a time.
-const Most = 3
+// MaxKnown is how many tests may be known to fail at a time.
+const MaxKnown = 3
 
-// Known is a test that fails for a real fault which is not mended yet.
-type Known struct {
+// KnownFailure is a test that fails for a real fault which is not mended yet.
+type KnownFailure struct {
 	Test  string // the package below the module, a point, and the test's name
 	Cause string
 	Issue string
 }
 
-func (k Known) String() string { return k.Test + " | " + k.Cause + " | " + k.Issue }
+func (k KnownFailure) String() string { return k.Test + " | " + k.Cause + " | " + k.Issue }
 
 var testName = regexp.MustCompile(`^([a-z0-9_./-]+\.)?Test[^ .|][^ |]*$`)
 
 // ReadKnown reads the list: a line "test | cause | issue" each.
-func ReadKnown(in io.Reader) ([]Known, error) {
-	var known []Known
+func ReadKnown(in io.Reader) ([]KnownFailure, error) {
+	var known []KnownFailure
 	lines := bufio.NewScanner(in)
 	for num := 1; lines.Scan(); num++ {
 		text := strings.TrimSpace(lines.Text())
@@ -44,12 +44,12 @@
 		switch {
 		case len(f) != 3 || slices.Contains(f, "") || !testName.MatchString(f[0]):
 			return nil, fmt.Errorf("list of known failures: line %d is not \"package.Test | cause | issue\": %q", num, text)
-		case len(known) == Most:
-			return nil, fmt.Errorf("list of known failures: line %d is one more than the %d that may be known", num, Most)
-		case slices.ContainsFunc(known, func(k Known) bool { return k.Test == f[0] }):
+		case len(known) == MaxKnown:
+			return nil, fmt.Errorf("list of known failures: line %d is one more than the %d that may be known", num, MaxKnown)
+		case slices.ContainsFunc(known, func(k KnownFailure) bool { return k.Test == f[0] }):
 			return nil, fmt.Errorf("list of known failures: line %d names %s again", num, f[0])
 		}
-		known = append(known, Known{f[0], f[1], f[2]})
+		known = append(known, KnownFailure{f[0], f[1], f[2]})
 	}
 	return known, lines.Err()
 }
@@ -63,12 +63,12 @@
 	Output     string
 }
 
-// Verdict is what a run came to.
-type Verdict struct {
+// Report is what a run came to.
+type Report struct {
 	Passed, Failed, Skipped int
-	Known                   []Known  // those that failed as listed
-	Reasons                 []string // why the run failed; none: it passed
-	Output                  []string // of what failed, for people
+	KnownFailures           []KnownFailure // those that failed as listed
+	Reasons                 []string       // why the run failed; none: it passed
+	Output                  []string       // of what failed, for people
 }
 
 // run is what is known of a run while it is read.
@@ -121,7 +121,7 @@
 }
 
 // Judge reads what go test -json printed for the module.
-func Judge(in io.Reader, module string, known []Known) (Verdict, error) {
+func Judge(in io.Reader, module string, known []KnownFailure) (Report, error) {
 	r := &run{module: module, ended: make(map[string]string), output: make(map[string][]string), failed: make(map[string]bool), own: make(map[string]bool)}
 	dec := json.NewDecoder(in)
 	for {
@@ -129,7 +129,7 @@
 		if err := dec.Decode(&e); err == io.EOF {
 			break
 		} else if err != nil {
-			return Verdict{}, fmt.Errorf("results of the tests: %w", err)
+			return Report{}, fmt.Errorf("results of the tests: %w", err)
 		}
 		if e.Package != "" || e.ImportPath != "" {
 			r.take(e)
@@ -138,8 +138,8 @@
 	return r.judge(known), nil
 }
 
-func (r *run) judge(known []Known) Verdict {
-	v := Verdict{Reasons: r.why}
+func (r *run) judge(known []KnownFailure) Report {
+	v := Report{Reasons: r.why}
 	accounted := make(map[string]bool) // packages whose failure a test explains
 	for _, name := range slices.Sorted(maps.Keys(r.ended)) {
 		switch r.ended[name] {
@@ -153,10 +153,10 @@
 		v.Failed++
 		pkg, _, _ := strings.Cut(name, ".Test")
 		accounted[pkg] = true
-		listed := slices.IndexFunc(known, func(k Known) bool { return k.Test == name })
+		listed := slices.IndexFunc(known, func(k KnownFailure) bool { return k.Test == name })
 		switch {
 		case listed >= 0:
-			v.Known = append(v.Known, known[listed])
+			v.KnownFailures = append(v.KnownFailures, known[listed])
 		case r.partsFail(name) && !r.own[name]:
 			// It fails as its parts do, each of which is judged itself.
 		default:
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -65,8 +65,8 @@
 			if err != nil || (c.want == "") != (reasons == "") || !strings.Contains(reasons, c.want) {
 				t.Errorf("%q, %v, wanted %q", reasons, err, c.want)
 			}
-			if c.want == "" && len(v.Known) != len(known) {
-				t.Errorf("%v are named, wanted %v", v.Known, known)
+			if c.want == "" && len(v.KnownFailures) != len(known) {
+				t.Errorf("%v are named, wanted %v", v.KnownFailures, known)
 			}
 		})
 	}
--- a/madderslip.go
+++ b/madderslip.go
@@ -53,7 +53,7 @@
 type Controller struct {
 	cfg   Config
 	led   *ledger.Client
-	node  *coordination.Node
+	node  *coordination.Controller
 	pub   *transport.Server
 	peers []*transport.PeerClient
 }
@@ -64,13 +64,13 @@
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
 	s := cfg.Settings
-	sockets := recovery.ShareSockets(s.Machine.MaxConns, len(s.Peers))
-	worker := transport.NewClient(sockets.Calls, 1, time.Second)
+	sockets := recovery.DivideSockets(s.ProcessLimits.MaxConns, len(s.Peers))
+	worker := transport.NewClient(sockets.WorkerCalls, 1, time.Second)
 	state := transport.NewClient(sockets.State, 8, time.Second)
-	led := ledger.New(state, s.State, s.StateLimit, cfg.Log)
-	led.Expect(s.StateNext)
+	led := ledger.New(state, s.StateAddr, s.StateLimits, cfg.Log)
+	led.AnnounceLimits(s.AnnouncedStateLimits)
 	c := &Controller{cfg: cfg, led: led}
-	callers := make(map[string]coordination.PeerCaller)
+	callers := make(map[string]coordination.PeerClient)
 	for _, p := range s.Peers {
 		pc, err := transport.DialPeer(p.Addr)
 		if err != nil {
@@ -80,25 +80,25 @@
 		callers[p.Node] = pc
 	}
 	seed := uint64(time.Now().UnixNano())
-	c.node = coordination.New(coordination.Options{Settings: s, Policy: cfg.Policy, Ledger: led, HTTP: worker,
+	c.node = coordination.New(coordination.Options{Settings: s, Policy: cfg.Policy, Store: led, HTTP: worker,
 		Peers: callers, Log: cfg.Log, Rand: rand.New(rand.NewPCG(seed, 1))})
 	c.pub = transport.NewServer(transport.ServerConfig{
-		Addr: s.PublicAddr, MaxConns: sockets.Public, MaxUsers: sockets.Users, Keep: sockets.Keep, IsUser: protocol.FromUser,
+		Addr: s.PublicAddr, MaxConns: sockets.Public, MaxUsers: sockets.Users, Keep: sockets.KeepAlive, IsUser: protocol.IsUserRequest,
 		Limits: transport.Limits{Head: 8 << 10, Body: 64 << 10},
 		// Whoever has nothing to say for several beats has gone, or its machine has.
-		Idle: max(30*time.Second, 5*s.Workers.Report), Stall: 10 * time.Second,
+		Idle: max(30*time.Second, 5*s.Workers.HeartbeatInterval), Stall: 10 * time.Second,
 	}, c.node.Handle, cfg.Log)
 	return c, nil
 }
 
 // Run serves until the context ends or an address can't be opened.
 func (c *Controller) Run(ctx context.Context) error {
-	ram := c.cfg.Settings.Machine.RAMBytes
+	ram := c.cfg.Settings.ProcessLimits.MemoryBytes
 	// Processor time is scarcer than memory: collect less often than usual, and
 	// more often only when memory runs short.
 	debug.SetGCPercent(400)
 	debug.SetMemoryLimit(ram * 6 / 10)
-	ps, err := transport.ListenPeers(c.cfg.Settings.PeerBind, c.node.HandlePeer)
+	ps, err := transport.ListenPeers(c.cfg.Settings.PeerAddr, c.node.HandlePeerMessage)
 	if err != nil {
 		return err
 	}
