--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"madderslip/internal/scale"
+	"madderslip/internal/loadtest"
 )
 
 func main() {
@@ -39,9 +39,9 @@
 }
 
 func measureAll(ctx context.Context, files []string, out string) error {
-	var results []*scale.Result
+	var results []*loadtest.Result
 	for _, file := range files {
-		cfg, err := scale.Load(file)
+		cfg, err := loadtest.Load(file)
 		if err != nil {
 			return err
 		}
@@ -50,7 +50,7 @@
 			return err
 		}
 		fmt.Fprintf(os.Stderr, "%s: %d workers, %d controllers, logs in %s\n", file, cfg.Workers, cfg.Controllers, dir)
-		r, err := scale.Measure(ctx, &cfg, dir, os.Stderr)
+		r, err := loadtest.Measure(ctx, &cfg, dir, os.Stderr)
 		if err != nil {
 			return fmt.Errorf("%s: %w", file, err)
 		}
@@ -62,7 +62,7 @@
 			return err
 		}
 	}
-	return write(filepath.Join(out, "results.csv"), func(w io.Writer) error { return scale.WriteCSV(w, results) })
+	return write(filepath.Join(out, "results.csv"), func(w io.Writer) error { return loadtest.WriteCSV(w, results) })
 }
 
 func write(file string, to func(io.Writer) error) error {
--- a/cmd/testverdict/main.go
+++ b/cmd/testreport/main.go
@@ -1,4 +1,4 @@
-// Command testverdict judges a run of the tests for CI: go test -json on standard input;
+// Command testreport judges a run of the tests for CI: go test -json on standard input;
 // its arguments are the file that lists the tests known to fail and go test's exit status.
 package main
 
@@ -9,7 +9,7 @@
 	"os"
 	"strings"
 
-	"madderslip/internal/verdict"
+	"madderslip/internal/testreport"
 )
 
 const module = "madderslip"
@@ -23,20 +23,20 @@
 
 func run(args []string) error {
 	if len(args) != 2 {
-		return errors.New("usage: testverdict FILE STATUS <RESULTS")
+		return errors.New("usage: testreport FILE STATUS <RESULTS")
 	}
-	var known []verdict.KnownFailure
+	var known []testreport.KnownFailure
 	file, err := os.Open(args[0])
 	switch {
 	case err == nil:
 		defer func() { _ = file.Close() }()
-		if known, err = verdict.ReadKnown(file); err != nil {
+		if known, err = testreport.ReadKnown(file); err != nil {
 			return err
 		}
 	case !errors.Is(err, fs.ErrNotExist):
 		return fmt.Errorf("list of known failures: %w", err)
 	}
-	v, err := verdict.Judge(os.Stdin, module, known)
+	v, err := testreport.Judge(os.Stdin, module, known)
 	if err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/coordination/admission/admission_test.go
@@ -0,0 +1,79 @@
+package admission
+
+import (
+	"testing"
+	"time"
+)
+
+const sec = time.Second
+
+// However long a pass takes, most of the time is left.
+func TestPace(t *testing.T) {
+	p := Throttle{MaxShare: 0.25, MinPause: 15 * time.Millisecond, IdlePause: 50 * time.Millisecond, MaxPause: 150 * time.Millisecond}
+	for _, c := range []struct {
+		took, want time.Duration
+		urgent     bool
+	}{
+		{time.Millisecond, 15 * time.Millisecond, true}, {time.Millisecond, 50 * time.Millisecond, false},
+		{20 * time.Millisecond, 60 * time.Millisecond, true}, {20 * time.Millisecond, 140 * time.Millisecond, false},
+		{40 * time.Millisecond, 150 * time.Millisecond, false}, {100 * time.Millisecond, 300 * time.Millisecond, true},
+	} {
+		if got := p.Pause(c.took, c.urgent); got != c.want {
+			t.Errorf("after %v, urgent %v: %v, wanted %v", c.took, c.urgent, got, c.want)
+		}
+	}
+}
+
+// The parts never add up to more than the limit, and none is left out.
+func TestShareSockets(t *testing.T) {
+	for _, limit := range []int{150, 1000, 1803, 3604} {
+		for _, peers := range []int{2, 6} {
+			s := DivideSockets(limit, peers)
+			if s.Public+s.WorkerCalls+s.State+s.Peers > limit || s.Users >= s.Public || s.Users < s.Public/2 || s.WorkerCalls < 16 || s.State < 8 {
+				t.Errorf("%d with %d peers: %+v", limit, peers, s)
+			}
+		}
+	}
+}
+
+// Who is turned away is told when the backlog is gone, and not all the same.
+func TestComeBack(t *testing.T) {
+	for _, c := range []struct {
+		b      Backlog
+		spread float64
+		want   time.Duration
+		refuse bool
+	}{
+		{Backlog{0, 10, false}, 0.9, sec, false},
+		{Backlog{30, 10, false}, 0, 3 * sec, false},
+		{Backlog{30, 10, false}, 0.99, 6 * sec, false},
+		{Backlog{60, 10, false}, 0, 6 * sec, true},
+		{Backlog{0, 10, true}, 0, 2 * sec, false},
+		{Backlog{9000, 10, false}, 0.99, 20 * sec, true},
+		{Backlog{1, 0, false}, 0, 10 * sec, true},
+	} {
+		if got := c.b.RetryAfter(c.spread); got != c.want || c.b.ShouldShed(4*sec) != c.refuse {
+			t.Errorf("%+v: come back in %v, refused %v", c.b, got, c.b.ShouldShed(4*sec))
+		}
+	}
+}
+
+// Whatever waits where, the parts of all make one, and none is left without.
+func TestPart(t *testing.T) {
+	for _, waits := range [][]int{{0}, {0, 0, 0}, {50, 0, 3}, {1000, 0, 0, 0, 0, 0, 0}} {
+		sum := 0.0
+		for own := range waits {
+			p := BudgetShare(waits, own)
+			if p < 0.5/float64(len(waits)) {
+				t.Errorf("%v: %v for %d", waits, p, own)
+			}
+			sum += p
+		}
+		if sum < 0.999 || sum > 1.001 {
+			t.Errorf("%v: %v in all", waits, sum)
+		}
+	}
+	if a, b := BudgetShare([]int{50, 0, 3}, 0), BudgetShare([]int{50, 0, 3}, 1); a < 2*b {
+		t.Errorf("%v with a backlog, %v without", a, b)
+	}
+}
--- a/internal/recovery/share.go
+++ b/internal/coordination/admission/share.go
@@ -1,4 +1,4 @@
-package recovery
+package admission
 
 // BudgetShare is a controller's part of a budget that all share. Half of it is shared
 // evenly, half by what waits at each, so that one to which all users have turned
--- a/internal/recovery/sockets.go
+++ b/internal/coordination/admission/sockets.go
@@ -1,4 +1,4 @@
-package recovery
+package admission
 
 // SocketBudget is how the sockets that a process may hold are shared out.
 type SocketBudget struct {
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/controller/bench_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -10,22 +10,23 @@
 	"testing"
 	"time"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // idleStore takes transactions and answers none.
 type idleStore struct{ StateStore }
 
-func (idleStore) Submit(*ledger.Txn)                  {}
+func (idleStore) Submit(*kv.Txn)                      {}
 func (idleStore) HasPending(int) int                  { return 0 }
 func (idleStore) SetBudgetShare(float64)              {}
 func (idleStore) ObserveVersion(string, uint64, bool) {}
 func (idleStore) LastSuccess() time.Time              { return time.Now() }
 func (idleStore) Backlog(int) (int, float64)          { return 0, 1 }
-func (idleStore) Get(context.Context, string) (ledger.Item, error) {
-	return ledger.Item{}, ledger.ErrNotExecuted
+func (idleStore) Get(context.Context, string) (kv.Item, error) {
+	return kv.Item{}, kv.ErrNotExecuted
 }
 
 // fleetOf is a controller that owns one of three shards of so many machines, all
@@ -46,31 +47,31 @@
 	n.loaded, n.permit, n.epoch = true, 1, 1_000_000
 	put := func(key string, rec any, stamp uint64) { n.store(key, rec, stamp) }
 	for i, name := range []string{"n0", "n1", "n2"} {
-		put(ledger.NodePrefix+name, &ledger.Node{StartedAtMs: 1}, uint64(i+1))
-		put(ledger.ShardPrefix+name, &ledger.Shard{Owner: name}, uint64(i+10))
+		put(records.NodePrefix+name, &records.Node{StartedAtMs: 1}, uint64(i+1))
+		put(records.ShardPrefix+name, &records.Shard{Owner: name}, uint64(i+10))
 	}
 	for i := 0; i < machines; i += 30 {
-		h := &ledger.Provision{ProvisionRequest: protocol.ProvisionRequest{Type: "m16", Zone: s.Zones[i/30%2], Count: 30}, Allocations: []ledger.Allocation{{Shard: "n0", Count: 10}, {Shard: "n1", Count: 10}, {Shard: "n2", Count: 10}}}
+		h := &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Type: "m16", Zone: s.Zones[i/30%2], Count: 30}, Allocations: []records.Allocation{{Shard: "n0", Count: 10}, {Shard: "n1", Count: 10}, {Shard: "n2", Count: 10}}}
 		for k := range 30 {
 			h.Hosts = append(h.Hosts, hostName(i+k))
 		}
-		put(ledger.ProvisionPrefix+strconv.Itoa(i), h, 20)
+		put(records.ProvisionPrefix+strconv.Itoa(i), h, 20)
 	}
 	shards := []string{"n0", "n1", "n2"}
 	for at := 0; at < machines; at += 4 { // a chunk of 32 tasks on four machines of one shard
 		chunk := at / 4
 		ref := fmt.Sprint("wk-", 1000+chunk/2)
 		if chunk%2 == 0 {
-			put(ledger.JobPrefix+ref, &ledger.Job{Spec: &protocol.Submission{JobID: ref, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
+			put(records.JobPrefix+ref, &records.Job{Spec: &protocol.Submission{JobID: ref, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
 				CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 1, RunEstimateS: 30}, Shards: []string{"n0", "n1"}, ChunkSize: 32}, 30)
 		}
-		c := &ledger.Claim{Shard: shards[chunk%3], FirstTask: chunk % 2 * 32, TaskCount: 32, LastAttempt: 1}
+		c := &records.Claim{Shard: shards[chunk%3], FirstTask: chunk % 2 * 32, TaskCount: 32, LastAttempt: 1}
 		for t := range 32 {
 			// The machines of a shard come ten in a row of thirty.
 			k := chunk/3*4 + t/8
-			c.Placements = append(c.Placements, ledger.Placement{Task: c.FirstTask + t, Attempt: 1, Host: hostName(k/10*30 + chunk%3*10 + k%10)})
+			c.Placements = append(c.Placements, records.Placement{Task: c.FirstTask + t, Attempt: 1, Host: hostName(k/10*30 + chunk%3*10 + k%10)})
 		}
-		put(ledger.ClaimKey(ref, chunk%2), c, 40)
+		put(records.ClaimKey(ref, chunk%2), c, 40)
 	}
 	for _, m := range n.shards["n0"].machines {
 		n.report(reportOf(m, 1))
@@ -91,7 +92,7 @@
 }
 
 // The cost of one event must not grow with the fleet: a controller sees as many
-// more of them. go test ./internal/coordination -run '^$' -bench . -benchmem
+// more of them. go test ./internal/coordination/controller -run '^$' -bench . -benchmem
 func BenchmarkFleet(b *testing.B) {
 	for _, machines := range []int{1200, 3600, 12000} {
 		b.Run(fmt.Sprintf("report/%d", machines), func(b *testing.B) {
@@ -115,16 +116,16 @@
 		})
 		b.Run(fmt.Sprintf("claim/%d", machines), func(b *testing.B) {
 			n := fleetOf(b, machines)
-			key := ledger.ClaimKey("wk-1000", 1) // another controller's
+			key := records.ClaimKey("wk-1000", 1) // another controller's
 			raw, _ := protocol.Encode(n.claims[key].rec)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				n.take(ledger.Item{Key: key, Value: raw, Version: uint64(100 + i)})
+				n.take(kv.Item{Key: key, Value: raw, Version: uint64(100 + i)})
 			}
 		})
 		b.Run(fmt.Sprintf("completion/%d", machines), func(b *testing.B) {
 			n := fleetOf(b, machines)
-			c := n.claims[ledger.ClaimKey("wk-1000", 0)]
+			c := n.claims[records.ClaimKey("wk-1000", 0)]
 			m := n.machines[c.rec.Placements[0].Host]
 			s, j := n.shards["n0"], n.jobs["wk-1000"]
 			b.ReportAllocs()
@@ -142,7 +143,7 @@
 			s := n.shards["n0"]
 			for i := range 50 { // arrays that find no room
 				ref := fmt.Sprint("wk-", 900_000+i)
-				n.store(ledger.JobPrefix+ref, &ledger.Job{Spec: &protocol.Submission{JobID: ref, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
+				n.store(records.JobPrefix+ref, &records.Job{Spec: &protocol.Submission{JobID: ref, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
 					CPUs: 2 + float64(i)/100, MemoryGB: 4, Image: "img", RunEstimateS: 30}, Shards: []string{"n0", "n1"}, ChunkSize: 32}, 50)
 			}
 			b.ReportAllocs()
--- a/internal/coordination/blame.go
+++ b/internal/coordination/controller/blame.go
@@ -1,10 +1,10 @@
-package coordination
+package controller
 
 import (
 	"strings"
 	"time"
 
-	"madderslip/internal/evidence"
+	"madderslip/internal/coordination/quarantine"
 	"madderslip/internal/protocol"
 )
 
@@ -30,7 +30,7 @@
 		}
 		m.ev.RecordFailure(j.ref, began, now)
 		n.hearWitnesses(j, now)
-		if was != evidence.Suspect && j.ev.Verdict(now) == evidence.Suspect {
+		if was != quarantine.Suspect && j.ev.Verdict(now) == quarantine.Suspect {
 			n.log.Info("job fails wherever it runs, its tasks are tried one at a time", "job", j.ref, "on", strings.Join(j.ev.FailedHosts(), ","))
 		}
 		n.weigh(m, now)
@@ -63,10 +63,10 @@
 	if !m.ev.Failing() && !m.sick {
 		return
 	}
-	on, sick := m.ev.Quarantine(func(ref string) evidence.Verdict {
+	on, sick := m.ev.Quarantine(func(ref string) quarantine.Verdict {
 		j := n.jobs[ref]
 		if j == nil {
-			return evidence.Unknown
+			return quarantine.Unknown
 		}
 		n.hearWitnesses(j, now)
 		return j.ev.Verdict(now)
@@ -110,7 +110,7 @@
 
 // onTrial tells that a job fails wherever it runs: one task of it at a time is
 // tried, in room that nobody else wants, and nothing is stopped or rented for it.
-func (j *job) onTrial(now time.Time) bool { return j.ev.Verdict(now) == evidence.Suspect }
+func (j *job) onTrial(now time.Time) bool { return j.ev.Verdict(now) == quarantine.Suspect }
 
 // tried tells that the trial of a job is under way.
 func (j *job) tried() bool {
--- a/internal/coordination/boots.go
+++ b/internal/coordination/controller/boots.go
@@ -1,17 +1,17 @@
-package coordination
+package controller
 
 import (
 	"time"
 
-	"madderslip/internal/boots"
+	"madderslip/internal/coordination/provisioning"
 )
 
 // Package boots decides what to expect of machines that are not up yet. The owner of
 // a shard sees them come up; the leader, who rents, is told of the late ones and of
 // kinds in trouble with the shard's load.
 
-func (m *machine) bootKind() boots.MachineKind {
-	return boots.MachineKind{Type: m.rec.Type, Zone: m.rec.Zone}
+func (m *machine) bootKind() provisioning.MachineKind {
+	return provisioning.MachineKind{Type: m.rec.Type, Zone: m.rec.Zone}
 }
 
 // bootedFor is how long ago a machine was rented.
@@ -53,13 +53,13 @@
 		}
 		out = append(out, m.host)
 	}
-	return out[:boots.ReplacementCount(late, coming)]
+	return out[:provisioning.ReplacementCount(late, coming)]
 }
 
 // shy is how many times as dear as it is a kind should seem, by what any shard's owner
 // has seen of late.
 func (n *Controller) shy(typ, zone string, now time.Time) float64 {
-	most := n.boots.Unreliability(boots.MachineKind{Type: typ, Zone: zone}, now)
+	most := n.boots.Unreliability(provisioning.MachineKind{Type: typ, Zone: zone}, now)
 	for _, l := range n.loads {
 		if now.Sub(l.at) < sayEvery {
 			most = max(most, l.load.Unreliability[typ+"/"+zone])
--- a/internal/coordination/cancel.go
+++ b/internal/coordination/controller/cancel.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
+	"madderslip/internal/coordination/health"
 	"madderslip/internal/protocol"
-	"madderslip/internal/recovery"
 )
 
 // The rules allow no task beyond cancel_s after its user was told that the job
@@ -17,11 +17,11 @@
 //   - at once if it has been silent and did not answer when asked, for its stop
 //     cannot arrive, and whatever else fails soon would keep it;
 //   - after two fifths of cancel_s, if it was heard or should have been (see
-//     recovery.CancelledTask);
+//     health.CancelledTask);
 //   - after half of it without a record, if the state service does not take one.
 //
 // A controller that may not act for the machine's shard does not leave it at that: it
-// asks the machine itself and stops what it shows (see recovery.MisplacedTask).
+// asks the machine itself and stops what it shows (see health.MisplacedTask).
 //
 // The times count from the record of the cancellation, so they go on through
 // restarts. They do not wait for settling, which leaves a claim alone while a
@@ -86,7 +86,7 @@
 // not wait for a record any longer.
 func (n *Controller) enforceCancel(j *job, m *machine, now time.Time) bool {
 	limit, s := n.cfg.Workers.CancelDeadline, n.shards[m.rec.Shard]
-	c := recovery.CancelledTask{Age: now.Sub(j.ended), Heard: m.settled(s), OwnedFor: now.Sub(s.since)}
+	c := health.CancelledTask{Age: now.Sub(j.ended), Heard: m.settled(s), OwnedFor: now.Sub(s.since)}
 	// Not when all of them are silent to this node: on a day with such troubles it
 	// fenced healthy machines for the one task that was cancelled on each.
 	c.Silent = m.rep != nil && n.silence(m, now) > n.pol.SuspectAfter && m.mute.After(m.heard) && !n.ownFault(s, now) && !n.zoneCut(m.rec.Zone, now)
@@ -104,8 +104,8 @@
 
 // strayed is what this node knows of a cancelled task on a machine of a shard that it
 // may not act for.
-func (n *Controller) strayed(j *job, m *machine, p *place, now time.Time) recovery.MisplacedTask {
-	stray := recovery.MisplacedTask{Age: now.Sub(j.ended), SinceProbe: now.Sub(m.asked), Unanswered: m.mute.After(j.ended) && m.mute.After(m.heard)}
+func (n *Controller) strayed(j *job, m *machine, p *place, now time.Time) health.MisplacedTask {
+	stray := health.MisplacedTask{Age: now.Sub(j.ended), SinceProbe: now.Sub(m.asked), Unanswered: m.mute.After(j.ended) && m.mute.After(m.heard)}
 	if s := n.shards[m.rec.Shard]; s != nil && s.rec != nil {
 		stray.OwnerNotified = now.Sub(j.told[s.rec.Owner]) < toldKeep || now.Sub(n.stateOKAt[s.rec.Owner]) < sayEvery
 	}
@@ -114,11 +114,11 @@
 	}
 	switch t := m.tasks[p.name]; {
 	case t != nil && t.Phase != protocol.TaskExited:
-		stray.Finding = recovery.Present
+		stray.Finding = health.Present
 	case t == nil, t.Attempt != p.try, t.Cause == protocol.CauseGangTimeout: // the last its owner reaps, to begin it again
-		stray.Finding = recovery.Absent
+		stray.Finding = health.Absent
 	default:
-		stray.Finding = recovery.Ended
+		stray.Finding = health.Ended
 	}
 	return stray
 }
--- a/internal/coordination/cancel_test.go
+++ b/internal/coordination/controller/cancel_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/records"
 )
 
 // unavailableStore has executed nothing for long.
@@ -26,8 +26,8 @@
 		defer n.mu.Unlock()
 		for i := range 250 {
 			ref := fmt.Sprintf("wk-%03d", i)
-			n.storeClaim(ledger.ClaimKey(ref, 0), &ledger.Claim{Shard: "n1", TaskCount: 1, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}, uint64(i+1))
-			n.storeJob(ref, &ledger.Job{Spec: &protocol.Submission{JobID: ref, Tasks: 1, Shape: protocol.ShapeService}, State: protocol.JobCancelled, ChunkSize: 1}, uint64(i+1000))
+			n.storeClaim(records.ClaimKey(ref, 0), &records.Claim{Shard: "n1", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}, uint64(i+1))
+			n.storeJob(ref, &records.Job{Spec: &protocol.Submission{JobID: ref, Tasks: 1, Shape: protocol.ShapeService}, State: protocol.JobCancelled, ChunkSize: 1}, uint64(i+1000))
 		}
 		told := make(map[string]bool)
 		for range 3 {
@@ -62,10 +62,10 @@
 		n.loaded, n.epoch = true, 5
 		for _, ref := range []string{"wk-1", "wk-2"} {
 			spec := &protocol.Submission{JobID: ref, Tasks: 1, Shape: protocol.ShapeService}
-			n.store(ledger.JobPrefix+ref, &ledger.Job{Spec: spec, State: protocol.JobCancelled, ChunkSize: 1}, 8)
+			n.store(records.JobPrefix+ref, &records.Job{Spec: spec, State: protocol.JobCancelled, ChunkSize: 1}, 8)
 		}
-		key := ledger.ClaimKey("wk-1", 0)
-		n.store(key, &ledger.Claim{Shard: "n1", TaskCount: 1, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}, 7)
+		key := records.ClaimKey("wk-1", 0)
+		n.store(key, &records.Claim{Shard: "n1", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}, 7)
 		if c := n.claims[key]; c == nil || c.spec == nil || n.cancelled["wk-1"] == nil || n.cancelled["wk-1"].claims[0] != c || len(n.orphans) != 0 {
 			t.Errorf("the claim has not found its job: %+v", c)
 		}
--- a/internal/coordination/claim.go
+++ b/internal/coordination/controller/claim.go
@@ -1,14 +1,15 @@
-package coordination
+package controller
 
 import (
 	"time"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // commitUnit commits placements, with the claim itself when it is new.
-func (n *Controller) commitUnit(s *shard, u *unit, next *ledger.Claim) bool {
+func (n *Controller) commitUnit(s *shard, u *unit, next *records.Claim) bool {
 	if u.c != nil {
 		c := u.c
 		return n.update(s, c, next, claimPrio(u.spec), func(err error) {
@@ -17,27 +18,27 @@
 			}
 		})
 	}
-	c := &claim{key: ledger.ClaimKey(u.j.ref, u.chunk), ref: u.j.ref, chunk: u.chunk, spec: u.spec}
+	c := &claim{key: records.ClaimKey(u.j.ref, u.chunk), ref: u.j.ref, chunk: u.chunk, spec: u.spec}
 	conds, ops, ok := n.prepareClaim(s, c, next)
 	if !ok {
 		return false
 	}
-	conds = append(conds, ledger.Compare{Key: ledger.JobPrefix + u.j.ref, Version: u.j.stamp})
-	ops = append(ops, ledger.Op{Key: c.key, Value: next})
+	conds = append(conds, kv.Compare{Key: records.JobPrefix + u.j.ref, Version: u.j.stamp})
+	ops = append(ops, kv.Op{Key: c.key, Value: next})
 	n.commit(claimPrio(u.spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })
 	return true
 }
 
 func claimPrio(s *protocol.Submission) int {
 	if s.Shape == protocol.ShapeArray {
-		return ledger.PriorityArrayClaim
+		return kv.PriorityArrayClaim
 	}
-	return ledger.PriorityClaim
+	return kv.PriorityClaim
 }
 
 // prepareClaim enters a new claim into the cache while its commit is under
 // way, so that its room is taken, and gives the conditions on which it depends.
-func (n *Controller) prepareClaim(s *shard, c *claim, next *ledger.Claim) ([]ledger.Compare, []ledger.Op, bool) {
+func (n *Controller) prepareClaim(s *shard, c *claim, next *records.Claim) ([]kv.Compare, []kv.Op, bool) {
 	conds, ops, t, ok := n.reserveTeam(s.name, c, next)
 	if !ok {
 		return nil, nil, false
@@ -48,7 +49,7 @@
 	n.claims[c.key] = c
 	n.setPend(c, next)
 	n.intents = append(n.intents, c.key)
-	conds = append(conds, ledger.Compare{Key: ledger.ShardPrefix + s.name, Version: s.token}, ledger.Compare{Key: c.key, Version: 0})
+	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token}, kv.Compare{Key: c.key, Version: 0})
 	return conds, ops, true
 }
 
@@ -57,14 +58,14 @@
 type newClaim struct {
 	claim *claim
 	shard *shard
-	conds []ledger.Compare
+	conds []kv.Compare
 }
 
-func (f newClaim) ops() []ledger.Op {
+func (f newClaim) ops() []kv.Op {
 	if f.claim == nil {
 		return nil
 	}
-	return []ledger.Op{{Key: f.claim.key, Value: f.claim.pend}}
+	return []kv.Op{{Key: f.claim.key, Value: f.claim.pend}}
 }
 
 // finish ends the claim's commit.
@@ -84,25 +85,25 @@
 	}
 	for _, name := range at {
 		s := n.shards[name]
-		if !n.active(s) || n.claims[ledger.ClaimKey(spec.JobID, 0)] != nil {
+		if !n.active(s) || n.claims[records.ClaimKey(spec.JobID, 0)] != nil {
 			continue
 		}
-		j := &job{ref: spec.JobID, rec: &ledger.Job{Spec: spec}, chunks: 1, size: size, seen: now}
+		j := &job{ref: spec.JobID, rec: &records.Job{Spec: spec}, chunks: 1, size: size, seen: now}
 		u := &unit{j: j, spec: spec}
 		if n.queuedBefore(s, spec, now) {
 			continue
 		}
 		rooms := n.rooms(s, now)
 		z := newZoneRule(spec, nil)
-		next := &ledger.Claim{Shard: name, TaskCount: spec.Tasks, LastAttempt: 1}
+		next := &records.Claim{Shard: name, TaskCount: spec.Tasks, LastAttempt: 1}
 		picks := n.pickHosts(s.name, u, next, rooms, &z, now)
 		if len(picks) < spec.Tasks {
 			continue
 		}
 		for _, pk := range picks {
-			next.Placements = append(next.Placements, ledger.Placement{Task: pk.task, Attempt: 1, Host: rooms[pk.room].host})
+			next.Placements = append(next.Placements, records.Placement{Task: pk.task, Attempt: 1, Host: rooms[pk.room].host})
 		}
-		c := &claim{key: ledger.ClaimKey(spec.JobID, 0), ref: spec.JobID, spec: spec}
+		c := &claim{key: records.ClaimKey(spec.JobID, 0), ref: spec.JobID, spec: spec}
 		conds, _, ok := n.prepareClaim(s, c, next)
 		if !ok {
 			continue
--- a/internal/coordination/commit.go
+++ b/internal/coordination/controller/commit.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -6,24 +6,24 @@
 	"slices"
 	"time"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
 )
 
 // commit submits a transaction. done runs with the lock held, after the cache
 // shows the outcome: the written records, or what the failed keys hold now.
-func (n *Controller) commit(prio int, conds []ledger.Compare, ops []ledger.Op, within time.Duration, done func(error)) {
+func (n *Controller) commit(prio int, conds []kv.Compare, ops []kv.Op, within time.Duration, done func(error)) {
 	n.commitAt(prio, conds, ops, within, func(err error, _ uint64) { done(err) })
 }
 
 // commitAt is commit, and tells done the state service's revision as it answered; 0 if
 // it did not.
-func (n *Controller) commitAt(prio int, conds []ledger.Compare, ops []ledger.Op, within time.Duration, done func(error, uint64)) {
-	t := &ledger.Txn{Compares: conds, Ops: ops, Priority: prio}
+func (n *Controller) commitAt(prio int, conds []kv.Compare, ops []kv.Op, within time.Duration, done func(error, uint64)) {
+	t := &kv.Txn{Compares: conds, Ops: ops, Priority: prio}
 	if within > 0 {
 		t.Deadline = time.Now().Add(within)
 	}
-	t.OnResult = func(res ledger.Result) {
+	t.OnResult = func(res kv.Result) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if keys := n.doubtful(res, t); len(keys) > 0 {
@@ -31,10 +31,10 @@
 			// is known what became of it.
 			n.refreshes++
 			go n.refresh(n.refreshes, keys, res.Revision, t.Deadline.IsZero(), func(read bool) {
-				if !read && prio == ledger.PriorityUser {
+				if !read && prio == kv.PriorityUser {
 					// The cache may be newer than the condition and still older than what
 					// another node has told users: nobody here knows.
-					done(ledger.ErrOutcomeUnknown, 0)
+					done(kv.ErrOutcomeUnknown, 0)
 					return
 				}
 				done(res.Err, res.Revision)
@@ -54,17 +54,17 @@
 
 // doubtful lists the keys to be read again after a transaction failed, since
 // deciding again from the same cache would only fail again.
-func (n *Controller) doubtful(res ledger.Result, t *ledger.Txn) []string {
+func (n *Controller) doubtful(res kv.Result, t *kv.Txn) []string {
 	var keys []string
 	for _, c := range t.Compares {
 		// What the watch has brought meanwhile need not be read, except for users:
 		// the cache may be newer than the condition and still older than what
 		// another node has told them.
-		if slices.Contains(res.FailedKeys, c.Key) && (t.Priority == ledger.PriorityUser || n.stamps[c.Key] <= c.Version) {
+		if slices.Contains(res.FailedKeys, c.Key) && (t.Priority == kv.PriorityUser || n.stamps[c.Key] <= c.Version) {
 			keys = append(keys, c.Key)
 		}
 	}
-	if errors.Is(res.Err, ledger.ErrOutcomeUnknown) {
+	if errors.Is(res.Err, kv.ErrOutcomeUnknown) {
 		for _, op := range t.Ops {
 			keys = append(keys, op.Key)
 		}
--- a/internal/coordination/displace.go
+++ b/internal/coordination/controller/displace.go
@@ -1,12 +1,12 @@
-package coordination
+package controller
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/records"
 )
 
 // plan is the room for which a job has displaced others. It is held for the job
@@ -101,7 +101,7 @@
 		p = &plan{shard: s.name, hosts: make(map[string]int), until: now.Add(planFor)}
 		n.plans[u.j.ref] = p
 		if u.c == nil {
-			n.planned = append(n.planned, ledger.ClaimKey(u.j.ref, u.chunk))
+			n.planned = append(n.planned, records.ClaimKey(u.j.ref, u.chunk))
 		}
 	}
 	r := e.r
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/controller/fleet.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -13,9 +13,10 @@
 
 	"golang.org/x/time/rate"
 
-	"madderslip/internal/ledger"
-	"madderslip/internal/leftover"
+	"madderslip/internal/coordination/placement"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 type fleetState struct {
@@ -101,9 +102,9 @@
 	}
 	m.returning = true
 	rec := m.rec
-	rec.State = ledger.MachineReturning
-	n.commit(ledger.PriorityClaim, []ledger.Compare{{Key: ledger.ShardPrefix + s.name, Version: s.token}, {Key: ledger.MachinePrefix + m.host, Version: m.stamp}},
-		[]ledger.Op{{Key: ledger.MachinePrefix + m.host, Value: &rec}}, returnWithin, func(error) { m.returning = false })
+	rec.State = records.MachineReturning
+	n.commit(kv.PriorityClaim, []kv.Compare{{Key: records.ShardPrefix + s.name, Version: s.token}, {Key: records.MachinePrefix + m.host, Version: m.stamp}},
+		[]kv.Op{{Key: records.MachinePrefix + m.host, Value: &rec}}, returnWithin, func(error) { m.returning = false })
 }
 
 // toReturn lists the machines whose return is recorded and not carried out.
@@ -134,9 +135,9 @@
 // would prove the same: there is no hurry.
 func (n *Controller) recordGone(s *shard, m *machine) {
 	rec := m.rec
-	rec.State = ledger.MachineGone
-	n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: ledger.ShardPrefix + s.name, Version: s.token}, {Key: ledger.MachinePrefix + m.host, Version: m.stamp}},
-		[]ledger.Op{{Key: ledger.MachinePrefix + m.host, Value: &rec}}, 20*time.Second, func(error) {})
+	rec.State = records.MachineGone
+	n.commit(kv.PriorityBackground, []kv.Compare{{Key: records.ShardPrefix + s.name, Version: s.token}, {Key: records.MachinePrefix + m.host, Version: m.stamp}},
+		[]kv.Op{{Key: records.MachinePrefix + m.host, Value: &rec}}, 20*time.Second, func(error) {})
 }
 
 // maxReturn is the most machines that the cloud takes back in one call.
@@ -172,7 +173,7 @@
 		if err == nil && status == 200 {
 			m.returnNext = time.Now().Add(25 * time.Second) // the record's turn
 		}
-		if err != nil || status != 200 || !n.active(s) || m.rec.State != ledger.MachineReturning {
+		if err != nil || status != 200 || !n.active(s) || m.rec.State != records.MachineReturning {
 			continue
 		}
 		n.provedGone(m)
@@ -505,8 +506,8 @@
 		}
 		need = append(need, got...)
 	}
-	groups := make(map[string]*ledger.Provision)
-	var order []*ledger.Provision
+	groups := make(map[string]*records.Provision)
+	var order []*records.Provision
 	for _, o := range need {
 		shard := o.shard
 		if shard == "" {
@@ -521,7 +522,7 @@
 		if g == nil || g.Count == maxHire {
 			n.fleet.counter++
 			name := fmt.Sprintf("%s-%d-%d", n.cfg.NodeName, n.boot.UnixMilli(), n.fleet.counter)
-			g = &ledger.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: name, Type: o.typ.Name, Zone: o.zone, Spot: o.spot}, RequestedAtMs: now.UnixMilli()}
+			g = &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: name, Type: o.typ.Name, Zone: o.zone, Spot: o.spot}, RequestedAtMs: now.UnixMilli()}
 			groups[o.key()] = g
 			order = append(order, g)
 			// Counted by smallestShard from now on.
@@ -540,12 +541,12 @@
 const maxHire = 50
 
 // recordHire writes a hire's name down before it is sent.
-func (n *Controller) recordHire(rec *ledger.Provision) {
+func (n *Controller) recordHire(rec *records.Provision) {
 	name := rec.Name
 	n.log.Info("hiring", "name", name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "count", rec.Count, "parts", rec.Allocations)
 	// Hires are few and everything waits for the machines, so they go first.
-	n.commit(ledger.PriorityLease, []ledger.Compare{{Key: ledger.LeaderKey, Version: n.leadStamp}, {Key: ledger.ProvisionPrefix + name, Version: 0}},
-		[]ledger.Op{{Key: ledger.ProvisionPrefix + name, Value: rec}}, 5*time.Second, func(err error) {
+	n.commit(kv.PriorityLease, []kv.Compare{{Key: records.LeaderKey, Version: n.leadStamp}, {Key: records.ProvisionPrefix + name, Version: 0}},
+		[]kv.Op{{Key: records.ProvisionPrefix + name, Value: rec}}, 5*time.Second, func(err error) {
 			h := n.hires[name]
 			if err != nil {
 				if h != nil && h.stamp == 0 {
@@ -608,7 +609,7 @@
 }
 
 func (n *Controller) dropHire(h *hire) {
-	n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: ledger.ProvisionPrefix + h.name, Version: h.stamp}}, []ledger.Op{{Key: ledger.ProvisionPrefix + h.name}}, 10*time.Second,
+	n.commit(kv.PriorityBackground, []kv.Compare{{Key: records.ProvisionPrefix + h.name, Version: h.stamp}}, []kv.Op{{Key: records.ProvisionPrefix + h.name}}, 10*time.Second,
 		func(err error) { h.busy = false })
 }
 
@@ -640,13 +641,13 @@
 		n.dropHire(h)
 		return
 	}
-	n.commit(ledger.PriorityLease, []ledger.Compare{{Key: ledger.LeaderKey, Version: n.leadStamp}, {Key: ledger.ProvisionPrefix + h.name, Version: h.stamp}},
-		[]ledger.Op{{Key: ledger.ProvisionPrefix + h.name, Value: &rec}}, 10*time.Second, func(error) { h.busy = false })
+	n.commit(kv.PriorityLease, []kv.Compare{{Key: records.LeaderKey, Version: n.leadStamp}, {Key: records.ProvisionPrefix + h.name, Version: h.stamp}},
+		[]kv.Op{{Key: records.ProvisionPrefix + h.name, Value: &rec}}, 10*time.Second, func(error) { h.busy = false })
 }
 
 // storeHire takes a hire's record. Once it names the machines it is their
 // record, until one is returned and gets a record of its own.
-func (n *Controller) storeHire(name string, r *ledger.Provision, stamp uint64) {
+func (n *Controller) storeHire(name string, r *records.Provision, stamp uint64) {
 	delete(n.groups, name)
 	switch {
 	case r == nil:
@@ -658,7 +659,7 @@
 		n.groups[name] = group{r.Hosts, stamp}
 		for i, host := range r.Hosts {
 			if n.machines[host] == nil {
-				n.storeMachine(host, &ledger.Machine{Shard: r.ShardOf(i), Type: r.Type, Zone: r.Zone, Spot: r.Spot, RentedAtMs: r.RequestedAtMs}, 0)
+				n.storeMachine(host, &records.Machine{Shard: r.ShardOf(i), Type: r.Type, Zone: r.Zone, Spot: r.Spot, RentedAtMs: r.RequestedAtMs}, 0)
 			}
 		}
 	}
@@ -675,12 +676,12 @@
 func (n *Controller) tidyGroups() {
 	for _, name := range slices.Sorted(maps.Keys(n.groups)) {
 		g := n.groups[name]
-		if slices.ContainsFunc(g.hosts, func(host string) bool { return n.machines[host].rec.State != ledger.MachineGone }) {
+		if slices.ContainsFunc(g.hosts, func(host string) bool { return n.machines[host].rec.State != records.MachineGone }) {
 			continue
 		}
-		key := ledger.ProvisionPrefix + name
+		key := records.ProvisionPrefix + name
 		delete(n.groups, name) // until it is seen again
-		n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: key, Version: g.stamp}}, []ledger.Op{{Key: key}}, 5*time.Second, func(err error) {
+		n.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: g.stamp}}, []kv.Op{{Key: key}}, 5*time.Second, func(err error) {
 			if err != nil && n.stamps[key] == g.stamp {
 				n.groups[name] = g
 			}
@@ -837,7 +838,7 @@
 		}
 		most = max(most, least)
 	}
-	return leftover.SplitArrayDemand(need, idleNeed, have, warm, most)
+	return placement.SplitArrayDemand(need, idleNeed, have, warm, most)
 }
 
 // arrayTime is the time in which an array should be worked off: array_wait, or
--- a/internal/coordination/fleet_test.go
+++ b/internal/coordination/controller/fleet_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -9,10 +9,11 @@
 	"testing/synctest"
 	"time"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/emulator"
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
-	"madderslip/internal/standin"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // A return that falls due together with a refresh of the machine types used to
@@ -27,14 +28,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := standin.NewWorld(ctx, 1, s.Workers, nil)
+		w := emulator.NewWorld(ctx, 1, s.Workers, nil)
 		w.AddMachines(1, "a")
 		log := slog.New(slog.DiscardHandler)
-		link := standin.Link{W: w, Node: "n0", Ctx: ctx}
-		n := New(Options{Settings: s, Policy: pol, Store: ledger.New(link, "state", s.StateLimits, log), HTTP: link, Log: log})
+		link := emulator.Link{W: w, Node: "n0", Ctx: ctx}
+		n := New(Options{Settings: s, Policy: pol, Store: kv.New(link, "state", s.StateLimits, log), HTTP: link, Log: log})
 		n.loaded, n.epoch = true, 1
 		n.shards["n0"].token = 1
-		n.storeMachine("vm-000001", &ledger.Machine{Shard: "n0", State: ledger.MachineReturning}, 1)
+		n.storeMachine("vm-000001", &records.Machine{Shard: "n0", State: records.MachineReturning}, 1)
 		go n.cloudLoop(ctx)
 		time.Sleep(3 * time.Second)
 		returned := slices.DeleteFunc(w.Events(), func(line string) bool { return !strings.HasSuffix(line, " returned") })
--- a/internal/coordination/gather.go
+++ b/internal/coordination/controller/gather.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"maps"
@@ -6,14 +6,15 @@
 	"strings"
 	"time"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/quota"
 	"madderslip/internal/protocol"
-	"madderslip/internal/quota"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // gathering is the search for room across shards for one gang.
 type gathering struct {
-	rec   ledger.GangReservation
+	rec   records.GangReservation
 	stamp uint64
 	busy  bool
 	holds map[string]*heldRoom // by shard
@@ -21,7 +22,7 @@
 }
 
 type heldRoom struct {
-	rec   ledger.GangHold
+	rec   records.GangHold
 	stamp uint64
 	busy  bool
 	pend  map[string]int // what is being recorded as held
@@ -43,7 +44,7 @@
 	return g
 }
 
-func (n *Controller) storeGather(ref string, r *ledger.GangReservation, stamp uint64) {
+func (n *Controller) storeGather(ref string, r *records.GangReservation, stamp uint64) {
 	g := n.gathering(ref)
 	if r == nil {
 		// Gone with its purpose, or with the leader's lease.
@@ -53,7 +54,7 @@
 	g.rec, g.stamp = *r, stamp
 }
 
-func (n *Controller) storeHold(key string, r *ledger.GangHold, stamp uint64) {
+func (n *Controller) storeHold(key string, r *records.GangHold, stamp uint64) {
 	ref, shard, _ := strings.Cut(key, "/")
 	g := n.gathering(ref)
 	h := g.holds[shard]
@@ -61,7 +62,7 @@
 		h = &heldRoom{}
 		g.holds[shard] = h
 	}
-	h.rec, h.stamp = ledger.GangHold{}, 0
+	h.rec, h.stamp = records.GangHold{}, 0
 	if r != nil {
 		h.rec, h.stamp = *r, stamp
 	}
@@ -74,7 +75,7 @@
 	if rec == nil || len(rec.Placements) == 0 {
 		return n.shardNames()[0] == shard
 	}
-	return slices.ContainsFunc(rec.Placements, func(p ledger.Placement) bool {
+	return slices.ContainsFunc(rec.Placements, func(p records.Placement) bool {
 		m := n.machines[p.Host]
 		return m != nil && m.rec.Shard == shard
 	})
@@ -173,17 +174,17 @@
 
 func (n *Controller) beginGather(ref string, g *gathering, now time.Time) {
 	g.busy = true
-	key := ledger.GangReservationPrefix + ref
+	key := records.GangReservationPrefix + ref
 	n.log.Info("gathering room", "job", ref)
-	n.commit(ledger.PriorityClaim, []ledger.Compare{{Key: ledger.LeaderKey, Version: n.leadStamp}, {Key: key, Version: 0}},
-		[]ledger.Op{{Key: key, Value: &ledger.GangReservation{ExpiresAtMs: now.Add(gatherFor).UnixMilli()}, Lease: n.permit}}, 5*time.Second,
+	n.commit(kv.PriorityClaim, []kv.Compare{{Key: records.LeaderKey, Version: n.leadStamp}, {Key: key, Version: 0}},
+		[]kv.Op{{Key: key, Value: &records.GangReservation{ExpiresAtMs: now.Add(gatherFor).UnixMilli()}, Lease: n.permit}}, 5*time.Second,
 		func(error) { g.busy = false })
 }
 
 func (n *Controller) endGather(ref string, g *gathering) {
 	g.busy = true
-	key := ledger.GangReservationPrefix + ref
-	n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: key, Version: g.stamp}}, []ledger.Op{{Key: key}}, 5*time.Second, func(error) { g.busy = false })
+	key := records.GangReservationPrefix + ref
+	n.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: g.stamp}}, []kv.Op{{Key: key}}, 5*time.Second, func(error) { g.busy = false })
 }
 
 // hold is an owner's part: hold the room that a shard has for the job being
@@ -196,14 +197,14 @@
 			h = &heldRoom{}
 			g.holds[s.name] = h
 		}
-		key := ledger.GangHoldPrefix + ref + "/" + s.name
+		key := records.GangHoldPrefix + ref + "/" + s.name
 		j := n.jobs[ref]
 		switch {
 		case h.busy:
 		case g.stamp == 0 || j == nil || j.rec.Spec == nil:
 			if h.stamp != 0 {
 				h.busy = true
-				n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: key, Version: h.stamp}}, []ledger.Op{{Key: key}}, 5*time.Second, func(error) { h.busy = false })
+				n.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: h.stamp}}, []kv.Op{{Key: key}}, 5*time.Second, func(error) { h.busy = false })
 			} else if g.stamp == 0 && j == nil && !g.busy {
 				delete(g.holds, s.name)
 				if len(g.holds) == 0 {
@@ -218,8 +219,8 @@
 			// Held from now on: while the record was on its way the queue gave the same
 			// room to others, and the job's tasks were refused for want of it.
 			h.busy, h.pend = true, next
-			n.commit(ledger.PriorityClaim, []ledger.Compare{{Key: ledger.ShardPrefix + s.name, Version: s.token}, {Key: ledger.GangReservationPrefix + ref, Version: g.stamp}, {Key: key, Version: h.stamp}},
-				[]ledger.Op{{Key: key, Value: &ledger.GangHold{TasksByHost: next}, Lease: n.permit}}, 5*time.Second, func(error) { h.busy, h.pend = false, nil })
+			n.commit(kv.PriorityClaim, []kv.Compare{{Key: records.ShardPrefix + s.name, Version: s.token}, {Key: records.GangReservationPrefix + ref, Version: g.stamp}, {Key: key, Version: h.stamp}},
+				[]kv.Op{{Key: key, Value: &records.GangHold{TasksByHost: next}, Lease: n.permit}}, 5*time.Second, func(error) { h.busy, h.pend = false, nil })
 		}
 	}
 }
@@ -288,9 +289,9 @@
 		return
 	}
 	n.quota.SetDemand(spec.Team, quota.CrossShard, nil, false, now)
-	conds := []ledger.Compare{{Key: ledger.LeaderKey, Version: n.leadStamp}, {Key: ledger.GangReservationPrefix + j.ref, Version: g.stamp},
-		{Key: ledger.JobPrefix + j.ref, Version: j.stamp}}
-	var places []ledger.Placement
+	conds := []kv.Compare{{Key: records.LeaderKey, Version: n.leadStamp}, {Key: records.GangReservationPrefix + j.ref, Version: g.stamp},
+		{Key: records.JobPrefix + j.ref, Version: j.stamp}}
+	var places []records.Placement
 	for _, only := range append([]string{""}, n.cfg.Zones...) {
 		if (only == "") == spec.SameZone {
 			continue
@@ -304,12 +305,12 @@
 		return
 	}
 	c := n.claimOf(j, 0)
-	next := &ledger.Claim{TaskCount: spec.Tasks}
+	next := &records.Claim{TaskCount: spec.Tasks}
 	if c != nil && c.pend != nil {
 		return // this node's own copy is being claimed: to decide at once for both left one of them out of the indexes
 	}
 	if c == nil {
-		c = &claim{key: ledger.ClaimKey(j.ref, 0), ref: j.ref, spec: spec}
+		c = &claim{key: records.ClaimKey(j.ref, 0), ref: j.ref, spec: spec}
 	} else {
 		next = c.rec.Clone()
 	}
@@ -322,8 +323,8 @@
 	}
 	for _, shard := range slices.Sorted(maps.Keys(used)) {
 		s := n.shards[shard]
-		conds = append(conds, ledger.Compare{Key: ledger.GangHoldPrefix + j.ref + "/" + shard, Version: g.holds[shard].stamp},
-			ledger.Compare{Key: ledger.ShardPrefix + shard, Version: s.stamp})
+		conds = append(conds, kv.Compare{Key: records.GangHoldPrefix + j.ref + "/" + shard, Version: g.holds[shard].stamp},
+			kv.Compare{Key: records.ShardPrefix + shard, Version: s.stamp})
 	}
 	tconds, ops, t, ok := n.reserveTeam("", c, next)
 	if !ok {
@@ -332,13 +333,13 @@
 	if t != nil {
 		t.busy = true
 	}
-	conds = append(append(conds, tconds...), ledger.Compare{Key: c.key, Version: c.stamp})
-	ops = append(ops, ledger.Op{Key: c.key, Value: next}, ledger.Op{Key: ledger.GangReservationPrefix + j.ref})
+	conds = append(append(conds, tconds...), kv.Compare{Key: c.key, Version: c.stamp})
+	ops = append(ops, kv.Op{Key: c.key, Value: next}, kv.Op{Key: records.GangReservationPrefix + j.ref})
 	g.busy = true
 	n.claims[c.key] = c
 	n.setPend(c, next)
 	n.log.Info("placing a wide job", "job", j.ref, "tasks", spec.Tasks, "shards", len(used))
-	n.commit(ledger.PriorityClaim, conds, ops, 0, func(err error) {
+	n.commit(kv.PriorityClaim, conds, ops, 0, func(err error) {
 		g.busy = false
 		n.setPend(c, nil)
 		if t != nil {
@@ -351,8 +352,8 @@
 }
 
 // pickHeld chooses held room for all tasks, in one zone if only is set.
-func (n *Controller) pickHeld(spec *protocol.Submission, g *gathering, only string) []ledger.Placement {
-	var places []ledger.Placement
+func (n *Controller) pickHeld(spec *protocol.Submission, g *gathering, only string) []records.Placement {
+	var places []records.Placement
 	zones := newZoneRule(spec, nil)
 	for _, shard := range n.shardNames() {
 		h := g.holds[shard]
@@ -372,7 +373,7 @@
 			for range h.rec.TasksByHost[host] {
 				if len(places) < spec.Tasks && zones.permits(m.rec.Zone) {
 					zones.add(spec, m.rec.Zone)
-					places = append(places, ledger.Placement{Task: len(places), Host: host})
+					places = append(places, records.Placement{Task: len(places), Host: host})
 				}
 			}
 		}
--- a/internal/coordination/guarantee.go
+++ b/internal/coordination/controller/guarantee.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -8,9 +8,10 @@
 	"strings"
 	"time"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/quota"
 	"madderslip/internal/protocol"
-	"madderslip/internal/quota"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // Work within a team's guarantee goes before others' of the same rank, and may have
@@ -46,7 +47,7 @@
 }
 
 func (w usageView) HoldsCapacity(id, shard string) bool {
-	ref, _, _ := ledger.ParseClaimKey(id)
+	ref, _, _ := records.ParseClaimKey(id)
 	j, p, b := w.n.jobs[ref], w.n.plans[ref], w.n.bookings[id]
 	return j != nil && j.rec != nil && !j.rec.IsFinal() && ((p != nil && p.shard == shard) || (b != nil && b.shard == shard))
 }
@@ -225,8 +226,8 @@
 	n.bookings[id], b.tasks = b, tasks
 	use := unitOf(u.spec).Times(float64(tasks)).Plus(usageView{n}.PlacedBy(id))
 	conds, ops := n.quota.Reserve(quota.ReservationRequest{Team: b.team, ClaimKey: id, Shard: s.name, FencingToken: s.token, Use: use, Victims: victims})
-	conds = append(conds, ledger.Compare{Key: ledger.ShardPrefix + s.name, Version: s.token}, ledger.Compare{Key: ledger.JobPrefix + u.j.ref, Version: u.j.stamp})
-	n.commit(ledger.PriorityClaim, conds, ops, 0, func(err error) {
+	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token}, kv.Compare{Key: records.JobPrefix + u.j.ref, Version: u.j.stamp})
+	n.commit(kv.PriorityClaim, conds, ops, 0, func(err error) {
 		if err != nil {
 			n.log.Debug("guarantee not booked", "claim", id, "team", b.team, "err", err)
 			if n.bookings[id] == b {
@@ -234,7 +235,7 @@
 			}
 			return
 		}
-		b.at = n.stamps[ledger.ReservationPrefix+b.team]
+		b.at = n.stamps[records.ReservationPrefix+b.team]
 		s.stirred = true
 	})
 }
@@ -333,7 +334,7 @@
 // the stops for them that were not sent yet.
 func (n *Controller) tidyBookings(now time.Time) {
 	for id, b := range n.bookings {
-		ref, _, _ := ledger.ParseClaimKey(id)
+		ref, _, _ := records.ParseClaimKey(id)
 		if j := n.jobs[ref]; (now.After(b.until) && b.at != 0) || j == nil || j.rec.IsFinal() || !n.active(n.shards[b.shard]) {
 			delete(n.bookings, id)
 		}
@@ -356,7 +357,7 @@
 	ids = ids[:min(len(ids), 4)]
 	n.unbooking = true
 	conds, ops := n.quota.Release(ids)
-	n.commit(ledger.PriorityClaim, conds, ops, 0, func(error) { n.unbooking = false })
+	n.commit(kv.PriorityClaim, conds, ops, 0, func(error) { n.unbooking = false })
 }
 
 // withdraw takes a stop back that was not sent yet, and tells whether nothing is being
--- a/internal/coordination/images.go
+++ b/internal/coordination/controller/images.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"hash/fnv"
@@ -6,7 +6,8 @@
 	"strconv"
 	"time"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // Which machine holds which image is recorded, since an owner that does not
@@ -21,12 +22,12 @@
 
 // holds tells whether a machine's cache holds an image, as far as known.
 func (m *machine) holds(image string) bool {
-	return slices.ContainsFunc(m.images, func(u ledger.CachedImage) bool { return u.Name == image })
+	return slices.ContainsFunc(m.images, func(u records.CachedImage) bool { return u.Name == image })
 }
 
 func (m *machine) touchImage(name string, gb, cache float64) {
-	m.images = slices.DeleteFunc(m.images, func(u ledger.CachedImage) bool { return u.Name == name })
-	m.images = append(m.images, ledger.CachedImage{Name: name, SizeGB: gb})
+	m.images = slices.DeleteFunc(m.images, func(u records.CachedImage) bool { return u.Name == name })
+	m.images = append(m.images, records.CachedImage{Name: name, SizeGB: gb})
 	total := 0.0
 	for _, u := range m.images {
 		total += u.SizeGB
@@ -53,19 +54,19 @@
 	for range imageParts {
 		s.part = (s.part + 1) % imageParts
 		rec := imagesOf(s, s.part, n.cfg.RecordLimits().MaxValueBytes)
-		key := ledger.ImagePrefix + s.name + "/" + strconv.Itoa(s.part)
+		key := records.ImagePrefix + s.name + "/" + strconv.Itoa(s.part)
 		if sameImages(rec, n.imageRecs[key]) {
 			continue
 		}
 		s.noting = true
-		n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: ledger.ShardPrefix + s.name, Version: s.token}, {Key: key, Version: n.stamps[key]}},
-			[]ledger.Op{{Key: key, Value: rec}}, 5*time.Second, func(error) { s.noting = false })
+		n.commit(kv.PriorityBackground, []kv.Compare{{Key: records.ShardPrefix + s.name, Version: s.token}, {Key: key, Version: n.stamps[key]}},
+			[]kv.Op{{Key: key, Value: rec}}, 5*time.Second, func(error) { s.noting = false })
 		return
 	}
 }
 
-func imagesOf(s *shard, part, limit int) *ledger.ImageLocations {
-	rec := &ledger.ImageLocations{Hosts: make(map[string][]int)}
+func imagesOf(s *shard, part, limit int) *records.ImageLocations {
+	rec := &records.ImageLocations{Hosts: make(map[string][]int)}
 	index := make(map[string]int)
 	size := 64
 	for _, m := range s.machines {
@@ -92,7 +93,7 @@
 }
 
 // sameImages compares what is held, not in which order it was used.
-func sameImages(a, b *ledger.ImageLocations) bool {
+func sameImages(a, b *records.ImageLocations) bool {
 	if b == nil || len(a.Hosts) != len(b.Hosts) {
 		return b == nil && len(a.Hosts) == 0
 	}
@@ -110,7 +111,7 @@
 }
 
 // storeImages tells machines what they hold, unless this process knows better.
-func (n *Controller) storeImages(key string, r *ledger.ImageLocations) {
+func (n *Controller) storeImages(key string, r *records.ImageLocations) {
 	if r == nil {
 		return
 	}
@@ -124,14 +125,14 @@
 
 // recallImages looks a machine's images up in the records.
 func (n *Controller) recallImages(m *machine) {
-	r := n.imageRecs[ledger.ImagePrefix+m.rec.Shard+"/"+strconv.Itoa(imagePart(m.host))]
+	r := n.imageRecs[records.ImagePrefix+m.rec.Shard+"/"+strconv.Itoa(imagePart(m.host))]
 	if r == nil || m.rec.State != "" || n.shard(m.rec.Shard).token != 0 {
 		return
 	}
 	m.images = m.images[:0]
 	for _, i := range r.Hosts[m.host] {
 		if i >= 0 && i < len(r.Names) && i < len(r.SizesGB) {
-			m.images = append(m.images, ledger.CachedImage{Name: r.Names[i], SizeGB: r.SizesGB[i]})
+			m.images = append(m.images, records.CachedImage{Name: r.Names[i], SizeGB: r.SizesGB[i]})
 		}
 	}
 }
--- a/internal/coordination/index.go
+++ b/internal/coordination/controller/index.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/quota"
 	"madderslip/internal/protocol"
-	"madderslip/internal/quota"
+	"madderslip/internal/storage/records"
 )
 
 // The indexes answer, without a walk over all claims, what is on a machine,
@@ -98,7 +98,7 @@
 		if c.on == nil {
 			c.on = make(map[slot]*place)
 		}
-		for _, rec := range [2]*ledger.Claim{c.rec, c.pend} {
+		for _, rec := range [2]*records.Claim{c.rec, c.pend} {
 			if rec != nil {
 				for i := range rec.Placements {
 					n.enter(c, &rec.Placements[i])
@@ -132,7 +132,7 @@
 	}
 }
 
-func (n *Controller) enter(c *claim, p *ledger.Placement) {
+func (n *Controller) enter(c *claim, p *records.Placement) {
 	id := slot{p.Task, p.Host}
 	pl := c.on[id]
 	if pl == nil {
--- a/internal/coordination/index_test.go
+++ b/internal/coordination/controller/index_test.go
@@ -1,10 +1,11 @@
-package coordination
+package controller
 
 import (
 	"testing"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // Two tries of this node to claim the same chunk, its shard's and the leader's, may place
@@ -14,15 +15,15 @@
 	n := fleetOf(t, 30)
 	n.mu.Lock()
 	spec := &protocol.Submission{JobID: "wk-5", Team: "t", Shape: protocol.ShapeGang, Tasks: 1, CPUs: 2, MemoryGB: 2}
-	rec := &ledger.Claim{Shard: "n0", TaskCount: 1, LastAttempt: 1, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: n.shards["n0"].machines[0].host}}}
+	rec := &records.Claim{Shard: "n0", TaskCount: 1, LastAttempt: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: n.shards["n0"].machines[0].host}}}
 	var tries []*claim
 	for range 2 {
-		c := &claim{key: ledger.ClaimKey("wk-5", 0), ref: "wk-5", spec: spec}
+		c := &claim{key: records.ClaimKey("wk-5", 0), ref: "wk-5", spec: spec}
 		n.claims[c.key] = c
 		n.setPend(c, rec)
 		tries = append(tries, c)
 	}
-	n.finishClaim(n.shards["n0"], tries[0], ledger.ErrCompareFailed)
+	n.finishClaim(n.shards["n0"], tries[0], kv.ErrCompareFailed)
 	n.mu.Unlock()
 	if err := n.Recount(); err != nil {
 		t.Error(err)
--- a/internal/coordination/leftover.go
+++ b/internal/coordination/controller/leftover.go
@@ -1,10 +1,10 @@
-package coordination
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"madderslip/internal/leftover"
+	"madderslip/internal/coordination/placement"
 	"madderslip/internal/protocol"
 )
 
@@ -16,8 +16,8 @@
 func isIdle(s *protocol.Submission) bool { return s.Priority() == 0 && s.Shape == protocol.ShapeArray }
 
 // leftOver is a shard's room as idle work sees it, but for whether others wait.
-func (n *Controller) leftOver(s *shard, rooms []*room) leftover.BestEffortCapacity {
-	var r leftover.BestEffortCapacity
+func (n *Controller) leftOver(s *shard, rooms []*room) placement.BestEffortCapacity {
+	var r placement.BestEffortCapacity
 	for _, x := range rooms {
 		r.Total += x.total.CPUs
 		if x.usable {
--- a/internal/coordination/life_test.go
+++ b/internal/coordination/controller/life_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -9,9 +9,10 @@
 	"testing/synctest"
 	"time"
 
-	"madderslip/internal/evidence"
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/quarantine"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // unreached reaches nobody.
@@ -53,10 +54,10 @@
 // recorder keeps the last transaction.
 type recorder struct {
 	idleStore
-	txn *ledger.Txn
+	txn *kv.Txn
 }
 
-func (r *recorder) Submit(t *ledger.Txn)                                      { r.txn = t }
+func (r *recorder) Submit(t *kv.Txn)                                          { r.txn = t }
 func (r *recorder) GrantLease(context.Context, time.Duration) (uint64, error) { return 7, nil }
 
 // A copy of a former process's registration, carried out late, must not hang this one's
@@ -67,13 +68,13 @@
 		r := &recorder{}
 		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: r, Log: slog.New(slog.DiscardHandler)})
 		n.loaded = true
-		n.store(ledger.NodePrefix+"n0", &ledger.Node{StartedAtMs: 1}, 5)
+		n.store(records.NodePrefix+"n0", &records.Node{StartedAtMs: 1}, 5)
 		go n.sessionLoop(ctx)
 		time.Sleep(time.Second)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		defer cancel()
-		if c := r.txn.Compares; len(c) != 1 || c[0] != (ledger.Compare{Key: ledger.NodePrefix + "n0", Version: 5}) {
+		if c := r.txn.Compares; len(c) != 1 || c[0] != (kv.Compare{Key: records.NodePrefix + "n0", Version: 5}) {
 			t.Errorf("registers on condition of %v", c)
 		}
 	})
@@ -84,13 +85,13 @@
 func TestSuspectIsTriedWithOneTask(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for shape, want := range map[protocol.Shape]int{protocol.ShapeArray: 1, protocol.ShapeService: 1, protocol.ShapeGang: 30} {
-		j := &job{rec: &ledger.Job{}, size: 30, chunks: 1}
+		j := &job{rec: &records.Job{}, size: 30, chunks: 1}
 		j.ev.RecordFailure("vm-1", time.Second, 0, now)
 		if j.onTrial(now) {
 			t.Error("suspected on one machine's word")
 		}
 		j.ev.RecordFailure("vm-2", time.Second, 0, now)
-		u := unit{j: j, spec: &protocol.Submission{Shape: shape, Tasks: 30}, trial: j.ev.Verdict(now) == evidence.Suspect}
+		u := unit{j: j, spec: &protocol.Submission{Shape: shape, Tasks: 30}, trial: j.ev.Verdict(now) == quarantine.Suspect}
 		if got := u.waiting(); got != want {
 			t.Errorf("%s: %d tasks at a time, wanted %d", shape, got, want)
 		}
@@ -106,11 +107,11 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		s := n.shards["n0"]
-		h := &ledger.Provision{ProvisionRequest: protocol.ProvisionRequest{Type: "m16", Zone: "a", Count: 8}, Allocations: []ledger.Allocation{{Shard: "n0", Count: 8}}, RequestedAtMs: time.Now().Add(time.Second).UnixMilli()}
+		h := &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Type: "m16", Zone: "a", Count: 8}, Allocations: []records.Allocation{{Shard: "n0", Count: 8}}, RequestedAtMs: time.Now().Add(time.Second).UnixMilli()}
 		for i := range 8 {
 			h.Hosts = append(h.Hosts, hostName(900+i))
 		}
-		n.store(ledger.ProvisionPrefix+"late", h, 50)
+		n.store(records.ProvisionPrefix+"late", h, 50)
 		for _, c := range []struct {
 			after time.Duration
 			want  int
@@ -135,13 +136,13 @@
 		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: idleStore{}, Log: slog.New(slog.DiscardHandler)})
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		key := ledger.ClaimKey("wk-1", 0)
+		key := records.ClaimKey("wk-1", 0)
 		c := &claim{key: key, ref: "wk-1", spec: &protocol.Submission{JobID: "wk-1", Team: "t", CPUs: 2, Shape: protocol.ShapeArray}}
 		n.claims[key] = c
-		n.setPend(c, &ledger.Claim{Shard: "n0", TaskCount: 1, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}})
-		n.storeClaim(key, &ledger.Claim{Shard: "n1", TaskCount: 1, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: "vm-2"}}}, 5)
-		n.storeJob("wk-1", &ledger.Job{State: protocol.JobDone, Tasks: 1}, 6)
-		n.finishClaim(n.shard("n0"), c, ledger.ErrCompareFailed)
+		n.setPend(c, &records.Claim{Shard: "n0", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}})
+		n.storeClaim(key, &records.Claim{Shard: "n1", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-2"}}}, 5)
+		n.storeJob("wk-1", &records.Job{State: protocol.JobDone, Tasks: 1}, 6)
+		n.finishClaim(n.shard("n0"), c, kv.ErrCompareFailed)
 		if c.pend != nil || c.spec == nil {
 			t.Errorf("under way %v, description %v", c.pend, c.spec)
 		}
@@ -160,16 +161,16 @@
 		defer n.mu.Unlock()
 		n.leadMine, n.permit, n.leadStamp, n.epoch = true, 7, 1, 10
 		asked := protocol.ProvisionRequest{Name: "a", Type: "m8", Zone: "a", Count: 1}
-		n.storeHire("a", &ledger.Provision{ProvisionRequest: asked, Allocations: []ledger.Allocation{{Shard: "n1", Count: 1}}}, 12)
+		n.storeHire("a", &records.Provision{ProvisionRequest: asked, Allocations: []records.Allocation{{Shard: "n1", Count: 1}}}, 12)
 		n.hired(n.hires["a"], []string{"vm-9"})
 		if r.txn != nil {
 			t.Fatalf("recorded before the cache is complete: %v", r.txn.Ops)
 		}
-		n.storeHire("b", &ledger.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: "b"}, Allocations: []ledger.Allocation{{Shard: "n2", Count: 1}}, Hosts: []string{"vm-9"}}, 12)
+		n.storeHire("b", &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: "b"}, Allocations: []records.Allocation{{Shard: "n2", Count: 1}}, Hosts: []string{"vm-9"}}, 12)
 		n.epoch = 12
 		time.Sleep(time.Second)
 		n.retryHires(time.Now())
-		if r.txn == nil || len(r.txn.Ops) != 1 || r.txn.Ops[0].Value != nil || r.txn.Ops[0].Key != ledger.ProvisionPrefix+"a" {
+		if r.txn == nil || len(r.txn.Ops) != 1 || r.txn.Ops[0].Value != nil || r.txn.Ops[0].Key != records.ProvisionPrefix+"a" {
 			t.Errorf("%v, wanted the hire to be dropped", r.txn)
 		}
 	})
--- a/internal/coordination/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"maps"
@@ -6,9 +6,10 @@
 	"slices"
 	"time"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/quota"
 	"madderslip/internal/protocol"
-	"madderslip/internal/quota"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // Package quota decides about teams' limits; here its decisions are carried out.
@@ -47,7 +48,7 @@
 // allotted the claim itself is the reservation: only the shard's owner starts there,
 // within the shard's allotment, which only that owner lowers. ok is false when it
 // can't be done now.
-func (n *Controller) reserveTeam(shard string, c *claim, next *ledger.Claim) (conds []ledger.Compare, ops []ledger.Op, t *teamUse, ok bool) {
+func (n *Controller) reserveTeam(shard string, c *claim, next *records.Claim) (conds []kv.Compare, ops []kv.Op, t *teamUse, ok bool) {
 	team, grows := c.spec.Team, len(next.Placements) > c.placed()
 	if cond, has := n.quota.ReservationCompare(team); has && grows {
 		conds = append(conds, cond)
@@ -72,8 +73,8 @@
 		shard = "*" + c.ref // several owners change it, so it has an entry of its own
 	}
 	use, most := n.teamAfter(t, shard, c, next)
-	key := ledger.TeamUsagePrefix + team
-	rec := &ledger.TeamUsage{ByShard: map[string][2]float64{shard: use}}
+	key := records.TeamUsagePrefix + team
+	rec := &records.TeamUsage{ByShard: map[string][2]float64{shard: use}}
 	total := most
 	for _, name := range slices.Sorted(maps.Keys(t.rec.ByShard)) {
 		if u := t.rec.ByShard[name]; name != shard {
@@ -86,7 +87,7 @@
 	if grows && ((limit[0] > 0 && total[0] > limit[0]+eps) || (limit[1] > 0 && total[1] > limit[1]+eps)) {
 		return nil, nil, nil, false
 	}
-	return append(conds, ledger.Compare{Key: key, Version: t.stamp}), []ledger.Op{{Key: key, Value: rec}}, t, true
+	return append(conds, kv.Compare{Key: key, Version: t.stamp}), []kv.Op{{Key: key, Value: rec}}, t, true
 }
 
 // booked counts the placements by which a claim stands in the team's use.
@@ -115,7 +116,7 @@
 // with it, and claims whose job is not known yet have no size. A team used twice
 // its limit that way. The sum still serves where the cache is complete up to the
 // record, to put right what a change of limits has left out.
-func (n *Controller) teamAfter(t *teamUse, shard string, c *claim, next *ledger.Claim) (use, most [2]float64) {
+func (n *Controller) teamAfter(t *teamUse, shard string, c *claim, next *records.Claim) (use, most [2]float64) {
 	of := func(tasks int) [2]float64 {
 		return [2]float64{float64(tasks) * c.spec.CPUs, float64(tasks) * c.spec.GPUs}
 	}
@@ -308,7 +309,7 @@
 	}
 	for _, m := range n.quota.DueTransfers(n.decidesFor, now) {
 		n.log.Debug("allotment given", "team", m.Team, "from", m.From, "to", m.To, "cpus", m.Amount[0], "cards", m.Amount[1])
-		n.commit(ledger.PriorityClaim, m.Compares, m.Ops, 0, func(err error) {
+		n.commit(kv.PriorityClaim, m.Compares, m.Ops, 0, func(err error) {
 			n.quota.FinishTransfer(m)
 			if err == nil {
 				n.announceKey(m.Ops[0].Key, m.Ops[0].Value)
@@ -325,15 +326,15 @@
 
 // decidesFor is the condition under which this node gives from a holder's allotment:
 // it owns the shard, or leads, and its cache holds all that was started there.
-func (n *Controller) decidesFor(holder string) (ledger.Compare, bool) {
+func (n *Controller) decidesFor(holder string) (kv.Compare, bool) {
 	if holder == quota.CrossShard {
-		return ledger.Compare{Key: ledger.LeaderKey, Version: n.leadStamp}, n.leading() && n.sized(holder)
+		return kv.Compare{Key: records.LeaderKey, Version: n.leadStamp}, n.leading() && n.sized(holder)
 	}
 	s := n.shards[holder]
 	if !n.active(s) || !n.sized(holder) {
-		return ledger.Compare{}, false
+		return kv.Compare{}, false
 	}
-	return ledger.Compare{Key: ledger.ShardPrefix + holder, Version: s.token}, true
+	return kv.Compare{Key: records.ShardPrefix + holder, Version: s.token}, true
 }
 
 // tendLimits works off the difference between the limits that controllers were given
@@ -342,7 +343,7 @@
 	if n.quota.HasNoLimits() {
 		return
 	}
-	sit := quota.ClusterState{Revision: n.epoch, Complete: len(n.orphans) == 0, IsLeader: n.leading(), LeaderCompare: ledger.Compare{Key: ledger.LeaderKey, Version: n.leadStamp},
+	sit := quota.ClusterState{Revision: n.epoch, Complete: len(n.orphans) == 0, IsLeader: n.leading(), LeaderCompare: kv.Compare{Key: records.LeaderKey, Version: n.leadStamp},
 		Holders: n.shardNames(), TeamUsage: n.usesOf,
 		TeamUsageVersion: func(team string) uint64 { return n.team(team).stamp }}
 	for _, name := range n.liveNodes() {
@@ -356,7 +357,7 @@
 	}
 	for _, c := range n.quota.LimitChanges(sit) {
 		n.log.Info("team limit", "team", c.Team, "is", c.Description)
-		n.commit(ledger.PriorityClaim, c.Compares, c.Ops, 0, func(err error) {
+		n.commit(kv.PriorityClaim, c.Compares, c.Ops, 0, func(err error) {
 			n.quota.FinishChange(c)
 			if err != nil {
 				n.log.Debug("team limit not changed", "team", c.Team, "err", err)
@@ -394,15 +395,15 @@
 			if !n.active(s) || use.Within(t.rec.ByShard[shard]) && quota.Resources(t.rec.ByShard[shard]).Within(use) || slices.ContainsFunc(n.claimsOf(s, name), func(c *claim) bool { return c.pend != nil }) {
 				continue
 			}
-			rec := &ledger.TeamUsage{ByShard: map[string][2]float64{shard: use}}
+			rec := &records.TeamUsage{ByShard: map[string][2]float64{shard: use}}
 			for other, u := range t.rec.ByShard {
 				if other != shard {
 					rec.ByShard[other] = u
 				}
 			}
 			t.busy = true
-			conds := append(n.quota.LimitCompares(name), ledger.Compare{Key: ledger.ShardPrefix + shard, Version: s.token}, ledger.Compare{Key: ledger.TeamUsagePrefix + name, Version: t.stamp})
-			n.commit(ledger.PriorityBackground, conds, []ledger.Op{{Key: ledger.TeamUsagePrefix + name, Value: rec}}, 0, func(error) { t.busy = false })
+			conds := append(n.quota.LimitCompares(name), kv.Compare{Key: records.ShardPrefix + shard, Version: s.token}, kv.Compare{Key: records.TeamUsagePrefix + name, Version: t.stamp})
+			n.commit(kv.PriorityBackground, conds, []kv.Op{{Key: records.TeamUsagePrefix + name, Value: rec}}, 0, func(error) { t.busy = false })
 			break
 		}
 	}
--- a/internal/coordination/node.go
+++ b/internal/coordination/controller/node.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -13,22 +13,23 @@
 
 	"golang.org/x/time/rate"
 
-	"madderslip/internal/boots"
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/health"
+	"madderslip/internal/coordination/provisioning"
+	"madderslip/internal/coordination/quota"
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
-	"madderslip/internal/quota"
-	"madderslip/internal/recovery"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // StateStore is the state service as this package uses it.
 type StateStore interface {
-	Get(ctx context.Context, key string) (ledger.Item, error)
-	List(ctx context.Context) ([]ledger.Item, uint64, error)
-	Watch(ctx context.Context, from uint64, block time.Duration) ([]ledger.Item, uint64, error)
+	Get(ctx context.Context, key string) (kv.Item, error)
+	List(ctx context.Context) ([]kv.Item, uint64, error)
+	Watch(ctx context.Context, from uint64, block time.Duration) ([]kv.Item, uint64, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
 	KeepAlive(ctx context.Context, permit uint64) error
-	Submit(t *ledger.Txn)
+	Submit(t *kv.Txn)
 	HasPending(prio int) int
 	SetBudgetShare(part float64)
 	MaxValueBytes() int
@@ -95,7 +96,7 @@
 	use        map[teamShard][2]float64
 	teamRun    map[string][2]float64
 	groups     map[string]group
-	imageRecs  map[string]*ledger.ImageLocations
+	imageRecs  map[string]*records.ImageLocations
 	cancelled  map[string]*job       // those that are cancelled and have claims left
 	ahead      map[string]*job       // those whose cancellation is known ahead of the watch
 	repeatFrom string                // of these, the one to be repeated next
@@ -115,8 +116,8 @@
 	stateOKAt map[string]time.Time
 	ratios    map[string]float64   // class: observed run time over the estimate
 	refused   map[string]time.Time // type/zone/kind: not to be asked for before
-	beat      recovery.PauseDetector
-	boots     boots.BootStats
+	beat      health.PauseDetector
+	boots     provisioning.BootStats
 	scratch   struct { // of roomsBut
 		rooms []room
 		list  []*room
@@ -203,7 +204,7 @@
 		ratios: make(map[string]float64), refused: make(map[string]time.Time),
 		heardFrom: make(map[string]time.Time), waits: make(map[string]waitsSeen), cutSeen: make(map[string]time.Time),
 		hosts: make(map[string]*hostUse), wideClaims: make(map[*claim]struct{}), use: make(map[teamShard][2]float64),
-		teamRun: make(map[string][2]float64), outbox: make(map[*machine]struct{}), groups: make(map[string]group), cancelled: make(map[string]*job), ahead: make(map[string]*job), hungry: make(map[string]*job), plans: make(map[string]*plan), imageRecs: make(map[string]*ledger.ImageLocations), returns: make(map[string]*machine),
+		teamRun: make(map[string][2]float64), outbox: make(map[*machine]struct{}), groups: make(map[string]group), cancelled: make(map[string]*job), ahead: make(map[string]*job), hungry: make(map[string]*job), plans: make(map[string]*plan), imageRecs: make(map[string]*records.ImageLocations), returns: make(map[string]*machine),
 		teamKept: make(map[string]quota.Resources), teamSure: make(map[string]quota.Resources), bookings: make(map[string]*booking),
 		ctx: context.Background(),
 	}
@@ -290,7 +291,7 @@
 		n.log.Info("records read", "records", len(items), "epoch", epoch)
 		for ctx.Err() == nil {
 			items, upTo, err := n.led.Watch(ctx, epoch, 10*time.Second)
-			if errors.Is(err, ledger.ErrCompacted) {
+			if errors.Is(err, kv.ErrCompacted) {
 				n.log.Info("watch fell behind, reading anew")
 				break
 			}
@@ -313,7 +314,7 @@
 }
 
 // relist takes a complete reading. What it lacks was dropped meanwhile.
-func (n *Controller) relist(items []ledger.Item, epoch uint64) {
+func (n *Controller) relist(items []kv.Item, epoch uint64) {
 	have := make(map[string]bool, len(items))
 	for _, it := range items {
 		have[it.Key] = true
@@ -336,9 +337,9 @@
 // sessionLoop keeps this node's lease and the record that shows it is alive.
 func (n *Controller) sessionLoop(ctx context.Context) {
 	ttl := n.pol.NodeLease
-	key := ledger.NodePrefix + n.cfg.NodeName
+	key := records.NodePrefix + n.cfg.NodeName
 	var permit uint64
-	rec := &ledger.Node{StartedAtMs: n.boot.UnixMilli(), DependencyVersion: understandsPipelines}
+	rec := &records.Node{StartedAtMs: n.boot.UnixMilli(), DependencyVersion: understandsPipelines}
 	rec.QuotaVersion, rec.TeamsHash = n.quota.Advertised()
 	for ctx.Err() == nil {
 		n.mu.Lock()
@@ -364,7 +365,7 @@
 			// Conditional, like all else: a copy that an earlier process of this node had
 			// sent hung the record on that one's lease again, and this node seemed to have
 			// ended when that lease did.
-			n.commit(ledger.PriorityLease, []ledger.Compare{{Key: key, Version: n.nodes[n.cfg.NodeName].stamp}}, []ledger.Op{{Key: key, Value: rec, Lease: permit}}, 2*time.Second,
+			n.commit(kv.PriorityLease, []kv.Compare{{Key: key, Version: n.nodes[n.cfg.NodeName].stamp}}, []kv.Op{{Key: key, Value: rec, Lease: permit}}, 2*time.Second,
 				func(err error) {
 					if err == nil {
 						n.permit = permit
@@ -380,7 +381,7 @@
 			}
 			if err != nil {
 				n.log.Info("cannot register", "err", err)
-				if errors.Is(err, ledger.ErrLeaseExpired) {
+				if errors.Is(err, kv.ErrLeaseExpired) {
 					permit = 0 // the lease ended before it was used
 				}
 				n.pause(ctx, 200*time.Millisecond)
@@ -388,7 +389,7 @@
 			}
 		}
 		n.pause(ctx, ttl/3)
-		if err := n.led.KeepAlive(ctx, permit); errors.Is(err, ledger.ErrLeaseExpired) {
+		if err := n.led.KeepAlive(ctx, permit); errors.Is(err, kv.ErrLeaseExpired) {
 			n.log.Info("lease ended")
 			permit = 0
 		} else if err != nil {
@@ -397,7 +398,7 @@
 	}
 }
 
-func (n *Controller) storeNode(name string, r *ledger.Node, stamp uint64) {
+func (n *Controller) storeNode(name string, r *records.Node, stamp uint64) {
 	if r == nil {
 		delete(n.nodes, name)
 	} else {
--- a/internal/coordination/outlook.go
+++ b/internal/coordination/controller/outlook.go
@@ -1,12 +1,14 @@
-package coordination
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/admission"
+	"madderslip/internal/coordination/failover"
+	"madderslip/internal/coordination/health"
 	"madderslip/internal/protocol"
-	"madderslip/internal/recovery"
+	"madderslip/internal/storage/kv"
 	"madderslip/internal/transport"
 )
 
@@ -28,7 +30,7 @@
 		return
 	}
 	beat := n.reportBeat()
-	var signs []recovery.MachineSilence
+	var signs []health.MachineSilence
 	for _, s := range n.shards {
 		if !n.active(s) {
 			continue
@@ -40,16 +42,16 @@
 			// dead neighbour hid the cut until their new owner had fenced its own.
 			silent := n.silence(m, now)
 			if (m.rep != nil || len(m.use.places) > 0) && (m.heard.After(m.adoptedAt) || silent > beat) {
-				signs = append(signs, recovery.MachineSilence{Zone: m.rec.Zone, Silent: silent})
+				signs = append(signs, health.MachineSilence{Zone: m.rec.Zone, Silent: silent})
 			}
 		}
 	}
-	witnesses := make([]recovery.PeerStatus, 0, len(n.cfg.Peers))
+	witnesses := make([]health.PeerStatus, 0, len(n.cfg.Peers))
 	for _, p := range n.cfg.Peers {
 		_, live := n.nodes[p.Node]
-		witnesses = append(witnesses, recovery.PeerStatus{Zone: p.Zone, Live: live || now.Sub(n.heardFrom[p.Node]) < n.pol.NodeLease})
+		witnesses = append(witnesses, health.PeerStatus{Zone: p.Zone, Live: live || now.Sub(n.heardFrom[p.Node]) < n.pol.NodeLease})
 	}
-	for zone := range recovery.PartitionedZones(n.cfg.Zone, signs, beat, witnesses) {
+	for zone := range health.PartitionedZones(n.cfg.Zone, signs, beat, witnesses) {
 		if !n.zoneCut(zone, now) {
 			n.log.Info("a zone seems cut off, its machines are not fenced for a while", "zone", zone)
 		}
@@ -67,14 +69,14 @@
 
 // fenceAfter is how long a machine may be silent.
 func (n *Controller) fenceAfter(m *machine, usual time.Duration, now time.Time) time.Duration {
-	return recovery.FenceDelay(usual, n.pol.PartitionPatience, n.zoneCut(m.rec.Zone, now))
+	return health.FenceDelay(usual, n.pol.PartitionPatience, n.zoneCut(m.rec.Zone, now))
 }
 
 // keepLease answers a worker of a shard that this node does not own, if it is to
 // keep the lease alive: with the shard's token and without orders.
 func (n *Controller) keepLease(s *shard, r *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
-	w := recovery.LastContact{State: n.led.LastSuccess(), Owner: n.heardFrom[s.rec.Owner]}
-	if r.FencingToken > s.stamp || !recovery.MayExtendLease(w, now, n.pol.NodeLease) {
+	w := failover.LastContact{State: n.led.LastSuccess(), Owner: n.heardFrom[s.rec.Owner]}
+	if r.FencingToken > s.stamp || !failover.MayExtendLease(w, now, n.pol.NodeLease) {
 		return transport.Response{}, false
 	}
 	for i := range r.Tasks {
@@ -89,11 +91,11 @@
 // keepUnread does the same for a node that began behind a cut and has read no
 // records: the worker's own token is the only one it knows.
 func (n *Controller) keepUnread(r *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
-	u := recovery.ColdStart{Uptime: now.Sub(n.boot), HeardAnyone: n.led.LastSuccess().After(n.boot) || len(n.types) > 0 || len(n.heardFrom) > 0}
+	u := failover.ColdStart{Uptime: now.Sub(n.boot), HeardAnyone: n.led.LastSuccess().After(n.boot) || len(n.types) > 0 || len(n.heardFrom) > 0}
 	for _, p := range n.cfg.Peers {
 		u.HasRemotePeers = u.HasRemotePeers || p.Zone != n.cfg.Zone
 	}
-	if r.FencingToken == 0 || !recovery.MayExtendUnread(u, n.cfg.Workers.CancelDeadline, n.cfg.Workers.LeaseDuration) {
+	if r.FencingToken == 0 || !failover.MayExtendUnread(u, n.cfg.Workers.CancelDeadline, n.cfg.Workers.LeaseDuration) {
 		return transport.Response{}, false
 	}
 	return withoutOrders(r.FencingToken)
@@ -113,11 +115,11 @@
 			machines[s.rec.Owner] += len(s.machines)
 		}
 	}
-	var all []recovery.Candidate
+	var all []failover.Candidate
 	for name := range n.nodes {
-		all = append(all, recovery.Candidate{Node: name, Machines: machines[name]})
+		all = append(all, failover.Candidate{Node: name, Machines: machines[name]})
 	}
-	return recovery.TakeoverDelay(n.cfg.NodeName, all)
+	return failover.TakeoverDelay(n.cfg.NodeName, all)
 }
 
 // sayEvery is how old another controller's word of its backlog may be.
@@ -133,7 +135,7 @@
 	for i, name := range names {
 		w := n.waits[name]
 		if i == own {
-			w.changes, _ = n.led.Backlog(ledger.PriorityBackground)
+			w.changes, _ = n.led.Backlog(kv.PriorityBackground)
 			w.at = now
 		}
 		known = known && now.Sub(w.at) < sayEvery
@@ -143,12 +145,12 @@
 		clear(waits)
 		own = 0
 	}
-	n.led.SetBudgetShare(recovery.BudgetShare(waits, own))
+	n.led.SetBudgetShare(admission.BudgetShare(waits, own))
 }
 
 // backlog is what waits ahead of a transaction of a priority.
-func (n *Controller) backlog(prio int, now time.Time) recovery.Backlog {
-	b := recovery.Backlog{Unavailable: n.stateDown(now)}
+func (n *Controller) backlog(prio int, now time.Time) admission.Backlog {
+	b := admission.Backlog{Unavailable: n.stateDown(now)}
 	b.Pending, b.Rate = n.led.Backlog(prio)
 	return b
 }
--- a/internal/coordination/peers.go
+++ b/internal/coordination/controller/peers.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -8,8 +8,9 @@
 	"strings"
 	"time"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // peerLoop tells the other controllers this node's load every second.
@@ -25,7 +26,7 @@
 
 func (n *Controller) message() protocol.PeerMessage {
 	msg := protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: time.Since(n.led.LastSuccess()) < 1500*time.Millisecond, Periodic: true}
-	msg.PendingChanges, _ = n.led.Backlog(ledger.PriorityBackground)
+	msg.PendingChanges, _ = n.led.Backlog(kv.PriorityBackground)
 	msg.Updates = n.repeated(time.Now())
 	msg.Demands, msg.DemandsComplete = n.quota.Demands(time.Now()), true
 	for _, name := range n.shardNames() {
@@ -64,7 +65,7 @@
 		}
 		j := n.cancelled[ref]
 		if raw, err := protocol.Encode(j.rec); err == nil {
-			news = append(news, protocol.KeyUpdate{Key: ledger.JobPrefix + ref, Value: raw, Version: j.stamp})
+			news = append(news, protocol.KeyUpdate{Key: records.JobPrefix + ref, Value: raw, Version: j.stamp})
 		}
 	}
 	return news
@@ -111,7 +112,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, k := range news {
-		if j := n.cancelled[strings.TrimPrefix(k.Key, ledger.JobPrefix)]; j != nil {
+		if j := n.cancelled[strings.TrimPrefix(k.Key, records.JobPrefix)]; j != nil {
 			if j.told == nil {
 				j.told = make(map[string]time.Time)
 			}
@@ -122,7 +123,7 @@
 
 // announce passes a record of the cache on to the other controllers.
 func (n *Controller) announce(key string) {
-	ref := strings.TrimPrefix(key, ledger.JobPrefix)
+	ref := strings.TrimPrefix(key, records.JobPrefix)
 	j := n.jobs[ref]
 	if j == nil {
 		return
@@ -145,8 +146,8 @@
 }
 
 // announceNew passes a job just accepted on.
-func (n *Controller) announceNew(key string, rec *ledger.Job) {
-	if rec.State == ledger.JobBlocked {
+func (n *Controller) announceNew(key string, rec *records.Job) {
+	if rec.State == records.JobBlocked {
 		n.announceKey(key, rec)
 		return
 	}
@@ -164,15 +165,15 @@
 func (n *Controller) announceFinal(ref string) {
 	f, ok := n.final[ref]
 	if !ok {
-		n.announce(ledger.JobPrefix + ref)
+		n.announce(records.JobPrefix + ref)
 		return
 	}
-	raw, err := protocol.Encode(&ledger.Job{State: f.state, Tasks: f.tasks})
+	raw, err := protocol.Encode(&records.Job{State: f.state, Tasks: f.tasks})
 	if err != nil {
 		return
 	}
 	n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true,
-		Updates: []protocol.KeyUpdate{{Key: ledger.JobPrefix + ref, Value: raw, Version: f.stamp}}})
+		Updates: []protocol.KeyUpdate{{Key: records.JobPrefix + ref, Value: raw, Version: f.stamp}}})
 }
 
 // HandlePeerMessage takes another controller's message.
@@ -208,8 +209,8 @@
 	n.leaveTo(msg.PreemptionIntents, now.Add(planFor))
 	if n.loaded {
 		for _, k := range msg.Updates {
-			if len(k.Value) > 0 && (strings.HasPrefix(k.Key, ledger.JobPrefix) || strings.HasPrefix(k.Key, ledger.ClaimPrefix) || strings.HasPrefix(k.Key, ledger.AllotmentPrefix)) {
-				n.take(ledger.Item{Key: k.Key, Value: k.Value, Version: k.Version})
+			if len(k.Value) > 0 && (strings.HasPrefix(k.Key, records.JobPrefix) || strings.HasPrefix(k.Key, records.ClaimPrefix) || strings.HasPrefix(k.Key, records.AllotmentPrefix)) {
+				n.take(kv.Item{Key: k.Key, Value: k.Value, Version: k.Version})
 			}
 		}
 	}
@@ -221,7 +222,7 @@
 // This is advice; the claim itself decides.
 func (n *Controller) leaveTo(keys []string, until time.Time) {
 	for _, key := range keys {
-		if ref, chunk, err := ledger.ParseClaimKey(key); err == nil && n.jobs[ref] != nil && n.claims[key] == nil {
+		if ref, chunk, err := records.ParseClaimKey(key); err == nil && n.jobs[ref] != nil && n.claims[key] == nil {
 			n.jobs[ref].lost[chunk] = until
 		}
 	}
--- a/internal/coordination/pipeline.go
+++ b/internal/coordination/controller/pipeline.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -6,9 +6,10 @@
 	"errors"
 	"time"
 
-	"madderslip/internal/ledger"
-	"madderslip/internal/pipeline"
+	"madderslip/internal/coordination/dag"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 	"madderslip/internal/transport"
 )
 
@@ -32,7 +33,7 @@
 
 // pipelines is what a node remembers of jobs that wait for others.
 type pipelines struct {
-	graph     *pipeline.Graph
+	graph     *dag.Graph
 	releasing map[string]bool // a change of their record is under way
 	tidying   int
 	looking   bool // the records of needed jobs are being read
@@ -41,8 +42,8 @@
 	rankedAt  time.Time
 }
 
-func newPipelines(lookup func(string) pipeline.State) pipelines {
-	return pipelines{graph: pipeline.NewGraph(lookup), releasing: make(map[string]bool), raised: make(map[string]*job)}
+func newPipelines(lookup func(string) dag.State) pipelines {
+	return pipelines{graph: dag.NewGraph(lookup), releasing: make(map[string]bool), raised: make(map[string]*job)}
 }
 
 // inheritance is what an open job has from those that need it.
@@ -53,30 +54,30 @@
 }
 
 // stateOf is what the cache says of a job that does not wait for others.
-func (n *Controller) stateOf(ref string) pipeline.State {
+func (n *Controller) stateOf(ref string) dag.State {
 	if f, ok := n.final[ref]; ok {
 		return finalState(f.state)
 	}
 	if j := n.jobs[ref]; j != nil && j.rec != nil {
 		return finalState(j.rec.State)
 	}
-	return pipeline.Unknown
+	return dag.Unknown
 }
 
-func finalState(state string) pipeline.State {
+func finalState(state string) dag.State {
 	switch state {
 	case protocol.JobDone:
-		return pipeline.Done
+		return dag.Done
 	case protocol.JobCancelled:
-		return pipeline.Cancelled
+		return dag.Cancelled
 	}
-	return pipeline.Unfinished
+	return dag.Unfinished
 }
 
 // storeHeld takes a version of a job's record into the graph, and tells whether that is
 // all: a job that waits is nowhere else.
-func (n *Controller) storeHeld(ref string, r *ledger.Job, stamp uint64) bool {
-	if r.State != ledger.JobBlocked {
+func (n *Controller) storeHeld(ref string, r *records.Job, stamp uint64) bool {
+	if r.State != records.JobBlocked {
 		n.pipelines.graph.ObserveState(ref, finalState(r.State), time.Now())
 		return false
 	}
@@ -84,7 +85,7 @@
 		n.log.Error("held job without a description", "job", ref)
 		return true
 	}
-	n.pipelines.graph.Add(pipeline.Job{ID: ref, Dependencies: r.Dependencies, Spec: r.Spec, AcceptedAt: time.UnixMilli(r.AcceptedAtMs), Revision: stamp}, time.Now())
+	n.pipelines.graph.Add(dag.Job{ID: ref, Dependencies: r.Dependencies, Spec: r.Spec, AcceptedAt: time.UnixMilli(r.AcceptedAtMs), Revision: stamp}, time.Now())
 	return true
 }
 
@@ -154,9 +155,9 @@
 	now := time.Now()
 	switch {
 	case cancelled:
-		n.record(own.JobID, &ledger.Job{State: protocol.JobCancelled, Tasks: own.Tasks, CancelledAtMs: now.UnixMilli()}, newClaim{}, reply)
+		n.record(own.JobID, &records.Job{State: protocol.JobCancelled, Tasks: own.Tasks, CancelledAtMs: now.UnixMilli()}, newClaim{}, reply)
 	case len(left) > 0:
-		n.record(own.JobID, &ledger.Job{State: ledger.JobBlocked, Spec: &own, Dependencies: left, AcceptedAtMs: now.UnixMilli()}, newClaim{}, reply)
+		n.record(own.JobID, &records.Job{State: records.JobBlocked, Spec: &own, Dependencies: left, AcceptedAtMs: now.UnixMilli()}, newClaim{}, reply)
 	default:
 		n.accept(&own, reply)
 	}
@@ -182,17 +183,17 @@
 // are in the cache afterwards.
 func (n *Controller) proveNeeds(spec *protocol.Submission, missing []string, until time.Time, reply func(transport.Response)) {
 	missing = missing[:min(len(missing), provedAtOnce)]
-	conds := []ledger.Compare{{Key: ledger.JobPrefix + spec.JobID, Version: 0}}
+	conds := []kv.Compare{{Key: records.JobPrefix + spec.JobID, Version: 0}}
 	for _, ref := range missing {
-		conds = append(conds, ledger.Compare{Key: ledger.JobPrefix + ref, Version: 0})
+		conds = append(conds, kv.Compare{Key: records.JobPrefix + ref, Version: 0})
 	}
-	n.commit(ledger.PriorityUser, conds, nil, time.Until(until), func(err error) {
+	n.commit(kv.PriorityUser, conds, nil, time.Until(until), func(err error) {
 		switch {
 		case err == nil:
 			body, _ := json.Marshal(map[string]string{"error": "awaits names " + missing[0] + ", which was never accepted"})
 			reply(transport.Response{Status: 422, Body: body})
-		case !errors.Is(err, ledger.ErrCompareFailed):
-			reply(n.later(ledger.PriorityUser, time.Now()))
+		case !errors.Is(err, kv.ErrCompareFailed):
+			reply(n.later(kv.PriorityUser, time.Now()))
 		default:
 			if _, _, _, known := n.answerOf(spec.JobID); known {
 				n.confirm(spec.JobID, time.Until(until), func() { reply(unavailable(1)) }, reply)
@@ -242,30 +243,30 @@
 // release lets a job into the queues all of whose needed jobs are done. They are done in
 // the records, for ever, so the job's own revision is the only condition. The claim goes
 // with it if this node can make it at once.
-func (n *Controller) release(w pipeline.Job, now time.Time) {
+func (n *Controller) release(w dag.Job, now time.Time) {
 	if n.pipelines.releasing[w.ID] || len(n.pipelines.releasing) >= mostReleasing || len(n.types) == 0 {
 		return
 	}
 	at := n.chooseShards(w.Spec, now)
-	rec := &ledger.Job{Spec: w.Spec, Shards: at, AcceptedAtMs: w.AcceptedAt.UnixMilli(), ReleasedAtMs: now.UnixMilli(), ChunkSize: n.chunkSize(w.Spec, at)}
-	raised := pipeline.Inherit(w.Spec, n.pipelines.graph.Urgency(w.ID, n.estimate), 0)
+	rec := &records.Job{Spec: w.Spec, Shards: at, AcceptedAtMs: w.AcceptedAt.UnixMilli(), ReleasedAtMs: now.UnixMilli(), ChunkSize: n.chunkSize(w.Spec, at)}
+	raised := dag.Inherit(w.Spec, n.pipelines.graph.Urgency(w.ID, n.estimate), 0)
 	n.pipelines.releasing[w.ID] = true
 	n.commitRelease(w, rec, n.claimAtOnce(raised, at, now))
 }
 
-func (n *Controller) commitRelease(w pipeline.Job, rec *ledger.Job, first newClaim) {
-	key := ledger.JobPrefix + w.ID
-	conds := append([]ledger.Compare{{Key: key, Version: w.Revision}}, first.conds...)
-	ops := append([]ledger.Op{{Key: key, Value: rec}}, first.ops()...)
+func (n *Controller) commitRelease(w dag.Job, rec *records.Job, first newClaim) {
+	key := records.JobPrefix + w.ID
+	conds := append([]kv.Compare{{Key: key, Version: w.Revision}}, first.conds...)
+	ops := append([]kv.Op{{Key: key, Value: rec}}, first.ops()...)
 	for _, name := range rec.Shards {
 		n.queuedNow[name] += w.Spec.CPUs * float64(w.Spec.Tasks)
 	}
-	n.commit(ledger.PriorityClaim, conds, ops, submitWithin, func(err error) {
+	n.commit(kv.PriorityClaim, conds, ops, submitWithin, func(err error) {
 		first.finish(n, err)
 		if err == nil {
 			n.log.Debug("job released", "job", w.ID, "class", w.Spec.Class, "at", rec.Shards, "claimed", first.claim != nil)
 			n.announce(key)
-		} else if errors.Is(err, ledger.ErrCompareFailed) && first.claim != nil {
+		} else if errors.Is(err, kv.ErrCompareFailed) && first.claim != nil {
 			if still, held := n.pipelines.graph.Lookup(w.ID); held && still.Revision == w.Revision {
 				n.commitRelease(w, rec, newClaim{}) // only the claim failed
 				return
@@ -277,15 +278,15 @@
 
 // recordCancelled writes down that a job is cancelled because one before it is. Its
 // users have been told so already.
-func (n *Controller) recordCancelled(w pipeline.Job, since time.Time) {
+func (n *Controller) recordCancelled(w dag.Job, since time.Time) {
 	if n.pipelines.releasing[w.ID] || n.pipelines.tidying >= mostTidying {
 		return
 	}
 	n.pipelines.releasing[w.ID] = true
 	n.pipelines.tidying++
-	key := ledger.JobPrefix + w.ID
-	rec := &ledger.Job{State: protocol.JobCancelled, Tasks: w.Spec.Tasks, CancelledAtMs: since.UnixMilli()}
-	n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: key, Version: w.Revision}}, []ledger.Op{{Key: key, Value: rec}}, 10*time.Second, func(error) {
+	key := records.JobPrefix + w.ID
+	rec := &records.Job{State: protocol.JobCancelled, Tasks: w.Spec.Tasks, CancelledAtMs: since.UnixMilli()}
+	n.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: w.Revision}}, []kv.Op{{Key: key, Value: rec}}, 10*time.Second, func(error) {
 		delete(n.pipelines.releasing, w.ID)
 		n.pipelines.tidying--
 	})
@@ -304,13 +305,13 @@
 	go func() {
 		for _, ref := range refs {
 			ctx, cancel := context.WithTimeout(life, lookUpWithin)
-			it, err := n.led.Get(ctx, ledger.JobPrefix+ref)
+			it, err := n.led.Get(ctx, records.JobPrefix+ref)
 			cancel()
 			if err != nil {
 				break
 			}
 			n.mu.Lock()
-			if n.stateOf(ref) == pipeline.Unknown {
+			if n.stateOf(ref) == dag.Unknown {
 				delete(n.stamps, it.Key)
 				n.take(it)
 			}
@@ -353,7 +354,7 @@
 	before := j.spec()
 	u := g.Urgency(j.ref, n.estimate)
 	j.heir.by = u.FinishBy
-	switch raised := pipeline.Inherit(j.rec.Spec, u, time.Since(j.seen)); {
+	switch raised := dag.Inherit(j.rec.Spec, u, time.Since(j.seen)); {
 	case raised == j.rec.Spec:
 		j.heir.of, j.heir.spec = nil, nil
 	case j.heir.of == j.rec.Spec && j.heir.spec.PriorityClass == raised.PriorityClass && j.heir.spec.AllowSpot == raised.AllowSpot:
--- a/internal/coordination/place.go
+++ b/internal/coordination/controller/place.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
--- a/internal/coordination/place_test.go
+++ b/internal/coordination/controller/place_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -6,9 +6,10 @@
 	"testing"
 	"time"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 func roomsFor(t *protocol.MachineType, free ...float64) []*room {
@@ -83,14 +84,14 @@
 	spec := func(ref string) *protocol.Submission {
 		return &protocol.Submission{JobID: ref, Team: "t", Shape: protocol.ShapeArray, Tasks: 2, CPUs: 2}
 	}
-	one := func() *ledger.Claim {
-		return &ledger.Claim{Shard: "n0", TaskCount: 2, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}
+	one := func() *records.Claim {
+		return &records.Claim{Shard: "n0", TaskCount: 2, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}
 	}
 	n.epoch = 5
-	n.storeJob("wk-1", &ledger.Job{Spec: spec("wk-1"), ChunkSize: 2}, 3)
-	n.storeClaim(ledger.ClaimKey("wk-1", 0), one(), 5) // its second task is placed at 8
-	n.team("t").rec, n.team("t").stamp = ledger.TeamUsage{ByShard: map[string][2]float64{"n0": {4, 0}}}, 8
-	c := &claim{key: ledger.ClaimKey("wk-2", 0), ref: "wk-2", spec: spec("wk-2")}
+	n.storeJob("wk-1", &records.Job{Spec: spec("wk-1"), ChunkSize: 2}, 3)
+	n.storeClaim(records.ClaimKey("wk-1", 0), one(), 5) // its second task is placed at 8
+	n.team("t").rec, n.team("t").stamp = records.TeamUsage{ByShard: map[string][2]float64{"n0": {4, 0}}}, 8
+	c := &claim{key: records.ClaimKey("wk-2", 0), ref: "wk-2", spec: spec("wk-2")}
 	if _, _, _, ok := n.reserveTeam("n0", c, one()); ok {
 		t.Fatal("the team has 4 of 4 CPUs by its record and was given 2 more")
 	}
@@ -100,7 +101,7 @@
 	}
 	n.team("t").rec.ByShard = map[string][2]float64{"n0": {4, 0}}
 	n.epoch = 8 // all up to the record has been seen: the claim was in truth not changed
-	if _, ops, _, ok := n.reserveTeam("n0", c, one()); !ok || ops[0].Value.(*ledger.TeamUsage).ByShard["n0"][0] != 4 {
+	if _, ops, _, ok := n.reserveTeam("n0", c, one()); !ok || ops[0].Value.(*records.TeamUsage).ByShard["n0"][0] != 4 {
 		t.Fatalf("the sum of all claims is 2 of 4 CPUs, and 2 more gave %v", ops)
 	}
 }
@@ -111,18 +112,18 @@
 // decided a moment before a booking was not seen by it.
 func TestStartsDependOnLimitAndBookings(t *testing.T) {
 	n := New(Options{Settings: protocol.Settings{NodeName: "n0", Teams: map[string]protocol.Team{"t": {Name: "t", GuaranteedCPUs: 2, MaxCPUs: 8}}}, Policy: policy.Policy{Allotments: true}})
-	n.quota.ApplyLimit("t", &ledger.TeamLimit{Generation: 1, Max: [2]float64{8, 0}, Base: map[string][2]float64{"n0": {4, 0}, "*": {4, 0}}}, 11)
-	n.quota.ApplyReservations("t", &ledger.Reservations{}, 12)
-	c := &claim{key: ledger.ClaimKey("wk-1", 0), ref: "wk-1", spec: &protocol.Submission{JobID: "wk-1", Team: "t", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 2}}
-	next := func(tasks int) *ledger.Claim {
-		r := &ledger.Claim{Shard: "n0", TaskCount: 4}
+	n.quota.ApplyLimit("t", &records.TeamLimit{Generation: 1, Max: [2]float64{8, 0}, Base: map[string][2]float64{"n0": {4, 0}, "*": {4, 0}}}, 11)
+	n.quota.ApplyReservations("t", &records.Reservations{}, 12)
+	c := &claim{key: records.ClaimKey("wk-1", 0), ref: "wk-1", spec: &protocol.Submission{JobID: "wk-1", Team: "t", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 2}}
+	next := func(tasks int) *records.Claim {
+		r := &records.Claim{Shard: "n0", TaskCount: 4}
 		for i := range tasks {
-			r.Placements = append(r.Placements, ledger.Placement{Task: i, Attempt: 1, Host: "vm-1"})
+			r.Placements = append(r.Placements, records.Placement{Task: i, Attempt: 1, Host: "vm-1"})
 		}
 		return r
 	}
 	conds, ops, _, ok := n.reserveTeam("n0", c, next(2))
-	want := []ledger.Compare{{Key: ledger.ReservationPrefix + "t", Version: 12}, {Key: ledger.TeamLimitPrefix + "t", Version: 11}}
+	want := []kv.Compare{{Key: records.ReservationPrefix + "t", Version: 12}, {Key: records.TeamLimitPrefix + "t", Version: 11}}
 	if !ok || len(ops) != 0 || !slices.Equal(conds, want) {
 		t.Fatal(conds, ops, ok)
 	}
--- a/internal/coordination/queue.go
+++ b/internal/coordination/controller/queue.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -7,11 +7,11 @@
 	"strings"
 	"time"
 
-	"madderslip/internal/begin"
-	"madderslip/internal/ledger"
-	"madderslip/internal/leftover"
+	"madderslip/internal/coordination/placement"
+	"madderslip/internal/coordination/quota"
 	"madderslip/internal/protocol"
-	"madderslip/internal/quota"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // cardsOwed is how long an array waits with none of its tasks placed beside machines that
@@ -140,7 +140,7 @@
 	some := false
 	for _, u := range q {
 		u.ahead = u.spec.Shape == protocol.ShapeArray && !isIdle(u.spec) && u.chunk == 0 && !u.trial &&
-			begin.StartsAhead(now.Sub(u.j.queuedAt()), n.pol.StartAheadAfter, len(u.j.claims) > 0)
+			placement.StartsAhead(now.Sub(u.j.queuedAt()), n.pol.StartAheadAfter, len(u.j.claims) > 0)
 		some = some || u.ahead
 	}
 	if some {
@@ -315,7 +315,7 @@
 	if t == nil || t.Attempt != p.try || t.Phase == protocol.TaskExited || !m.settled(s) {
 		return
 	}
-	if grace, stop := n.wantStop(c, &ledger.Placement{Task: p.task, Attempt: p.try, Host: m.host}, now); stop {
+	if grace, stop := n.wantStop(c, &records.Placement{Task: p.task, Attempt: p.try, Host: m.host}, now); stop {
 		m.stopped[p.name] = now
 		n.order(s, m, protocol.StopCommand(p.name, p.try, grace))
 	}
@@ -336,11 +336,11 @@
 	// gathers, so that the next write places many tasks. One write for every
 	// task or two kept machines idle for seconds, and what was placed but not
 	// yet committed could neither run nor be displaced.
-	saving := n.led.HasPending(ledger.PriorityArrayClaim) > 0
+	saving := n.led.HasPending(kv.PriorityArrayClaim) > 0
 	blocked := false
 	failedSpecs := make(map[failKey]bool)
 	free := mostOf(rooms)
-	left, counted := leftover.BestEffortCapacity{}, false // counted again only once something has changed: idle jobs come by the hundred
+	left, counted := placement.BestEffortCapacity{}, false // counted again only once something has changed: idle jobs come by the hundred
 	for _, u := range q {
 		waits := u.waits(now)
 		u.owed = u.spec.Shape == protocol.ShapeArray && u.spec.GPUs == 0 && waits > cardsOwed
@@ -352,7 +352,7 @@
 				left, counted = n.leftOver(s, rooms), true
 			}
 			left.Contended = blocked
-			if u.most = left.MaxTasks(n.pol.BestEffortShare, u.spec.CPUs, leftover.HasStarted(u.c != nil, waits)); u.most <= 0 {
+			if u.most = left.MaxTasks(n.pol.BestEffortShare, u.spec.CPUs, placement.HasStarted(u.c != nil, waits)); u.most <= 0 {
 				continue
 			}
 		}
@@ -523,7 +523,7 @@
 		return false, true // mostly so when much waits; copying the claim first cost more than all else
 	}
 	first, count := u.bounds()
-	next := &ledger.Claim{Shard: s.name, FirstTask: first, TaskCount: count}
+	next := &records.Claim{Shard: s.name, FirstTask: first, TaskCount: count}
 	if u.c != nil {
 		next = u.c.rec.Clone()
 	}
@@ -576,7 +576,7 @@
 	}
 	next.LastAttempt++
 	for _, pk := range picks {
-		next.Placements = append(next.Placements, ledger.Placement{Task: pk.task, Attempt: next.LastAttempt, Host: rooms[pk.room].host})
+		next.Placements = append(next.Placements, records.Placement{Task: pk.task, Attempt: next.LastAttempt, Host: rooms[pk.room].host})
 	}
 	if !n.commitUnit(s, u, next) {
 		undo(u.spec, picks, rooms)
@@ -595,7 +595,7 @@
 }
 
 // pickHosts chooses machines for the tasks of a unit that have none.
-func (n *Controller) pickHosts(holder string, u *unit, rec *ledger.Claim, rooms []*room, z *zoneRule, now time.Time) []pick {
+func (n *Controller) pickHosts(holder string, u *unit, rec *records.Claim, rooms []*room, z *zoneRule, now time.Time) []pick {
 	open := make(map[int]bool, len(rec.Placements))
 	for _, p := range rec.Placements {
 		open[p.Task] = true
@@ -621,7 +621,7 @@
 		if i < 0 {
 			break
 		}
-		next := ledger.Placement{Task: t, Attempt: rec.LastAttempt + 1, Host: rooms[i].host}
+		next := records.Placement{Task: t, Attempt: rec.LastAttempt + 1, Host: rooms[i].host}
 		if left -= next.MaxEncodedSize(); left < 0 {
 			break
 		}
--- a/internal/coordination/recount.go
+++ b/internal/coordination/controller/recount.go
@@ -1,13 +1,13 @@
-package coordination
+package controller
 
 import (
 	"fmt"
 	"maps"
 	"math"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/quota"
 	"madderslip/internal/protocol"
-	"madderslip/internal/quota"
+	"madderslip/internal/storage/records"
 )
 
 // Recount works out from the claims alone what the indexes should hold, and
@@ -19,7 +19,7 @@
 	use := make(map[teamShard][2]float64)
 	inShard := make(map[*claim]string)
 	for _, c := range n.claims {
-		for _, rec := range []*ledger.Claim{c.rec, c.pend} {
+		for _, rec := range []*records.Claim{c.rec, c.pend} {
 			if rec == nil {
 				continue
 			}
@@ -141,7 +141,7 @@
 		}
 	}
 	for name, m := range n.machines {
-		if m.returning && m.rec.State == ledger.MachineGone {
+		if m.returning && m.rec.State == records.MachineGone {
 			continue
 		}
 		if m.returning {
--- a/internal/coordination/refresh_test.go
+++ b/internal/coordination/controller/refresh_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -8,23 +8,24 @@
 	"testing/synctest"
 	"time"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // lossy is a state service that answers no read for a while.
 type lossy struct {
 	StateStore // not asked for anything else
-	txn        *ledger.Txn
+	txn        *kv.Txn
 	unread     int
-	item       ledger.Item
+	item       kv.Item
 }
 
-func (l *lossy) Submit(t *ledger.Txn)                { l.txn = t }
+func (l *lossy) Submit(t *kv.Txn)                    { l.txn = t }
 func (l *lossy) ObserveVersion(string, uint64, bool) {}
-func (l *lossy) Get(context.Context, string) (ledger.Item, error) {
+func (l *lossy) Get(context.Context, string) (kv.Item, error) {
 	if l.unread--; l.unread >= 0 {
-		return ledger.Item{}, errors.New("no answer")
+		return kv.Item{}, errors.New("no answer")
 	}
 	return l.item, nil
 }
@@ -35,21 +36,21 @@
 func TestWhatBecameOfAStartIsFoundOut(t *testing.T) {
 	for _, within := range []time.Duration{0, time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			key := ledger.ClaimKey("wk-1", 0)
-			led := &lossy{unread: 20, item: ledger.Item{Key: key, Version: 9, Value: []byte(`{"h":"n0","n":1,"o":[[0,1,"vm-1"]],"a":1}`)}}
+			key := records.ClaimKey("wk-1", 0)
+			led := &lossy{unread: 20, item: kv.Item{Key: key, Version: 9, Value: []byte(`{"h":"n0","n":1,"o":[[0,1,"vm-1"]],"a":1}`)}}
 			n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: led, Log: slog.New(slog.DiscardHandler)})
 			c := &claim{key: key, ref: "wk-1", spec: &protocol.Submission{JobID: "wk-1", Team: "t", CPUs: 2, Shape: protocol.ShapeArray}}
 			n.mu.Lock()
 			n.claims[key] = c
-			n.setPend(c, &ledger.Claim{Shard: "n0", TaskCount: 1, Placements: []ledger.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}})
+			n.setPend(c, &records.Claim{Shard: "n0", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}})
 			done := time.Time{}
-			n.commit(ledger.PriorityArrayClaim, []ledger.Compare{{Key: key}}, []ledger.Op{{Key: key, Value: c.pend}}, within, func(error) {
+			n.commit(kv.PriorityArrayClaim, []kv.Compare{{Key: key}}, []kv.Op{{Key: key, Value: c.pend}}, within, func(error) {
 				n.setPend(c, nil)
 				done = time.Now()
 			})
 			n.mu.Unlock()
 			began := time.Now()
-			led.txn.OnResult(ledger.Result{Err: ledger.ErrCompareFailed, FailedKeys: []string{key}, Revision: 9})
+			led.txn.OnResult(kv.Result{Err: kv.ErrCompareFailed, FailedKeys: []string{key}, Revision: 9})
 			time.Sleep(time.Second)
 			n.mu.Lock()
 			if use := n.usedBy("t", "n0"); within == 0 && (use[0] != 2 || !done.IsZero()) {
--- a/internal/coordination/settle.go
+++ b/internal/coordination/controller/settle.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -7,9 +7,10 @@
 	"slices"
 	"time"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/admission"
 	"madderslip/internal/protocol"
-	"madderslip/internal/recovery"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 const (
@@ -22,7 +23,7 @@
 )
 
 // pace leaves most of the time to answers, however long passes take.
-var pace = recovery.Throttle{MaxShare: 0.25, MinPause: 15 * time.Millisecond, IdlePause: 50 * time.Millisecond, MaxPause: 150 * time.Millisecond}
+var pace = admission.Throttle{MaxShare: 0.25, MinPause: 15 * time.Millisecond, IdlePause: 50 * time.Millisecond, MaxPause: 150 * time.Millisecond}
 
 // workLoop compares placements with reports and the queue with the room there
 // is, whenever something changed and a few times a second.
@@ -116,7 +117,7 @@
 	go func() {
 		for _, ref := range refs {
 			ctx, cancel := context.WithTimeout(ctx, lookUpWithin)
-			it, err := n.led.Get(ctx, ledger.JobPrefix+ref)
+			it, err := n.led.Get(ctx, records.JobPrefix+ref)
 			cancel()
 			n.mu.Lock()
 			n.lookedUp(ref, it, err)
@@ -133,7 +134,7 @@
 
 const lookUpWithin = 2 * time.Second
 
-func (n *Controller) lookedUp(ref string, it ledger.Item, err error) {
+func (n *Controller) lookedUp(ref string, it kv.Item, err error) {
 	for _, c := range n.orphans[ref] {
 		c.again = time.Now().Add(time.Second)
 	}
@@ -227,7 +228,7 @@
 		// its worker goes on listing it, and its room counts as free already.
 		// One write for each of some hundred tasks a second is beyond the
 		// state service's budget.
-		if (pressing || now.Sub(c.ripe) >= n.pol.CompletionBatchDelay) && n.update(s, c, next, ledger.PriorityCompletion, nil) {
+		if (pressing || now.Sub(c.ripe) >= n.pol.CompletionBatchDelay) && n.update(s, c, next, kv.PriorityCompletion, nil) {
 			return
 		}
 		uneasy = true
@@ -241,7 +242,7 @@
 // judge decides a placement's fate from proof alone: the worker's own account
 // under the current token with no command outstanding, or a machine that the
 // cloud has taken back. Silence proves nothing.
-func (n *Controller) judge(s *shard, j *job, c *claim, p *ledger.Placement, now time.Time) fate {
+func (n *Controller) judge(s *shard, j *job, c *claim, p *records.Placement, now time.Time) fate {
 	m := n.machines[p.Host]
 	if m == nil {
 		return onMachine
@@ -253,13 +254,13 @@
 		// that it is off the machine: its worker's session may have ended since, and
 		// another owner of the shard may have started it again there. Freed on such
 		// an account, a limited team's use was lowered while the task ran.
-		if !m.settled(s) && !m.gone && m.rec.State != ledger.MachineGone {
+		if !m.settled(s) && !m.gone && m.rec.State != records.MachineGone {
 			return unsettled
 		}
 		n.learn(j, c.spec, m, name, now)
 		return completed
 	}
-	if m.gone || m.rec.State == ledger.MachineGone {
+	if m.gone || m.rec.State == records.MachineGone {
 		return gone
 	}
 	if m.rep == nil {
@@ -321,8 +322,8 @@
 
 // bookDone takes completions that are not booked yet into a version of a claim
 // that is about to be committed anyway.
-func (n *Controller) bookDone(c *claim, next *ledger.Claim) {
-	next.Placements = slices.DeleteFunc(next.Placements, func(p ledger.Placement) bool {
+func (n *Controller) bookDone(c *claim, next *records.Claim) {
+	next.Placements = slices.DeleteFunc(next.Placements, func(p records.Placement) bool {
 		m := n.machines[p.Host]
 		if m == nil || c.spec.Shape == protocol.ShapeGang || !m.settled(n.shards[m.rec.Shard]) {
 			return false
@@ -337,7 +338,7 @@
 }
 
 // nameOf is the name of a placement's task.
-func (c *claim) nameOf(p *ledger.Placement) string {
+func (c *claim) nameOf(p *records.Placement) string {
 	if pl := c.on[slot{p.Task, p.Host}]; pl != nil {
 		return pl.name
 	}
@@ -349,7 +350,7 @@
 }
 
 // wantStop tells whether a placement should end, and with what grace.
-func (n *Controller) wantStop(c *claim, p *ledger.Placement, now time.Time) (time.Duration, bool) {
+func (n *Controller) wantStop(c *claim, p *records.Placement, now time.Time) (time.Duration, bool) {
 	j := n.jobs[c.ref]
 	if j == nil || j.rec == nil || c.spec == nil {
 		return 0, false
@@ -392,7 +393,7 @@
 }
 
 // update commits a new version of a claim that this shard holds.
-func (n *Controller) update(s *shard, c *claim, next *ledger.Claim, prio int, then func(error)) bool {
+func (n *Controller) update(s *shard, c *claim, next *records.Claim, prio int, then func(error)) bool {
 	if next.MaxEncodedSize() > n.led.MaxValueBytes() {
 		// Written before the state service lowered its limits. Each task that ends makes
 		// it smaller; until it fits, its workers go on listing what has ended.
@@ -402,11 +403,11 @@
 	if !ok {
 		return false
 	}
-	conds = append(conds, ledger.Compare{Key: ledger.ShardPrefix + s.name, Version: s.token}, ledger.Compare{Key: c.key, Version: c.stamp})
-	if j := n.jobs[c.ref]; j != nil && len(next.Placements) > 0 && prio < ledger.PriorityCompletion {
-		conds = append(conds, ledger.Compare{Key: ledger.JobPrefix + c.ref, Version: j.stamp})
+	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token}, kv.Compare{Key: c.key, Version: c.stamp})
+	if j := n.jobs[c.ref]; j != nil && len(next.Placements) > 0 && prio < kv.PriorityCompletion {
+		conds = append(conds, kv.Compare{Key: records.JobPrefix + c.ref, Version: j.stamp})
 	}
-	ops = append(ops, ledger.Op{Key: c.key, Value: next})
+	ops = append(ops, kv.Op{Key: c.key, Value: next})
 	n.setPend(c, next)
 	if t != nil {
 		t.busy = true
@@ -428,11 +429,11 @@
 }
 
 // finishJob commits a job's end together with its last chunk's.
-func (n *Controller) finishJob(s *shard, j *job, c *claim, next *ledger.Claim) bool {
+func (n *Controller) finishJob(s *shard, j *job, c *claim, next *records.Claim) bool {
 	if len(j.claims) != j.chunks {
 		return false
 	}
-	conds := []ledger.Compare{{Key: ledger.JobPrefix + j.ref, Version: j.stamp}, {Key: ledger.ShardPrefix + s.name, Version: s.token}}
+	conds := []kv.Compare{{Key: records.JobPrefix + j.ref, Version: j.stamp}, {Key: records.ShardPrefix + s.name, Version: s.token}}
 	for i := range j.chunks {
 		o := j.claims[i]
 		if o == nil || o.rec == nil || (o != c && !o.rec.IsComplete()) {
@@ -442,8 +443,8 @@
 	// The other chunks are no conditions: what is recorded as done stays done, and a
 	// claim goes only once its job is over, which the job's own condition excludes.
 	// Two dozen of them did not fit a transaction of a state service with lower limits.
-	conds = append(conds, ledger.Compare{Key: c.key, Version: c.stamp})
-	done := &ledger.Job{State: protocol.JobDone, Tasks: j.rec.Spec.Tasks}
+	conds = append(conds, kv.Compare{Key: c.key, Version: c.stamp})
+	done := &records.Job{State: protocol.JobDone, Tasks: j.rec.Spec.Tasks}
 	tconds, ops, t, ok := n.reserveTeam(s.name, c, next)
 	if !ok {
 		return false
@@ -453,17 +454,17 @@
 		// The description is needed until the last placement is cleared.
 		done.Spec = j.rec.Spec
 	}
-	ops = append(ops, ledger.Op{Key: ledger.JobPrefix + j.ref, Value: done})
+	ops = append(ops, kv.Op{Key: records.JobPrefix + j.ref, Value: done})
 	if len(next.Placements) > 0 {
-		ops = append(ops, ledger.Op{Key: c.key, Value: next})
+		ops = append(ops, kv.Op{Key: c.key, Value: next})
 	} else {
-		ops = append(ops, ledger.Op{Key: c.key})
+		ops = append(ops, kv.Op{Key: c.key})
 	}
 	n.setPend(c, next)
 	if t != nil {
 		t.busy = true
 	}
-	n.commit(ledger.PriorityClaim, conds, ops, 0, func(err error) {
+	n.commit(kv.PriorityClaim, conds, ops, 0, func(err error) {
 		n.setPend(c, nil)
 		if t != nil {
 			t.busy = false
@@ -486,13 +487,13 @@
 	if !ok {
 		return
 	}
-	conds = append(conds, ledger.Compare{Key: ledger.ShardPrefix + s.name, Version: s.token}, ledger.Compare{Key: c.key, Version: c.stamp})
-	ops = append(ops, ledger.Op{Key: c.key})
+	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token}, kv.Compare{Key: c.key, Version: c.stamp})
+	ops = append(ops, kv.Op{Key: c.key})
 	n.setPend(c, empty)
 	if t != nil {
 		t.busy = true
 	}
-	n.commit(ledger.PriorityCompletion, conds, ops, 0, func(err error) {
+	n.commit(kv.PriorityCompletion, conds, ops, 0, func(err error) {
 		n.setPend(c, nil)
 		if t != nil {
 			t.busy = false
@@ -517,7 +518,7 @@
 		if j := n.jobs[c.ref]; j != nil {
 			j.lost[c.chunk] = time.Now().Add(retryClaim)
 		}
-		if !errors.Is(err, ledger.ErrCompareFailed) {
+		if !errors.Is(err, kv.ErrCompareFailed) {
 			n.log.Debug("claim not made", "claim", c.key, "err", err)
 		}
 		return
--- a/internal/coordination/shards.go
+++ b/internal/coordination/controller/shards.go
@@ -1,19 +1,21 @@
-package coordination
+package controller
 
 import (
 	"context"
 	"slices"
 	"time"
 
-	"madderslip/internal/ledger"
-	"madderslip/internal/recovery"
+	"madderslip/internal/coordination/failover"
+	"madderslip/internal/coordination/health"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // shard is a set of machines with one owner at a time. token is the revision
 // at which this process acquired it, or 0 when it does not own it.
 type shard struct {
 	name      string
-	rec       *ledger.Shard
+	rec       *records.Shard
 	stamp     uint64
 	token     uint64
 	since     time.Time // when this process acquired it
@@ -50,7 +52,7 @@
 	return s
 }
 
-func (n *Controller) storeShard(name string, r *ledger.Shard, stamp uint64) {
+func (n *Controller) storeShard(name string, r *records.Shard, stamp uint64) {
 	s := n.shard(name)
 	s.rec, s.stamp, s.heir = r, stamp, ""
 	n.voidOrders(s)
@@ -174,7 +176,7 @@
 		n.writeShard(s, me, nil)
 	case s.rec.Owner == me && s.name != me && homeLive && now.UnixMilli() > s.rec.AwayUntilMs && now.Sub(home.since) > n.pol.HandbackDelay && now.Sub(s.since) > 2*time.Second:
 		n.log.Info("handing the shard back", "shard", s.name)
-		n.writeShard(s, s.name, []ledger.Compare{{Key: ledger.NodePrefix + s.name, Version: home.stamp}})
+		n.writeShard(s, s.name, []kv.Compare{{Key: records.NodePrefix + s.name, Version: home.stamp}})
 	case s.rec.Owner == me && n.cutOff(s, now):
 		if to := n.otherLive(); to != "" {
 			n.log.Info("most machines are silent here, giving the shard away", "shard", s.name, "to", to)
@@ -187,7 +189,7 @@
 			if s.ownerless.IsZero() {
 				s.ownerless = now
 			}
-			if s.name != me && (now.Sub(s.ownerless) < n.turn() || now.Sub(self.since) < recovery.StartupGrace) {
+			if s.name != me && (now.Sub(s.ownerless) < n.turn() || now.Sub(self.since) < failover.StartupGrace) {
 				return
 			}
 			// The home node, if it lives, has the first turn.
@@ -195,14 +197,14 @@
 				return
 			}
 			n.log.Info("taking over", "shard", s.name, "from", s.rec.Owner)
-			n.writeShard(s, me, []ledger.Compare{{Key: ledger.NodePrefix + s.rec.Owner, Version: 0}})
+			n.writeShard(s, me, []kv.Compare{{Key: records.NodePrefix + s.rec.Owner, Version: 0}})
 		}
 	}
 }
 
 // writeShard changes a shard's owner, or renews it for a new token.
-func (n *Controller) writeShard(s *shard, owner string, extra []ledger.Compare) {
-	next := &ledger.Shard{Owner: owner}
+func (n *Controller) writeShard(s *shard, owner string, extra []kv.Compare) {
+	next := &records.Shard{Owner: owner}
 	if s.rec != nil {
 		next.Changes, next.AwayUntilMs = s.rec.Changes+1, s.rec.AwayUntilMs
 	}
@@ -211,20 +213,20 @@
 
 // giveAway hands a shard to a node that may reach its machines, for a while.
 func (n *Controller) giveAway(s *shard, to string, now time.Time) {
-	next := &ledger.Shard{Owner: to, Changes: s.rec.Changes + 1, AwayUntilMs: s.rec.AwayUntilMs}
+	next := &records.Shard{Owner: to, Changes: s.rec.Changes + 1, AwayUntilMs: s.rec.AwayUntilMs}
 	if s.name == n.cfg.NodeName {
 		next.AwayUntilMs = now.Add(time.Minute).UnixMilli() // its home is what is in trouble
 	}
-	n.putShard(s, next, []ledger.Compare{{Key: ledger.NodePrefix + to, Version: n.nodes[to].stamp}})
+	n.putShard(s, next, []kv.Compare{{Key: records.NodePrefix + to, Version: n.nodes[to].stamp}})
 }
 
-func (n *Controller) putShard(s *shard, next *ledger.Shard, extra []ledger.Compare) {
-	conds := append([]ledger.Compare{{Key: ledger.ShardPrefix + s.name, Version: s.stamp}}, extra...)
+func (n *Controller) putShard(s *shard, next *records.Shard, extra []kv.Compare) {
+	conds := append([]kv.Compare{{Key: records.ShardPrefix + s.name, Version: s.stamp}}, extra...)
 	s.busy = true
 	if next.Owner != n.cfg.NodeName {
 		s.token = 0 // stop commanding before another may begin
 	}
-	n.commit(ledger.PriorityLease, conds, []ledger.Op{{Key: ledger.ShardPrefix + s.name, Value: next}}, 3*time.Second, func(err error) {
+	n.commit(kv.PriorityLease, conds, []kv.Op{{Key: records.ShardPrefix + s.name, Value: next}}, 3*time.Second, func(err error) {
 		s.busy = false
 		if err != nil {
 			n.log.Debug("shard not changed", "shard", s.name, "err", err)
@@ -262,13 +264,13 @@
 
 // alone tells that the silence of a shard's machines for so long is this node's own.
 func (n *Controller) alone(s *shard, than time.Duration, now time.Time) bool {
-	var this recovery.ShardSilence
-	var all []recovery.ShardSilence
+	var this health.ShardSilence
+	var all []health.ShardSilence
 	for _, other := range n.shards {
 		if !n.active(other) {
 			continue
 		}
-		h := recovery.ShardSilence{Home: other.name == n.cfg.NodeName}
+		h := health.ShardSilence{Home: other.name == n.cfg.NodeName}
 		for _, m := range other.machines {
 			if m.rep == nil {
 				continue
@@ -286,7 +288,7 @@
 			this = h
 		}
 	}
-	return recovery.SelfIsolated(this, all)
+	return health.SelfIsolated(this, all)
 }
 
 // tendLead seeks the lead when nobody has it. The record hangs on the node's
@@ -296,8 +298,8 @@
 		return
 	}
 	n.leadBusy = true
-	n.commit(ledger.PriorityBackground, []ledger.Compare{{Key: ledger.LeaderKey, Version: 0}},
-		[]ledger.Op{{Key: ledger.LeaderKey, Value: &ledger.Leader{Node: n.cfg.NodeName, StartedAtMs: n.boot.UnixMilli()}, Lease: n.permit}}, 2*time.Second,
+	n.commit(kv.PriorityBackground, []kv.Compare{{Key: records.LeaderKey, Version: 0}},
+		[]kv.Op{{Key: records.LeaderKey, Value: &records.Leader{Node: n.cfg.NodeName, StartedAtMs: n.boot.UnixMilli()}, Lease: n.permit}}, 2*time.Second,
 		func(error) { n.leadBusy = false })
 }
 
@@ -305,7 +307,7 @@
 // node: one left by an earlier process of this node goes with that one's lease,
 // and one made by this process counts even if its commit's answer was lost. A
 // leader that waited for the answer did not lead, and nobody else could.
-func (n *Controller) storeLead(r *ledger.Leader, stamp uint64) {
+func (n *Controller) storeLead(r *records.Leader, stamp uint64) {
 	n.lead, n.leadStamp, n.leadMine = "", 0, false
 	if r == nil {
 		return
--- a/internal/coordination/trace_test.go
+++ b/internal/coordination/controller/trace_test.go
@@ -1,4 +1,4 @@
-package coordination_test
+package controller_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"testing/synctest"
 
-	"madderslip/internal/schedule"
+	"madderslip/internal/simtest"
 )
 
 // The traces in testdata are scripts that people read: a time, an actor, what
@@ -34,7 +34,7 @@
 			}
 			for _, script := range scripts {
 				synctest.Test(t, func(t *testing.T) {
-					if out := schedule.Play(script, seed); out.Kind() != "" {
+					if out := simtest.Play(script, seed); out.Kind() != "" {
 						t.Error(out)
 					}
 				})
--- a/internal/coordination/users.go
+++ b/internal/coordination/controller/users.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"encoding/json"
@@ -6,9 +6,10 @@
 	"slices"
 	"time"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/admission"
 	"madderslip/internal/protocol"
-	"madderslip/internal/recovery"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 	"madderslip/internal/transport"
 )
 
@@ -120,7 +121,7 @@
 		return
 	}
 	if now := time.Now(); n.stateDown(now) {
-		reply(n.later(ledger.PriorityUser, now)) // the watch will not come in time
+		reply(n.later(kv.PriorityUser, now)) // the watch will not come in time
 		return
 	}
 	n.untold = append(n.untold, untold{stamp, time.Now().Add(within), func(known bool) {
@@ -162,15 +163,15 @@
 		reply(unavailable(1))
 		return
 	case n.stateDown(now):
-		reply(n.later(ledger.PriorityUser, now))
+		reply(n.later(kv.PriorityUser, now))
 		return
 	}
-	var asked recovery.Backlog
+	var asked admission.Backlog
 	if asked.Pending, asked.Rate = n.led.ReadBacklog(); asked.ShouldShed(within) {
 		reply(unavailable(int(asked.RetryAfter(n.rng.Float64()) / time.Second)))
 		return
 	}
-	n.commitAt(ledger.PriorityUser, []ledger.Compare{{Key: ledger.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
+	n.commitAt(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
 		switch {
 		case err == nil && n.undecided(ref):
 			n.tellWhenRead(ref, revision, until, reply)
@@ -181,7 +182,7 @@
 			} else {
 				absent()
 			}
-		case errors.Is(err, ledger.ErrCompareFailed):
+		case errors.Is(err, kv.ErrCompareFailed):
 			// The cache has been refreshed from the state service just now.
 			if _, newer, _, found := n.answerOf(ref); !found || newer == stamp {
 				reply(unavailable(1))
@@ -193,7 +194,7 @@
 			}
 			n.tell(ref, 200, time.Until(until), reply)
 		default:
-			reply(n.later(ledger.PriorityUser, time.Now()))
+			reply(n.later(kv.PriorityUser, time.Now()))
 		}
 	})
 }
@@ -278,13 +279,13 @@
 // follows at once.
 func (n *Controller) accept(spec *protocol.Submission, reply func(transport.Response)) {
 	now := time.Now()
-	if b := n.backlog(ledger.PriorityUser, now); b.Unavailable || b.ShouldShed(submitWithin) {
+	if b := n.backlog(kv.PriorityUser, now); b.Unavailable || b.ShouldShed(submitWithin) {
 		// It would be told so in the end; so it is told at once.
-		reply(n.later(ledger.PriorityUser, now))
+		reply(n.later(kv.PriorityUser, now))
 		return
 	}
 	at := n.chooseShards(spec, now)
-	rec := &ledger.Job{Spec: spec, Shards: at, AcceptedAtMs: now.UnixMilli(), ChunkSize: n.chunkSize(spec, at)}
+	rec := &records.Job{Spec: spec, Shards: at, AcceptedAtMs: now.UnixMilli(), ChunkSize: n.chunkSize(spec, at)}
 	first := n.claimAtOnce(spec, at, now)
 	for _, name := range at {
 		n.queuedNow[name] += spec.CPUs * float64(spec.Tasks)
@@ -293,21 +294,21 @@
 }
 
 // record writes down that a job is accepted, with the claim on it if there is one.
-func (n *Controller) record(ref string, rec *ledger.Job, first newClaim, reply func(transport.Response)) {
+func (n *Controller) record(ref string, rec *records.Job, first newClaim, reply func(transport.Response)) {
 	until := time.Now().Add(submitWithin)
-	key := ledger.JobPrefix + ref
-	conds := append([]ledger.Compare{{Key: key, Version: 0}}, first.conds...)
-	ops := append([]ledger.Op{{Key: key, Value: rec}}, first.ops()...)
-	n.commit(ledger.PriorityUser, conds, ops, submitWithin, func(err error) {
+	key := records.JobPrefix + ref
+	conds := append([]kv.Compare{{Key: key, Version: 0}}, first.conds...)
+	ops := append([]kv.Op{{Key: key, Value: rec}}, first.ops()...)
+	n.commit(kv.PriorityUser, conds, ops, submitWithin, func(err error) {
 		first.finish(n, err)
 		switch {
 		case err == nil:
 			n.log.Debug("job accepted", "job", ref, "at", rec.Shards, "needs", len(rec.Dependencies), "claimed", first.claim != nil)
 			n.tell(ref, 201, time.Until(until), reply)
 			n.announceNew(key, rec)
-		case errors.Is(err, ledger.ErrTooLarge) && !errors.Is(err, ledger.ErrOutcomeUnknown):
+		case errors.Is(err, kv.ErrTooLarge) && !errors.Is(err, kv.ErrOutcomeUnknown):
 			reply(badRequest(errors.New("the job's record is larger than the state service takes")))
-		case errors.Is(err, ledger.ErrCompareFailed):
+		case errors.Is(err, kv.ErrCompareFailed):
 			if _, _, final, known := n.answerOf(ref); known {
 				if final {
 					n.tell(ref, 200, time.Until(until), reply)
@@ -320,17 +321,17 @@
 				n.recordPlain(key, rec, reply) // only the claim failed
 				return
 			}
-			reply(n.later(ledger.PriorityUser, time.Now()))
+			reply(n.later(kv.PriorityUser, time.Now()))
 		default:
-			reply(n.later(ledger.PriorityUser, time.Now()))
+			reply(n.later(kv.PriorityUser, time.Now()))
 		}
 	})
 }
 
-func (n *Controller) recordPlain(key string, rec *ledger.Job, reply func(transport.Response)) {
-	n.commit(ledger.PriorityUser, []ledger.Compare{{Key: key, Version: 0}}, []ledger.Op{{Key: key, Value: rec}}, submitWithin/2, func(err error) {
+func (n *Controller) recordPlain(key string, rec *records.Job, reply func(transport.Response)) {
+	n.commit(kv.PriorityUser, []kv.Compare{{Key: key, Version: 0}}, []kv.Op{{Key: key, Value: rec}}, submitWithin/2, func(err error) {
 		if err != nil {
-			reply(n.later(ledger.PriorityUser, time.Now()))
+			reply(n.later(kv.PriorityUser, time.Now()))
 			return
 		}
 		n.tell(rec.Spec.JobID, 201, submitWithin/4, reply)
@@ -360,10 +361,10 @@
 		reply(unavailable(1))
 		return
 	case n.stateDown(time.Now()):
-		reply(n.later(ledger.PriorityUser, time.Now()))
+		reply(n.later(kv.PriorityUser, time.Now()))
 		return
 	case !known:
-		n.commit(ledger.PriorityUser, []ledger.Compare{{Key: ledger.JobPrefix + ref, Version: 0}}, nil, left, func(err error) {
+		n.commit(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + ref, Version: 0}}, nil, left, func(err error) {
 			if err == nil {
 				reply(notFound)
 			} else if _, _, _, found := n.answerOf(ref); found {
@@ -375,13 +376,13 @@
 		return
 	}
 	rec := n.cancelledRecord(ref, time.Now())
-	key := ledger.JobPrefix + ref
-	n.commit(ledger.PriorityUser, []ledger.Compare{{Key: key, Version: stamp}}, []ledger.Op{{Key: key, Value: rec}}, left, func(err error) {
+	key := records.JobPrefix + ref
+	n.commit(kv.PriorityUser, []kv.Compare{{Key: key, Version: stamp}}, []kv.Op{{Key: key, Value: rec}}, left, func(err error) {
 		switch {
 		case err == nil:
 			n.announce(key)
 			n.tell(ref, 200, time.Until(until), reply)
-		case errors.Is(err, ledger.ErrCompareFailed):
+		case errors.Is(err, kv.ErrCompareFailed):
 			if _, newer, _, _ := n.answerOf(ref); newer != stamp {
 				n.abort(ref, until, reply)
 				return
@@ -395,9 +396,9 @@
 
 // cancelledRecord is a known job's record once its user has cancelled it. One that waits
 // for others has no tasks, so nobody needs its description any more.
-func (n *Controller) cancelledRecord(ref string, now time.Time) *ledger.Job {
+func (n *Controller) cancelledRecord(ref string, now time.Time) *records.Job {
 	if w, held := n.pipelines.graph.Lookup(ref); held {
-		return &ledger.Job{State: protocol.JobCancelled, Tasks: w.Spec.Tasks, CancelledAtMs: now.UnixMilli()}
+		return &records.Job{State: protocol.JobCancelled, Tasks: w.Spec.Tasks, CancelledAtMs: now.UnixMilli()}
 	}
 	rec := *n.jobs[ref].rec
 	rec.State, rec.Tasks, rec.CancelledAtMs = protocol.JobCancelled, rec.Spec.Tasks, now.UnixMilli()
--- a/internal/coordination/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -10,22 +10,23 @@
 	"testing/synctest"
 	"time"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 	"madderslip/internal/transport"
 )
 
 // saturatedReads is a node whose state service takes transactions and answers reads as told.
 type saturatedReads struct {
 	idleStore
-	txn *ledger.Txn
-	now ledger.Item
+	txn *kv.Txn
+	now kv.Item
 	err error
 }
 
-func (a *saturatedReads) Submit(t *ledger.Txn)        { a.txn = t }
+func (a *saturatedReads) Submit(t *kv.Txn)            { a.txn = t }
 func (a *saturatedReads) ReadBacklog() (int, float64) { return 0, 100 }
-func (a *saturatedReads) Get(context.Context, string) (ledger.Item, error) {
+func (a *saturatedReads) Get(context.Context, string) (kv.Item, error) {
 	return a.now, a.err
 }
 
@@ -34,21 +35,21 @@
 // watch has brought the acceptance, not yet the cancellation. What it then answers is what
 // it has read since the question, or nothing: "pending" would be older than "cancelled".
 func TestAnswersAreNoOlderThanTheQuestion(t *testing.T) {
-	key := ledger.JobPrefix + "wk-1"
+	key := records.JobPrefix + "wk-1"
 	spec := &protocol.Submission{JobID: "wk-1", Team: "open", Shape: protocol.ShapeService, Tasks: 1}
-	raw, err := protocol.Encode(&ledger.Job{Spec: spec, State: protocol.JobCancelled, Tasks: 1})
+	raw, err := protocol.Encode(&records.Job{Spec: spec, State: protocol.JobCancelled, Tasks: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
 		name   string
-		read   ledger.Item
+		read   kv.Item
 		err    error
 		status int
 		phase  string
 	}{
-		{"read", ledger.Item{Key: key, Value: raw, Version: 8}, nil, 200, protocol.JobCancelled},
-		{"not read", ledger.Item{}, errors.New("no answer"), 503, ""},
+		{"read", kv.Item{Key: key, Value: raw, Version: 8}, nil, 200, protocol.JobCancelled},
+		{"not read", kv.Item{}, errors.New("no answer"), 503, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -58,9 +59,9 @@
 				var got transport.Response
 				n.handleQuery("wk-1", func(r transport.Response) { got = r })
 				n.mu.Lock()
-				n.store(key, &ledger.Job{Spec: spec, ChunkSize: 1}, 7)
+				n.store(key, &records.Job{Spec: spec, ChunkSize: 1}, 7)
 				n.mu.Unlock()
-				led.txn.OnResult(ledger.Result{Err: ledger.ErrCompareFailed, FailedKeys: []string{key}, Revision: 8})
+				led.txn.OnResult(kv.Result{Err: kv.ErrCompareFailed, FailedKeys: []string{key}, Revision: 8})
 				time.Sleep(5 * time.Second)
 				n.mu.Lock()
 				defer n.mu.Unlock()
@@ -98,9 +99,9 @@
 				t.Errorf("%s: %d %s, wanted %d %s", what, r.Status, r.Body, status, phase)
 			}
 		}
-		n.store(ledger.JobPrefix+"wk-1", &ledger.Job{Spec: &protocol.Submission{JobID: "wk-1", Tasks: 1}, ChunkSize: 1}, 6)
+		n.store(records.JobPrefix+"wk-1", &records.Job{Spec: &protocol.Submission{JobID: "wk-1", Tasks: 1}, ChunkSize: 1}, 6)
 		expect("accepted", answer(), 201, protocol.JobPending)
-		n.store(ledger.JobPrefix+"wk-1", &ledger.Job{State: protocol.JobCancelled, Tasks: 1}, 8)
+		n.store(records.JobPrefix+"wk-1", &records.Job{State: protocol.JobCancelled, Tasks: 1}, 8)
 		first := answer()
 		expect("the watch is behind", first, 0, "")
 		time.Sleep(500 * time.Millisecond)
--- a/internal/coordination/versions_test.go
+++ b/internal/coordination/controller/versions_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"reflect"
 	"testing"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/records"
 )
 
 // TestRecordsOfProduction: the records that the version in production (6672a9c) wrote in
@@ -38,7 +38,7 @@
 		if err != nil || json.Unmarshal(value, &was) != nil || json.Unmarshal(again, &is) != nil || !reflect.DeepEqual(was, is) {
 			t.Errorf("%s: %s, written again %s (%v)", key, value, again, err)
 		}
-		if j, ok := rec.(*ledger.Job); ok && (j.State == ledger.JobBlocked || len(j.Dependencies) > 0 || j.ReleasedAtMs != 0) {
+		if j, ok := rec.(*records.Job); ok && (j.State == records.JobBlocked || len(j.Dependencies) > 0 || j.ReleasedAtMs != 0) {
 			t.Errorf("%s is taken for one that waits", key)
 		}
 	}
@@ -67,7 +67,7 @@
 // jobs that wait, wait no longer, or were cancelled while they waited.
 func TestProductionReadsPipelines(t *testing.T) {
 	spec := &protocol.Submission{JobID: "wk-7", Shape: protocol.ShapeArray, Tasks: 3, CPUs: 2}
-	read := func(rec *ledger.Job) *formerJob {
+	read := func(rec *records.Job) *formerJob {
 		t.Helper()
 		raw, err := protocol.Encode(rec)
 		if err != nil {
@@ -79,15 +79,15 @@
 		}
 		return &former
 	}
-	held := read(&ledger.Job{State: ledger.JobBlocked, Spec: spec, Dependencies: ledger.JobIDs{"wk-1", "wk-000002"}, AcceptedAtMs: 5})
+	held := read(&records.Job{State: records.JobBlocked, Spec: spec, Dependencies: records.JobIDs{"wk-1", "wk-000002"}, AcceptedAtMs: 5})
 	if !held.final() || held.State != protocol.JobPending {
 		t.Errorf("a job that waits would be started: %+v", held)
 	}
-	released := read(&ledger.Job{Spec: spec, Shards: []string{"n0", "n1"}, AcceptedAtMs: 5, ReleasedAtMs: 9, ChunkSize: 3})
+	released := read(&records.Job{Spec: spec, Shards: []string{"n0", "n1"}, AcceptedAtMs: 5, ReleasedAtMs: 9, ChunkSize: 3})
 	if released.final() || released.Spec.Tasks != 3 || len(released.At) != 2 || released.Size != 3 {
 		t.Errorf("a released job is no ordinary one: %+v", released)
 	}
-	cancelled := read(&ledger.Job{State: protocol.JobCancelled, Tasks: 3, CancelledAtMs: 9})
+	cancelled := read(&records.Job{State: protocol.JobCancelled, Tasks: 3, CancelledAtMs: 9})
 	if !cancelled.final() || cancelled.State != protocol.JobCancelled {
 		t.Errorf("a cancelled job: %+v", cancelled)
 	}
--- a/internal/coordination/view.go
+++ b/internal/coordination/controller/view.go
@@ -1,8 +1,4 @@
-// Package coordination decides: who owns which shard, which job starts where,
-// how many machines there should be. Each loop compares the wanted state with
-// what is and works off the difference, so that a lost or repeated step is
-// simply seen again. Everything remembered here is a cache of the ledger.
-package coordination
+package controller
 
 import (
 	"maps"
@@ -11,27 +7,28 @@
 	"strings"
 	"time"
 
-	"madderslip/internal/evidence"
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/quarantine"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // job is an accepted job that is open, or final with claims left to clear.
 type job struct {
 	ref    string
-	rec    *ledger.Job
+	rec    *records.Job
 	stamp  uint64
 	chunks int
 	size   int // tasks in a chunk
 	claims map[int]*claim
-	seen   time.Time            // when this node first saw it
-	ended  time.Time            // when this node saw it final
-	told   map[string]time.Time // cancelled: when another controller last took this one's word
-	ev     evidence.JobEvidence // for and against it, after failures
-	pause  time.Time            // no start before this: a worker has not heard of it yet
-	lost   map[int]time.Time    // chunks left to another shard until then
-	keys   []string             // of its claims, by chunk; made when first asked for
-	heir   inheritance          // what it has from the jobs that need it
+	seen   time.Time              // when this node first saw it
+	ended  time.Time              // when this node saw it final
+	told   map[string]time.Time   // cancelled: when another controller last took this one's word
+	ev     quarantine.JobEvidence // for and against it, after failures
+	pause  time.Time              // no start before this: a worker has not heard of it yet
+	lost   map[int]time.Time      // chunks left to another shard until then
+	keys   []string               // of its claims, by chunk; made when first asked for
+	heir   inheritance            // what it has from the jobs that need it
 }
 
 // spec is the job's description, with the rank that counts now.
@@ -62,7 +59,7 @@
 	if len(j.keys) < j.chunks {
 		j.keys = make([]string, j.chunks)
 		for i := range j.keys {
-			j.keys[i] = ledger.ClaimKey(j.ref, i)
+			j.keys[i] = records.ClaimKey(j.ref, i)
 		}
 	}
 	return j.keys[chunk]
@@ -73,9 +70,9 @@
 	key    string
 	ref    string
 	chunk  int
-	rec    *ledger.Claim // nil while the first version is being committed
+	rec    *records.Claim // nil while the first version is being committed
 	stamp  uint64
-	pend   *ledger.Claim
+	pend   *records.Claim
 	spec   *protocol.Submission
 	evict  map[int]time.Time // tasks to be stopped, and since when
 	again  time.Time         // earliest next commit after a conflict
@@ -94,7 +91,7 @@
 }
 
 // latest is the version being committed, or else the committed one.
-func (c *claim) latest() *ledger.Claim {
+func (c *claim) latest() *records.Claim {
 	if c.pend != nil {
 		return c.pend
 	}
@@ -107,14 +104,14 @@
 func (c *claim) halted() bool { return c.rec != nil && c.halt != 0 && c.halt == c.rec.LastAttempt }
 
 type teamUse struct {
-	rec   ledger.TeamUsage
+	rec   records.TeamUsage
 	stamp uint64
 	busy  bool
 }
 
 type hire struct {
 	name   string
-	rec    ledger.Provision
+	rec    records.Provision
 	stamp  uint64
 	busy   bool
 	next   time.Time
@@ -130,56 +127,56 @@
 	n.stamps[key] = stamp
 	n.led.ObserveVersion(key, stamp, rec != nil)
 	switch {
-	case strings.HasPrefix(key, ledger.JobPrefix):
-		r, _ := rec.(*ledger.Job)
-		n.storeJob(strings.TrimPrefix(key, ledger.JobPrefix), r, stamp)
-	case strings.HasPrefix(key, ledger.ClaimPrefix):
-		r, _ := rec.(*ledger.Claim)
+	case strings.HasPrefix(key, records.JobPrefix):
+		r, _ := rec.(*records.Job)
+		n.storeJob(strings.TrimPrefix(key, records.JobPrefix), r, stamp)
+	case strings.HasPrefix(key, records.ClaimPrefix):
+		r, _ := rec.(*records.Claim)
 		n.storeClaim(key, r, stamp)
-	case strings.HasPrefix(key, ledger.MachinePrefix):
-		r, _ := rec.(*ledger.Machine)
-		n.storeMachine(strings.TrimPrefix(key, ledger.MachinePrefix), r, stamp)
-	case strings.HasPrefix(key, ledger.ShardPrefix):
-		r, _ := rec.(*ledger.Shard)
-		n.storeShard(strings.TrimPrefix(key, ledger.ShardPrefix), r, stamp)
-	case strings.HasPrefix(key, ledger.NodePrefix):
-		r, _ := rec.(*ledger.Node)
-		n.storeNode(strings.TrimPrefix(key, ledger.NodePrefix), r, stamp)
-	case strings.HasPrefix(key, ledger.TeamUsagePrefix):
-		if r, ok := rec.(*ledger.TeamUsage); ok && r != nil {
-			t := n.team(strings.TrimPrefix(key, ledger.TeamUsagePrefix))
+	case strings.HasPrefix(key, records.MachinePrefix):
+		r, _ := rec.(*records.Machine)
+		n.storeMachine(strings.TrimPrefix(key, records.MachinePrefix), r, stamp)
+	case strings.HasPrefix(key, records.ShardPrefix):
+		r, _ := rec.(*records.Shard)
+		n.storeShard(strings.TrimPrefix(key, records.ShardPrefix), r, stamp)
+	case strings.HasPrefix(key, records.NodePrefix):
+		r, _ := rec.(*records.Node)
+		n.storeNode(strings.TrimPrefix(key, records.NodePrefix), r, stamp)
+	case strings.HasPrefix(key, records.TeamUsagePrefix):
+		if r, ok := rec.(*records.TeamUsage); ok && r != nil {
+			t := n.team(strings.TrimPrefix(key, records.TeamUsagePrefix))
 			t.rec, t.stamp = *r, stamp
 		}
-	case strings.HasPrefix(key, ledger.TeamLimitPrefix):
-		r, _ := rec.(*ledger.TeamLimit)
-		n.quota.ApplyLimit(strings.TrimPrefix(key, ledger.TeamLimitPrefix), r, stamp)
-	case strings.HasPrefix(key, ledger.AllotmentPrefix):
-		r, _ := rec.(*ledger.Allotment)
-		n.quota.ApplyAllotment(strings.TrimPrefix(key, ledger.AllotmentPrefix), r, stamp)
-	case strings.HasPrefix(key, ledger.ReservationPrefix):
-		r, _ := rec.(*ledger.Reservations)
-		n.quota.ApplyReservations(strings.TrimPrefix(key, ledger.ReservationPrefix), r, stamp)
-	case strings.HasPrefix(key, ledger.ProvisionPrefix):
-		r, _ := rec.(*ledger.Provision)
-		n.storeHire(strings.TrimPrefix(key, ledger.ProvisionPrefix), r, stamp)
-	case strings.HasPrefix(key, ledger.ImagePrefix):
-		r, _ := rec.(*ledger.ImageLocations)
+	case strings.HasPrefix(key, records.TeamLimitPrefix):
+		r, _ := rec.(*records.TeamLimit)
+		n.quota.ApplyLimit(strings.TrimPrefix(key, records.TeamLimitPrefix), r, stamp)
+	case strings.HasPrefix(key, records.AllotmentPrefix):
+		r, _ := rec.(*records.Allotment)
+		n.quota.ApplyAllotment(strings.TrimPrefix(key, records.AllotmentPrefix), r, stamp)
+	case strings.HasPrefix(key, records.ReservationPrefix):
+		r, _ := rec.(*records.Reservations)
+		n.quota.ApplyReservations(strings.TrimPrefix(key, records.ReservationPrefix), r, stamp)
+	case strings.HasPrefix(key, records.ProvisionPrefix):
+		r, _ := rec.(*records.Provision)
+		n.storeHire(strings.TrimPrefix(key, records.ProvisionPrefix), r, stamp)
+	case strings.HasPrefix(key, records.ImagePrefix):
+		r, _ := rec.(*records.ImageLocations)
 		n.storeImages(key, r)
-	case strings.HasPrefix(key, ledger.GangReservationPrefix):
-		r, _ := rec.(*ledger.GangReservation)
-		n.storeGather(strings.TrimPrefix(key, ledger.GangReservationPrefix), r, stamp)
-	case strings.HasPrefix(key, ledger.GangHoldPrefix):
-		r, _ := rec.(*ledger.GangHold)
-		n.storeHold(strings.TrimPrefix(key, ledger.GangHoldPrefix), r, stamp)
-	case key == ledger.LeaderKey:
-		r, _ := rec.(*ledger.Leader)
+	case strings.HasPrefix(key, records.GangReservationPrefix):
+		r, _ := rec.(*records.GangReservation)
+		n.storeGather(strings.TrimPrefix(key, records.GangReservationPrefix), r, stamp)
+	case strings.HasPrefix(key, records.GangHoldPrefix):
+		r, _ := rec.(*records.GangHold)
+		n.storeHold(strings.TrimPrefix(key, records.GangHoldPrefix), r, stamp)
+	case key == records.LeaderKey:
+		r, _ := rec.(*records.Leader)
 		n.storeLead(r, stamp)
 	}
 	n.poke()
 }
 
 // take decodes an item of the ledger and stores it.
-func (n *Controller) take(it ledger.Item) {
+func (n *Controller) take(it kv.Item) {
 	if it.Version <= n.stamps[it.Key] {
 		return
 	}
@@ -199,39 +196,39 @@
 
 func blank(key string) any {
 	switch {
-	case strings.HasPrefix(key, ledger.JobPrefix):
-		return new(ledger.Job)
-	case strings.HasPrefix(key, ledger.ClaimPrefix):
-		return new(ledger.Claim)
-	case strings.HasPrefix(key, ledger.MachinePrefix):
-		return new(ledger.Machine)
-	case strings.HasPrefix(key, ledger.ShardPrefix):
-		return new(ledger.Shard)
-	case strings.HasPrefix(key, ledger.NodePrefix):
-		return new(ledger.Node)
-	case strings.HasPrefix(key, ledger.TeamUsagePrefix):
-		return new(ledger.TeamUsage)
-	case strings.HasPrefix(key, ledger.TeamLimitPrefix):
-		return new(ledger.TeamLimit)
-	case strings.HasPrefix(key, ledger.AllotmentPrefix):
-		return new(ledger.Allotment)
-	case strings.HasPrefix(key, ledger.ReservationPrefix):
-		return new(ledger.Reservations)
-	case strings.HasPrefix(key, ledger.ProvisionPrefix):
-		return new(ledger.Provision)
-	case strings.HasPrefix(key, ledger.ImagePrefix):
-		return new(ledger.ImageLocations)
-	case strings.HasPrefix(key, ledger.GangReservationPrefix):
-		return new(ledger.GangReservation)
-	case strings.HasPrefix(key, ledger.GangHoldPrefix):
-		return new(ledger.GangHold)
-	case key == ledger.LeaderKey:
-		return new(ledger.Leader)
+	case strings.HasPrefix(key, records.JobPrefix):
+		return new(records.Job)
+	case strings.HasPrefix(key, records.ClaimPrefix):
+		return new(records.Claim)
+	case strings.HasPrefix(key, records.MachinePrefix):
+		return new(records.Machine)
+	case strings.HasPrefix(key, records.ShardPrefix):
+		return new(records.Shard)
+	case strings.HasPrefix(key, records.NodePrefix):
+		return new(records.Node)
+	case strings.HasPrefix(key, records.TeamUsagePrefix):
+		return new(records.TeamUsage)
+	case strings.HasPrefix(key, records.TeamLimitPrefix):
+		return new(records.TeamLimit)
+	case strings.HasPrefix(key, records.AllotmentPrefix):
+		return new(records.Allotment)
+	case strings.HasPrefix(key, records.ReservationPrefix):
+		return new(records.Reservations)
+	case strings.HasPrefix(key, records.ProvisionPrefix):
+		return new(records.Provision)
+	case strings.HasPrefix(key, records.ImagePrefix):
+		return new(records.ImageLocations)
+	case strings.HasPrefix(key, records.GangReservationPrefix):
+		return new(records.GangReservation)
+	case strings.HasPrefix(key, records.GangHoldPrefix):
+		return new(records.GangHold)
+	case key == records.LeaderKey:
+		return new(records.Leader)
 	}
 	return nil
 }
 
-func (n *Controller) storeJob(ref string, r *ledger.Job, stamp uint64) {
+func (n *Controller) storeJob(ref string, r *records.Job, stamp uint64) {
 	j := n.jobs[ref]
 	if r == nil {
 		return // job records are kept for ever
@@ -306,17 +303,17 @@
 }
 
 // setPend says which version of a claim is being committed, if any.
-func (n *Controller) setPend(c *claim, next *ledger.Claim) {
+func (n *Controller) setPend(c *claim, next *records.Claim) {
 	c.pend = next
 	n.reindex(c)
 }
 
 // remember keeps only a small entry of a final job.
-func (n *Controller) remember(ref string, r *ledger.Job, stamp uint64) {
+func (n *Controller) remember(ref string, r *records.Job, stamp uint64) {
 	if len(n.final) >= finalCache {
 		for old := range n.final {
 			delete(n.final, old)
-			delete(n.stamps, ledger.JobPrefix+old)
+			delete(n.stamps, records.JobPrefix+old)
 			break
 		}
 	}
@@ -336,7 +333,7 @@
 // mayHaveClaims tells that a job's cancellation is known ahead of the watch, which may
 // yet bring claims of it. Forgotten at once, the job had to be read again for them, which
 // nobody can in an outage, and they were minded by nobody.
-func (n *Controller) mayHaveClaims(r *ledger.Job, stamp uint64) bool {
+func (n *Controller) mayHaveClaims(r *records.Job, stamp uint64) bool {
 	return n.loaded && r.State == protocol.JobCancelled && stamp > n.epoch
 }
 
@@ -364,8 +361,8 @@
 	}
 }
 
-func (n *Controller) storeClaim(key string, r *ledger.Claim, stamp uint64) {
-	ref, chunk, err := ledger.ParseClaimKey(key)
+func (n *Controller) storeClaim(key string, r *records.Claim, stamp uint64) {
+	ref, chunk, err := records.ParseClaimKey(key)
 	if err != nil {
 		return
 	}
--- a/internal/coordination/workers.go
+++ b/internal/coordination/controller/workers.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -10,10 +10,11 @@
 	"strings"
 	"time"
 
-	"madderslip/internal/evidence"
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/health"
+	"madderslip/internal/coordination/quarantine"
 	"madderslip/internal/protocol"
-	"madderslip/internal/recovery"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 	"madderslip/internal/transport"
 )
 
@@ -21,7 +22,7 @@
 type machine struct {
 	host      string
 	listed    string // its address in the cloud's list
-	rec       ledger.Machine
+	rec       records.Machine
 	stamp     uint64
 	adoptedAt time.Time // when this process began to answer for it
 
@@ -31,7 +32,7 @@
 	said    time.Time // when a report of its own last arrived
 	back    time.Time // since when it is heard again, after a silence
 	running map[string]time.Time
-	images  []ledger.CachedImage // most recently used last
+	images  []records.CachedImage // most recently used last
 	warned  time.Time
 
 	queue    []protocol.Command // not sent yet
@@ -44,13 +45,13 @@
 	asked      time.Time // when it was last asked for cancelled tasks by a node that may not act for it
 	probing    bool
 	mute       time.Time // when it last failed to answer a direct question
-	hearing    recovery.Reachability
+	hearing    health.Reachability
 	returning  bool // a commit or a call to return it is under way
 	returnNext time.Time
 	idleSince  time.Time
-	draining   time.Time                // being emptied since, to be returned
-	ev         evidence.MachineEvidence // against it
-	denied     time.Time                // refused a start for want of room: nothing new before
+	draining   time.Time                  // being emptied since, to be returned
+	ev         quarantine.MachineEvidence // against it
+	denied     time.Time                  // refused a start for want of room: nothing new before
 	sick       bool
 	sickAt     time.Time
 	late       bool // it did not come up in time
@@ -98,7 +99,7 @@
 	return m.listed
 }
 
-func (n *Controller) storeMachine(host string, r *ledger.Machine, stamp uint64) {
+func (n *Controller) storeMachine(host string, r *records.Machine, stamp uint64) {
 	m := n.machines[host]
 	if r == nil {
 		return // kept as a tombstone: a return is final
@@ -121,12 +122,12 @@
 	if r.State != "" {
 		n.shard(r.Shard).discharge(m)
 	}
-	if r.State == ledger.MachineReturning {
+	if r.State == records.MachineReturning {
 		n.returns[host] = m
 	} else {
 		delete(n.returns, host)
 	}
-	if r.State == ledger.MachineGone {
+	if r.State == records.MachineGone {
 		for _, p := range m.use.places {
 			n.mark(p.c)
 		}
@@ -136,7 +137,7 @@
 		if len(m.use.places) == 0 {
 			m.tasks = nil
 		}
-		m.running, m.tried, m.stopped, m.ev = map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}, evidence.MachineEvidence{}
+		m.running, m.tried, m.stopped, m.ev = map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}, quarantine.MachineEvidence{}
 	}
 }
 
@@ -171,8 +172,8 @@
 	return true
 }
 
-func accountOf(r *protocol.Heartbeat) recovery.Incarnation {
-	return recovery.Incarnation{AgentEpoch: r.AgentEpoch, Sequence: r.Sequence, FencingToken: r.FencingToken}
+func accountOf(r *protocol.Heartbeat) health.Incarnation {
+	return health.Incarnation{AgentEpoch: r.AgentEpoch, Sequence: r.Sequence, FencingToken: r.FencingToken}
 }
 
 // beganAgain takes the first account of a machine's later life, an answer to a
@@ -402,7 +403,7 @@
 		// while its lease runs out.
 		return misdirected
 	}
-	doubtful := m.rep != nil && recovery.MayBeRestarted(accountOf(m.rep), accountOf(r))
+	doubtful := m.rep != nil && health.MayBeRestarted(accountOf(m.rep), accountOf(r))
 	if doubtful && !m.probing {
 		n.probe(m)
 	}
@@ -457,10 +458,10 @@
 }
 
 // placementOf finds the claim of a reported task and its placement on a host.
-func (n *Controller) placementOf(m *machine, task string) (*claim, *ledger.Placement) {
+func (n *Controller) placementOf(m *machine, task string) (*claim, *records.Placement) {
 	host := m.host
 	if p := m.use.places[task]; p != nil && p.c.pend == nil {
-		return p.c, &ledger.Placement{Task: p.task, Attempt: p.try, Host: host}
+		return p.c, &records.Placement{Task: p.task, Attempt: p.try, Host: host}
 	}
 	ref, num, ok := protocol.ParseTaskName(task)
 	j := n.jobs[ref]
@@ -471,7 +472,7 @@
 	if c == nil {
 		return nil, nil
 	}
-	for _, rec := range []*ledger.Claim{c.rec, c.pend} {
+	for _, rec := range []*records.Claim{c.rec, c.pend} {
 		if rec == nil {
 			continue
 		}
@@ -518,7 +519,7 @@
 func (n *Controller) adoptGroup(kind machineKind, hosts []string, now time.Time) {
 	n.fleet.counter++
 	name := fmt.Sprintf("%s-%d-%d", n.cfg.NodeName, n.boot.UnixMilli(), n.fleet.counter)
-	rec := &ledger.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: name, Type: kind.typ, Zone: kind.zone, Spot: kind.loaner, Count: len(hosts)}, RequestedAtMs: now.UnixMilli()}
+	rec := &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: name, Type: kind.typ, Zone: kind.zone, Spot: kind.loaner, Count: len(hosts)}, RequestedAtMs: now.UnixMilli()}
 	byShard := make(map[string][]string)
 	for _, host := range hosts {
 		shard := n.smallestShard(kind.zone, kind.typ)
@@ -535,13 +536,13 @@
 	// is recorded first, this fails. If this comes first, the hire's record gets a
 	// new version, and an answer that was about to be recorded, or is recorded
 	// late, fails: else a machine is put into two shards, with two owners.
-	conds := []ledger.Compare{{Key: ledger.LeaderKey, Version: n.leadStamp}, {Key: ledger.ProvisionPrefix + name, Version: 0}}
-	ops := []ledger.Op{{Key: ledger.ProvisionPrefix + name, Value: rec}}
+	conds := []kv.Compare{{Key: records.LeaderKey, Version: n.leadStamp}, {Key: records.ProvisionPrefix + name, Version: 0}}
+	ops := []kv.Op{{Key: records.ProvisionPrefix + name, Value: rec}}
 	for _, name := range slices.Sorted(maps.Keys(n.hires)) {
 		if h := n.hires[name]; h.stamp != 0 && h.rec.Type == kind.typ && h.rec.Zone == kind.zone && h.rec.Spot == kind.loaner {
 			again := h.rec
-			conds = append(conds, ledger.Compare{Key: ledger.ProvisionPrefix + h.name, Version: h.stamp})
-			ops = append(ops, ledger.Op{Key: ledger.ProvisionPrefix + h.name, Value: &again})
+			conds = append(conds, kv.Compare{Key: records.ProvisionPrefix + h.name, Version: h.stamp})
+			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + h.name, Value: &again})
 		}
 	}
 	if len(ops) > n.cfg.RecordLimits().MaxTxnOps {
@@ -550,7 +551,7 @@
 		}
 		return
 	}
-	n.commit(ledger.PriorityLease, conds, ops, 5*time.Second, func(err error) {
+	n.commit(kv.PriorityLease, conds, ops, 5*time.Second, func(err error) {
 		if err == nil {
 			n.log.Info("machines adopted", "hosts", len(hosts), "type", kind.typ, "zone", kind.zone, "parts", rec.Allocations)
 		}
@@ -626,7 +627,7 @@
 
 // mute tells that a machine answers at best, and does not report.
 func (n *Controller) mute(m *machine, now time.Time) bool {
-	return recovery.CannotReport(m.said, n.hearsSince(m), now, n.cfg.Workers.LeaseDuration)
+	return health.CannotReport(m.said, n.hearsSince(m), now, n.cfg.Workers.LeaseDuration)
 }
 
 // silence is how long a machine has given no sign of life to this owner.
@@ -677,7 +678,7 @@
 		n.probe(m)
 	}
 	s.wantRaise(m)
-	if recovery.Unreachable(m.said, n.hearsSince(m), now, n.cfg.Workers.LeaseDuration) && quiet <= n.pol.SuspectAfter && !m.returning && !n.ownFault(s, now) && !n.stateDown(now) && m.showsNone() {
+	if health.Unreachable(m.said, n.hearsSince(m), now, n.cfg.Workers.LeaseDuration) && quiet <= n.pol.SuspectAfter && !m.returning && !n.ownFault(s, now) && !n.stateDown(now) && m.showsNone() {
 		// It answers, but its lease ends again and again, with all that it is given.
 		n.log.Info("fencing a machine whose reports do not arrive", "host", m.host)
 		n.returnMachine(s, m)
@@ -751,7 +752,7 @@
 		m.probing = false
 		if err == nil && status == 200 && r.Host == m.host {
 			m.hearing.RecordAnswer(time.Now())
-			if s := n.shards[m.rec.Shard]; before != nil && m.rep != nil && m.rec.State == "" && recovery.HasRestarted(accountOf(before), accountOf(&r)) {
+			if s := n.shards[m.rec.Shard]; before != nil && m.rep != nil && m.rec.State == "" && health.HasRestarted(accountOf(before), accountOf(&r)) {
 				n.beganAgain(s, m, &r)
 			} else {
 				n.observe(m, &r)
--- a/internal/pipeline/graph.go
+++ b/internal/coordination/dag/graph.go
@@ -1,16 +1,4 @@
-// Package pipeline decides about jobs that wait for others: which of them may be
-// released, which are cancelled because a job before them is, and what rank and
-// deadline a job inherits from those that need it.
-//
-// A Graph is fed with the versions of job records in the order of their revisions. It
-// calls nobody, has no clock, and gives the same answers for the same records, so every
-// controller that has read as far decides alike. Its caller guards it.
-//
-// Two facts carry the argument. Done and cancelled are final in the records, so a job
-// whose needed jobs are all done stays releasable, and one with a cancelled job before
-// it stays cancelled. And a job is released only when all that it needs are done, so a
-// cancellation never reaches a job that has been released.
-package pipeline
+package dag
 
 import (
 	"maps"
--- a/internal/pipeline/urgency.go
+++ b/internal/coordination/dag/urgency.go
@@ -1,4 +1,4 @@
-package pipeline
+package dag
 
 import (
 	"time"
--- a/internal/recovery/alone.go
+++ b/internal/coordination/health/alone.go
@@ -1,4 +1,4 @@
-package recovery
+package health
 
 // ShardSilence is one of the shards that a controller holds, as it hears its machines.
 type ShardSilence struct {
--- a/internal/recovery/alone_test.go
+++ b/internal/coordination/health/alone_test.go
@@ -1,4 +1,4 @@
-package recovery
+package health
 
 import "testing"
 
--- a/internal/recovery/life.go
+++ b/internal/coordination/health/life.go
@@ -1,4 +1,4 @@
-package recovery
+package health
 
 // A machine may begin again under its name: it is back within a moment, its tasks
 // are gone, and its worker counts sessions and reports from the start. The protocol
--- a/internal/leftover/leftover.go
+++ b/internal/coordination/placement/besteffort.go
@@ -1,13 +1,4 @@
-// Package leftover decides how much idle work may take of what others leave: work of
-// the lowest rank, which gives way to everybody. It is mostly that of guests, in large
-// numbers of small tasks or in tasks that run for hours.
-//
-// To give way costs time: a task must be told, may save, and exits. A service that
-// should start within a second can't wait for that, and small idle tasks that start
-// in every gap keep a larger one from ever finding room. So idle work leaves the warm
-// room alone and starts next to nothing while others wait; a small share of the room
-// is its own, or a standing backlog would starve it for good.
-package leftover
+package placement
 
 import (
 	"math"
--- a/internal/leftover/leftover_test.go
+++ b/internal/coordination/placement/besteffort_test.go
@@ -1,4 +1,4 @@
-package leftover
+package placement
 
 import (
 	"testing"
--- a/internal/begin/begin_test.go
+++ b/internal/coordination/placement/startahead_test.go
@@ -1,4 +1,4 @@
-package begin
+package placement
 
 import (
 	"testing"
--- a/internal/boots/boots.go
+++ b/internal/coordination/provisioning/boots.go
@@ -1,8 +1,4 @@
-// Package boots decides what to expect of machines that were rented and are not up:
-// when one is late, so that work waiting for it gets another, when it is given up,
-// and which kinds are better not asked for. What was seen of a type in a zone decides;
-// until something was seen, what the cloud says of the type.
-package boots
+package provisioning
 
 import (
 	"time"
--- a/internal/boots/boots_test.go
+++ b/internal/coordination/provisioning/boots_test.go
@@ -1,4 +1,4 @@
-package boots
+package provisioning
 
 import (
 	"testing"
--- a/internal/evidence/evidence.go
+++ b/internal/coordination/quarantine/evidence.go
@@ -1,11 +1,4 @@
-// Package evidence decides who is to blame when tasks fail: the machine that they
-// ran on, or the job that they are of. A job submitted with a mistake fails on every
-// machine until its user cancels it, and condemns none; a sick machine fails the
-// tasks of every job, and is set aside on the word of jobs that are known to be well.
-//
-// The package holds what was seen and weighs it. It knows no clock, no network and
-// no lock: times come in, verdicts go out, and its owner carries them out.
-package evidence
+package quarantine
 
 import (
 	"maps"
--- a/internal/evidence/machine.go
+++ b/internal/coordination/quarantine/machine.go
@@ -1,4 +1,4 @@
-package evidence
+package quarantine
 
 import (
 	"maps"
--- a/internal/quota/amount.go
+++ b/internal/coordination/quota/amount.go
@@ -1,11 +1,3 @@
-// Package quota decides who may use how much of what, now, and who must give way.
-//
-// A team's limit is divided into allotments, one for each shard and one for work
-// that is placed across shards. The owner of a shard starts work of a team as far
-// as its allotment reaches and asks nobody. Guarantees are booked before anything is
-// stopped for them. The decisions are functions of what the records and the other
-// controllers say; Keeper holds both and makes the conditions and changes of
-// transactions. It has no clock, no network and no lock: its caller has.
 package quota
 
 import "math"
--- a/internal/quota/booking.go
+++ b/internal/coordination/quota/booking.go
@@ -4,7 +4,8 @@
 	"maps"
 	"slices"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // Usage is what bookings are weighed against: the cache of the caller.
@@ -79,11 +80,11 @@
 
 // ReservationCompare is the condition of every start of a team with a guarantee: that its
 // bookings are as this controller knows them.
-func (k *Manager) ReservationCompare(name string) (ledger.Compare, bool) {
+func (k *Manager) ReservationCompare(name string) (kv.Compare, bool) {
 	if !k.HasGuarantee(name) {
-		return ledger.Compare{}, false
+		return kv.Compare{}, false
 	}
-	return ledger.Compare{Key: ledger.ReservationPrefix + name, Version: k.team(name).reservationsVersion}, true
+	return kv.Compare{Key: records.ReservationPrefix + name, Version: k.team(name).reservationsVersion}, true
 }
 
 // ReservationRequest is what is to be booked: a job's claim on its team's guarantee, and the
@@ -98,21 +99,21 @@
 // Reserve makes the transaction that books a claim at the team and at the lenders. It
 // fails if any of their bookings has changed, so two claimants never count the same
 // room, and two never stop the same team's work for it.
-func (k *Manager) Reserve(c ReservationRequest) ([]ledger.Compare, []ledger.Op) {
-	recs := map[string]*ledger.Reservations{c.Team: k.copyReservations(c.Team)}
-	recs[c.Team].ByClaim[c.ClaimKey] = ledger.Reservation{Shard: c.Shard, Use: c.Use, FencingToken: c.FencingToken}
+func (k *Manager) Reserve(c ReservationRequest) ([]kv.Compare, []kv.Op) {
+	recs := map[string]*records.Reservations{c.Team: k.copyReservations(c.Team)}
+	recs[c.Team].ByClaim[c.ClaimKey] = records.Reservation{Shard: c.Shard, Use: c.Use, FencingToken: c.FencingToken}
 	for lender, tasks := range c.Victims {
 		if recs[lender] == nil {
 			recs[lender] = k.copyReservations(lender)
 		}
-		recs[lender].Preempted[c.ClaimKey] = ledger.Preemption{BeneficiaryTeam: c.Team, Shard: c.Shard, Tasks: tasks}
+		recs[lender].Preempted[c.ClaimKey] = records.Preemption{BeneficiaryTeam: c.Team, Shard: c.Shard, Tasks: tasks}
 	}
 	return k.writeReservations(recs)
 }
 
 // Release makes the transaction that frees what a job has booked anywhere.
-func (k *Manager) Release(refs []string) ([]ledger.Compare, []ledger.Op) {
-	recs := make(map[string]*ledger.Reservations)
+func (k *Manager) Release(refs []string) ([]kv.Compare, []kv.Op) {
+	recs := make(map[string]*records.Reservations)
 	for name, t := range k.teams {
 		for _, ref := range refs {
 			_, due := t.reservations.ByClaim[ref]
@@ -130,21 +131,21 @@
 	return k.writeReservations(recs)
 }
 
-func (k *Manager) copyReservations(name string) *ledger.Reservations {
+func (k *Manager) copyReservations(name string) *records.Reservations {
 	t := k.team(name)
-	b := &ledger.Reservations{ByClaim: make(map[string]ledger.Reservation), Preempted: make(map[string]ledger.Preemption)}
+	b := &records.Reservations{ByClaim: make(map[string]records.Reservation), Preempted: make(map[string]records.Preemption)}
 	maps.Copy(b.ByClaim, t.reservations.ByClaim)
 	maps.Copy(b.Preempted, t.reservations.Preempted)
 	return b
 }
 
-func (k *Manager) writeReservations(recs map[string]*ledger.Reservations) (conds []ledger.Compare, ops []ledger.Op) {
+func (k *Manager) writeReservations(recs map[string]*records.Reservations) (conds []kv.Compare, ops []kv.Op) {
 	for _, name := range slices.Sorted(maps.Keys(recs)) {
 		// Never dropped when empty: a start that was conditional on there being no record
 		// could be carried out late once there is none again.
-		key := ledger.ReservationPrefix + name
-		conds = append(conds, ledger.Compare{Key: key, Version: k.team(name).reservationsVersion})
-		ops = append(ops, ledger.Op{Key: key, Value: recs[name]})
+		key := records.ReservationPrefix + name
+		conds = append(conds, kv.Compare{Key: key, Version: k.team(name).reservationsVersion})
+		ops = append(ops, kv.Op{Key: key, Value: recs[name]})
 	}
 	return conds, ops
 }
--- a/internal/quota/divide.go
+++ b/internal/coordination/quota/divide.go
@@ -4,7 +4,8 @@
 	"maps"
 	"slices"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // Member is a live controller as its own record tells.
@@ -17,8 +18,8 @@
 type LimitChange struct {
 	Team        string
 	Description string // for the log
-	Compares    []ledger.Compare
-	Ops         []ledger.Op
+	Compares    []kv.Compare
+	Ops         []kv.Op
 	team        *team
 }
 
@@ -30,7 +31,7 @@
 	Revision         uint64                                 // the cache is complete up to here
 	Complete         bool                                   // and knows the size of every claim
 	IsLeader         bool                                   // this controller leads
-	LeaderCompare    ledger.Compare                         // under this condition
+	LeaderCompare    kv.Compare                             // under this condition
 	Members          []Member                               // all live controllers, this one included
 	Holders          []string                               // the shards
 	InitialShare     Resources                              // what a holder is given at first, if there is enough: a machine's worth
@@ -52,7 +53,7 @@
 		}
 		if c, due := k.nextLimitChange(t, s); due {
 			c.Team, c.team, t.busy = name, t, true
-			c.Compares = append(c.Compares, ledger.Compare{Key: ledger.TeamLimitPrefix + name, Version: t.limitVersion})
+			c.Compares = append(c.Compares, kv.Compare{Key: records.TeamLimitPrefix + name, Version: t.limitVersion})
 			out = append(out, c)
 		}
 	}
@@ -77,15 +78,15 @@
 			return LimitChange{}, false
 		}
 		stamp := s.TeamUsageVersion(t.name)
-		next := &ledger.TeamLimit{Generation: rec.Generation + 1, Max: t.configured}
-		return LimitChange{Description: "to be divided", Compares: []ledger.Compare{s.LeaderCompare, {Key: ledger.TeamUsagePrefix + t.name, Version: stamp}},
-			Ops: []ledger.Op{{Key: ledger.TeamLimitPrefix + t.name, Value: next},
-				{Key: ledger.TeamUsagePrefix + t.name, Value: &ledger.TeamUsage{ByShard: map[string][2]float64{legacyBarrier: t.configured}}}}}, true
+		next := &records.TeamLimit{Generation: rec.Generation + 1, Max: t.configured}
+		return LimitChange{Description: "to be divided", Compares: []kv.Compare{s.LeaderCompare, {Key: records.TeamUsagePrefix + t.name, Version: stamp}},
+			Ops: []kv.Op{{Key: records.TeamLimitPrefix + t.name, Value: next},
+				{Key: records.TeamUsagePrefix + t.name, Value: &records.TeamUsage{ByShard: map[string][2]float64{legacyBarrier: t.configured}}}}}, true
 	case t.lowersLimit():
 		// Any controller may lower a limit that it was given; to wait for the leader
 		// would let the others go on with the higher one.
-		next := &ledger.TeamLimit{Generation: rec.Generation + 1, Max: lowerLimit(rec.Max, t.configured), Closing: rec.Closing}
-		return LimitChange{Description: "lowered", Ops: []ledger.Op{{Key: ledger.TeamLimitPrefix + t.name, Value: next}}}, true
+		next := &records.TeamLimit{Generation: rec.Generation + 1, Max: lowerLimit(rec.Max, t.configured), Closing: rec.Closing}
+		return LimitChange{Description: "lowered", Ops: []kv.Op{{Key: records.TeamLimitPrefix + t.name, Value: next}}}, true
 	case !s.IsLeader:
 		return LimitChange{}, false
 	case rec.Closing:
@@ -93,21 +94,21 @@
 			return LimitChange{}, false
 		}
 		stamp, uses := s.TeamUsageVersion(t.name), s.TeamUsage(t.name)
-		team := &ledger.TeamUsage{ByShard: make(map[string][2]float64)}
+		team := &records.TeamUsage{ByShard: make(map[string][2]float64)}
 		for holder, a := range uses {
 			if !a.IsZero() {
 				team.ByShard[holder] = a
 			}
 		}
-		next := &ledger.TeamLimit{Generation: rec.Generation + 1, Max: rec.Max, Closed: true}
-		return LimitChange{Description: "counted in one record again", Compares: []ledger.Compare{s.LeaderCompare, {Key: ledger.TeamUsagePrefix + t.name, Version: stamp}},
-			Ops: []ledger.Op{{Key: ledger.TeamLimitPrefix + t.name, Value: next}, {Key: ledger.TeamUsagePrefix + t.name, Value: team}}}, true
+		next := &records.TeamLimit{Generation: rec.Generation + 1, Max: rec.Max, Closed: true}
+		return LimitChange{Description: "counted in one record again", Compares: []kv.Compare{s.LeaderCompare, {Key: records.TeamUsagePrefix + t.name, Version: stamp}},
+			Ops: []kv.Op{{Key: records.TeamLimitPrefix + t.name, Value: next}, {Key: records.TeamUsagePrefix + t.name, Value: team}}}, true
 	case !able || (agreed && t.configured.IsZero()):
-		next := &ledger.TeamLimit{Generation: rec.Generation + 1, Max: rec.Max, Closing: true}
-		return LimitChange{Description: "to be counted in one record again", Compares: []ledger.Compare{s.LeaderCompare}, Ops: []ledger.Op{{Key: ledger.TeamLimitPrefix + t.name, Value: next}}}, true
+		next := &records.TeamLimit{Generation: rec.Generation + 1, Max: rec.Max, Closing: true}
+		return LimitChange{Description: "to be counted in one record again", Compares: []kv.Compare{s.LeaderCompare}, Ops: []kv.Op{{Key: records.TeamLimitPrefix + t.name, Value: next}}}, true
 	case agreed && t.configured != Resources(rec.Max):
-		next := &ledger.TeamLimit{Generation: rec.Generation + 1, Max: t.configured}
-		return LimitChange{Description: "raised", Compares: []ledger.Compare{s.LeaderCompare}, Ops: []ledger.Op{{Key: ledger.TeamLimitPrefix + t.name, Value: next}}}, true
+		next := &records.TeamLimit{Generation: rec.Generation + 1, Max: t.configured}
+		return LimitChange{Description: "raised", Compares: []kv.Compare{s.LeaderCompare}, Ops: []kv.Op{{Key: records.TeamLimitPrefix + t.name, Value: next}}}, true
 	case t.limit.Base == nil:
 		if s.Revision < t.limitVersion || !s.Complete {
 			return LimitChange{}, false
@@ -116,8 +117,8 @@
 		if !ok {
 			return LimitChange{}, false
 		}
-		next := &ledger.TeamLimit{Generation: rec.Generation + 1, Max: rec.Max, Base: base}
-		return LimitChange{Description: "divided", Compares: []ledger.Compare{s.LeaderCompare}, Ops: []ledger.Op{{Key: ledger.TeamLimitPrefix + t.name, Value: next}}}, true
+		next := &records.TeamLimit{Generation: rec.Generation + 1, Max: rec.Max, Base: base}
+		return LimitChange{Description: "divided", Compares: []kv.Compare{s.LeaderCompare}, Ops: []kv.Op{{Key: records.TeamLimitPrefix + t.name, Value: next}}}, true
 	}
 	return LimitChange{}, false
 }
--- a/internal/quota/keeper.go
+++ b/internal/coordination/quota/keeper.go
@@ -10,8 +10,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // ProtocolVersion is what controllers of these sources say of themselves: they allot limits.
@@ -35,12 +36,12 @@
 type team struct {
 	name                string
 	configured          Resources // the limit that this controller was given
-	limit               ledger.TeamLimit
+	limit               records.TeamLimit
 	limitVersion        uint64
 	allotments          map[string]allotment // by holder
 	grantCache          map[string]Resources // kept until a record changes
 	busy                bool                 // a change of the limit's record is under way
-	reservations        ledger.Reservations
+	reservations        records.Reservations
 	reservationsVersion uint64                   // its revision
 	transferring        map[string]Resources     // gifts under way, by giver
 	demands             map[string]*holderDemand // by holder
@@ -49,7 +50,7 @@
 }
 
 type allotment struct {
-	record  ledger.Allotment
+	record  records.Allotment
 	version uint64
 }
 
@@ -106,17 +107,17 @@
 }
 
 // ApplyLimit takes a version of a team's limit.
-func (k *Manager) ApplyLimit(name string, r *ledger.TeamLimit, stamp uint64) {
+func (k *Manager) ApplyLimit(name string, r *records.TeamLimit, stamp uint64) {
 	t := k.team(name)
-	t.limit, t.limitVersion, t.grantCache = ledger.TeamLimit{}, stamp, nil
+	t.limit, t.limitVersion, t.grantCache = records.TeamLimit{}, stamp, nil
 	if r != nil {
 		t.limit = *r
 	}
 }
 
 // ApplyAllotment takes a version of what a holder has given; the key is below
-// ledger.AllotmentPrefix.
-func (k *Manager) ApplyAllotment(key string, r *ledger.Allotment, stamp uint64) {
+// records.AllotmentPrefix.
+func (k *Manager) ApplyAllotment(key string, r *records.Allotment, stamp uint64) {
 	cut := strings.LastIndexByte(key, '/')
 	if cut < 0 {
 		return
@@ -124,15 +125,15 @@
 	t := k.team(key[:cut])
 	t.grantCache = nil
 	if r == nil {
-		r = &ledger.Allotment{}
+		r = &records.Allotment{}
 	}
 	t.allotments[key[cut+1:]] = allotment{*r, stamp}
 }
 
 // ApplyReservations takes a version of a team's bookings.
-func (k *Manager) ApplyReservations(name string, r *ledger.Reservations, stamp uint64) {
+func (k *Manager) ApplyReservations(name string, r *records.Reservations, stamp uint64) {
 	t := k.team(name)
-	t.reservations, t.reservationsVersion = ledger.Reservations{}, stamp
+	t.reservations, t.reservationsVersion = records.Reservations{}, stamp
 	if r != nil {
 		t.reservations = *r
 	}
@@ -178,12 +179,12 @@
 // LimitCompares are the conditions of every change of a limited team's claims: the limit is
 // as this controller knows it. A change of the limit so voids what is under way, and
 // no start passes it from its record's revision on.
-func (k *Manager) LimitCompares(name string) []ledger.Compare {
+func (k *Manager) LimitCompares(name string) []kv.Compare {
 	t := k.teams[name]
 	if t == nil || (t.limitVersion == 0 && t.configured.IsZero()) {
 		return nil
 	}
-	return []ledger.Compare{{Key: ledger.TeamLimitPrefix + name, Version: t.limitVersion}}
+	return []kv.Compare{{Key: records.TeamLimitPrefix + name, Version: t.limitVersion}}
 }
 
 // grants works out what each holder may use.
--- a/internal/quota/quota_test.go
+++ b/internal/coordination/quota/quota_test.go
@@ -9,8 +9,9 @@
 
 	"pgregory.net/rapid"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 func cpus(k float64) Resources { return Resources{k, 0} }
@@ -150,7 +151,7 @@
 	epoch   uint64
 }
 
-func (r *fakeStore) commit(conds []ledger.Compare, ops []ledger.Op) bool {
+func (r *fakeStore) commit(conds []kv.Compare, ops []kv.Op) bool {
 	for _, c := range conds {
 		if r.stamps[c.Key] != c.Version {
 			return false
@@ -161,12 +162,12 @@
 		r.stamps[op.Key] = r.epoch
 		for _, k := range r.keepers {
 			switch v := op.Value.(type) {
-			case *ledger.TeamLimit:
-				k.ApplyLimit(op.Key[len(ledger.TeamLimitPrefix):], v, r.epoch)
-			case *ledger.Allotment:
-				k.ApplyAllotment(op.Key[len(ledger.AllotmentPrefix):], v, r.epoch)
-			case *ledger.Reservations:
-				k.ApplyReservations(op.Key[len(ledger.ReservationPrefix):], v, r.epoch)
+			case *records.TeamLimit:
+				k.ApplyLimit(op.Key[len(records.TeamLimitPrefix):], v, r.epoch)
+			case *records.Allotment:
+				k.ApplyAllotment(op.Key[len(records.AllotmentPrefix):], v, r.epoch)
+			case *records.Reservations:
+				k.ApplyReservations(op.Key[len(records.ReservationPrefix):], v, r.epoch)
 			}
 		}
 	}
@@ -184,8 +185,8 @@
 	a := with(40)
 	r := &fakeStore{keepers: []*Manager{a}, stamps: make(map[string]uint64)}
 	situation := func(leads bool) ClusterState {
-		s := ClusterState{Revision: r.epoch, Complete: true, IsLeader: leads, Holders: []string{"n0", "n1"}, InitialShare: cpus(8), LeaderCompare: ledger.Compare{Key: ledger.LeaderKey},
-			TeamUsageVersion: func(string) uint64 { return r.stamps[ledger.TeamUsagePrefix+"t"] }, TeamUsage: func(string) map[string]Resources { return use }}
+		s := ClusterState{Revision: r.epoch, Complete: true, IsLeader: leads, Holders: []string{"n0", "n1"}, InitialShare: cpus(8), LeaderCompare: kv.Compare{Key: records.LeaderKey},
+			TeamUsageVersion: func(string) uint64 { return r.stamps[records.TeamUsagePrefix+"t"] }, TeamUsage: func(string) map[string]Resources { return use }}
 		for _, k := range r.keepers {
 			m := Member{}
 			m.QuotaVersion, m.TeamsHash = k.Advertised()
@@ -198,7 +199,7 @@
 		for _, c := range k.LimitChanges(situation(leads)) {
 			what = append(what, c.Description)
 			for _, op := range c.Ops {
-				if one, is := op.Value.(*ledger.TeamUsage); is {
+				if one, is := op.Value.(*records.TeamUsage); is {
 					used = one.ByShard
 				}
 			}
@@ -265,11 +266,11 @@
 func TestGiftsUnderWayCount(t *testing.T) {
 	now := time.Unix(0, 0)
 	k := New(map[string]protocol.Team{"t": {Name: "t", MaxCPUs: 16}}, true, func(string, string) Resources { return Resources{} })
-	r := &fakeStore{keepers: []*Manager{k}, stamps: map[string]uint64{ledger.ShardPrefix + "n0": 5}, epoch: 5}
-	r.commit(nil, []ledger.Op{{Key: ledger.TeamLimitPrefix + "t", Value: &ledger.TeamLimit{Generation: 1, Max: [2]float64{16, 0}, Base: map[string][2]float64{"n0": {16, 0}}}}})
+	r := &fakeStore{keepers: []*Manager{k}, stamps: map[string]uint64{records.ShardPrefix + "n0": 5}, epoch: 5}
+	r.commit(nil, []kv.Op{{Key: records.TeamLimitPrefix + "t", Value: &records.TeamLimit{Generation: 1, Max: [2]float64{16, 0}, Base: map[string][2]float64{"n0": {16, 0}}}}})
 	k.ObserveDemands("other", []protocol.Demand{{Team: "t", Holder: "n1", Head: [2]float64{2, 0}, PerTask: [2]float64{2, 0}, Total: [2]float64{6, 0}, JobID: "wk-1"}}, now)
-	own := func(holder string) (ledger.Compare, bool) {
-		return ledger.Compare{Key: ledger.ShardPrefix + "n0", Version: 5}, holder == "n0"
+	own := func(holder string) (kv.Compare, bool) {
+		return kv.Compare{Key: records.ShardPrefix + "n0", Version: 5}, holder == "n0"
 	}
 	gifts := k.DueTransfers(own, now)
 	if len(gifts) != 1 || len(gifts[0].Ops) != 1 || k.Allowance("t", "n0", cpus(2)) != 5 {
@@ -285,7 +286,7 @@
 	if k.Grant("t", "n0") != cpus(10) || k.Grant("t", "n1") != cpus(6) || len(k.DueTransfers(own, now)) != 0 {
 		t.Fatal(k.Grant("t", "n0"), k.Grant("t", "n1"))
 	}
-	r.stamps[ledger.ShardPrefix+"n0"] = 9 // another owner
+	r.stamps[records.ShardPrefix+"n0"] = 9 // another owner
 	k.ObserveDemands("other", []protocol.Demand{{Team: "t", Holder: "n1", Head: [2]float64{2, 0}, PerTask: [2]float64{2, 0}, Total: [2]float64{8, 0}, JobID: "wk-1"}}, now)
 	if g := k.DueTransfers(own, now); len(g) != 1 || r.commit(g[0].Compares, g[0].Ops) {
 		t.Fatal("a former owner gave")
--- a/internal/quota/wants.go
+++ b/internal/coordination/quota/wants.go
@@ -7,8 +7,9 @@
 	"strings"
 	"time"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // SetDemand notes what a holder of this controller's could start if its allotment
@@ -125,15 +126,15 @@
 type PendingTransfer struct {
 	Transfer
 	Team      string
-	Compares  []ledger.Compare
-	Ops       []ledger.Op
+	Compares  []kv.Compare
+	Ops       []kv.Op
 	team      *team
 	receivers map[string]Resources
 }
 
 // DueTransfers makes the gifts that are due from holders that this controller decides for.
 // decides gives the condition under which it does, its ownership's version.
-func (k *Manager) DueTransfers(decides func(holder string) (ledger.Compare, bool), now time.Time) []PendingTransfer {
+func (k *Manager) DueTransfers(decides func(holder string) (kv.Compare, bool), now time.Time) []PendingTransfer {
 	var out []PendingTransfer
 	for _, name := range slices.Sorted(maps.Keys(k.teams)) {
 		t := k.teams[name]
@@ -158,9 +159,9 @@
 	return out
 }
 
-func (t *team) newTransfer(from string, to map[string]Resources, own ledger.Compare) PendingTransfer {
+func (t *team) newTransfer(from string, to map[string]Resources, own kv.Compare) PendingTransfer {
 	was := t.allotments[from]
-	rec := &ledger.Allotment{Generation: t.limit.Generation, Transferred: make(map[string][2]float64)}
+	rec := &records.Allotment{Generation: t.limit.Generation, Transferred: make(map[string][2]float64)}
 	if was.record.Generation == rec.Generation {
 		maps.Copy(rec.Transferred, was.record.Transferred)
 	}
@@ -170,10 +171,10 @@
 		sum = sum.Plus(a)
 	}
 	t.transferring[from] = sum
-	key := ledger.AllotmentPrefix + t.name + "/" + from
+	key := records.AllotmentPrefix + t.name + "/" + from
 	m := PendingTransfer{Transfer: Transfer{From: from, Amount: sum}, Team: t.name, team: t,
-		Compares: []ledger.Compare{own, {Key: ledger.TeamLimitPrefix + t.name, Version: t.limitVersion}, {Key: key, Version: was.version}},
-		Ops:      []ledger.Op{{Key: key, Value: rec}}}
+		Compares: []kv.Compare{own, {Key: records.TeamLimitPrefix + t.name, Version: t.limitVersion}, {Key: key, Version: was.version}},
+		Ops:      []kv.Op{{Key: key, Value: rec}}}
 	m.To, m.receivers = strings.Join(slices.Sorted(maps.Keys(to)), ","), to
 	return m
 }
--- a/internal/standin/state.go
+++ b/internal/emulator/state.go
@@ -1,7 +1,4 @@
-// Package standin is a small world for tests, written from the protocol:
-// state service, cloud and workers in one process, on the clock of the test.
-// It checks the rules itself, so that a test fails when one is broken.
-package standin
+package emulator
 
 import (
 	"cmp"
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -24,7 +24,7 @@
 // update makes the tests write the files instead of comparing with them.
 var update = flag.Bool("update-golden", false, "write the golden files from the current code")
 
-const directory = "testdata/golden"
+var directory = filepath.Join("testdata", "golden")
 
 // Codec is how the program writes and reads what is compared.
 type Codec struct {
--- a/internal/scale/config.go
+++ b/internal/loadtest/config.go
@@ -1,7 +1,4 @@
-// Package scale measures controllers at sizes that tests can't have: real processes, real
-// HTTP and gRPC over loopback, against the stand-in world with hollow workers, thousands
-// in one process, which speak the worker protocol and run nothing.
-package scale
+package loadtest
 
 import (
 	"fmt"
--- a/internal/scale/controller.go
+++ b/internal/loadtest/controller.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"madderslip/internal/standin"
+	"madderslip/internal/emulator"
 )
 
 // controller is a controller's process.
@@ -45,7 +45,7 @@
 }
 
 // write writes a controller's settings file.
-func (c *controller) write(dir string, cfg *Config, all []*controller, l *standin.Loopback) error {
+func (c *controller) write(dir string, cfg *Config, all []*controller, l *emulator.Loopback) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "node = %q\narea = %q\npublic_addr = %q\npeer_bind = %q\n", c.name, c.zone, c.public, c.peer)
 	for _, o := range all {
--- a/internal/scale/run.go
+++ b/internal/loadtest/run.go
@@ -1,4 +1,4 @@
-package scale
+package loadtest
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"madderslip/internal/emulator"
 	"madderslip/internal/protocol"
-	"madderslip/internal/standin"
 )
 
 // Result is what a measurement came to, over its measured time.
@@ -45,8 +45,8 @@
 
 type run struct {
 	cfg   *Config
-	l     *standin.Loopback
-	w     *standin.World
+	l     *emulator.Loopback
+	w     *emulator.World
 	all   []*controller
 	says  io.Writer
 	dir   string
@@ -80,15 +80,15 @@
 // open makes the world and starts the controllers.
 func (r *run) open(ctx context.Context) error {
 	s := protocol.WorkerSettings{HeartbeatInterval: seconds(r.cfg.ReportS), LeaseDuration: seconds(r.cfg.LeaseS), GangStartTimeout: 50 * time.Second, GangPeerTimeout: 8 * time.Second, CancelDeadline: 47 * time.Second}
-	r.w = standin.NewWorld(ctx, r.cfg.Seed, s, map[string]protocol.Team{"open": {Name: "open"}})
+	r.w = emulator.NewWorld(ctx, r.cfg.Seed, s, map[string]protocol.Team{"open": {Name: "open"}})
 	r.w.RecordStartsOnly = true
 	r.w.OnStart(r.started)
 	r.w.ListLag = 3 * time.Second
 	r.w.Types = []protocol.MachineType{{Name: "m", CPUs: float64(r.cfg.Load.TasksOnEach), MemoryGB: float64(4 * r.cfg.Load.TasksOnEach), ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: zones}}
 	r.w.State.SetRateLimits(r.cfg.State.RPS, r.cfg.State.WriteRPS)
-	r.w.State.SetSizeLimits(standin.SizeLimits{ValueBytes: int(r.cfg.State.ValueKB * 1024), Changes: r.cfg.State.TxnOps})
+	r.w.State.SetSizeLimits(emulator.SizeLimits{ValueBytes: int(r.cfg.State.ValueKB * 1024), Changes: r.cfg.State.TxnOps})
 	var err error
-	if r.l, err = standin.NewLoopback(ctx, r.w); err != nil {
+	if r.l, err = emulator.NewLoopback(ctx, r.w); err != nil {
 		return err
 	}
 	if r.all, err = place(r.cfg.Controllers); err != nil {
@@ -176,7 +176,7 @@
 // load submits jobs, evenly in time, to controllers by turns.
 func (r *run) load(ctx context.Context) {
 	slots := make(chan struct{}, r.cfg.Load.MostInFlight)
-	submit := func(j *standin.Job, urgent bool) {
+	submit := func(j *emulator.Job, urgent bool) {
 		select {
 		case slots <- struct{}{}:
 		default:
@@ -200,7 +200,7 @@
 			}
 		}()
 	}
-	every := func(rate float64, make func() *standin.Job, urgent bool) {
+	every := func(rate float64, make func() *emulator.Job, urgent bool) {
 		if rate <= 0 {
 			return
 		}
@@ -214,16 +214,16 @@
 	go every(r.cfg.Load.UrgentPerS, r.service, true)
 }
 
-func (r *run) array() *standin.Job {
+func (r *run) array() *emulator.Job {
 	j := r.job("array", protocol.ShapeArray, "normal", r.cfg.Load.ArrayTasks)
 	j.Run, j.Spec.RunEstimateS = seconds(r.cfg.Load.RunS), r.cfg.Load.RunS
 	return j
 }
 
-func (r *run) service() *standin.Job { return r.job("urgent", protocol.ShapeService, "critical", 1) }
+func (r *run) service() *emulator.Job { return r.job("urgent", protocol.ShapeService, "critical", 1) }
 
-func (r *run) job(class string, shape protocol.Shape, rank string, tasks int) *standin.Job {
-	return &standin.Job{Spec: protocol.Submission{JobID: fmt.Sprintf("wk-%06d", r.refs.Add(1)), Class: class, Team: "open", Shape: shape, PriorityClass: rank, Tasks: tasks,
+func (r *run) job(class string, shape protocol.Shape, rank string, tasks int) *emulator.Job {
+	return &emulator.Job{Spec: protocol.Submission{JobID: fmt.Sprintf("wk-%06d", r.refs.Add(1)), Class: class, Team: "open", Shape: shape, PriorityClass: rank, Tasks: tasks,
 		CPUs: 1, MemoryGB: 2, Image: "img-1", ImageGB: 1}}
 }
 
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -8,6 +8,9 @@
 	"madderslip/internal/protocol"
 )
 
+// codec is how messages are written and read.
+var codec = golden.Codec{Encode: protocol.Encode, Decode: protocol.Decode}
+
 // kinds are the messages between users, workers, the cloud and the controllers. What is
 // set here has a form of its own: escaped text, and numbers that the two JSON writers in
 // use spell differently.
@@ -33,7 +36,7 @@
 
 // TestGoldenMessages: every message is read and written byte for byte as by 096baff.
 func TestGoldenMessages(t *testing.T) {
-	golden.Check(t, golden.Codec{Encode: protocol.Encode, Decode: protocol.Decode}, kinds(), "settings.toml", "settings.keys", "settings.values")
+	golden.Check(t, codec, kinds(), "settings.toml", "settings.keys", "settings.values")
 }
 
 // The checks of what comes from outside let the golden messages through unchanged.
@@ -64,3 +67,9 @@
 	}
 	golden.CheckText(t, "settings.values", golden.List(reflect.ValueOf(settings)))
 }
+
+// TestGeneratedCodeIsCurrent: the generated codecs know every field of the messages.
+func TestGeneratedCodeIsCurrent(t *testing.T) {
+	golden.CheckGenerated(t, codec, &protocol.Submission{}, &protocol.JobStatus{}, &protocol.TaskStatus{}, &protocol.Heartbeat{}, &protocol.Command{},
+		&protocol.HeartbeatResponse{}, &protocol.CommandRequest{}, &protocol.PeerMessage{})
+}
--- a/internal/schedule/calm.go
+++ b/internal/simtest/calm.go
@@ -1,4 +1,4 @@
-package schedule
+package simtest
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"madderslip/internal/ledger"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/records"
 )
 
 const (
@@ -182,12 +182,12 @@
 // every machine returned.
 func leaked(key string, value json.RawMessage) string {
 	switch {
-	case strings.HasPrefix(key, ledger.ClaimPrefix):
+	case strings.HasPrefix(key, records.ClaimPrefix):
 		return "a claim of a job that is over"
-	case strings.HasPrefix(key, ledger.GangReservationPrefix), strings.HasPrefix(key, ledger.GangHoldPrefix):
+	case strings.HasPrefix(key, records.GangReservationPrefix), strings.HasPrefix(key, records.GangHoldPrefix):
 		return "room held for nobody"
-	case strings.HasPrefix(key, ledger.TeamUsagePrefix):
-		var t ledger.TeamUsage
+	case strings.HasPrefix(key, records.TeamUsagePrefix):
+		var t records.TeamUsage
 		if err := json.Unmarshal(value, &t); err != nil {
 			return err.Error()
 		}
@@ -197,28 +197,28 @@
 				return fmt.Sprintf("%v reserved in %s", use, shard)
 			}
 		}
-	case strings.HasPrefix(key, ledger.ReservationPrefix):
-		var b ledger.Reservations
+	case strings.HasPrefix(key, records.ReservationPrefix):
+		var b records.Reservations
 		if err := json.Unmarshal(value, &b); err != nil {
 			return err.Error()
 		}
 		if len(b.ByClaim)+len(b.Preempted) > 0 {
 			return "a booked guarantee of a job that is over"
 		}
-	case strings.HasPrefix(key, ledger.ProvisionPrefix):
-		var h ledger.Provision
+	case strings.HasPrefix(key, records.ProvisionPrefix):
+		var h records.Provision
 		if err := json.Unmarshal(value, &h); err != nil {
 			return err.Error()
 		}
 		if len(h.Hosts) == 0 {
 			return "a hire without an answer"
 		}
-	case strings.HasPrefix(key, ledger.MachinePrefix):
-		var m ledger.Machine
+	case strings.HasPrefix(key, records.MachinePrefix):
+		var m records.Machine
 		if err := json.Unmarshal(value, &m); err != nil {
 			return err.Error()
 		}
-		if m.State != ledger.MachineGone {
+		if m.State != records.MachineGone {
 			return "a machine that is not gone"
 		}
 	}
--- a/internal/schedule/cluster.go
+++ b/internal/simtest/cluster.go
@@ -1,9 +1,4 @@
-// Package schedule plays scripts of what happens to a cluster, written by
-// people (the kept traces) or drawn from a seed, against the stand-in world on
-// a fake clock. The world judges the rules all along; after calm the player
-// looks at what must be so then. The same script and seed give the same events
-// to the letter, so that a failing one can be replayed, shrunk and kept.
-package schedule
+package simtest
 
 import (
 	"cmp"
@@ -23,11 +18,12 @@
 	"sync"
 	"time"
 
-	"madderslip/internal/coordination"
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/controller"
+	"madderslip/internal/emulator"
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
-	"madderslip/internal/standin"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
 )
 
 // usual is how many controllers a cluster has, unless its script says otherwise.
@@ -53,7 +49,7 @@
 	began   time.Time
 	ctx     context.Context
 	seed    uint64
-	w       *standin.World
+	w       *emulator.World
 	plain   bool                 // limits are not allotted
 	next    protocol.StateLimits // what controllers are told of the state service's coming limits
 	older   map[string]bool      // do not say what they took; guarded by mu
@@ -61,7 +57,7 @@
 	endings int // steps so far that end by themselves
 
 	judge  sync.Mutex // taken under the world's lock, and guards the next two
-	judged map[string]*coordination.Controller
+	judged map[string]*controller.Controller
 	teams  map[string]protocol.Team
 
 	calmSince time.Time
@@ -75,7 +71,7 @@
 
 // process is a controller that runs.
 type process struct {
-	node  *coordination.Controller
+	node  *controller.Controller
 	stop  context.CancelFunc
 	ended chan struct{}
 }
@@ -101,11 +97,11 @@
 func newCluster(ctx context.Context, seed uint64, count int) *cluster {
 	names := controllers(count)
 	s := settings(names, names[0])
-	c := &cluster{names: names, began: time.Now(), ctx: ctx, seed: seed, teams: maps.Clone(s.Teams), nodes: make(map[string]*process), judged: make(map[string]*coordination.Controller), answered: make(map[string]time.Time), older: make(map[string]bool)}
-	c.w = standin.NewWorld(ctx, seed, s.Workers, maps.Clone(s.Teams))
+	c := &cluster{names: names, began: time.Now(), ctx: ctx, seed: seed, teams: maps.Clone(s.Teams), nodes: make(map[string]*process), judged: make(map[string]*controller.Controller), answered: make(map[string]time.Time), older: make(map[string]bool)}
+	c.w = emulator.NewWorld(ctx, seed, s.Workers, maps.Clone(s.Teams))
 	c.w.OnStop = c.judgeStop
 	c.w.State.SetRateLimits(s.StateLimits.RequestRate, s.StateLimits.WriteRate)
-	c.w.State.SetSizeLimits(standin.SizeLimits{ValueBytes: s.StateLimits.MaxValueBytes, Changes: s.StateLimits.MaxTxnOps})
+	c.w.State.SetSizeLimits(emulator.SizeLimits{ValueBytes: s.StateLimits.MaxValueBytes, Changes: s.StateLimits.MaxTxnOps})
 	c.w.ListLag = s.CloudLimits.ListLag
 	for _, name := range names {
 		c.w.SetZone(name, zoneOf(names, name))
@@ -164,7 +160,7 @@
 	}
 	rps := settings(c.names, c.names[0]).StateLimits.RequestRate
 	c.w.State.SetRateLimits(rps, next.WriteRate)
-	c.w.State.SetSizeLimits(standin.SizeLimits{ValueBytes: next.MaxValueBytes, Changes: next.MaxTxnOps})
+	c.w.State.SetSizeLimits(emulator.SizeLimits{ValueBytes: next.MaxValueBytes, Changes: next.MaxTxnOps})
 	c.w.Note("the state service lowers its limits")
 	return nil
 }
@@ -228,14 +224,14 @@
 		return ""
 	}
 	stored := c.records()
-	ref, _, _ = ledger.ParseClaimKey(claimant)
-	var chunk ledger.Claim
+	ref, _, _ = records.ParseClaimKey(claimant)
+	var chunk records.Claim
 	_ = json.Unmarshal(stored[claimant], &chunk)
 	own := c.w.JobUse(ref, chunk.FirstTask, chunk.FirstTask+chunk.TaskCount)
 	for _, key := range slices.Sorted(maps.Keys(stored)) {
 		raw := stored[key]
-		team, is := strings.CutPrefix(key, ledger.ReservationPrefix)
-		var b ledger.Reservations
+		team, is := strings.CutPrefix(key, records.ReservationPrefix)
+		var b records.Reservations
 		if !is || json.Unmarshal(raw, &b) != nil {
 			continue
 		}
@@ -271,16 +267,16 @@
 		log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
 	ctx, stop := context.WithCancel(c.ctx)
-	link := standin.Link{W: c.w, Node: name, Ctx: ctx}
-	led := ledger.New(link, "state", s.StateLimits, log)
+	link := emulator.Link{W: c.w, Node: name, Ctx: ctx}
+	led := kv.New(link, "state", s.StateLimits, log)
 	led.AnnounceLimits(s.AnnouncedStateLimits)
-	peers := make(map[string]coordination.PeerClient)
+	peers := make(map[string]controller.PeerClient)
 	for _, p := range s.Peers {
 		peers[p.Node] = peer{c, name, p.Node}
 	}
 	h := fnv.New64a()
 	h.Write([]byte(name))
-	n := coordination.New(coordination.Options{Settings: s, Policy: pol, Store: led, HTTP: link, Peers: peers, Log: log, Rand: rand.New(rand.NewPCG(c.seed, h.Sum64())),
+	n := controller.New(controller.Options{Settings: s, Policy: pol, Store: led, HTTP: link, Peers: peers, Log: log, Rand: rand.New(rand.NewPCG(c.seed, h.Sum64())),
 		WaitWhilePaused: func(ctx context.Context) { c.w.WaitWhilePaused(ctx, name) }})
 	p := &process{node: n, stop: stop, ended: make(chan struct{})}
 	c.nodes[name] = p
--- a/internal/schedule/generate.go
+++ b/internal/simtest/generate.go
@@ -1,4 +1,4 @@
-package schedule
+package simtest
 
 import (
 	"cmp"
