--- /dev/null
+++ b/internal/simtest/guards_test.go
@@ -0,0 +1,251 @@
+package simtest
+
+import (
+	"flag"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+var guards = flag.Int("guards", 0, "take each guard out once and look for it with so many schedules (minutes of processor time)")
+
+// guard is a line that keeps a rule, and what is there without it.
+type guard struct {
+	name      string
+	file      string
+	with, out string
+}
+
+// taken are the guards that docs/DESIGN.md names.
+var taken = []guard{
+	{"a claim must not exist yet", "coordination/controller/claim.go", `kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token}, kv.Compare{Key: c.key, Version: 0})`, `kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token})`},
+	{"a claim must be the version decided on", "coordination/controller/settle.go", `kv.Compare{Key: c.key, Version: c.stamp})
+	if j := n.jobs`, `kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token})
+	if j := n.jobs`},
+	{"a placement needs the shard still owned", "coordination/controller/settle.go", `	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token}, kv.Compare{Key: c.key, Version: c.stamp})
+	if j`, `	conds = append(conds, kv.Compare{Key: c.key, Version: c.stamp})
+	if j`},
+	{"a placement needs the job as it was", "coordination/controller/settle.go", `conds = append(conds, kv.Compare{Key: records.JobPrefix + c.ref, Version: j.stamp})`, `_ = j`},
+	{"write ahead", "coordination/controller/claim.go", `	n.commit(claimPrio(u.spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })`, `	for _, p := range next.Placements {
+		if m := n.machines[p.Host]; m != nil {
+			n.order(s, m, protocol.Start(protocol.TaskName(c.ref, p.Task), p.Try))
+		}
+	}
+	n.flush(s)
+	n.commit(claimPrio(u.spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })`},
+	{"a new process acquires its shard anew", "coordination/controller/shards.go", `case !n.loaded:`, `case false:`},
+	{"a shard is acted for once its records are read", "coordination/controller/shards.go", `s.token != 0 && n.epoch >= s.token`, `s.token != 0`},
+	{"silence proves nothing", "coordination/controller/settle.go", `	if m.rep == nil {
+		return onMachine
+	}
+	grace`, `	if m.rep == nil {
+		return onMachine
+	}
+	if n.silence(m, now) > n.pol.Fence {
+		return gone
+	}
+	grace`},
+	{"an account counts under the present token only", "coordination/controller/workers.go", `return m.rep != nil && s.token != 0 && m.rep.FencingToken >= s.token`, `return m.rep != nil && s.token != 0`},
+	{"commands of unknown fate", "coordination/controller/workers.go", `slices.ContainsFunc(m.unsure, func(u sentStart) bool { return u.task == task && u.try == try })`, `false`},
+	{"a machine that keeps a cancelled task is fenced", "coordination/controller/workers.go", `		n.enforceCancels(now)
+`, ``},
+	{"fenced without a record if need be", "coordination/controller/cancel.go", `return c.ReturnUnrecorded(limit, n.stateDown(now)) && m.rec.State == "" && !n.refusedAlone(now)`, `return false`},
+	{"whoever knows stops cancelled tasks", "coordination/controller/workers.go", `n.stopStrayed(m, &r)`, `_ = m`},
+	{"and asks again", "coordination/health/cancelled.go", `s.SinceProbe >= again`, `s.SinceProbe > 1000*again`},
+	{"its owner may begin them again", "coordination/health/cancelled.go", `if s.Finding == Ended || s.Age > limit {`, `if s.Finding == Ended {
+		return false
+	}
+	if s.Age > limit {`},
+	{"who hears nobody begins nothing", "coordination/controller/settle.go", `if !n.hearsNobody(now) && `, `if `},
+	{"all cancellations are repeated", "coordination/controller/peers.go", `n.repeatFrom = ref`, `n.repeatFrom = ""`},
+	{"the bound counts from the record", "coordination/controller/view.go", `r.CancelledAtMs != 0 && at.Before(j.ended)`, `false && at.Before(j.ended)`},
+	{"team limits are conditions", "coordination/controller/limits.go", `return append(conds, kv.Compare{Key: key, Version: t.stamp}), []kv.Op`, `return conds, []kv.Op`},
+	{"a start needs its limit as it was", "coordination/controller/limits.go", `	conds = append(conds, n.quota.LimitCompares(team)...)`, ``},
+	{"a start needs the bookings as they were", "coordination/controller/limits.go", `has && grows {`, `has && grows && false {`},
+	{"a shard starts within its allotment", "coordination/controller/limits.go", `!grows || (n.sized(holder) && more <= n.quota.Allowance(team, holder, unitOf(c.spec)))`, `true || more < 0 || holder == ""`},
+	{"claims of unknown size are not nothing", "coordination/controller/limits.go", `			if c.rec == nil || c.rec.Shard == holder || (c.rec.Shard == "" && holder == quota.CrossShard) {`, `			if false && c.rec == nil && holder == "" {`},
+	{"the larger of two versions counts", "coordination/controller/limits.go", `return max(c.placed(), len(c.pend.Placements))`, `return c.placed()`},
+	{"what became of a start is found out", "coordination/controller/commit.go", `for err != nil && insist && life`, `for err != nil && false && insist && life`},
+	{"only who decides for a holder gives", "coordination/quota/wants.go", `Compares: []kv.Compare{own, {Key`, `Compares: []kv.Compare{{Key`},
+	{"gifts under way are given", "coordination/quota/keeper.go", `left := t.grants()[holder].Minus(t.transferring[holder]).Minus(`, `left := t.grants()[holder].Minus(`},
+	{"a limit is divided once all starts are known", "coordination/quota/divide.go", `	case t.limit.Base == nil:
+		if s.Revision < t.limitVersion || !s.Complete {`, `	case t.limit.Base == nil:
+		if false {`},
+	{"older sources find the limit used up", "coordination/quota/divide.go", `ByShard: map[string][2]float64{legacyBarrier: t.configured}`, `ByShard: map[string][2]float64{}`},
+	{"the lower limit counts", "coordination/quota/keeper.go", `if t.configured[p] > 0 && (t.limit.Max[p] == 0 || t.configured[p] < t.limit.Max[p]-eps) {
+			return Resources{}`, `if false && t.configured[p] > 0 {
+			return Resources{}`},
+	{"a booking is carried out once all before it is known", "coordination/controller/guarantee.go", `b.at == 0 || n.epoch < b.at {`, `b.at == 0 {`},
+	{"a booking that does not hold any more goes", "coordination/controller/guarantee.go", `if due < b.tasks ||`, `if (due < 0) ||`},
+	{"bookings exclude one another", "coordination/quota/booking.go", `		conds = append(conds, kv.Compare{Key: key, Version: k.team(name).reservationsVersion})
+`, ``},
+	{"a lender keeps its guarantee", "coordination/quota/due.go", `return t.taken[team]+beside[k]+task[k] <= t.StandingOf(team).Surplus(t.ClaimedTask)+eps`, `return true`},
+	{"team use by the record", "coordination/controller/limits.go", `	return use, [2]float64{max(use[0], sum[0]), max(use[1], sum[1])}`, `	return sum, sum`},
+	{"404 is confirmed", "coordination/controller/users.go", `	n.commitAt(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
+		switch {
+		case err == nil &&`, `	func(do func(error, uint64)) { do(nil, 0) }(func(err error, revision uint64) {
+		switch {
+		case err == nil &&`},
+	{"what could not be read anew is not answered", "coordination/controller/commit.go", `if !read && prio == kv.PriorityUser {`, `if false && !read {`},
+	{"a cancellation is told once its claims are known", "coordination/controller/users.go", `if a.Phase != protocol.JobCancelled || n.epoch >= stamp {`, `if true {`},
+	{"claims may come after their job's cancellation", "coordination/controller/view.go", `return n.loaded && r.State == protocol.JobCancelled && stamp > n.epoch`, `return false`},
+	{"done needs all chunks", "coordination/controller/settle.go", `(o != c && !o.rec.IsComplete())`, `false`},
+	{"a job that waits is in no queue", "coordination/controller/view.go", `	if n.storeHeld(ref, r, stamp) {
+		return
+	}
+`, ``},
+	{"a job is released once all that it needs is done", "coordination/dag/graph.go", `return len(n.unfinished) == 0 && !n.cancelled`, `return len(n.unfinished) <= 1 && !n.cancelled`},
+	{"a job is refused on proof that one it names is not there", "coordination/controller/pipeline.go", `		n.proveNeeds(spec, missing, until, reply)
+		return
+`, `		reply(transport.Response{Status: 422})
+		return
+`},
+	{"jobs that were never accepted are not waited for", "coordination/controller/pipeline.go", `if missing := n.notRead(spec.Dependencies); len(missing) > 0 {`, `if missing := n.notRead(spec.Dependencies); len(missing) > 1000 {`},
+	{"a cancellation goes down the graph", "coordination/dag/graph.go", `		for _, next := range g.dependents[n.ID] {
+			todo = append(todo, next)
+		}
+`, ``},
+	{"a job that waits is answered by what was read since", "coordination/controller/users.go", `case err == nil && n.undecided(ref):`, `case false:`},
+	{"what an urgent job needs is urgent", "coordination/dag/urgency.go", `u.Priority = max(u.Priority, beyond.Priority, n.Spec.Priority())`, `_ = beyond`},
+	{"a refused transaction proves lower limits", "storage/kv/limits.go", `	l.lowered = true
+	return true
+`, `	return false
+`},
+	{"zones of what is placed already", "coordination/controller/queue.go", `return newZoneRule(u.spec, n.zonesTaken(u.c))`, `return newZoneRule(u.spec, nil)`},
+	{"a gang claimed meanwhile is not placed again", "coordination/controller/gather.go", `|| !gatherable(j) {
+			n.endGather`, `|| false {
+			n.endGather`},
+	{"a gang's old attempt has to be gone", "coordination/controller/queue.go", `	if whole && u.c != nil && len(u.c.rec.Placements) > 0 {
+		undo(u.spec, picks, rooms)
+		return false, false // the old attempt has to be gone first
+	}
+`, ``},
+	{"done frees a placement under the present token only", "coordination/controller/settle.go", `if !m.settled(s) && !m.gone && m.rec.State != records.MachineGone {
+			return unsettled`, `if false {
+			return unsettled`},
+	{"orders of an earlier token are void", "coordination/controller/shards.go", `		m.queue = nil
+		delete(n.outbox, m)
+`, `		_ = m
+`},
+	{"adoption and a hire's answer exclude one another", "coordination/controller/workers.go", `			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + h.name, Value: &again})
+`, `			_ = again
+`},
+	{"the lead is known by its record", "coordination/controller/shards.go", `n.leadMine = r.Node == n.cfg.NodeName && r.StartedAtMs == n.boot.UnixMilli(); n.leadMine {`, `n.leadMine = r.NodeName == n.cfg.NodeName && r.StartedAtMs == n.boot.UnixMilli() && !n.leadBusy; n.leadMine {`},
+	{"no empty set of claims without a job", "coordination/controller/view.go", `if delete(set, c.key); len(set) == 0 {`, `if delete(set, c.key); false {`},
+	{"leases are kept behind a cut", "coordination/controller/outlook.go", `	if r.FencingToken > s.stamp || !failover.MayExtendLease`, `	if true || r.FencingToken > s.stamp || !failover.MayExtendLease`},
+	{"a zone that seems cut off is not fenced", "coordination/controller/outlook.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
+	{"no lease is kept for a cancelled task", "coordination/controller/outlook.go", `r.Tasks[i].Phase != protocol.TaskExited && (`, `false && (`},
+	{"silence counts from waking", "coordination/controller/workers.go", `	if woke := n.beat.ResumedAt(); woke.After(m.adoptedAt) {`, `	if woke := n.beat.ResumedAt(); false && woke.After(m.adoptedAt) {`},
+	{"an answer tells that a machine began again", "coordination/controller/workers.go", `m.rec.State == "" && health.HasRestarted(accountOf(before), accountOf(&r)) {`, `m.rec.State == "" && false {`},
+	{"accounts of a former life do not count", "coordination/health/life.go", `return floor == 0 || a.FencingToken > floor`, `return floor == 0 || a.FencingToken >= 0`},
+	{"a doubtful report brings no orders", "coordination/controller/workers.go", `	if !doubtful && n.active(s) {`, `	if n.active(s) {`},
+	{"registration is conditional", "coordination/controller/node.go", `[]kv.Compare{{Key: key, Version: n.nodes[n.cfg.NodeName].stamp}}`, `nil`},
+	{"nothing begins under a limit lowered since", "coordination/controller/settle.go", `	case stop, n.overUsed(c.spec), m.hearing.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`, `	case stop, m.hearing.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`},
+	{"what a mute machine has lost is not begun there again", "coordination/controller/settle.go", `m.hearing.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`, `m.hearing.CannotReceive():`},
+	{"nothing new is placed on a mute machine", "coordination/controller/queue.go", ` && !n.mute(m, now)`, ``},
+	{"a machine that stays mute is returned", "coordination/health/hearing.go", `return CannotReport(reported, acting, now.Add(-2*lease), lease)`, `return false`},
+	{"a machine that does not hear and lost its work is returned", "coordination/controller/workers.go", `m.hearing.CannotReceive() && !m.settled(s) && !m.returning`, `false && !m.returning`},
+	{"no token is raised for a machine that may not hear it", "coordination/controller/workers.go", `!m.hearing.Suspect() && `, ``},
+	{"who stands in is told from machines that are silent", "coordination/health/alone.go", `	if s.Home {
+		return true
+	}
+`, `	if s.Home {
+		return true
+	}
+	return false
+`},
+	{"a suspect condemns no machine", "coordination/quarantine/machine.go", `		case Suspect:
+			continue
+`, `		case Suspect:
+			weight += weightUnknown
+`},
+	{"two unknown jobs condemn no machine", "coordination/quarantine/machine.go", `quarantineWeight = 3`, `quarantineWeight = 2`},
+	{"a suspect is tried with one task", "coordination/controller/queue.go", `	if u.trial && u.spec.Shape != protocol.ShapeGang {
+		return min(count, 1)
+	}
+`, ``},
+	{"tries become rarer", "coordination/quarantine/evidence.go", `j.retryAt = now.Add(wait/2`, `j.retryAt = now.Add(0*wait`},
+	{"late boots do not count", "coordination/controller/boots.go", `return out[:provisioning.ReplacementCount(late, coming)]`, `return out[:0*provisioning.ReplacementCount(late, coming)]`},
+	{"late ones are replaced a few at a time", "coordination/provisioning/boots.go", `return min(late, 1+coming/4)`, `return late`},
+	{"boots are judged by who saw them", "coordination/controller/boots.go", ` || !s.since.Before(time.UnixMilli(m.rec.RentedAtMs)) {
+			continue`, ` {
+			continue`},
+	{"idle work starts little while others wait", "coordination/placement/besteffort.go", `	if r.Contended {`, `	if false {`},
+	{"idle work that has begun has its turn again", "coordination/placement/besteffort.go", `return some && waits < bestEffortTurn`, `return some`},
+	{"an array is owed a machine kept for cards", "coordination/controller/place.go", `			r.kept, r.keptIdle = false, false
+			return true`, `			return false`},
+	{"a hire's machines wait for the watch", "coordination/controller/fleet.go", `if n.epoch < h.stamp {`, `if false {`},
+	{"an array begins ahead of a burst", "coordination/placement/startahead.go", `return !begun && waited >= by`, `return false`},
+	{"little is rented for idle work", "coordination/placement/besteffort.go", `	idleNeed = min(idleNeed, most)
+`, ``},
+	{"questions go by turns with changes", "storage/kv/commit.go", `		if due && !c.readLast {`, `		if due {`},
+	{"questions leave requests under way to changes", "storage/kv/commit.go", `maxReading  = maxInflight / 2`, `maxReading  = maxInflight`},
+	{"every wait ends with the context", "coordination/controller/node.go", `			case <-ctx.Done():
+				return // the ledger may have ended first
+`, ``},
+}
+
+// TestGuards takes each guard out of a copy of the sources and has the
+// schedules and the kept traces find it. It prints a line for each, the table in
+// docs/measurements/schedule.md.
+func TestGuards(t *testing.T) {
+	if *guards == 0 {
+		// The sources must still have every guard as it is written down here.
+		for _, g := range taken {
+			src, err := os.ReadFile(filepath.Join("..", g.file))
+			if err != nil || strings.Count(string(src), g.with) != 1 {
+				t.Errorf("%s: not once in %s (%v)", g.name, g.file, err)
+			}
+		}
+		return
+	}
+	seed := regexp.MustCompile(`--- FAIL: Test(?:Seeds|Pipelines)/(\d+)`)
+	for _, g := range taken {
+		t.Run(g.name, func(t *testing.T) {
+			dir := t.TempDir()
+			if err := os.CopyFS(dir, os.DirFS(filepath.Join("..", ".."))); err != nil {
+				t.Fatal(err)
+			}
+			file := filepath.Join(dir, "internal", g.file)
+			src, err := os.ReadFile(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := os.WriteFile(file, []byte(strings.Replace(string(src), g.with, g.out, 1)), 0o644); err != nil {
+				t.Fatal(err)
+			}
+			cmd := exec.Command("go", "test", "./internal/simtest", "-run", "TestSeeds|TestPipeline", "-seeds", strconv.Itoa(*guards), "-from", strconv.Itoa(*from), "-plays", "0")
+			cmd.Dir = dir
+			raw, _ := cmd.CombinedOutput()
+			text := string(raw)
+			cmd = exec.Command("go", "test", "./internal/coordination/...", "./internal/storage/...")
+			cmd.Dir = dir
+			raw, _ = cmd.CombinedOutput()
+			var kept []string // traces and small tests that notice
+			for _, hit := range regexp.MustCompile(`--- FAIL: (?:TestTraces/)?(\S+)`).FindAllStringSubmatch(string(raw), -1) {
+				kept = append(kept, hit[1])
+			}
+			t.Logf("| %s | traces | %s |", g.name, strings.Join(kept, ", "))
+			first := 0
+			for _, hit := range seed.FindAllStringSubmatch(text, -1) {
+				if n, _ := strconv.Atoi(hit[1]); first == 0 || n < first {
+					first = n
+				}
+			}
+			kinds := regexp.MustCompile(`failed: (map\[.*\])`).FindStringSubmatch(text)
+			switch {
+			case first > 0 && kinds != nil:
+				t.Logf("| %s | %d | %s |", g.name, first-*from+1, kinds[1])
+			case strings.Contains(text, "panic:"):
+				line, _, _ := strings.Cut(text[strings.Index(text, "panic:"):], "\n")
+				t.Logf("| %s | ends the run | %s |", g.name, line)
+			case len(kept) == 0:
+				t.Errorf("| %s | not found in %d | %.300s |", g.name, *guards, text)
+			}
+		})
+	}
+}
--- a/internal/schedule/held.go
+++ b/internal/simtest/held.go
@@ -1,4 +1,4 @@
-package schedule
+package simtest
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/storage/records"
 )
 
 // Some troubles must cost little while they last. What calm finds afterwards says
@@ -38,9 +38,9 @@
 		for _, host := range slices.Sorted(maps.Keys(shards)) {
 			shard := shards[host]
 			token, well := held[host]
-			var rec ledger.Shard
-			_ = json.Unmarshal(stored[ledger.ShardPrefix+shard], &rec)
-			newest := stamps[ledger.ShardPrefix+shard]
+			var rec records.Shard
+			_ = json.Unmarshal(stored[records.ShardPrefix+shard], &rec)
+			newest := stamps[records.ShardPrefix+shard]
 			if !well || !calm || token >= newest || !c.served(rec.Owner) {
 				delete(since, host)
 				continue
@@ -72,8 +72,8 @@
 // eachHired reads from the hires which shard each machine is in.
 func eachHired(stored map[string]json.RawMessage, tell func(key, host, shard string)) {
 	for _, key := range slices.Sorted(maps.Keys(stored)) {
-		var h ledger.Provision
-		if !strings.HasPrefix(key, ledger.ProvisionPrefix) || json.Unmarshal(stored[key], &h) != nil {
+		var h records.Provision
+		if !strings.HasPrefix(key, records.ProvisionPrefix) || json.Unmarshal(stored[key], &h) != nil {
 			continue
 		}
 		for i, host := range h.Hosts {
--- a/internal/schedule/measure_test.go
+++ b/internal/simtest/measure_test.go
@@ -1,4 +1,4 @@
-package schedule
+package simtest
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"madderslip/internal/standin"
+	"madderslip/internal/emulator"
 )
 
 var measure = flag.Int("measure", 0, "print the tables of docs/measurements/quota.md, from so many seeds (minutes)")
@@ -22,7 +22,7 @@
 }
 
 // watchUse samples what teams use until the cluster ends.
-func watchUse(into *[]sample, last *standin.Counts) func(*cluster) {
+func watchUse(into *[]sample, last *emulator.Counts) func(*cluster) {
 	return func(c *cluster) {
 		for time.Sleep(100*time.Millisecond + 17*time.Nanosecond); c.ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
 			*into = append(*into, sample{time.Since(c.began), c.w.TeamUse()})
@@ -89,7 +89,7 @@
 				mean, refused, changes := 0.0, 0, 0
 				for seed := range *measure {
 					var s []sample
-					var counts standin.Counts
+					var counts emulator.Counts
 					script := burst(n, w.machines, w.most, tr.text)
 					if w.plain {
 						script = "0s allot off\n" + script
@@ -140,7 +140,7 @@
 					lines := append(strings.Split(b.String(), "\n"), strings.Split(tr.text, "\n")...)
 					slices.SortStableFunc(lines, func(a, b string) int { return cmp.Compare(when(a), when(b)) })
 					var s []sample
-					var counts standin.Counts
+					var counts emulator.Counts
 					synctest.Test(t, func(*testing.T) {
 						if out := playWatched(strings.Join(lines, "\n")+"\n70s expect busy 0\n", uint64(seed+1), watchUse(&s, &counts)); out.Kind() != "" {
 							t.Error(tr.name, n, kind.name, out.Kind(), out.Err)
--- a/internal/schedule/script.go
+++ b/internal/simtest/script.go
@@ -1,4 +1,4 @@
-package schedule
+package simtest
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"madderslip/internal/ledger"
+	"madderslip/internal/emulator"
 	"madderslip/internal/protocol"
-	"madderslip/internal/standin"
+	"madderslip/internal/storage/records"
 )
 
 // Outcome is what became of a script.
@@ -122,7 +122,7 @@
 	out.Broken, out.Events = c.w.Broken(), c.w.Events()
 	if stored := c.records(); out.Kind() != "" {
 		for _, key := range slices.Sorted(maps.Keys(stored)) {
-			if !strings.HasPrefix(key, ledger.MachinePrefix) && !strings.HasPrefix(key, ledger.ImagePrefix) && !strings.Contains(string(stored[key]), `"x":`) {
+			if !strings.HasPrefix(key, records.MachinePrefix) && !strings.HasPrefix(key, records.ImagePrefix) && !strings.Contains(string(stored[key]), `"x":`) {
 				out.Left = append(out.Left, key+" "+string(stored[key]))
 			}
 		}
@@ -267,14 +267,14 @@
 	case "deafen":
 		c.w.SetFault("deaf "+arg(1), arg(2) == "on")
 	case "trouble": // trouble NAME [NODE] on|off
-		if name, how := strings.Join(f[1:max(1, len(f)-1)], " "), f[len(f)-1]; !standin.IsFault(name, append(slices.Clone(c.names), "a", "b")) || (how != "on" && how != "off") {
+		if name, how := strings.Join(f[1:max(1, len(f)-1)], " "), f[len(f)-1]; !emulator.IsFault(name, append(slices.Clone(c.names), "a", "b")) || (how != "on" && how != "off") {
 			return fmt.Errorf("script: trouble NAME [NODE] on|off, not %q %q", name, how)
 		}
 		c.w.SetFault(strings.Join(f[1:len(f)-1], " "), f[len(f)-1] == "on")
 	case "calloff": // calloff COUNT [hang TIME]: of jobs that run; up to eight of their machines hang so long
 		return c.callOff(f[1:])
 	case "vm": // vm HOST hang|resume|cut|heal|sick|slow|well|deaf|hears|mute|speaks|notice|take|die|reboot
-		if !standin.IsMachineFault(arg(2)) {
+		if !emulator.IsMachineFault(arg(2)) {
 			return fmt.Errorf("script: a machine does not %q", arg(2))
 		}
 		host := "vm-" + arg(1)
@@ -356,12 +356,12 @@
 
 // job reads REF SHAPE key=value ... and the status that its submission should
 // get.
-func job(f []string) (*standin.Job, int, error) {
+func job(f []string) (*emulator.Job, int, error) {
 	shapes := map[string]protocol.Shape{"array": protocol.ShapeArray, "gang": protocol.ShapeGang, "service": protocol.ShapeService}
 	if len(f) < 2 || shapes[f[1]] == "" {
 		return nil, 0, fmt.Errorf("script: no job in %v", f)
 	}
-	j := &standin.Job{Spec: protocol.Submission{JobID: f[0], Class: f[1], Team: "open", Shape: shapes[f[1]], PriorityClass: "normal", Tasks: 1,
+	j := &emulator.Job{Spec: protocol.Submission{JobID: f[0], Class: f[1], Team: "open", Shape: shapes[f[1]], PriorityClass: "normal", Tasks: 1,
 		CPUs: 2, MemoryGB: 2, Image: "img-1", ImageGB: 1}}
 	want := 201
 	for _, kv := range f[2:] {
--- a/internal/ledger/commit.go
+++ b/internal/storage/kv/commit.go
@@ -1,4 +1,4 @@
-package ledger
+package kv
 
 import (
 	"cmp"
--- /dev/null
+++ b/internal/storage/kv/golden_test.go
@@ -0,0 +1,66 @@
+package kv
+
+import (
+	"context"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"madderslip/internal/golden"
+	"madderslip/internal/protocol"
+)
+
+// codec is how messages of the state service are written and read.
+var codec = golden.Codec{Encode: protocol.Encode, Decode: protocol.Decode}
+
+// TestGoldenMessages: every message of the state service is read and written byte for
+// byte as by 096baff.
+func TestGoldenMessages(t *testing.T) {
+	golden.Check(t, codec, []golden.Kind{
+		{Name: "state-list", Value: &wireList{}},
+		{Name: "state-watch", Value: &wireWatch{}},
+		{Name: "state-multi", Value: &wireMulti{}},
+		{Name: "state-multi-answer", Value: &wireResult{}},
+	}, "state-calls.txt")
+}
+
+// TestGeneratedCodeIsCurrent: the generated codecs know every field of the messages.
+func TestGeneratedCodeIsCurrent(t *testing.T) {
+	golden.CheckGenerated(t, codec, &wireList{}, &wireWatch{}, &wireMulti{}, &wireResult{})
+}
+
+// recorder answers every call alike and notes what was asked.
+type recorder struct {
+	answer string
+	asked  strings.Builder
+}
+
+func (r *recorder) Do(_ context.Context, _, method, target string, body []byte) (int, []byte, error) {
+	r.asked.WriteString(strings.TrimSpace(method+" "+target+" "+string(body)) + "\n")
+	return 200, []byte(r.answer), nil
+}
+
+// TestGoldenCalls: the calls whose messages have no type of their own ask for the same
+// paths with the same bodies as 096baff, and read the same answers.
+func TestGoldenCalls(t *testing.T) {
+	service := &recorder{answer: `{"value":{"n":1},"stamp":7,"permit":8,"items":[],"truncated":false,"epoch":9,"news":[]}`}
+	client := New(service, "127.0.0.1:1", protocol.StateLimits{RequestRate: 1000, WriteRate: 1000, MaxValueBytes: 8192, MaxTxnOps: 12}, slog.New(slog.DiscardHandler))
+	ctx := context.Background()
+	if item, err := client.Get(ctx, "c/wk-7/1"); err != nil || string(item.Value) != `{"n":1}` || item.Version != 7 {
+		t.Errorf("%+v %v", item, err)
+	}
+	if lease, err := client.GrantLease(ctx, 2500*time.Millisecond); err != nil || lease != 8 {
+		t.Errorf("%d %v", lease, err)
+	}
+	if err := client.KeepAlive(ctx, 8); err != nil {
+		t.Error(err)
+	}
+	if _, epoch, err := client.List(ctx); err != nil || epoch != 9 {
+		t.Errorf("%d %v", epoch, err)
+	}
+	if _, epoch, err := client.Watch(ctx, 5, 3*time.Second); err != nil || epoch != 9 {
+		t.Errorf("%d %v", epoch, err)
+	}
+	golden.CheckText(t, "state-calls.txt", service.asked.String())
+}
--- a/internal/ledger/wire.go
+++ b/internal/storage/kv/wire.go
@@ -1,4 +1,6 @@
-package ledger
+package kv
+
+//go:generate go tool easyjson -output_filename wire_easyjson.go wire.go
 
 import "encoding/json"
 
--- /dev/null
+++ b/internal/storage/records/golden_test.go
@@ -0,0 +1,57 @@
+package records
+
+import (
+	"strings"
+	"testing"
+
+	"madderslip/internal/golden"
+	"madderslip/internal/protocol"
+)
+
+// codec is how records are written and read.
+var codec = golden.Codec{Encode: protocol.Encode, Decode: protocol.Decode}
+
+// kinds are the records, named by what they are of.
+// What is set here has a form of its own: ranges, large numbers, and amounts that the two
+// JSON writers in use spell differently.
+func kinds() []golden.Kind {
+	return []golden.Kind{
+		{Name: "record-node", Value: &Node{TeamsHash: 1<<64 - 1}},
+		{Name: "record-shard", Value: &Shard{}},
+		{Name: "record-machine", Value: &Machine{}},
+		{Name: "record-job", Value: &Job{}},
+		{Name: "record-claim", Value: &Claim{Completed: Bitmap{0b10110011, 0, 0xff, 1}}},
+		{Name: "record-team", Value: &TeamUsage{}},
+		{Name: "record-limit", Value: &TeamLimit{Max: [2]float64{1e6, 1e-7}}},
+		{Name: "record-allotment", Value: &Allotment{}},
+		{Name: "record-bookings", Value: &Reservations{}},
+		{Name: "record-hire", Value: &Provision{}},
+		{Name: "record-hire-part", Value: &Allocation{}},
+		{Name: "record-images", Value: &ImageLocations{SizesGB: []float64{1e6, 1e-7}}},
+		{Name: "record-gather", Value: &GangReservation{}},
+		{Name: "record-hold", Value: &GangHold{}},
+		{Name: "record-lead", Value: &Leader{}},
+	}
+}
+
+// TestGoldenRecords: every record is read and written byte for byte as by 096baff.
+func TestGoldenRecords(t *testing.T) {
+	golden.Check(t, codec, kinds(), "keys.txt")
+}
+
+// TestGoldenKeys: the keys of records are spelled as by 096baff.
+func TestGoldenKeys(t *testing.T) {
+	keys := []string{NodePrefix, ShardPrefix, MachinePrefix, JobPrefix, ClaimPrefix, TeamUsagePrefix, TeamLimitPrefix, AllotmentPrefix, ReservationPrefix,
+		ProvisionPrefix, ImagePrefix, GangReservationPrefix, GangHoldPrefix, LeaderKey, ClaimKey("wk-000412", 0), ClaimKey("wk-7", 12)}
+	golden.CheckText(t, "keys.txt", strings.Join(keys, "\n")+"\n")
+	for key, want := range map[string]int{ClaimKey("wk-000412", 0): 0, ClaimKey("wk-000412", 12): 12} {
+		if ref, chunk, err := ParseClaimKey(key); err != nil || ref != "wk-000412" || chunk != want {
+			t.Errorf("%s: %q %d %v", key, ref, chunk, err)
+		}
+	}
+}
+
+// TestGeneratedCodeIsCurrent: the generated codecs know every field of the records.
+func TestGeneratedCodeIsCurrent(t *testing.T) {
+	golden.CheckGenerated(t, codec, &Job{}, &Machine{}, &Provision{}, &Allocation{})
+}
--- a/internal/ledger/records.go
+++ b/internal/storage/records/records.go
@@ -1,10 +1,6 @@
-// Package ledger keeps the books: the client of the state service with its
-// budgets, group commit and watch, and the records written there. The state
-// service holds all truth; whatever a process has in memory is a cache of it.
-package ledger
+package records
 
 //go:generate go tool easyjson -output_filename records_easyjson.go records.go
-//go:generate go tool easyjson -output_filename wire_easyjson.go wire.go
 
 import (
 	"fmt"
--- a/internal/verdict/verdict.go
+++ b/internal/testreport/verdict.go
@@ -1,6 +1,4 @@
-// Package verdict judges a run of the tests against the list of those that are known to
-// fail: exactly these may, and nothing else.
-package verdict
+package testreport
 
 import (
 	"bufio"
--- a/internal/verdict/verdict_test.go
+++ b/internal/testreport/verdict_test.go
@@ -1,4 +1,4 @@
-package verdict
+package testreport
 
 import (
 	"strings"
--- a/madderslip.go
+++ b/madderslip.go
@@ -13,11 +13,11 @@
 	"sync"
 	"time"
 
-	"madderslip/internal/coordination"
-	"madderslip/internal/ledger"
+	"madderslip/internal/coordination/admission"
+	"madderslip/internal/coordination/controller"
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
-	"madderslip/internal/recovery"
+	"madderslip/internal/storage/kv"
 	"madderslip/internal/transport"
 )
 
@@ -52,8 +52,8 @@
 // Controller is one controller.
 type Controller struct {
 	cfg   Config
-	led   *ledger.Client
-	node  *coordination.Controller
+	led   *kv.Client
+	node  *controller.Controller
 	pub   *transport.Server
 	peers []*transport.PeerClient
 }
@@ -64,13 +64,13 @@
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
 	s := cfg.Settings
-	sockets := recovery.DivideSockets(s.ProcessLimits.MaxConns, len(s.Peers))
+	sockets := admission.DivideSockets(s.ProcessLimits.MaxConns, len(s.Peers))
 	worker := transport.NewClient(sockets.WorkerCalls, 1, time.Second)
 	state := transport.NewClient(sockets.State, 8, time.Second)
-	led := ledger.New(state, s.StateAddr, s.StateLimits, cfg.Log)
+	led := kv.New(state, s.StateAddr, s.StateLimits, cfg.Log)
 	led.AnnounceLimits(s.AnnouncedStateLimits)
 	c := &Controller{cfg: cfg, led: led}
-	callers := make(map[string]coordination.PeerClient)
+	callers := make(map[string]controller.PeerClient)
 	for _, p := range s.Peers {
 		pc, err := transport.DialPeer(p.Addr)
 		if err != nil {
@@ -80,7 +80,7 @@
 		callers[p.Node] = pc
 	}
 	seed := uint64(time.Now().UnixNano())
-	c.node = coordination.New(coordination.Options{Settings: s, Policy: cfg.Policy, Store: led, HTTP: worker,
+	c.node = controller.New(controller.Options{Settings: s, Policy: cfg.Policy, Store: led, HTTP: worker,
 		Peers: callers, Log: cfg.Log, Rand: rand.New(rand.NewPCG(seed, 1))})
 	c.pub = transport.NewServer(transport.ServerConfig{
 		Addr: s.PublicAddr, MaxConns: sockets.Public, MaxUsers: sockets.Users, Keep: sockets.KeepAlive, IsUser: protocol.IsUserRequest,
