--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -31,6 +31,21 @@
 	Stamp uint64          `json:"stamp"`
 }
 
+// Change is a key as a transaction, or the end of a lease, left it.
+type Change struct {
+	Key     string
+	Value   json.RawMessage // nil if the key was dropped
+	Version uint64          // the same for all changes of a transaction
+}
+
+// Observe has every change from now on told to observe, in order and at its instant.
+// The state service's lock is held meanwhile: observe must not call it.
+func (s *StateService) Observe(observe func(Change)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.observe = observe
+}
+
 type grant struct {
 	ttl  time.Duration
 	ends time.Time
@@ -52,6 +67,7 @@
 	writes  *rate.Limiter
 	done    Counts
 	onShard func() // told, on its own, of a shard's new token
+	observe func(Change)
 	most    SizeLimits
 	refused map[string]int // transactions refused for their size, by the first key
 }
@@ -131,6 +147,9 @@
 }
 
 func (s *StateService) record(c change) {
+	if s.observe != nil {
+		s.observe(Change{Key: cmp.Or(c.Set, c.Drop), Value: c.Value, Version: c.Stamp})
+	}
 	if s.log = append(s.log, c); len(s.log) > 2*s.keep {
 		s.dropped = s.log[len(s.log)-s.keep-1].Stamp
 		s.log = slices.Clone(s.log[len(s.log)-s.keep:])
