--- /dev/null
+++ b/internal/storage/records/jobids.go
@@ -0,0 +1,47 @@
+package records
+
+import (
+	"strings"
+
+	"github.com/mailru/easyjson/jlexer"
+	"github.com/mailru/easyjson/jwriter"
+)
+
+// jobIDPrefix begins every id that users give; records leave it out of lists.
+const jobIDPrefix = "wk-"
+
+// JobIDs is a list of job ids. In a record it is one string of their numbers, separated by
+// spaces, so that some two hundred fit the smallest value.
+type JobIDs []string
+
+// MarshalEasyJSON writes the list as one string.
+func (ids JobIDs) MarshalEasyJSON(w *jwriter.Writer) {
+	numbers := make([]string, len(ids))
+	for i, id := range ids {
+		numbers[i] = strings.TrimPrefix(id, jobIDPrefix)
+	}
+	w.String(strings.Join(numbers, " "))
+}
+
+// UnmarshalEasyJSON reads what MarshalEasyJSON writes. A word that begins with a digit is
+// an id without its prefix; any other word is the whole id.
+func (ids *JobIDs) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	*ids = nil
+	if l.IsNull() {
+		l.Skip()
+		return
+	}
+	for number := range strings.FieldsSeq(l.String()) {
+		if number[0] >= '0' && number[0] <= '9' {
+			number = jobIDPrefix + number
+		}
+		*ids = append(*ids, number)
+	}
+}
+
+// MarshalJSON writes the same string for encoding/json.
+func (ids JobIDs) MarshalJSON() ([]byte, error) {
+	var w jwriter.Writer
+	ids.MarshalEasyJSON(&w)
+	return w.BuildBytes()
+}
