--- a/internal/coordination/controller/bench_test.go
+++ b/internal/coordination/controller/bench_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
@@ -43,9 +44,9 @@
 		b.Fatal(err)
 	}
 	n := New(Options{Settings: s, Policy: pol, Store: idleStore{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Rand: rand.New(rand.NewPCG(1, 1))})
-	n.types = map[string]*protocol.MachineType{"m16": {Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: s.Zones}}
-	n.loaded, n.permit, n.epoch = true, 1, 1_000_000
-	put := func(key string, rec any, stamp uint64) { n.store(key, rec, stamp) }
+	n.view.MachineTypes = map[string]*protocol.MachineType{"m16": {Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: s.Zones}}
+	n.view.Loaded, n.permit, n.view.Revision = true, 1, 1_000_000
+	put := func(key string, rec any, stamp uint64) { n.view.Apply(key, rec, stamp) }
 	for i, name := range []string{"n0", "n1", "n2"} {
 		put(records.NodePrefix+name, &records.Node{StartedAtMs: 1}, uint64(i+1))
 		put(records.ShardPrefix+name, &records.Shard{Owner: name}, uint64(i+10))
@@ -73,7 +74,7 @@
 		}
 		put(records.ClaimKey(ref, chunk%2), c, 40)
 	}
-	for _, m := range n.shards["n0"].machines {
+	for _, m := range n.view.Shards["n0"].Machines {
 		n.report(reportOf(m, 1))
 	}
 	n.pass(time.Now())
@@ -83,10 +84,10 @@
 func hostName(i int) string { return fmt.Sprintf("vm-%06d", i) }
 
 // reportOf is a worker's account of all that is placed there.
-func reportOf(m *machine, tick uint64) *protocol.Heartbeat {
-	r := &protocol.Heartbeat{Host: m.host, Address: "10.0.0.1:9000", Type: m.rec.Type, Zone: m.rec.Zone, AgentEpoch: 1, Sequence: tick, FencingToken: 10}
-	for name, p := range m.use.places {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: name, Attempt: p.try, Phase: protocol.TaskRunning})
+func reportOf(m *replica.Machine, tick uint64) *protocol.Heartbeat {
+	r := &protocol.Heartbeat{Host: m.Host, Address: "10.0.0.1:9000", Type: m.Record.Type, Zone: m.Record.Zone, AgentEpoch: 1, Sequence: tick, FencingToken: 10}
+	for name, p := range m.Use.Slots {
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: name, Attempt: p.Attempt, Phase: protocol.TaskRunning})
 	}
 	return r
 }
@@ -97,7 +98,7 @@
 	for _, machines := range []int{1200, 3600, 12000} {
 		b.Run(fmt.Sprintf("report/%d", machines), func(b *testing.B) {
 			n := fleetOf(b, machines)
-			own := n.shards["n0"].machines
+			own := n.view.Shards["n0"].Machines
 			bodies := make([][]byte, 64)
 			for i := range bodies {
 				bodies[i], _ = protocol.Encode(reportOf(own[i*len(own)/len(bodies)], 1<<40))
@@ -117,17 +118,17 @@
 		b.Run(fmt.Sprintf("claim/%d", machines), func(b *testing.B) {
 			n := fleetOf(b, machines)
 			key := records.ClaimKey("wk-1000", 1) // another controller's
-			raw, _ := protocol.Encode(n.claims[key].rec)
+			raw, _ := protocol.Encode(n.view.Claims[key].Record)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				n.take(kv.Item{Key: key, Value: raw, Version: uint64(100 + i)})
+				n.view.ApplyItem(kv.Item{Key: key, Value: raw, Version: uint64(100 + i)})
 			}
 		})
 		b.Run(fmt.Sprintf("completion/%d", machines), func(b *testing.B) {
 			n := fleetOf(b, machines)
-			c := n.claims[records.ClaimKey("wk-1000", 0)]
-			m := n.machines[c.rec.Placements[0].Host]
-			s, j := n.shards["n0"], n.jobs["wk-1000"]
+			c := n.view.Claims[records.ClaimKey("wk-1000", 0)]
+			m := n.view.Machines[c.Record.Placements[0].Host]
+			s, j := n.view.Shards["n0"], n.view.Jobs["wk-1000"]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				r := reportOf(m, uint64(i+2))
@@ -140,10 +141,10 @@
 		})
 		b.Run(fmt.Sprintf("pass/%d", machines), func(b *testing.B) {
 			n := fleetOf(b, machines)
-			s := n.shards["n0"]
+			s := n.view.Shards["n0"]
 			for i := range 50 { // arrays that find no room
 				ref := fmt.Sprint("wk-", 900_000+i)
-				n.store(records.JobPrefix+ref, &records.Job{Spec: &protocol.Submission{JobID: ref, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
+				n.view.Apply(records.JobPrefix+ref, &records.Job{Spec: &protocol.Submission{JobID: ref, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
 					CPUs: 2 + float64(i)/100, MemoryGB: 4, Image: "img", RunEstimateS: 30}, Shards: []string{"n0", "n1"}, ChunkSize: 32}, 50)
 			}
 			b.ReportAllocs()
--- a/internal/coordination/controller/cancel.go
+++ b/internal/coordination/controller/cancel.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"madderslip/internal/coordination/health"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 )
 
@@ -34,31 +35,31 @@
 // enforceCancels looks at the machines that may keep tasks of cancelled jobs.
 func (n *Controller) enforceCancels(now time.Time) {
 	var bare []string // to be returned without a record
-	ask := make(map[*machine]bool)
+	ask := make(map[*replica.Machine]bool)
 	// A process that has just begun, or gone on after standing still, knows the age of
 	// each alone, not what others have done about it meanwhile.
 	settled := n.beat.Stable(now, hearOthers) && now.Sub(n.boot) > hearOthers
-	for _, ref := range slices.Sorted(maps.Keys(n.cancelled)) {
-		j := n.cancelled[ref]
-		for _, chunk := range slices.Sorted(maps.Keys(j.claims)) {
-			c := j.claims[chunk]
-			for _, p := range c.placesInOrder() {
-				m := p.at.m
-				if m == nil || m.gone {
+	for _, ref := range slices.Sorted(maps.Keys(n.view.CancelledJobs)) {
+		j := n.view.CancelledJobs[ref]
+		for _, chunk := range slices.Sorted(maps.Keys(j.Claims)) {
+			c := j.Claims[chunk]
+			for _, p := range c.SortedSlots() {
+				m := p.Host.Machine
+				if m == nil || m.Lifecycle.Gone {
 					continue
 				}
 				late := false
-				if n.active(n.shards[m.rec.Shard]) {
+				if n.view.IsActive(n.view.Shards[m.Record.Shard]) {
 					late = n.keeps(m, p) && n.enforceCancel(j, m, now)
-				} else if m.rec.State == "" {
+				} else if m.Record.State == "" {
 					stray := n.strayed(j, m, p, now)
 					late = settled && stray.ShouldReturn(n.cfg.Workers.CancelDeadline, n.stateDown(now)) && !n.refusedAlone(now)
-					if settled && stray.ShouldProbe(n.cfg.Workers.CancelDeadline) && !m.probing && m.address() != "" {
+					if settled && stray.ShouldProbe(n.cfg.Workers.CancelDeadline) && !m.Detector.Probing && m.Address() != "" {
 						ask[m] = true
 					}
 				}
-				if late && !slices.Contains(bare, m.host) {
-					bare = append(bare, m.host)
+				if late && !slices.Contains(bare, m.Host) {
+					bare = append(bare, m.Host)
 				}
 			}
 		}
@@ -74,48 +75,48 @@
 }
 
 // keeps tells whether a placement's task is, or may yet be, on its machine.
-func (n *Controller) keeps(m *machine, p *place) bool {
-	t := m.tasks[p.name]
-	if t != nil && t.Attempt == p.try {
+func (n *Controller) keeps(m *replica.Machine, p *replica.Slot) bool {
+	t := m.Agent.Tasks[p.TaskName]
+	if t != nil && t.Attempt == p.Attempt {
 		return t.Phase != protocol.TaskExited
 	}
-	return !m.settled(n.shards[m.rec.Shard]) || m.outstanding(p.name, p.try)
+	return !m.ShowsToken(n.view.Shards[m.Record.Shard]) || m.HasUnconfirmedStart(p.TaskName, p.Attempt)
 }
 
 // enforceCancel has a machine fenced if it is time, and tells whether that must
 // not wait for a record any longer.
-func (n *Controller) enforceCancel(j *job, m *machine, now time.Time) bool {
-	limit, s := n.cfg.Workers.CancelDeadline, n.shards[m.rec.Shard]
-	c := health.CancelledTask{Age: now.Sub(j.ended), Heard: m.settled(s), OwnedFor: now.Sub(s.since)}
+func (n *Controller) enforceCancel(j *replica.Job, m *replica.Machine, now time.Time) bool {
+	limit, s := n.cfg.Workers.CancelDeadline, n.view.Shards[m.Record.Shard]
+	c := health.CancelledTask{Age: now.Sub(j.FinalAt), Heard: m.ShowsToken(s), OwnedFor: now.Sub(s.OwnedSince)}
 	// Not when all of them are silent to this node: on a day with such troubles it
 	// fenced healthy machines for the one task that was cancelled on each.
-	c.Silent = m.rep != nil && n.silence(m, now) > n.pol.SuspectAfter && m.mute.After(m.heard) && !n.ownFault(s, now) && !n.zoneCut(m.rec.Zone, now)
+	c.Silent = m.Agent.Heartbeat != nil && n.silence(m, now) > n.pol.SuspectAfter && m.Detector.UnansweredAt.After(m.Agent.LastContact) && !n.ownFault(s, now) && !n.zoneCut(m.Record.Zone, now)
 	if !c.ShouldFence(limit, n.reportBeat()) {
 		return false
 	}
-	if m.rec.State == "" && !m.returning {
-		n.log.Info("fencing a machine that keeps a cancelled task", "host", m.host, "job", j.ref, "after", c.Age, "silent", c.Silent)
+	if m.Record.State == "" && !m.Lifecycle.Returning {
+		n.log.Info("fencing a machine that keeps a cancelled task", "host", m.Host, "job", j.ID, "after", c.Age, "silent", c.Silent)
 		n.returnMachine(s, m)
 	}
 	// A process that has just gone on after standing still knows the age alone, not
 	// what others have done about it meanwhile.
-	return c.ReturnUnrecorded(limit, n.stateDown(now)) && m.rec.State == "" && !n.refusedAlone(now) && n.beat.Stable(now, hearOthers)
+	return c.ReturnUnrecorded(limit, n.stateDown(now)) && m.Record.State == "" && !n.refusedAlone(now) && n.beat.Stable(now, hearOthers)
 }
 
 // strayed is what this node knows of a cancelled task on a machine of a shard that it
 // may not act for.
-func (n *Controller) strayed(j *job, m *machine, p *place, now time.Time) health.MisplacedTask {
-	stray := health.MisplacedTask{Age: now.Sub(j.ended), SinceProbe: now.Sub(m.asked), Unanswered: m.mute.After(j.ended) && m.mute.After(m.heard)}
-	if s := n.shards[m.rec.Shard]; s != nil && s.rec != nil {
-		stray.OwnerNotified = now.Sub(j.told[s.rec.Owner]) < toldKeep || now.Sub(n.stateOKAt[s.rec.Owner]) < sayEvery
+func (n *Controller) strayed(j *replica.Job, m *replica.Machine, p *replica.Slot, now time.Time) health.MisplacedTask {
+	stray := health.MisplacedTask{Age: now.Sub(j.FinalAt), SinceProbe: now.Sub(m.Detector.CancelProbeAt), Unanswered: m.Detector.UnansweredAt.After(j.FinalAt) && m.Detector.UnansweredAt.After(m.Agent.LastContact)}
+	if s := n.view.Shards[m.Record.Shard]; s != nil && s.Record != nil {
+		stray.OwnerNotified = now.Sub(j.NotifiedAt[s.Record.Owner]) < toldKeep || now.Sub(n.stateOKAt[s.Record.Owner]) < sayEvery
 	}
-	if !m.heard.After(j.ended) {
+	if !m.Agent.LastContact.After(j.FinalAt) {
 		return stray
 	}
-	switch t := m.tasks[p.name]; {
+	switch t := m.Agent.Tasks[p.TaskName]; {
 	case t != nil && t.Phase != protocol.TaskExited:
 		stray.Finding = health.Present
-	case t == nil, t.Attempt != p.try, t.Cause == protocol.CauseGangTimeout: // the last its owner reaps, to begin it again
+	case t == nil, t.Attempt != p.Attempt, t.Cause == protocol.CauseGangTimeout: // the last its owner reaps, to begin it again
 		stray.Finding = health.Absent
 	default:
 		stray.Finding = health.Ended
@@ -129,15 +130,15 @@
 
 // askStrayed asks machines, those first that were not asked for longest. Each
 // controller begins elsewhere in the list, so that together they come through sooner.
-func (n *Controller) askStrayed(due map[*machine]bool, now time.Time) {
-	ask := slices.SortedFunc(maps.Keys(due), func(a, b *machine) int { return strings.Compare(a.host, b.host) })
+func (n *Controller) askStrayed(due map[*replica.Machine]bool, now time.Time) {
+	ask := slices.SortedFunc(maps.Keys(due), func(a, b *replica.Machine) int { return strings.Compare(a.Host, b.Host) })
 	names := append(slices.Collect(maps.Keys(n.peers)), n.cfg.NodeName)
 	slices.Sort(names)
 	from := slices.Index(names, n.cfg.NodeName) * len(ask) / len(names)
 	ask = slices.Concat(ask[from:], ask[:from])
-	slices.SortStableFunc(ask, func(a, b *machine) int { return a.asked.Compare(b.asked) })
+	slices.SortStableFunc(ask, func(a, b *replica.Machine) int { return a.Detector.CancelProbeAt.Compare(b.Detector.CancelProbeAt) })
 	for _, m := range ask[:min(len(ask), askAtOnce)] {
-		m.asked = now
+		m.Detector.CancelProbeAt = now
 		n.probe(m)
 	}
 }
@@ -147,41 +148,33 @@
 // itself has shown: it raises nothing, and a machine that has seen a newer one refuses
 // it. Nothing may follow on a cancellation but the end of its tasks, and their names
 // are not used again; so it is right from whoever sends it, late or twice.
-func (n *Controller) stopStrayed(m *machine, r *protocol.Heartbeat) {
-	if r.FencingToken == 0 || m.rec.State != "" {
+func (n *Controller) stopStrayed(m *replica.Machine, r *protocol.Heartbeat) {
+	if r.FencingToken == 0 || m.Record.State != "" {
 		return
 	}
 	body := protocol.CommandRequest{FencingToken: r.FencingToken, AgentEpoch: r.AgentEpoch}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		if ref, _, ok := protocol.ParseTaskName(t.Task); ok && t.Phase != protocol.TaskExited && n.isCancelled(ref) {
+		if ref, _, ok := protocol.ParseTaskName(t.Task); ok && t.Phase != protocol.TaskExited && n.view.IsCancelled(ref) {
 			body.Commands = append(body.Commands, protocol.StopCommand(t.Task, t.Attempt, 0))
 		}
 	}
 	if len(body.Commands) == 0 {
 		return
 	}
-	n.log.Info("stopping cancelled tasks on a machine of another's shard", "host", m.host, "shard", m.rec.Shard, "tasks", len(body.Commands), "first", body.Commands[0].Task)
-	addr, ctx := m.address(), n.ctx
+	n.log.Info("stopping cancelled tasks on a machine of another's shard", "host", m.Host, "shard", m.Record.Shard, "tasks", len(body.Commands), "first", body.Commands[0].Task)
+	addr, ctx := m.Address(), n.ctx
 	go func() {
 		var after protocol.Heartbeat
 		status, err := n.call(ctx, addr, "POST", protocol.PathCommands, body, &after, commandTimeout)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if err == nil && status == 200 && after.Host == m.host {
+		if err == nil && status == 200 && after.Host == m.Host {
 			n.observe(m, &after)
 		}
 	}()
 }
 
-// isCancelled tells that a job's cancellation is committed.
-func (n *Controller) isCancelled(ref string) bool {
-	if j := n.jobs[ref]; j != nil && j.rec != nil {
-		return j.rec.State == protocol.JobCancelled
-	}
-	return n.final[ref].state == protocol.JobCancelled
-}
-
 // refusedAlone tells that other controllers have just heard from the state
 // service and this one has not for a while: its shards' next owner does what is
 // needed, with a record.
@@ -202,7 +195,7 @@
 	n.fleet.bareBusy = false
 	if err == nil && status == 200 {
 		for _, host := range hosts {
-			n.provedGone(n.machines[host])
+			n.provedGone(n.view.Machines[host])
 		}
 	}
 	n.log.Info("machines returned without a record", "hosts", hosts, "status", status, "err", err)
--- a/internal/coordination/controller/cancel_test.go
+++ b/internal/coordination/controller/cancel_test.go
@@ -26,8 +26,8 @@
 		defer n.mu.Unlock()
 		for i := range 250 {
 			ref := fmt.Sprintf("wk-%03d", i)
-			n.storeClaim(records.ClaimKey(ref, 0), &records.Claim{Shard: "n1", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}, uint64(i+1))
-			n.storeJob(ref, &records.Job{Spec: &protocol.Submission{JobID: ref, Tasks: 1, Shape: protocol.ShapeService}, State: protocol.JobCancelled, ChunkSize: 1}, uint64(i+1000))
+			n.view.ApplyClaim(records.ClaimKey(ref, 0), &records.Claim{Shard: "n1", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}, uint64(i+1))
+			n.view.ApplyJob(ref, &records.Job{Spec: &protocol.Submission{JobID: ref, Tasks: 1, Shape: protocol.ShapeService}, State: protocol.JobCancelled, ChunkSize: 1}, uint64(i+1000))
 		}
 		told := make(map[string]bool)
 		for range 3 {
@@ -45,7 +45,7 @@
 		if len(told) != 250 {
 			t.Errorf("%d of 250 are repeated", len(told))
 		}
-		if j := n.jobs["wk-249"]; time.Since(j.told["n1"]) > toldKeep {
+		if j := n.view.Jobs["wk-249"]; time.Since(j.NotifiedAt["n1"]) > toldKeep {
 			t.Error("what n1 has taken does not count as told")
 		}
 	})
@@ -59,23 +59,23 @@
 		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: idleStore{}, Log: slog.New(slog.DiscardHandler)})
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.loaded, n.epoch = true, 5
+		n.view.Loaded, n.view.Revision = true, 5
 		for _, ref := range []string{"wk-1", "wk-2"} {
 			spec := &protocol.Submission{JobID: ref, Tasks: 1, Shape: protocol.ShapeService}
-			n.store(records.JobPrefix+ref, &records.Job{Spec: spec, State: protocol.JobCancelled, ChunkSize: 1}, 8)
+			n.view.Apply(records.JobPrefix+ref, &records.Job{Spec: spec, State: protocol.JobCancelled, ChunkSize: 1}, 8)
 		}
 		key := records.ClaimKey("wk-1", 0)
-		n.store(key, &records.Claim{Shard: "n1", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}, 7)
-		if c := n.claims[key]; c == nil || c.spec == nil || n.cancelled["wk-1"] == nil || n.cancelled["wk-1"].claims[0] != c || len(n.orphans) != 0 {
+		n.view.Apply(key, &records.Claim{Shard: "n1", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}, 7)
+		if c := n.view.Claims[key]; c == nil || c.Spec == nil || n.view.CancelledJobs["wk-1"] == nil || n.view.CancelledJobs["wk-1"].Claims[0] != c || len(n.view.OrphanClaims) != 0 {
 			t.Errorf("the claim has not found its job: %+v", c)
 		}
-		n.reached(8)
-		if n.jobs["wk-1"] == nil || n.jobs["wk-2"] != nil || n.final["wk-2"].state != protocol.JobCancelled || len(n.ahead) != 0 {
-			t.Errorf("once the watch has come as far: jobs %v, ahead %v", n.jobs, n.ahead)
+		n.view.ReachRevision(8)
+		if n.view.Jobs["wk-1"] == nil || n.view.Jobs["wk-2"] != nil || n.view.FinalJobs["wk-2"].State != protocol.JobCancelled || len(n.view.EarlyCancellations) != 0 {
+			t.Errorf("once the watch has come as far: jobs %v, ahead %v", n.view.Jobs, n.view.EarlyCancellations)
 		}
-		n.store(key, nil, 9)
-		if len(n.jobs) != 0 || n.final["wk-1"].state != protocol.JobCancelled {
-			t.Errorf("once its claim is gone: jobs %v", n.jobs)
+		n.view.Apply(key, nil, 9)
+		if len(n.view.Jobs) != 0 || n.view.FinalJobs["wk-1"].State != protocol.JobCancelled {
+			t.Errorf("once its claim is gone: jobs %v", n.view.Jobs)
 		}
 	})
 }
--- a/internal/coordination/controller/claim.go
+++ b/internal/coordination/controller/claim.go
@@ -3,28 +3,29 @@
 import (
 	"time"
 
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
 )
 
 // commitUnit commits placements, with the claim itself when it is new.
-func (n *Controller) commitUnit(s *shard, u *unit, next *records.Claim) bool {
+func (n *Controller) commitUnit(s *replica.Shard, u *unit, next *records.Claim) bool {
 	if u.c != nil {
 		c := u.c
 		return n.update(s, c, next, claimPrio(u.spec), func(err error) {
-			if j := n.jobs[c.ref]; err == nil && j != nil && n.active(s) && c.rec != nil {
+			if j := n.view.Jobs[c.JobID]; err == nil && j != nil && n.view.IsActive(s) && c.Record != nil {
 				n.settleClaim(s, j, c, time.Now())
 			}
 		})
 	}
-	c := &claim{key: records.ClaimKey(u.j.ref, u.chunk), ref: u.j.ref, chunk: u.chunk, spec: u.spec}
+	c := &replica.Claim{Key: records.ClaimKey(u.j.ID, u.chunk), JobID: u.j.ID, Chunk: u.chunk, Spec: u.spec}
 	conds, ops, ok := n.prepareClaim(s, c, next)
 	if !ok {
 		return false
 	}
-	conds = append(conds, kv.Compare{Key: records.JobPrefix + u.j.ref, Version: u.j.stamp})
-	ops = append(ops, kv.Op{Key: c.key, Value: next})
+	conds = append(conds, kv.Compare{Key: records.JobPrefix + u.j.ID, Version: u.j.Version})
+	ops = append(ops, kv.Op{Key: c.Key, Value: next})
 	n.commit(claimPrio(u.spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })
 	return true
 }
@@ -38,26 +39,26 @@
 
 // prepareClaim enters a new claim into the cache while its commit is under
 // way, so that its room is taken, and gives the conditions on which it depends.
-func (n *Controller) prepareClaim(s *shard, c *claim, next *records.Claim) ([]kv.Compare, []kv.Op, bool) {
-	conds, ops, t, ok := n.reserveTeam(s.name, c, next)
+func (n *Controller) prepareClaim(s *replica.Shard, c *replica.Claim, next *records.Claim) ([]kv.Compare, []kv.Op, bool) {
+	conds, ops, t, ok := n.reserveTeam(s.Name, c, next)
 	if !ok {
 		return nil, nil, false
 	}
 	if t != nil {
-		t.busy = true
+		t.Writing = true
 	}
-	n.claims[c.key] = c
-	n.setPend(c, next)
-	n.intents = append(n.intents, c.key)
-	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token}, kv.Compare{Key: c.key, Version: 0})
+	n.view.Claims[c.Key] = c
+	n.view.SetPending(c, next)
+	n.intents = append(n.intents, c.Key)
+	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: 0})
 	return conds, ops, true
 }
 
 // newClaim is the claim on a job that is just being let into the queues, made in the same
 // transaction; empty where there is none.
 type newClaim struct {
-	claim *claim
-	shard *shard
+	claim *replica.Claim
+	shard *replica.Shard
 	conds []kv.Compare
 }
 
@@ -65,7 +66,7 @@
 	if f.claim == nil {
 		return nil
 	}
-	return []kv.Op{{Key: f.claim.key, Value: f.claim.pend}}
+	return []kv.Op{{Key: f.claim.Key, Value: f.claim.Pending}}
 }
 
 // finish ends the claim's commit.
@@ -84,11 +85,11 @@
 		return newClaim{}
 	}
 	for _, name := range at {
-		s := n.shards[name]
-		if !n.active(s) || n.claims[records.ClaimKey(spec.JobID, 0)] != nil {
+		s := n.view.Shards[name]
+		if !n.view.IsActive(s) || n.view.Claims[records.ClaimKey(spec.JobID, 0)] != nil {
 			continue
 		}
-		j := &job{ref: spec.JobID, rec: &records.Job{Spec: spec}, chunks: 1, size: size, seen: now}
+		j := &replica.Job{ID: spec.JobID, Record: &records.Job{Spec: spec}, Chunks: 1, ChunkSize: size, SeenAt: now}
 		u := &unit{j: j, spec: spec}
 		if n.queuedBefore(s, spec, now) {
 			continue
@@ -96,14 +97,14 @@
 		rooms := n.rooms(s, now)
 		z := newZoneRule(spec, nil)
 		next := &records.Claim{Shard: name, TaskCount: spec.Tasks, LastAttempt: 1}
-		picks := n.pickHosts(s.name, u, next, rooms, &z, now)
+		picks := n.pickHosts(s.Name, u, next, rooms, &z, now)
 		if len(picks) < spec.Tasks {
 			continue
 		}
 		for _, pk := range picks {
 			next.Placements = append(next.Placements, records.Placement{Task: pk.task, Attempt: 1, Host: rooms[pk.room].host})
 		}
-		c := &claim{key: records.ClaimKey(spec.JobID, 0), ref: spec.JobID, spec: spec}
+		c := &replica.Claim{Key: records.ClaimKey(spec.JobID, 0), JobID: spec.JobID, Spec: spec}
 		conds, _, ok := n.prepareClaim(s, c, next)
 		if !ok {
 			continue
@@ -115,7 +116,7 @@
 
 // queuedBefore tells whether others of at least this priority wait already:
 // a newcomer must not pass them.
-func (n *Controller) queuedBefore(s *shard, spec *protocol.Submission, now time.Time) bool {
+func (n *Controller) queuedBefore(s *replica.Shard, spec *protocol.Submission, now time.Time) bool {
 	for _, u := range n.queueOf(s, now) {
 		if u.spec.Priority() >= spec.Priority() && u.spec.GPUs >= spec.GPUs {
 			return true
--- a/internal/coordination/controller/commit.go
+++ b/internal/coordination/controller/commit.go
@@ -43,7 +43,7 @@
 		}
 		if res.Err == nil {
 			for _, op := range ops {
-				n.store(op.Key, op.Value, res.Revision)
+				n.view.Apply(op.Key, op.Value, res.Revision)
 			}
 		}
 		done(res.Err, res.Revision)
@@ -60,7 +60,7 @@
 		// What the watch has brought meanwhile need not be read, except for users:
 		// the cache may be newer than the condition and still older than what
 		// another node has told them.
-		if slices.Contains(res.FailedKeys, c.Key) && (t.Priority == kv.PriorityUser || n.stamps[c.Key] <= c.Version) {
+		if slices.Contains(res.FailedKeys, c.Key) && (t.Priority == kv.PriorityUser || n.view.Versions[c.Key] <= c.Version) {
 			keys = append(keys, c.Key)
 		}
 	}
@@ -91,7 +91,7 @@
 		it, err := n.led.Get(ctx, key)
 		for err != nil && insist && life.Err() == nil {
 			n.mu.Lock()
-			reached := epoch > 0 && n.epoch >= epoch
+			reached := epoch > 0 && n.view.Revision >= epoch
 			n.mu.Unlock()
 			if reached || !n.pause(life, refreshGap) {
 				break
@@ -103,7 +103,7 @@
 			continue
 		}
 		n.mu.Lock()
-		n.take(it)
+		n.view.ApplyItem(it)
 		n.mu.Unlock()
 	}
 	n.mu.Lock()
--- a/internal/coordination/controller/fleet.go
+++ b/internal/coordination/controller/fleet.go
@@ -14,6 +14,7 @@
 	"golang.org/x/time/rate"
 
 	"madderslip/internal/coordination/placement"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
@@ -34,8 +35,8 @@
 		n.mu.Lock()
 		now := time.Now()
 		n.shareCloud()
-		needTypes := len(n.types) == 0 || now.Sub(n.fleet.typesAt) > 30*time.Second
-		needList := n.loaded && len(n.types) > 0 && now.Sub(n.fleet.listed) > max(10*time.Second, n.cfg.CloudLimits.ListLag)
+		needTypes := len(n.view.MachineTypes) == 0 || now.Sub(n.fleet.typesAt) > 30*time.Second
+		needList := n.view.Loaded && len(n.view.MachineTypes) > 0 && now.Sub(n.fleet.listed) > max(10*time.Second, n.cfg.CloudLimits.ListLag)
 		hosts := n.toReturn(now)
 		n.mu.Unlock()
 		switch {
@@ -56,7 +57,7 @@
 // for all, the rest for the returns and lists of every node.
 func (n *Controller) shareCloud() {
 	part := 0.4 / float64(max(1, n.cfg.NodeCount))
-	if n.leading() {
+	if n.isLeader() {
 		part += 0.5
 	}
 	n.cloud.SetLimit(rate.Limit(n.cfg.CloudLimits.RequestRate * part))
@@ -72,20 +73,20 @@
 	defer n.mu.Unlock()
 	if err != nil || status != 200 || len(out.Types) == 0 {
 		n.log.Debug("machine types", "status", status, "err", err)
-		if len(n.types) > 0 {
+		if len(n.view.MachineTypes) > 0 {
 			n.fleet.typesAt = time.Now().Add(-20 * time.Second)
 		}
 		return
 	}
 	n.fleet.typesAt = time.Now()
-	for _, s := range n.shards {
-		for _, m := range s.machines {
-			m.stale = true
+	for _, s := range n.view.Shards {
+		for _, m := range s.Machines {
+			m.Capacity.Stale = true
 		}
 	}
-	n.types = make(map[string]*protocol.MachineType, len(out.Types))
+	n.view.MachineTypes = make(map[string]*protocol.MachineType, len(out.Types))
 	for i := range out.Types {
-		n.types[out.Types[i].Name] = &out.Types[i]
+		n.view.MachineTypes[out.Types[i].Name] = &out.Types[i]
 	}
 }
 
@@ -96,33 +97,33 @@
 
 // returnMachine records that a machine goes back. The record is final: from
 // then on nothing is placed there, whoever owns the shard.
-func (n *Controller) returnMachine(s *shard, m *machine) {
-	if m.returning || m.rec.State != "" || s.token == 0 {
+func (n *Controller) returnMachine(s *replica.Shard, m *replica.Machine) {
+	if m.Lifecycle.Returning || m.Record.State != "" || s.FencingToken == 0 {
 		return
 	}
-	m.returning = true
-	rec := m.rec
+	m.Lifecycle.Returning = true
+	rec := m.Record
 	rec.State = records.MachineReturning
-	n.commit(kv.PriorityClaim, []kv.Compare{{Key: records.ShardPrefix + s.name, Version: s.token}, {Key: records.MachinePrefix + m.host, Version: m.stamp}},
-		[]kv.Op{{Key: records.MachinePrefix + m.host, Value: &rec}}, returnWithin, func(error) { m.returning = false })
+	n.commit(kv.PriorityClaim, []kv.Compare{{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, {Key: records.MachinePrefix + m.Host, Version: m.Version}},
+		[]kv.Op{{Key: records.MachinePrefix + m.Host, Value: &rec}}, returnWithin, func(error) { m.Lifecycle.Returning = false })
 }
 
 // toReturn lists the machines whose return is recorded and not carried out.
 func (n *Controller) toReturn(now time.Time) []string {
 	var hosts []string
-	if !n.loaded || n.fleet.returnBusy {
+	if !n.view.Loaded || n.fleet.returnBusy {
 		return nil
 	}
-	for _, host := range slices.Sorted(maps.Keys(n.returns)) {
-		m := n.returns[host]
-		s := n.shards[m.rec.Shard]
+	for _, host := range slices.Sorted(maps.Keys(n.view.Returns)) {
+		m := n.view.Returns[host]
+		s := n.view.Shards[m.Record.Shard]
 		switch {
-		case !n.active(s) || !now.After(m.returnNext):
-		case m.gone:
-			m.returnNext = now.Add(5 * time.Second)
+		case !n.view.IsActive(s) || !now.After(m.Lifecycle.ReturnRetryAt):
+		case m.Lifecycle.Gone:
+			m.Lifecycle.ReturnRetryAt = now.Add(5 * time.Second)
 			n.recordGone(s, m)
 		case len(hosts) < maxReturn:
-			hosts = append(hosts, m.host)
+			hosts = append(hosts, m.Host)
 		}
 	}
 	if len(hosts) > 0 {
@@ -133,11 +134,11 @@
 
 // recordGone spares the shard's next owner to return a machine again, which
 // would prove the same: there is no hurry.
-func (n *Controller) recordGone(s *shard, m *machine) {
-	rec := m.rec
+func (n *Controller) recordGone(s *replica.Shard, m *replica.Machine) {
+	rec := m.Record
 	rec.State = records.MachineGone
-	n.commit(kv.PriorityBackground, []kv.Compare{{Key: records.ShardPrefix + s.name, Version: s.token}, {Key: records.MachinePrefix + m.host, Version: m.stamp}},
-		[]kv.Op{{Key: records.MachinePrefix + m.host, Value: &rec}}, 20*time.Second, func(error) {})
+	n.commit(kv.PriorityBackground, []kv.Compare{{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, {Key: records.MachinePrefix + m.Host, Version: m.Version}},
+		[]kv.Op{{Key: records.MachinePrefix + m.Host, Value: &rec}}, 20*time.Second, func(error) {})
 }
 
 // maxReturn is the most machines that the cloud takes back in one call.
@@ -153,11 +154,11 @@
 
 // provedGone notes that the cloud has taken a machine back: it and everything
 // on it are gone.
-func (n *Controller) provedGone(m *machine) {
-	m.gone = true
-	n.shard(m.rec.Shard).stirred = true
-	for _, p := range m.use.places {
-		n.mark(p.c)
+func (n *Controller) provedGone(m *replica.Machine) {
+	m.Lifecycle.Gone = true
+	n.view.Shard(m.Record.Shard).Changed = true
+	for _, p := range m.Use.Slots {
+		n.view.MarkDirty(p.Claim)
 	}
 }
 
@@ -167,13 +168,13 @@
 	defer n.mu.Unlock()
 	n.fleet.returnBusy = false
 	for _, host := range hosts {
-		m := n.machines[host]
-		s := n.shards[m.rec.Shard]
-		m.returnNext = time.Now().Add(time.Second)
+		m := n.view.Machines[host]
+		s := n.view.Shards[m.Record.Shard]
+		m.Lifecycle.ReturnRetryAt = time.Now().Add(time.Second)
 		if err == nil && status == 200 {
-			m.returnNext = time.Now().Add(25 * time.Second) // the record's turn
+			m.Lifecycle.ReturnRetryAt = time.Now().Add(25 * time.Second) // the record's turn
 		}
-		if err != nil || status != 200 || !n.active(s) || m.rec.State != records.MachineReturning {
+		if err != nil || status != 200 || !n.view.IsActive(s) || m.Record.State != records.MachineReturning {
 			continue
 		}
 		n.provedGone(m)
@@ -207,19 +208,19 @@
 }
 
 func (n *Controller) listed(h protocol.ListedMachine) {
-	m := n.machines[h.Host]
+	m := n.view.Machines[h.Host]
 	if m != nil {
-		m.listed = h.Address
+		m.ListedAddress = h.Address
 	}
 	switch {
 	case m == nil:
 		// A hire whose answer was lost shows up here. A younger one may still
 		// be about to be recorded by the node that hired it.
-		if n.leading() && protocol.Seconds(h.AgeS) > 10*time.Second+2*n.cfg.CloudLimits.ListLag {
+		if n.isLeader() && protocol.Seconds(h.AgeS) > 10*time.Second+2*n.cfg.CloudLimits.ListLag {
 			n.adopt(h.Host, h.Type, h.Zone, h.Spot)
 		}
-	case h.Phase == protocol.MachineFailed && m.rec.State == "":
-		if s := n.shards[m.rec.Shard]; n.active(s) {
+	case h.Phase == protocol.MachineFailed && m.Record.State == "":
+		if s := n.view.Shards[m.Record.Shard]; n.view.IsActive(s) {
 			n.log.Info("machine failed", "host", h.Host)
 			n.returnMachine(s, m)
 		}
@@ -231,15 +232,15 @@
 func (n *Controller) fleetLoop(ctx context.Context) {
 	for n.pause(ctx, 700*time.Millisecond+41*time.Nanosecond) {
 		n.mu.Lock()
-		if n.loaded && len(n.types) > 0 {
+		if n.view.Loaded && len(n.view.MachineTypes) > 0 {
 			now := time.Now()
-			for _, name := range n.shardNames() {
-				if s := n.shards[name]; n.active(s) {
+			for _, name := range n.view.ShardNames() {
+				if s := n.view.Shards[name]; n.view.IsActive(s) {
 					n.returnIdle(s, now)
 					n.consolidate(s, now)
 				}
 			}
-			if n.leading() {
+			if n.isLeader() {
 				n.adoptKnown(now)
 				n.retryHires(now)
 				n.hireFor(now)
@@ -252,17 +253,17 @@
 
 // returnIdle gives back machines that have had nothing to do for a while and
 // are not part of the warm room, those that never came up, and sick ones.
-func (n *Controller) returnIdle(s *shard, now time.Time) {
+func (n *Controller) returnIdle(s *replica.Shard, now time.Time) {
 	held := make(map[string]bool)
 	services := 0.0
-	for c := range s.claims {
-		if c.rec != nil && c.spec != nil && c.spec.Shape == protocol.ShapeService {
-			services += c.spec.CPUs * float64(len(c.rec.Placements))
+	for c := range s.Claims {
+		if c.Record != nil && c.Spec != nil && c.Spec.Shape == protocol.ShapeService {
+			services += c.Spec.CPUs * float64(len(c.Record.Placements))
 		}
 	}
-	for _, g := range n.gathers {
-		if h := g.holds[s.name]; h != nil && h.stamp != 0 && g.stamp != 0 {
-			for host := range h.rec.TasksByHost {
+	for _, g := range n.view.GangReservations {
+		if h := g.Holds[s.Name]; h != nil && h.Version != 0 && g.Version != 0 {
+			for host := range h.Record.TasksByHost {
 				held[host] = true // held for a wide job about to start
 			}
 		}
@@ -276,41 +277,41 @@
 		}
 	}
 	keep := services * n.pol.WarmShare
-	for _, m := range s.machines {
-		if m.returning {
+	for _, m := range s.Machines {
+		if m.Lifecycle.Returning {
 			continue
 		}
-		t := n.typeOf(m.rec.Type)
-		if m.rep == nil {
-			age := m.bootedFor(now)
-			if age > n.boots.Expired(m.bootKind(), t.BootTime(), now) && now.Sub(m.adoptedAt) > t.BootTime()+n.cfg.Workers.LeaseDuration {
-				n.log.Info("machine never came up, returned", "host", m.host, "type", m.rec.Type, "zone", m.rec.Zone, "age", age.Round(time.Second))
+		t := n.view.MachineType(m.Record.Type)
+		if m.Agent.Heartbeat == nil {
+			age := m.Age(now)
+			if age > n.boots.Expired(m.BootKind(), t.BootTime(), now) && now.Sub(m.AdoptedAt) > t.BootTime()+n.cfg.Workers.LeaseDuration {
+				n.log.Info("machine never came up, returned", "host", m.Host, "type", m.Record.Type, "zone", m.Record.Zone, "age", age.Round(time.Second))
 				n.returnMachine(s, m)
 			}
 			continue
 		}
-		inDemand := wanted[machineKind{m.rec.Type, m.rec.Zone, m.rec.Spot}] && !m.sick && m.draining.IsZero()
-		if len(m.use.places) > 0 || inDemand || held[m.host] || n.strays(m) || now.Sub(m.adoptedAt) < n.pol.IdleMachineTTL {
-			m.idleSince = time.Time{}
+		inDemand := wanted[replica.MachineKind{Type: m.Record.Type, Zone: m.Record.Zone, Spot: m.Record.Spot}] && !m.Quarantine.Active && m.Lifecycle.DrainingSince.IsZero()
+		if len(m.Use.Slots) > 0 || inDemand || held[m.Host] || n.strays(m) || now.Sub(m.AdoptedAt) < n.pol.IdleMachineTTL {
+			m.Lifecycle.IdleSince = time.Time{}
 			continue
 		}
-		if m.idleSince.IsZero() {
-			m.idleSince = now
+		if m.Lifecycle.IdleSince.IsZero() {
+			m.Lifecycle.IdleSince = now
 		}
-		if (m.sick && now.Sub(m.sickAt) > sickFor) || !m.draining.IsZero() {
+		if (m.Quarantine.Active && now.Sub(m.Quarantine.ChangedAt) > sickFor) || !m.Lifecycle.DrainingSince.IsZero() {
 			n.returnMachine(s, m)
 			continue
 		}
-		if now.Sub(m.idleSince) < n.pol.IdleMachineTTL {
+		if now.Sub(m.Lifecycle.IdleSince) < n.pol.IdleMachineTTL {
 			continue
 		}
-		if !m.rec.Spot && t.GPUs == 0 {
+		if !m.Record.Spot && t.GPUs == 0 {
 			if spare-t.CPUs < keep {
 				continue
 			}
 			spare -= t.CPUs
 		}
-		n.log.Info("returning an idle machine", "host", m.host)
+		n.log.Info("returning an idle machine", "host", m.Host)
 		n.returnMachine(s, m)
 	}
 }
@@ -318,13 +319,13 @@
 // typesWanted tells which kinds of machine the shard's queue could use. While
 // the state service is short of budget, work waits beside idle machines; to
 // return them and hire others just after would be paid twice.
-func (n *Controller) typesWanted(s *shard, now time.Time) map[machineKind]bool {
-	wanted := make(map[machineKind]bool)
+func (n *Controller) typesWanted(s *replica.Shard, now time.Time) map[replica.MachineKind]bool {
+	wanted := make(map[replica.MachineKind]bool)
 	queue := n.queueOf(s, now)
-	for kind := range s.kinds {
-		if t := n.types[kind.typ]; t != nil {
+	for kind := range s.Kinds {
+		if t := n.view.MachineTypes[kind.Type]; t != nil {
 			wanted[kind] = slices.ContainsFunc(queue, func(u *unit) bool {
-				return canEver(u.spec, t) && allowed(u.spec, kind.typ, kind.zone, kind.loaner) && !n.overLimit(u)
+				return canEver(u.spec, t) && allowed(u.spec, kind.Type, kind.Zone, kind.Spot) && !n.overLimit(u)
 			})
 		}
 	}
@@ -341,27 +342,27 @@
 // runs there are replicas that other machines of the shard can take at once,
 // their image at hand. Replicas run for hours; without this a few of them
 // keep a costly machine long after the work it was hired for.
-func (n *Controller) consolidate(s *shard, now time.Time) {
+func (n *Controller) consolidate(s *replica.Shard, now time.Time) {
 	busy := false
-	for _, m := range s.machines {
-		if m.draining.IsZero() {
+	for _, m := range s.Machines {
+		if m.Lifecycle.DrainingSince.IsZero() {
 			continue
 		}
-		if now.Sub(m.draining) > drainPatience {
-			m.draining = time.Time{}
+		if now.Sub(m.Lifecycle.DrainingSince) > drainPatience {
+			m.Lifecycle.DrainingSince = time.Time{}
 			continue
 		}
 		n.moveReplicas(m, now)
-		busy = busy || m.rec.State == ""
+		busy = busy || m.Record.State == ""
 	}
-	if busy || now.Sub(s.drained) < consolidateGap || now.Sub(s.weighed) < weighGap || now.Sub(s.since) < 15*time.Second || len(n.queueOf(s, now)) > 0 {
+	if busy || now.Sub(s.DrainedAt) < consolidateGap || now.Sub(s.ConsolidationCheckedAt) < weighGap || now.Sub(s.OwnedSince) < 15*time.Second || len(n.queueOf(s, now)) > 0 {
 		return
 	}
-	s.weighed = now
+	s.ConsolidationCheckedAt = now
 	rooms := n.rooms(s, now)
 	n.detail(rooms, now)
 	spare, keep := 0.0, 0.0
-	on := make(map[string][]victim)
+	on := make(map[string][]replica.Victim)
 	movable := make(map[string]bool)
 	for _, r := range rooms {
 		on[r.host] = r.victims
@@ -370,9 +371,9 @@
 		}
 		for _, v := range r.victims {
 			// What is left must hold the warm room and these replicas too.
-			keep += v.c.spec.CPUs * n.pol.WarmShare
+			keep += v.Claim.Spec.CPUs * n.pol.WarmShare
 		}
-		movable[r.host] = r.usable && len(r.victims) > 0 && len(r.ends) == 0 && r.m.onlyReplicas()
+		movable[r.host] = r.usable && len(r.victims) > 0 && len(r.ends) == 0 && r.m.RunsOnlyReplicas()
 	}
 	slices.SortFunc(rooms, func(a, b *room) int { return cmp.Compare(b.wasted(), a.wasted()) })
 	for _, from := range rooms {
@@ -383,8 +384,8 @@
 			continue
 		}
 		n.log.Info("emptying a machine", "host", from.host, "replicas", len(on[from.host]))
-		from.m.draining = now
-		s.drained = now
+		from.m.Lifecycle.DrainingSince = now
+		s.DrainedAt = now
 		n.moveReplicas(from.m, now)
 		n.poke()
 		return
@@ -393,18 +394,18 @@
 
 // moveReplicas stops what a machine being emptied still runs, one replica of
 // each service at a time, so that a service goes on while it moves.
-func (n *Controller) moveReplicas(m *machine, now time.Time) {
-	for _, name := range slices.Sorted(maps.Keys(m.use.places)) {
-		p := m.use.places[name]
+func (n *Controller) moveReplicas(m *replica.Machine, now time.Time) {
+	for _, name := range slices.Sorted(maps.Keys(m.Use.Slots)) {
+		p := m.Use.Slots[name]
 		if p == nil {
 			continue
 		}
-		c := p.c
-		if c.rec == nil || c.pend != nil || c.spec == nil || len(c.evict) > 0 || len(c.rec.Placements) < c.rec.TaskCount {
+		c := p.Claim
+		if c.Record == nil || c.Pending != nil || c.Spec == nil || len(c.Evictions) > 0 || len(c.Record.Placements) < c.Record.TaskCount {
 			continue
 		}
-		n.evict(c, p.task, now)
-		n.flush(n.shards[m.rec.Shard])
+		n.evict(c, p.Task, now)
+		n.flush(n.view.Shards[m.Record.Shard])
 	}
 }
 
@@ -417,7 +418,7 @@
 }
 
 // fitElsewhere tries the moves on a copy of the rooms.
-func (n *Controller) fitElsewhere(from *room, tasks []victim, rooms []*room, now time.Time) bool {
+func (n *Controller) fitElsewhere(from *room, tasks []replica.Victim, rooms []*room, now time.Time) bool {
 	var others []*room
 	for _, r := range rooms {
 		if r != from {
@@ -427,27 +428,27 @@
 	}
 	// Moves of one service follow one another: each starts from where the
 	// earlier ones went, or a spread service could end with no zone left.
-	zones := make(map[*claim][]string)
+	zones := make(map[*replica.Claim][]string)
 	for _, v := range tasks {
-		if _, ok := zones[v.c]; !ok {
-			zones[v.c] = n.zonesTaken(v.c)
+		if _, ok := zones[v.Claim]; !ok {
+			zones[v.Claim] = n.view.ZonesOf(v.Claim)
 		}
-		if i := slices.Index(zones[v.c], from.zone); i >= 0 {
-			zones[v.c] = slices.Delete(zones[v.c], i, i+1)
+		if i := slices.Index(zones[v.Claim], from.zone); i >= 0 {
+			zones[v.Claim] = slices.Delete(zones[v.Claim], i, i+1)
 		}
-		z := newZoneRule(v.c.spec, zones[v.c])
-		i := choose(v.c.spec, v.c.ref, others, &z, 0, now)
-		if i < 0 || !others[i].holds(v.c.spec.Image) {
+		z := newZoneRule(v.Claim.Spec, zones[v.Claim])
+		i := choose(v.Claim.Spec, v.Claim.JobID, others, &z, 0, now)
+		if i < 0 || !others[i].holds(v.Claim.Spec.Image) {
 			return false
 		}
-		zones[v.c] = append(zones[v.c], others[i].zone)
-		others[i].take(v.c.spec)
+		zones[v.Claim] = append(zones[v.Claim], others[i].zone)
+		others[i].take(v.Claim.Spec)
 	}
 	return true
 }
 
-func (n *Controller) strays(m *machine) bool {
-	for _, t := range m.tasks {
+func (n *Controller) strays(m *replica.Machine) bool {
+	for _, t := range m.Agent.Tasks {
 		if t.Phase != protocol.TaskExited {
 			return true
 		}
@@ -496,7 +497,7 @@
 			budget = forIdle
 		}
 		if budget <= 0 && n.stranded(w, supply) {
-			got := n.fill(&supply, w, now, eps) // one machine
+			got := n.fill(&supply, w, now, tolerance) // one machine
 			need = append(need, got...)
 			continue
 		}
@@ -526,11 +527,11 @@
 			groups[o.key()] = g
 			order = append(order, g)
 			// Counted by smallestShard from now on.
-			n.hires[name] = &hire{name: name, busy: true}
+			n.view.Provisions[name] = &replica.Provision{Name: name, Busy: true}
 		}
 		g.Count++
 		g.Allocate(shard)
-		n.hires[g.Name].rec = *g
+		n.view.Provisions[g.Name].Record = *g
 	}
 	for _, g := range order {
 		n.recordHire(g)
@@ -545,12 +546,12 @@
 	name := rec.Name
 	n.log.Info("hiring", "name", name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "count", rec.Count, "parts", rec.Allocations)
 	// Hires are few and everything waits for the machines, so they go first.
-	n.commit(kv.PriorityLease, []kv.Compare{{Key: records.LeaderKey, Version: n.leadStamp}, {Key: records.ProvisionPrefix + name, Version: 0}},
+	n.commit(kv.PriorityLease, []kv.Compare{{Key: records.LeaderKey, Version: n.leadership.version}, {Key: records.ProvisionPrefix + name, Version: 0}},
 		[]kv.Op{{Key: records.ProvisionPrefix + name, Value: rec}}, 5*time.Second, func(err error) {
-			h := n.hires[name]
+			h := n.view.Provisions[name]
 			if err != nil {
-				if h != nil && h.stamp == 0 {
-					delete(n.hires, name)
+				if h != nil && h.Version == 0 {
+					delete(n.view.Provisions, name)
 				}
 				return
 			}
@@ -561,24 +562,24 @@
 // retryHires repeats recorded hires without an answer, those of an earlier
 // leader too: the same name rents nothing twice.
 func (n *Controller) retryHires(now time.Time) {
-	for _, name := range slices.Sorted(maps.Keys(n.hires)) {
-		switch h := n.hires[name]; {
-		case h.stamp == 0 || h.busy || !now.After(h.next):
-		case h.answer != nil:
-			h.busy = true
-			n.hired(h, h.answer)
+	for _, name := range slices.Sorted(maps.Keys(n.view.Provisions)) {
+		switch h := n.view.Provisions[name]; {
+		case h.Version == 0 || h.Busy || !now.After(h.RetryAt):
+		case h.AnsweredHosts != nil:
+			h.Busy = true
+			n.hired(h, h.AnsweredHosts)
 		default:
 			n.sendHire(h)
 		}
 	}
 }
 
-func (n *Controller) sendHire(h *hire) {
-	if h == nil || h.busy {
+func (n *Controller) sendHire(h *replica.Provision) {
+	if h == nil || h.Busy {
 		return
 	}
-	h.busy = true
-	rec, ctx := h.rec, n.ctx
+	h.Busy = true
+	rec, ctx := h.Record, n.ctx
 	turn := n.cloud.Reserve() // here and not below: those sent at one instant go in order
 	go func() {
 		var out protocol.HostList
@@ -593,7 +594,7 @@
 		}
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		h.next = time.Now().Add(time.Second)
+		h.RetryAt = time.Now().Add(time.Second)
 		switch {
 		case err == nil && status == 200:
 			n.hired(h, out.Hosts)
@@ -603,87 +604,61 @@
 			n.log.Info("hire refused", "kind", o, "status", status)
 			n.dropHire(h)
 		default:
-			h.busy = false
+			h.Busy = false
 		}
 	}()
 }
 
-func (n *Controller) dropHire(h *hire) {
-	n.commit(kv.PriorityBackground, []kv.Compare{{Key: records.ProvisionPrefix + h.name, Version: h.stamp}}, []kv.Op{{Key: records.ProvisionPrefix + h.name}}, 10*time.Second,
-		func(err error) { h.busy = false })
+func (n *Controller) dropHire(h *replica.Provision) {
+	n.commit(kv.PriorityBackground, []kv.Compare{{Key: records.ProvisionPrefix + h.Name, Version: h.Version}}, []kv.Op{{Key: records.ProvisionPrefix + h.Name}}, 10*time.Second,
+		func(err error) { h.Busy = false })
 }
 
 // hired records the machines of a hire, all in one record. Only the leader
 // does: it alone knows which machines have been adopted meanwhile, and none may
 // be put into two shards.
-func (n *Controller) hired(h *hire, hosts []string) {
-	rec := h.rec
+func (n *Controller) hired(h *replica.Provision, hosts []string) {
+	rec := h.Record
 	if len(hosts) < rec.Count {
 		n.refused[rec.Type+"/"+rec.Zone+"/"+strconv.FormatBool(rec.Spot)] = time.Now().Add(n.pol.RefusedOfferPause)
 	}
 	rec.Hosts = nil
-	if n.epoch < h.stamp {
+	if n.view.Revision < h.Version {
 		// This version may be that of an adoption, read ahead of the watch, and the
 		// machines adopted with it are not in the cache yet: one was put into two shards.
-		h.answer, h.busy, h.next = hosts, false, time.Now()
+		h.AnsweredHosts, h.Busy, h.RetryAt = hosts, false, time.Now()
 		return
 	}
 	for _, host := range hosts {
-		if n.machines[host] == nil && !n.unknown[host].busy {
+		if n.view.Machines[host] == nil && !n.unknown[host].busy {
 			rec.Hosts = append(rec.Hosts, host)
 		}
 	}
-	if !n.leading() {
-		h.busy = false // the next leader asks again by the same name
+	if !n.isLeader() {
+		h.Busy = false // the next leader asks again by the same name
 		return
 	}
 	if len(rec.Hosts) == 0 {
 		n.dropHire(h)
 		return
 	}
-	n.commit(kv.PriorityLease, []kv.Compare{{Key: records.LeaderKey, Version: n.leadStamp}, {Key: records.ProvisionPrefix + h.name, Version: h.stamp}},
-		[]kv.Op{{Key: records.ProvisionPrefix + h.name, Value: &rec}}, 10*time.Second, func(error) { h.busy = false })
-}
-
-// storeHire takes a hire's record. Once it names the machines it is their
-// record, until one is returned and gets a record of its own.
-func (n *Controller) storeHire(name string, r *records.Provision, stamp uint64) {
-	delete(n.groups, name)
-	switch {
-	case r == nil:
-		delete(n.hires, name)
-	case len(r.Hosts) == 0:
-		n.hires[name] = &hire{name: name, rec: *r, stamp: stamp}
-	default:
-		delete(n.hires, name)
-		n.groups[name] = group{r.Hosts, stamp}
-		for i, host := range r.Hosts {
-			if n.machines[host] == nil {
-				n.storeMachine(host, &records.Machine{Shard: r.ShardOf(i), Type: r.Type, Zone: r.Zone, Spot: r.Spot, RentedAtMs: r.RequestedAtMs}, 0)
-			}
-		}
-	}
-}
-
-// group is the machines that one record stands for.
-type group struct {
-	hosts []string
-	stamp uint64
+	n.commit(kv.PriorityLease, []kv.Compare{{Key: records.LeaderKey, Version: n.leadership.version}, {Key: records.ProvisionPrefix + h.Name, Version: h.Version}},
+		[]kv.Op{{Key: records.ProvisionPrefix + h.Name, Value: &rec}}, 10*time.Second, func(error) { h.Busy = false })
 }
 
 // tidyGroups drops the records whose machines are all gone, each with a record
 // of its own that says so.
 func (n *Controller) tidyGroups() {
-	for _, name := range slices.Sorted(maps.Keys(n.groups)) {
-		g := n.groups[name]
-		if slices.ContainsFunc(g.hosts, func(host string) bool { return n.machines[host].rec.State != records.MachineGone }) {
+	for _, name := range slices.Sorted(maps.Keys(n.view.Groups)) {
+		g := n.view.Groups[name]
+		if slices.ContainsFunc(g.Hosts, func(host string) bool { return n.view.Machines[host].Record.State != records.MachineGone }) {
 			continue
 		}
 		key := records.ProvisionPrefix + name
-		delete(n.groups, name) // until it is seen again
-		n.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: g.stamp}}, []kv.Op{{Key: key}}, 5*time.Second, func(err error) {
-			if err != nil && n.stamps[key] == g.stamp {
-				n.groups[name] = g
+		delete(n.view.Groups, name) // until it is seen again
+		n.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: g.Version}}, []kv.Op{{Key: key}}, 5*time.Second, func(err error) {
+			if err != nil && n.view.Versions[key] == g.Version {
+				n.view.Groups[name] = g
 			}
 		})
 		return
@@ -693,26 +668,26 @@
 // supply is the room of all machines, there or coming, of every shard.
 func (n *Controller) supply(now time.Time) []*room {
 	var out []*room
-	for _, name := range n.shardNames() {
+	for _, name := range n.view.ShardNames() {
 		// Only the owner sees that a machine fails its tasks. The leader counted
 		// the room of such machines on, and hired nothing for what waited for it.
-		barred := n.loads[name].load.ExcludedHosts
-		for _, m := range n.shards[name].machines {
-			t := n.types[m.rec.Type]
-			if t == nil || m.sick || m.returning || !m.warned.IsZero() || slices.Contains(barred, m.host) || n.zoneCut(m.rec.Zone, now) {
+		barred := n.loads[name].Load.ExcludedHosts
+		for _, m := range n.view.Shards[name].Machines {
+			t := n.view.MachineTypes[m.Record.Type]
+			if t == nil || m.Quarantine.Active || m.Lifecycle.Returning || !m.Agent.PreemptionNoticeAt.IsZero() || slices.Contains(barred, m.Host) || n.zoneCut(m.Record.Zone, now) {
 				continue
 			}
-			r := &room{m: m, host: m.host, typ: m.rec.Type, zone: m.rec.Zone, spot: m.rec.Spot, total: t, shard: m.rec.Shard}
-			r.cpus, r.gpus, r.mem = n.free(m)
+			r := &room{m: m, host: m.Host, typ: m.Record.Type, zone: m.Record.Zone, spot: m.Record.Spot, total: t, shard: m.Record.Shard}
+			r.cpus, r.gpus, r.mem = n.view.FreeCapacity(m)
 			out = append(out, r)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(n.hires)) {
-		h := n.hires[name]
-		if t := n.types[h.rec.Type]; t != nil {
-			for _, p := range h.rec.Allocations {
+	for _, name := range slices.Sorted(maps.Keys(n.view.Provisions)) {
+		h := n.view.Provisions[name]
+		if t := n.view.MachineTypes[h.Record.Type]; t != nil {
+			for _, p := range h.Record.Allocations {
 				for range p.Count {
-					out = append(out, newRoom(offer{t, h.rec.Zone, h.rec.Spot, p.Shard}))
+					out = append(out, newRoom(offer{t, h.Record.Zone, h.Record.Spot, p.Shard}))
 				}
 			}
 		}
@@ -729,11 +704,11 @@
 func (n *Controller) wants(now time.Time) (urgent, arrays []want) {
 	services := 0
 	var service *protocol.Submission
-	for _, j := range n.jobs {
-		if j.rec == nil || j.rec.Spec == nil || j.rec.IsFinal() {
+	for _, j := range n.view.Jobs {
+		if j.Record == nil || j.Record.Spec == nil || j.Record.IsFinal() {
 			continue
 		}
-		spec := j.spec()
+		spec := j.Spec()
 		if spec.Shape == protocol.ShapeService && (service == nil || spec.JobID < service.JobID) {
 			service = spec // any will do, but the same one every time
 		}
@@ -742,20 +717,20 @@
 			// No machines for what the team's limit keeps waiting anyway.
 			free = n.allowance(spec)
 		}
-		for i := range j.chunks {
-			u := unit{j: j, c: n.claimOf(j, i), chunk: i, spec: spec}
+		for i := range j.Chunks {
+			u := unit{j: j, c: n.view.ClaimOf(j, i), chunk: i, spec: spec}
 			w := want{spec: spec, count: min(u.waiting(), free, 2000)}
-			if u.c != nil && u.c.rec != nil {
-				w.shard, w.taken = u.c.rec.Shard, n.zonesTaken(u.c)
+			if u.c != nil && u.c.Record != nil {
+				w.shard, w.taken = u.c.Record.Shard, n.view.ZonesOf(u.c)
 				if spec.Shape == protocol.ShapeService {
-					services += len(u.c.rec.Placements)
+					services += len(u.c.Record.Placements)
 				}
 			}
-			if w.count <= 0 || now.Before(j.pause) || j.onTrial(now) {
+			if w.count <= 0 || now.Before(j.NotBefore) || j.OnProbation(now) {
 				continue
 			}
-			if u.together() && w.shard == "" && len(j.rec.Shards) > 0 {
-				w.shard = j.rec.Shards[0] // a gang needs its machines side by side
+			if u.together() && w.shard == "" && len(j.Record.Shards) > 0 {
+				w.shard = j.Record.Shards[0] // a gang needs its machines side by side
 			}
 			free -= w.count
 			if spec.Shape == protocol.ShapeArray {
@@ -817,11 +792,11 @@
 			have += max(0, r.cpus)
 		}
 	}
-	for _, c := range n.claims {
-		if c.rec == nil || c.spec == nil {
+	for _, c := range n.view.Claims {
+		if c.Record == nil || c.Spec == nil {
 			continue
 		}
-		switch cpus := float64(len(c.rec.Placements)) * c.spec.CPUs; c.spec.Shape {
+		switch cpus := float64(len(c.Record.Placements)) * c.Spec.CPUs; c.Spec.Shape {
 		case protocol.ShapeArray:
 			have += cpus
 		case protocol.ShapeService:
@@ -833,7 +808,7 @@
 	if most > 0 {
 		// Of a small fleet the part is less than a machine, and none would ever be rented.
 		least := math.Inf(1)
-		for _, t := range n.types {
+		for _, t := range n.view.MachineTypes {
 			least = min(least, t.CPUs)
 		}
 		most = max(most, least)
@@ -854,12 +829,12 @@
 		return max(n.pol.ArrayWait, est)
 	}
 	boot := time.Duration(0)
-	for _, t := range n.types {
+	for _, t := range n.view.MachineTypes {
 		if canEver(w.spec, t) && (boot == 0 || t.BootTime() < boot) {
 			boot = t.BootTime()
 		}
 	}
-	left := n.jobs[w.spec.JobID].submitted().Add(w.spec.Deadline()).Sub(now) - boot
+	left := n.view.Jobs[w.spec.JobID].SubmittedAt().Add(w.spec.Deadline()).Sub(now) - boot
 	return max(left*7/10-est, n.pol.ArrayWait, est)
 }
 
@@ -876,9 +851,9 @@
 		}
 		empty := room{cpus: r.total.CPUs, gpus: r.total.GPUs, mem: r.total.MemoryGB}
 		if r.m != nil {
-			for _, p := range r.m.use.places {
-				if p.c.spec != nil && p.c.spec.Shape == protocol.ShapeService {
-					empty.take(p.c.spec)
+			for _, p := range r.m.Use.Slots {
+				if p.Claim.Spec != nil && p.Claim.Spec.Shape == protocol.ShapeService {
+					empty.take(p.Claim.Spec)
 				}
 			}
 		}
@@ -923,19 +898,19 @@
 func (n *Controller) bestOffer(w want, count int, zones *zoneRule, now time.Time) (offer, bool) {
 	var best offer
 	bestCost := math.Inf(1)
-	names := make([]string, 0, len(n.types))
-	for name := range n.types {
+	names := make([]string, 0, len(n.view.MachineTypes))
+	for name := range n.view.MachineTypes {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	byZone := make(map[string]int)
-	for _, s := range n.shards {
-		for k, count := range s.kinds {
-			byZone[k.zone] += count
+	for _, s := range n.view.Shards {
+		for k, count := range s.Kinds {
+			byZone[k.Zone] += count
 		}
 	}
 	for _, name := range names {
-		t := n.types[name]
+		t := n.view.MachineTypes[name]
 		if !canEver(w.spec, t) {
 			continue
 		}
@@ -964,7 +939,7 @@
 	fit := math.Inf(1)
 	for _, x := range [][2]float64{{t.CPUs, s.CPUs}, {t.GPUs, s.GPUs}, {t.MemoryGB, s.MemoryGB}} {
 		if x[1] > 0 {
-			fit = min(fit, math.Floor((x[0]+eps)/x[1]))
+			fit = min(fit, math.Floor((x[0]+tolerance)/x[1]))
 		}
 	}
 	return max(1, int(min(fit, 1000)))
--- a/internal/coordination/controller/fleet_test.go
+++ b/internal/coordination/controller/fleet_test.go
@@ -33,9 +33,9 @@
 		log := slog.New(slog.DiscardHandler)
 		link := emulator.Link{W: w, Node: "n0", Ctx: ctx}
 		n := New(Options{Settings: s, Policy: pol, Store: kv.New(link, "state", s.StateLimits, log), HTTP: link, Log: log})
-		n.loaded, n.epoch = true, 1
-		n.shards["n0"].token = 1
-		n.storeMachine("vm-000001", &records.Machine{Shard: "n0", State: records.MachineReturning}, 1)
+		n.view.Loaded, n.view.Revision = true, 1
+		n.view.Shards["n0"].FencingToken = 1
+		n.view.ApplyMachine("vm-000001", &records.Machine{Shard: "n0", State: records.MachineReturning}, 1)
 		go n.cloudLoop(ctx)
 		time.Sleep(3 * time.Second)
 		returned := slices.DeleteFunc(w.Events(), func(line string) bool { return !strings.HasSuffix(line, " returned") })
--- a/internal/coordination/controller/guarantee.go
+++ b/internal/coordination/controller/guarantee.go
@@ -2,13 +2,13 @@
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 
 	"madderslip/internal/coordination/quota"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
@@ -21,65 +21,62 @@
 // usageView is what package quota weighs bookings against.
 type usageView struct{ n *Controller }
 
-func (w usageView) InUse(team string) quota.Resources { return w.n.teamRun[team] }
+func (w usageView) InUse(team string) quota.Resources { return w.n.view.UseByTeam[team] }
 
-func (w usageView) Committed(team string) quota.Resources { return w.n.teamSure[team] }
+func (w usageView) Committed(team string) quota.Resources { return w.n.view.CommittedUse[team] }
 
 func (w usageView) PlacedBy(id string) quota.Resources {
-	if c := w.n.claims[id]; c != nil && c.sum.kept {
-		return c.sum.use
+	if c := w.n.view.Claims[id]; c != nil && c.Tally.Counted {
+		return c.Tally.Use
 	}
 	return quota.Resources{}
 }
 
 func (w usageView) TaskUse(task string) quota.Resources {
-	if c, p := w.n.victimAt(task); p != nil && c.spec != nil {
-		return unitOf(c.spec)
+	if c, p := w.n.victimAt(task); p != nil && c.Spec != nil {
+		return replica.TaskResources(c.Spec)
 	}
 	return quota.Resources{}
 }
 
 func (w usageView) OwnerToken(shard string) uint64 {
-	if s := w.n.shards[shard]; w.n.active(s) {
-		return s.token
+	if s := w.n.view.Shards[shard]; w.n.view.IsActive(s) {
+		return s.FencingToken
 	}
 	return 0
 }
 
 func (w usageView) HoldsCapacity(id, shard string) bool {
 	ref, _, _ := records.ParseClaimKey(id)
-	j, p, b := w.n.jobs[ref], w.n.plans[ref], w.n.bookings[id]
-	return j != nil && j.rec != nil && !j.rec.IsFinal() && ((p != nil && p.shard == shard) || (b != nil && b.shard == shard))
+	j, p, b := w.n.view.Jobs[ref], w.n.plans[ref], w.n.bookings[id]
+	return j != nil && j.Record != nil && !j.Record.IsFinal() && ((p != nil && p.shard == shard) || (b != nil && b.shard == shard))
 }
 
 // id names what claims on a guarantee: a chunk, for the chunks of an array are claimed
 // by several shards, each with a booking of its own. Booked by job, one hid the other,
 // and a team got 48 CPUs of 40.
-func (u *unit) id() string { return u.j.key(u.chunk) }
-
-// name names a placement that is to be stopped, as bookings record it.
-func (v *victim) name() string { return fmt.Sprintf("%s#%d@%s", v.c.key, v.task, v.host) }
+func (u *unit) id() string { return u.j.ClaimKey(u.chunk) }
 
 // victimAt finds what name names; the place is nil once it is gone.
-func (n *Controller) victimAt(name string) (*claim, *place) {
+func (n *Controller) victimAt(name string) (*replica.Claim, *replica.Slot) {
 	key, rest, _ := strings.Cut(name, "#")
 	num, host, _ := strings.Cut(rest, "@")
-	c := n.claims[key]
+	c := n.view.Claims[key]
 	id, err := strconv.Atoi(num)
 	if err != nil || c == nil {
 		return nil, nil
 	}
-	return c, c.on[slot{id, host}]
+	return c, c.Slots[replica.SlotKey{Task: id, Host: host}]
 }
 
 // dueTasks counts the tasks of a unit that its team may claim on its guarantee now.
 // A gang claims all of them or none.
 func (n *Controller) dueTasks(u *unit) int {
-	if !n.quota.HasGuarantee(u.spec.Team) {
+	if !n.view.Quota.HasGuarantee(u.spec.Team) {
 		return 0
 	}
 	waiting := u.waiting()
-	due := n.quota.Standing(u.spec.Team, u.id(), usageView{n}).Entitled(unitOf(u.spec))
+	due := n.view.Quota.Standing(u.spec.Team, u.id(), usageView{n}).Entitled(replica.TaskResources(u.spec))
 	if u.spec.Shape == protocol.ShapeGang && due < waiting {
 		return 0
 	}
@@ -95,23 +92,23 @@
 	at := make(map[string]quota.Standing)
 	for _, u := range q {
 		team := u.spec.Team
-		if !n.quota.HasGuarantee(team) {
+		if !n.view.Quota.HasGuarantee(team) {
 			continue
 		}
-		if u.due = n.quota.HasReservation(team, u.id()); u.due {
+		if u.due = n.view.Quota.HasReservation(team, u.id()); u.due {
 			continue // counted as booked
 		}
 		st, seen := at[team]
 		if !seen {
-			st = n.quota.Standing(team, "", usageView{n})
+			st = n.view.Quota.Standing(team, "", usageView{n})
 		}
 		need, waiting := 1, u.waiting()
 		if u.spec.Shape == protocol.ShapeGang {
 			need = waiting
 		}
-		if due := st.Entitled(unitOf(u.spec)); due >= need && due > 0 {
+		if due := st.Entitled(replica.TaskResources(u.spec)); due >= need && due > 0 {
 			u.due = true
-			st.Reserved = st.Reserved.Plus(unitOf(u.spec).Times(float64(min(due, waiting))))
+			st.Reserved = st.Reserved.Plus(replica.TaskResources(u.spec).Times(float64(min(due, waiting))))
 		}
 		at[team] = st
 	}
@@ -141,10 +138,10 @@
 func (n *Controller) byRank(spec *protocol.Submission) *consent { return &consent{spec: spec, n: n} }
 
 func (k *consent) reset() {
-	k.taker = &quota.Preemptor{ClaimedTask: unitOf(k.spec), StandingOf: func(team string) quota.Standing {
+	k.taker = &quota.Preemptor{ClaimedTask: replica.TaskResources(k.spec), StandingOf: func(team string) quota.Standing {
 		st, ok := k.seen[team]
 		if !ok {
-			st = k.n.quota.Standing(team, "", usageView{k.n})
+			st = k.n.view.Quota.Standing(team, "", usageView{k.n})
 			k.seen[team] = st
 		}
 		return st
@@ -152,7 +149,7 @@
 }
 
 // may tells whether one more task may be stopped, beside those chosen so far.
-func (k *consent) may(v *protocol.Submission, chosen []victim) bool {
+func (k *consent) may(v *protocol.Submission, chosen []replica.Victim) bool {
 	if v.Priority() < k.spec.Priority() {
 		return true
 	}
@@ -161,22 +158,24 @@
 	}
 	beside := quota.Resources{}
 	for i := range chosen {
-		if s := chosen[i].c.spec; s.Team == v.Team && k.borrowed(&chosen[i]) {
-			beside = beside.Plus(unitOf(s))
+		if s := chosen[i].Claim.Spec; s.Team == v.Team && k.borrowed(&chosen[i]) {
+			beside = beside.Plus(replica.TaskResources(s))
 		}
 	}
-	return k.taker.MayPreempt(v.Team, unitOf(v), beside)
+	return k.taker.MayPreempt(v.Team, replica.TaskResources(v), beside)
 }
 
 // borrowed tells that a victim is taken for the guarantee, not for its rank.
-func (k *consent) borrowed(v *victim) bool { return v.c.spec.Priority() >= k.spec.Priority() }
+func (k *consent) borrowed(v *replica.Victim) bool {
+	return v.Claim.Spec.Priority() >= k.spec.Priority()
+}
 
 // took notes what was chosen for one task.
-func (k *consent) took(list []victim) {
+func (k *consent) took(list []replica.Victim) {
 	claims := false
 	for i := range list {
 		if k.borrowed(&list[i]) {
-			k.taker.RecordPreemption(list[i].c.spec.Team, unitOf(list[i].c.spec))
+			k.taker.RecordPreemption(list[i].Claim.Spec.Team, replica.TaskResources(list[i].Claim.Spec))
 			claims = true
 		}
 	}
@@ -198,16 +197,16 @@
 
 type bookedRoom struct {
 	host    string
-	victims []victim
+	victims []replica.Victim
 }
 
 // book has a displacement booked, if it takes what is borrowed.
-func (n *Controller) book(s *shard, u *unit, plan []eviction, k *consent, now time.Time) {
+func (n *Controller) book(s *replica.Shard, u *unit, plan []eviction, k *consent, now time.Time) {
 	if plan = cutLenders(plan, k, n.cfg.RecordLimits().MaxTxnOps-1, u.together()); len(plan) == 0 {
 		return
 	}
 	id := u.id()
-	b := &booking{shard: s.name, team: u.spec.Team, until: now.Add(planFor)}
+	b := &booking{shard: s.Name, team: u.spec.Team, until: now.Add(planFor)}
 	victims := make(map[string][]string)
 	tasks := 0
 	for _, e := range plan {
@@ -215,7 +214,7 @@
 		claims := false
 		for i := range e.victims {
 			if v := &e.victims[i]; k.borrowed(v) {
-				victims[v.c.spec.Team] = append(victims[v.c.spec.Team], v.name())
+				victims[v.Claim.Spec.Team] = append(victims[v.Claim.Spec.Team], v.Name())
 				claims = true
 			}
 		}
@@ -224,9 +223,9 @@
 		}
 	}
 	n.bookings[id], b.tasks = b, tasks
-	use := unitOf(u.spec).Times(float64(tasks)).Plus(usageView{n}.PlacedBy(id))
-	conds, ops := n.quota.Reserve(quota.ReservationRequest{Team: b.team, ClaimKey: id, Shard: s.name, FencingToken: s.token, Use: use, Victims: victims})
-	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token}, kv.Compare{Key: records.JobPrefix + u.j.ref, Version: u.j.stamp})
+	use := replica.TaskResources(u.spec).Times(float64(tasks)).Plus(usageView{n}.PlacedBy(id))
+	conds, ops := n.view.Quota.Reserve(quota.ReservationRequest{Team: b.team, ClaimKey: id, Shard: s.Name, FencingToken: s.FencingToken, Use: use, Victims: victims})
+	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: records.JobPrefix + u.j.ID, Version: u.j.Version})
 	n.commit(kv.PriorityClaim, conds, ops, 0, func(err error) {
 		if err != nil {
 			n.log.Debug("guarantee not booked", "claim", id, "team", b.team, "err", err)
@@ -235,8 +234,8 @@
 			}
 			return
 		}
-		b.at = n.stamps[records.ReservationPrefix+b.team]
-		s.stirred = true
+		b.at = n.view.Versions[records.ReservationPrefix+b.team]
+		s.Changed = true
 	})
 }
 
@@ -248,7 +247,7 @@
 	for i, e := range plan {
 		for j := range e.victims {
 			if v := &e.victims[j]; k.borrowed(v) {
-				lenders[v.c.spec.Team] = true
+				lenders[v.Claim.Spec.Team] = true
 			}
 		}
 		if len(lenders) <= most+1 {
@@ -265,8 +264,8 @@
 // carryOutBooked stops what a booking names, once all that was placed before it is
 // known and it still holds. Where it does not the booking goes, and nothing is
 // stopped.
-func (n *Controller) carryOutBooked(s *shard, u *unit, b *booking, rooms []*room, now time.Time) bool {
-	if b.shard != s.name || b.at == 0 || n.epoch < b.at {
+func (n *Controller) carryOutBooked(s *replica.Shard, u *unit, b *booking, rooms []*room, now time.Time) bool {
+	if b.shard != s.Name || b.at == 0 || n.view.Revision < b.at {
 		return false
 	}
 	delete(n.bookings, u.id())
@@ -278,7 +277,7 @@
 	due := k.left
 	// What is on record for this very job is leaving in its own name.
 	k.taker.StandingOf = func(team string) quota.Standing {
-		return n.quota.StandingExcludingPreemptionsFor(team, u.id(), usageView{n})
+		return n.view.Quota.StandingExcludingPreemptionsFor(team, u.id(), usageView{n})
 	}
 	var plan []eviction
 	for _, br := range b.plan {
@@ -288,7 +287,7 @@
 		}
 		e := eviction{r: r}
 		for _, v := range br.victims {
-			if _, going := v.c.evict[v.task]; v.c.on[slot{v.task, br.host}] == nil || going || !k.may(v.c.spec, e.victims) {
+			if _, going := v.Claim.Evictions[v.Task]; v.Claim.Slots[replica.SlotKey{Task: v.Task, Host: br.host}] == nil || going || !k.may(v.Claim.Spec, e.victims) {
 				continue
 			}
 			e.victims = append(e.victims, v)
@@ -306,10 +305,10 @@
 	for _, e := range plan {
 		for i := range e.victims {
 			if v := &e.victims[i]; k.borrowed(v) {
-				if v.c.lentTo == nil {
-					v.c.lentTo = make(map[slot]string)
+				if v.Claim.PreemptedFor == nil {
+					v.Claim.PreemptedFor = make(map[replica.SlotKey]string)
 				}
-				v.c.lentTo[slot{v.task, v.host}] = u.id()
+				v.Claim.PreemptedFor[replica.SlotKey{Task: v.Task, Host: v.Host}] = u.id()
 			}
 		}
 		n.carryOut(s, u, e, now)
@@ -322,9 +321,9 @@
 func (n *Controller) PreemptedFor(ref string, task int, host string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if j := n.jobs[ref]; j != nil && j.size > 0 {
-		if c := j.claims[task/j.size]; c != nil && c.on[slot{task, host}] != nil {
-			return c.lentTo[slot{task, host}]
+	if j := n.view.Jobs[ref]; j != nil && j.ChunkSize > 0 {
+		if c := j.Claims[task/j.ChunkSize]; c != nil && c.Slots[replica.SlotKey{Task: task, Host: host}] != nil {
+			return c.PreemptedFor[replica.SlotKey{Task: task, Host: host}]
 		}
 	}
 	return ""
@@ -335,18 +334,18 @@
 func (n *Controller) tidyBookings(now time.Time) {
 	for id, b := range n.bookings {
 		ref, _, _ := records.ParseClaimKey(id)
-		if j := n.jobs[ref]; (now.After(b.until) && b.at != 0) || j == nil || j.rec.IsFinal() || !n.active(n.shards[b.shard]) {
+		if j := n.view.Jobs[ref]; (now.After(b.until) && b.at != 0) || j == nil || j.Record.IsFinal() || !n.view.IsActive(n.view.Shards[b.shard]) {
 			delete(n.bookings, id)
 		}
 	}
 	if n.unbooking {
 		return
 	}
-	ids := slices.DeleteFunc(n.quota.ExpiredReservations(usageView{n}), func(id string) bool {
+	ids := slices.DeleteFunc(n.view.Quota.ExpiredReservations(usageView{n}), func(id string) bool {
 		// What is still on its way down counts at its team until it is gone. Taken off
 		// the record before, it was lent a second time.
 		going := false
-		for _, task := range n.quota.PreemptedFor(id) {
+		for _, task := range n.view.Quota.PreemptedFor(id) {
 			going = !n.withdraw(task) || going
 		}
 		return going
@@ -356,7 +355,7 @@
 	}
 	ids = ids[:min(len(ids), 4)]
 	n.unbooking = true
-	conds, ops := n.quota.Release(ids)
+	conds, ops := n.view.Quota.Release(ids)
 	n.commit(kv.PriorityClaim, conds, ops, 0, func(error) { n.unbooking = false })
 }
 
@@ -364,18 +363,18 @@
 // stopped there any more.
 func (n *Controller) withdraw(task string) bool {
 	c, p := n.victimAt(task)
-	if p == nil || p.at.m == nil {
+	if p == nil || p.Host.Machine == nil {
 		return true
 	}
-	since, going := c.evict[p.task]
+	since, going := c.Evictions[p.Task]
 	if !going {
 		return true
 	}
-	if at := p.at.m.stopped[p.name]; !at.Before(since) {
+	if at := p.Host.Machine.Commands.StopSentAt[p.TaskName]; !at.Before(since) {
 		return false
 	}
-	delete(c.evict, p.task)
-	p.at.touch()
-	n.mark(c)
+	delete(c.Evictions, p.Task)
+	p.Host.Invalidate()
+	n.view.MarkDirty(c)
 	return true
 }
--- a/internal/coordination/controller/index_test.go
+++ b/internal/coordination/controller/index_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
@@ -15,15 +16,15 @@
 	n := fleetOf(t, 30)
 	n.mu.Lock()
 	spec := &protocol.Submission{JobID: "wk-5", Team: "t", Shape: protocol.ShapeGang, Tasks: 1, CPUs: 2, MemoryGB: 2}
-	rec := &records.Claim{Shard: "n0", TaskCount: 1, LastAttempt: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: n.shards["n0"].machines[0].host}}}
-	var tries []*claim
+	rec := &records.Claim{Shard: "n0", TaskCount: 1, LastAttempt: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: n.view.Shards["n0"].Machines[0].Host}}}
+	var tries []*replica.Claim
 	for range 2 {
-		c := &claim{key: records.ClaimKey("wk-5", 0), ref: "wk-5", spec: spec}
-		n.claims[c.key] = c
-		n.setPend(c, rec)
+		c := &replica.Claim{Key: records.ClaimKey("wk-5", 0), JobID: "wk-5", Spec: spec}
+		n.view.Claims[c.Key] = c
+		n.view.SetPending(c, rec)
 		tries = append(tries, c)
 	}
-	n.finishClaim(n.shards["n0"], tries[0], kv.ErrCompareFailed)
+	n.finishClaim(n.view.Shards["n0"], tries[0], kv.ErrCompareFailed)
 	n.mu.Unlock()
 	if err := n.Recount(); err != nil {
 		t.Error(err)
--- a/internal/coordination/controller/leftover.go
+++ b/internal/coordination/controller/leftover.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"madderslip/internal/coordination/placement"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 )
 
@@ -16,7 +17,7 @@
 func isIdle(s *protocol.Submission) bool { return s.Priority() == 0 && s.Shape == protocol.ShapeArray }
 
 // leftOver is a shard's room as idle work sees it, but for whether others wait.
-func (n *Controller) leftOver(s *shard, rooms []*room) placement.BestEffortCapacity {
+func (n *Controller) leftOver(s *replica.Shard, rooms []*room) placement.BestEffortCapacity {
 	var r placement.BestEffortCapacity
 	for _, x := range rooms {
 		r.Total += x.total.CPUs
@@ -24,57 +25,45 @@
 			r.Free += max(0, x.cpus)
 		}
 	}
-	for c := range s.claims {
-		if c.spec == nil || c.latest() == nil {
+	for c := range s.Claims {
+		if c.Spec == nil || c.Latest() == nil {
 			continue
 		}
-		cpus := c.spec.CPUs * float64(len(c.latest().Placements))
+		cpus := c.Spec.CPUs * float64(len(c.Latest().Placements))
 		switch {
-		case c.spec.Shape == protocol.ShapeService:
+		case c.Spec.Shape == protocol.ShapeService:
 			r.WarmReserve += cpus
-		case isIdle(c.spec):
-			r.InUse += c.spec.CPUs * float64(c.present())
+		case isIdle(c.Spec):
+			r.InUse += c.Spec.CPUs * float64(c.OccupyingCount())
 		}
 	}
 	r.WarmReserve *= n.pol.WarmShare // once: a sum of rounded products depends on the order
 	return r
 }
 
-// present counts the tasks of a claim that take room: those that have exited do not,
-// though their end may be recorded later.
-func (c *claim) present() int {
-	count := 0
-	for _, p := range c.on {
-		if p.at.m == nil || !p.exited(p.at.m) {
-			count++
-		}
-	}
-	return count
-}
-
 // waits is for how long a unit has waited with none of its tasks placed.
 func (u *unit) waits(now time.Time) time.Duration {
-	if u.c == nil || u.c.latest() == nil {
-		return now.Sub(u.j.seen)
+	if u.c == nil || u.c.Latest() == nil {
+		return now.Sub(u.j.SeenAt)
 	}
-	if len(u.c.latest().Placements) > 0 {
+	if len(u.c.Latest().Placements) > 0 {
 		return 0
 	}
-	if u.c.bare.IsZero() {
-		u.c.bare = now
+	if u.c.UnplacedSince.IsZero() {
+		u.c.UnplacedSince = now
 	}
-	return now.Sub(u.c.bare)
+	return now.Sub(u.c.UnplacedSince)
 }
 
 // idleRuns tells that idle work runs in the shard that holds a unit's claim, or in one
 // of this node's.
 func (n *Controller) idleRuns(u *unit) bool {
-	for _, s := range n.shards {
-		if !n.active(s) || (u.c != nil && u.c.rec != nil && u.c.rec.Shard != s.name) {
+	for _, s := range n.view.Shards {
+		if !n.view.IsActive(s) || (u.c != nil && u.c.Record != nil && u.c.Record.Shard != s.Name) {
 			continue
 		}
-		for c := range s.claims {
-			if c.spec != nil && c.rec != nil && isIdle(c.spec) && len(c.rec.Placements) > 0 {
+		for c := range s.Claims {
+			if c.Spec != nil && c.Record != nil && isIdle(c.Spec) && len(c.Record.Placements) > 0 {
 				return true
 			}
 		}
--- a/internal/coordination/controller/life_test.go
+++ b/internal/coordination/controller/life_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"madderslip/internal/coordination/quarantine"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
@@ -30,7 +31,7 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.http = unreached{}
-		m := n.shards["n0"].machines[0]
+		m := n.view.Shards["n0"].Machines[0]
 		n.report(reportOf(m, 88))
 		stray := protocol.TaskStatus{Task: "wk-77/0", Attempt: 1, Phase: protocol.TaskExited, Cause: protocol.CauseDone}
 		for _, c := range []struct {
@@ -44,8 +45,8 @@
 			if resp := n.report(r); resp.Status != 200 || json.Unmarshal(resp.Body, &a) != nil {
 				t.Fatalf("report %d: %d", c.seq, resp.Status)
 			}
-			if len(a.Commands) != c.want || m.probing != c.asked {
-				t.Errorf("report %d: %v, asked %v", c.seq, a.Commands, m.probing)
+			if len(a.Commands) != c.want || m.Detector.Probing != c.asked {
+				t.Errorf("report %d: %v, asked %v", c.seq, a.Commands, m.Detector.Probing)
 			}
 		}
 	})
@@ -67,8 +68,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		r := &recorder{}
 		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: r, Log: slog.New(slog.DiscardHandler)})
-		n.loaded = true
-		n.store(records.NodePrefix+"n0", &records.Node{StartedAtMs: 1}, 5)
+		n.view.Loaded = true
+		n.view.Apply(records.NodePrefix+"n0", &records.Node{StartedAtMs: 1}, 5)
 		go n.sessionLoop(ctx)
 		time.Sleep(time.Second)
 		n.mu.Lock()
@@ -85,13 +86,13 @@
 func TestSuspectIsTriedWithOneTask(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for shape, want := range map[protocol.Shape]int{protocol.ShapeArray: 1, protocol.ShapeService: 1, protocol.ShapeGang: 30} {
-		j := &job{rec: &records.Job{}, size: 30, chunks: 1}
-		j.ev.RecordFailure("vm-1", time.Second, 0, now)
-		if j.onTrial(now) {
+		j := &replica.Job{Record: &records.Job{}, ChunkSize: 30, Chunks: 1}
+		j.Evidence.RecordFailure("vm-1", time.Second, 0, now)
+		if j.OnProbation(now) {
 			t.Error("suspected on one machine's word")
 		}
-		j.ev.RecordFailure("vm-2", time.Second, 0, now)
-		u := unit{j: j, spec: &protocol.Submission{Shape: shape, Tasks: 30}, trial: j.ev.Verdict(now) == quarantine.Suspect}
+		j.Evidence.RecordFailure("vm-2", time.Second, 0, now)
+		u := unit{j: j, spec: &protocol.Submission{Shape: shape, Tasks: 30}, trial: j.Evidence.Verdict(now) == quarantine.Suspect}
 		if got := u.waiting(); got != want {
 			t.Errorf("%s: %d tasks at a time, wanted %d", shape, got, want)
 		}
@@ -106,12 +107,12 @@
 		n := fleetOf(t, 30)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		s := n.shards["n0"]
+		s := n.view.Shards["n0"]
 		h := &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Type: "m16", Zone: "a", Count: 8}, Allocations: []records.Allocation{{Shard: "n0", Count: 8}}, RequestedAtMs: time.Now().Add(time.Second).UnixMilli()}
 		for i := range 8 {
 			h.Hosts = append(h.Hosts, hostName(900+i))
 		}
-		n.store(records.ProvisionPrefix+"late", h, 50)
+		n.view.Apply(records.ProvisionPrefix+"late", h, 50)
 		for _, c := range []struct {
 			after time.Duration
 			want  int
@@ -121,7 +122,7 @@
 				t.Errorf("after %v %v do not count", c.after, l.ExcludedHosts)
 			}
 		}
-		s.since = time.Now()
+		s.OwnedSince = time.Now()
 		time.Sleep(time.Second)
 		if l := n.loadOf(s); len(l.ExcludedHosts) != 0 {
 			t.Errorf("a new owner says that %v do not count", l.ExcludedHosts)
@@ -137,14 +138,14 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		key := records.ClaimKey("wk-1", 0)
-		c := &claim{key: key, ref: "wk-1", spec: &protocol.Submission{JobID: "wk-1", Team: "t", CPUs: 2, Shape: protocol.ShapeArray}}
-		n.claims[key] = c
-		n.setPend(c, &records.Claim{Shard: "n0", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}})
-		n.storeClaim(key, &records.Claim{Shard: "n1", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-2"}}}, 5)
-		n.storeJob("wk-1", &records.Job{State: protocol.JobDone, Tasks: 1}, 6)
-		n.finishClaim(n.shard("n0"), c, kv.ErrCompareFailed)
-		if c.pend != nil || c.spec == nil {
-			t.Errorf("under way %v, description %v", c.pend, c.spec)
+		c := &replica.Claim{Key: key, JobID: "wk-1", Spec: &protocol.Submission{JobID: "wk-1", Team: "t", CPUs: 2, Shape: protocol.ShapeArray}}
+		n.view.Claims[key] = c
+		n.view.SetPending(c, &records.Claim{Shard: "n0", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}})
+		n.view.ApplyClaim(key, &records.Claim{Shard: "n1", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-2"}}}, 5)
+		n.view.ApplyJob("wk-1", &records.Job{State: protocol.JobDone, Tasks: 1}, 6)
+		n.finishClaim(n.view.Shard("n0"), c, kv.ErrCompareFailed)
+		if c.Pending != nil || c.Spec == nil {
+			t.Errorf("under way %v, description %v", c.Pending, c.Spec)
 		}
 	})
 }
@@ -159,15 +160,15 @@
 		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: r, Log: slog.New(slog.DiscardHandler)})
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.leadMine, n.permit, n.leadStamp, n.epoch = true, 7, 1, 10
+		n.leadership.isSelf, n.permit, n.leadership.version, n.view.Revision = true, 7, 1, 10
 		asked := protocol.ProvisionRequest{Name: "a", Type: "m8", Zone: "a", Count: 1}
-		n.storeHire("a", &records.Provision{ProvisionRequest: asked, Allocations: []records.Allocation{{Shard: "n1", Count: 1}}}, 12)
-		n.hired(n.hires["a"], []string{"vm-9"})
+		n.view.ApplyProvision("a", &records.Provision{ProvisionRequest: asked, Allocations: []records.Allocation{{Shard: "n1", Count: 1}}}, 12)
+		n.hired(n.view.Provisions["a"], []string{"vm-9"})
 		if r.txn != nil {
 			t.Fatalf("recorded before the cache is complete: %v", r.txn.Ops)
 		}
-		n.storeHire("b", &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: "b"}, Allocations: []records.Allocation{{Shard: "n2", Count: 1}}, Hosts: []string{"vm-9"}}, 12)
-		n.epoch = 12
+		n.view.ApplyProvision("b", &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: "b"}, Allocations: []records.Allocation{{Shard: "n2", Count: 1}}, Hosts: []string{"vm-9"}}, 12)
+		n.view.Revision = 12
 		time.Sleep(time.Second)
 		n.retryHires(time.Now())
 		if r.txn == nil || len(r.txn.Ops) != 1 || r.txn.Ops[0].Value != nil || r.txn.Ops[0].Key != records.ProvisionPrefix+"a" {
@@ -185,7 +186,7 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.cfg.Workers.LeaseDuration = 12 * time.Second
-		m := n.shards["n0"].machines[0]
+		m := n.view.Shards["n0"].Machines[0]
 		n.report(reportOf(m, 88))
 		seq := uint64(88)
 		answers := func(last time.Duration) {
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"madderslip/internal/coordination/quota"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
@@ -14,33 +15,9 @@
 
 // Package quota decides about teams' limits; here its decisions are carried out.
 
-// unitOf is what one task of a job takes of its team's limit and guarantee.
-func unitOf(s *protocol.Submission) quota.Resources { return s.TaskResources() }
-
-// usedBy is what a team has placed in a shard, or across shards.
-func (n *Controller) usedBy(team, holder string) quota.Resources {
-	if holder == quota.CrossShard {
-		holder = ""
-	}
-	return n.use[teamShard{team, holder}]
-}
-
 // limited tells whether a job's team has a limit that its tasks count against.
 func (n *Controller) limited(s *protocol.Submission) bool {
-	return n.quota.IsLimited(s.Team, unitOf(s))
-}
-
-// sized tells whether the size of all that a shard's claims place is known. A claim
-// can be read before its job; until then nobody can say whose use it is.
-func (n *Controller) sized(holder string) bool {
-	for _, set := range n.orphans {
-		for _, c := range set {
-			if c.rec == nil || c.rec.Shard == holder || (c.rec.Shard == "" && holder == quota.CrossShard) {
-				return false
-			}
-		}
-	}
-	return true
+	return n.view.Quota.IsLimited(s.Team, replica.TaskResources(s))
 }
 
 // reserveTeam makes the conditions, and where the limit is not allotted the change,
@@ -48,60 +25,44 @@
 // allotted the claim itself is the reservation: only the shard's owner starts there,
 // within the shard's allotment, which only that owner lowers. ok is false when it
 // can't be done now.
-func (n *Controller) reserveTeam(shard string, c *claim, next *records.Claim) (conds []kv.Compare, ops []kv.Op, t *teamUse, ok bool) {
-	team, grows := c.spec.Team, len(next.Placements) > c.placed()
-	if cond, has := n.quota.ReservationCompare(team); has && grows {
+func (n *Controller) reserveTeam(shard string, c *replica.Claim, next *records.Claim) (conds []kv.Compare, ops []kv.Op, t *replica.TeamUsage, ok bool) {
+	team, grows := c.Spec.Team, len(next.Placements) > c.PlacedCount()
+	if cond, has := n.view.Quota.ReservationCompare(team); has && grows {
 		conds = append(conds, cond)
 	}
-	conds = append(conds, n.quota.LimitCompares(team)...)
-	if !n.limited(c.spec) {
+	conds = append(conds, n.view.Quota.LimitCompares(team)...)
+	if !n.limited(c.Spec) {
 		return conds, nil, nil, true
 	}
-	if n.quota.IsAllotted(team) {
+	if n.view.Quota.IsAllotted(team) {
 		holder := shard
 		if next.Shard == "" {
 			holder = quota.CrossShard
 		}
-		more := len(next.Placements) - c.booked()
-		return conds, nil, nil, !grows || (n.sized(holder) && more <= n.quota.Allowance(team, holder, unitOf(c.spec)))
+		more := len(next.Placements) - c.ReservedCount()
+		return conds, nil, nil, !grows || (n.view.KnowsUse(holder) && more <= n.view.Quota.Allowance(team, holder, replica.TaskResources(c.Spec)))
 	}
-	t = n.team(team)
-	if t.busy {
+	t = n.view.Team(team)
+	if t.Writing {
 		return nil, nil, nil, false
 	}
 	if next.Shard == "" {
-		shard = "*" + c.ref // several owners change it, so it has an entry of its own
+		shard = "*" + c.JobID // several owners change it, so it has an entry of its own
 	}
 	use, most := n.teamAfter(t, shard, c, next)
 	key := records.TeamUsagePrefix + team
 	rec := &records.TeamUsage{ByShard: map[string]quota.Resources{shard: use}}
 	total := most
-	for _, name := range slices.Sorted(maps.Keys(t.rec.ByShard)) {
-		if u := t.rec.ByShard[name]; name != shard {
+	for _, name := range slices.Sorted(maps.Keys(t.Record.ByShard)) {
+		if u := t.Record.ByShard[name]; name != shard {
 			rec.ByShard[name] = u
 			total = total.Plus(u)
 		}
 	}
-	if grows && quota.Exceeds(total, n.quota.Limit(team)) {
+	if grows && quota.Exceeds(total, n.view.Quota.Limit(team)) {
 		return nil, nil, nil, false
 	}
-	return append(conds, kv.Compare{Key: key, Version: t.stamp}), []kv.Op{{Key: key, Value: rec}}, t, true
-}
-
-// booked counts the placements by which a claim stands in the team's use.
-func (c *claim) booked() int {
-	if c.pend != nil {
-		return max(c.placed(), len(c.pend.Placements))
-	}
-	return c.placed()
-}
-
-// sure counts the placements that a claim has however the commit under way ends.
-func (c *claim) sure() int {
-	if c.pend != nil {
-		return min(c.placed(), len(c.pend.Placements))
-	}
-	return c.placed()
+	return append(conds, kv.Compare{Key: key, Version: t.Version}), []kv.Op{{Key: key, Value: rec}}, t, true
 }
 
 // teamAfter is what a team uses of a shard once a claim has its next version,
@@ -114,19 +75,19 @@
 // with it, and claims whose job is not known yet have no size. A team used twice
 // its limit that way. The sum still serves where the cache is complete up to the
 // record, to put right what a change of limits has left out.
-func (n *Controller) teamAfter(t *teamUse, shard string, c *claim, next *records.Claim) (use, most quota.Resources) {
-	perTask := unitOf(c.spec)
-	was, is, had := perTask.Times(float64(c.placed())), perTask.Times(float64(len(next.Placements))), t.rec.ByShard[shard]
+func (n *Controller) teamAfter(t *replica.TeamUsage, shard string, c *replica.Claim, next *records.Claim) (use, most quota.Resources) {
+	perTask := replica.TaskResources(c.Spec)
+	was, is, had := perTask.Times(float64(c.PlacedCount())), perTask.Times(float64(len(next.Placements))), t.Record.ByShard[shard]
 	use = had.Difference(was).Plus(is).NonNegative()
 	if next.Shard == "" {
 		return use, use
 	}
-	sum := n.use[teamShard{c.spec.Team, shard}]
-	if c.sum.kept && c.sum.key.shard == shard {
-		sum = sum.Difference(c.sum.use)
+	sum := n.view.UseByShard[replica.TeamShard{Team: c.Spec.Team, Shard: shard}]
+	if c.Tally.Counted && c.Tally.Key.Shard == shard {
+		sum = sum.Difference(c.Tally.Use)
 	}
 	sum = sum.Plus(is)
-	if n.epoch >= t.stamp && len(n.orphans) == 0 {
+	if n.view.Revision >= t.Version && len(n.view.OrphanClaims) == 0 {
 		return sum, sum
 	}
 	return use, use.Max(sum)
@@ -148,25 +109,25 @@
 
 // overUsed tells that a job's team has more placed than its limit permits now.
 func (n *Controller) overUsed(spec *protocol.Submission) bool {
-	limit, use := n.quota.Limit(spec.Team), n.teamRun[spec.Team]
+	limit, use := n.view.Quota.Limit(spec.Team), n.view.UseByTeam[spec.Team]
 	return (spec.CPUs > 0 && quota.Exceeds(quota.Resources{CPUs: use.CPUs}, limit)) || (spec.GPUs > 0 && quota.Exceeds(quota.Resources{GPUs: use.GPUs}, limit))
 }
 
 // allowance is how many more tasks of a job its team's limit permits, wherever.
 func (n *Controller) allowance(spec *protocol.Submission) int {
-	limit, use := n.quota.Limit(spec.Team), n.teamRun[spec.Team]
-	return quota.TasksThatFit(limit.Difference(use), unitOf(spec), limit)
+	limit, use := n.view.Quota.Limit(spec.Team), n.view.UseByTeam[spec.Team]
+	return quota.TasksThatFit(limit.Difference(use), replica.TaskResources(spec), limit)
 }
 
 // allowanceIn is how many more a shard may start within its allotment.
 func (n *Controller) allowanceIn(holder string, spec *protocol.Submission) int {
-	if !n.quota.IsAllotted(spec.Team) {
+	if !n.view.Quota.IsAllotted(spec.Team) {
 		return n.allowance(spec)
 	}
-	if !n.sized(holder) {
+	if !n.view.KnowsUse(holder) {
 		return 0
 	}
-	return n.quota.Allowance(spec.Team, holder, unitOf(spec))
+	return n.view.Quota.Allowance(spec.Team, holder, replica.TaskResources(spec))
 }
 
 // wishes is what the teams' limits keep a shard from starting in one pass.
@@ -182,11 +143,11 @@
 
 // heldUp tells whether its team's limit keeps a unit from starting here now, and
 // notes what could start if the shard's allotment reached.
-func (n *Controller) heldUp(s *shard, u *unit, rooms []*room, w *wishes, now time.Time) bool {
+func (n *Controller) heldUp(s *replica.Shard, u *unit, rooms []*room, w *wishes, now time.Time) bool {
 	if !n.limited(u.spec) {
 		return false
 	}
-	if !n.quota.IsAllotted(u.spec.Team) {
+	if !n.view.Quota.IsAllotted(u.spec.Team) {
 		return n.overLimit(u)
 	}
 	team, whole := u.spec.Team, u.spec.Shape == protocol.ShapeGang
@@ -194,8 +155,8 @@
 	if whole {
 		need = waiting
 	}
-	may := n.allowanceIn(s.name, u.spec) + n.bookable(u.c)
-	yields := n.quota.YieldsTo(team, u.spec.Priority(), u.j.rec.AcceptedAtMs, u.j.ref, now)
+	may := n.allowanceIn(s.Name, u.spec) + n.bookable(u.c)
+	yields := n.view.Quota.YieldsTo(team, u.spec.Priority(), u.j.Record.AcceptedAtMs, u.j.ID, now)
 	if may < waiting || yields {
 		n.wish(s, u, rooms, w, need, may)
 	}
@@ -203,18 +164,18 @@
 }
 
 // wish adds a unit to what a shard could start within the team's limit.
-func (n *Controller) wish(s *shard, u *unit, rooms []*room, w *wishes, need, may int) {
+func (n *Controller) wish(s *replica.Shard, u *unit, rooms []*room, w *wishes, need, may int) {
 	if w.looked[u.spec.Team]++; w.looked[u.spec.Team] > mostWeighed {
 		return
 	}
-	unit := unitOf(u.spec)
-	could := min(u.waiting(), roomFor(u.spec, u.j.ref, rooms, u.waiting()))
+	unit := replica.TaskResources(u.spec)
+	could := min(u.waiting(), roomFor(u.spec, u.j.ID, rooms, u.waiting()))
 	// What never ends is not waited for: a gang that needs the part of the limit that
 	// services use would keep all others from the rest for ever.
-	limit := n.quota.Limit(u.spec.Team)
-	left := limit.Minus(n.teamKept[u.spec.Team])
+	limit := n.view.Quota.Limit(u.spec.Team)
+	left := limit.Minus(n.view.ServiceUse[u.spec.Team])
 	head := unit.Times(float64(need))
-	if (limit.CPUs > 0 && head.CPUs > left.CPUs+eps) || (limit.GPUs > 0 && head.GPUs > left.GPUs+eps) {
+	if (limit.CPUs > 0 && head.CPUs > left.CPUs+tolerance) || (limit.GPUs > 0 && head.GPUs > left.GPUs+tolerance) {
 		return
 	}
 	ahead := could < need
@@ -227,7 +188,7 @@
 	switch x := w.of[u.spec.Team]; {
 	case x == nil || (x.Anticipated && !ahead):
 		w.of[u.spec.Team] = &quota.Demand{Head: head, PerTask: unit, Total: unit.Times(float64(could)), Priority: u.spec.Priority(),
-			AcceptedAtMs: u.j.rec.AcceptedAtMs, JobID: u.j.ref, AllOrNothing: need > 1, Anticipated: ahead}
+			AcceptedAtMs: u.j.Record.AcceptedAtMs, JobID: u.j.ID, AllOrNothing: need > 1, Anticipated: ahead}
 	case x.Anticipated == ahead:
 		x.Total = x.Total.Plus(unit.Times(float64(could)))
 	}
@@ -247,7 +208,7 @@
 		fit := math.MaxInt32
 		for _, part := range [...]struct{ free, perTask float64 }{{r.cpus, spec.CPUs}, {r.gpus, spec.GPUs}, {r.mem, spec.MemoryGB}} {
 			if part.perTask > 0 {
-				fit = min(fit, int((part.free+eps)/part.perTask))
+				fit = min(fit, int((part.free+tolerance)/part.perTask))
 			}
 		}
 		count += max(0, fit)
@@ -256,20 +217,20 @@
 }
 
 // bookable counts the placements of a claim that its next version would free.
-func (n *Controller) bookable(c *claim) int {
-	if c == nil || c.rec == nil || c.pend != nil || c.spec.Shape == protocol.ShapeGang {
+func (n *Controller) bookable(c *replica.Claim) int {
+	if c == nil || c.Record == nil || c.Pending != nil || c.Spec.Shape == protocol.ShapeGang {
 		return 0
 	}
-	next := c.rec.Clone()
+	next := c.Record.Clone()
 	n.bookDone(c, next)
-	return len(c.rec.Placements) - len(next.Placements)
+	return len(c.Record.Placements) - len(next.Placements)
 }
 
 // tellWishes hands a pass's wishes on.
 func (n *Controller) tellWishes(holder string, w *wishes, now time.Time) {
 	for team := range n.cfg.Teams {
-		if n.quota.IsAllotted(team) {
-			n.quota.SetDemand(team, holder, w.of[team], w.started[team], now)
+		if n.view.Quota.IsAllotted(team) {
+			n.view.Quota.SetDemand(team, holder, w.of[team], w.started[team], now)
 		}
 	}
 }
@@ -281,21 +242,21 @@
 // share carries out the gifts that are due from this node's shards, and tells the
 // others what these want.
 func (n *Controller) share(now time.Time) {
-	wants := n.quota.Demands(now)
+	wants := n.view.Quota.Demands(now)
 	if (len(wants) > 0 || n.wanted) && now.Sub(n.wantedAt) >= wantGap {
 		n.wanted, n.wantedAt = len(wants) > 0, now
 		n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true, Demands: wants, DemandsComplete: true})
 	}
-	for _, m := range n.quota.DueTransfers(n.decidesFor, now) {
+	for _, m := range n.view.Quota.DueTransfers(n.decidesFor, now) {
 		n.log.Debug("allotment given", "team", m.Team, "from", m.From, "to", m.To, "cpus", m.Amount.CPUs, "cards", m.Amount.GPUs)
 		n.commit(kv.PriorityClaim, m.Compares, m.Ops, 0, func(err error) {
-			n.quota.FinishTransfer(m)
+			n.view.Quota.FinishTransfer(m)
 			if err == nil {
 				n.announceKey(m.Ops[0].Key, m.Ops[0].Value)
 			}
 		})
 	}
-	for _, h := range n.quota.WaitingTeams(heldTell, now) {
+	for _, h := range n.view.Quota.WaitingTeams(heldTell, now) {
 		n.log.Info("a team waits for its limit", "team", h.Team, "seconds", int(h.WaitedFor.Seconds()), "limit", h.Limit, "allotted", h.Grants, "used", h.Usage)
 	}
 }
@@ -307,37 +268,37 @@
 // it owns the shard, or leads, and its cache holds all that was started there.
 func (n *Controller) decidesFor(holder string) (kv.Compare, bool) {
 	if holder == quota.CrossShard {
-		return kv.Compare{Key: records.LeaderKey, Version: n.leadStamp}, n.leading() && n.sized(holder)
+		return kv.Compare{Key: records.LeaderKey, Version: n.leadership.version}, n.isLeader() && n.view.KnowsUse(holder)
 	}
-	s := n.shards[holder]
-	if !n.active(s) || !n.sized(holder) {
+	s := n.view.Shards[holder]
+	if !n.view.IsActive(s) || !n.view.KnowsUse(holder) {
 		return kv.Compare{}, false
 	}
-	return kv.Compare{Key: records.ShardPrefix + holder, Version: s.token}, true
+	return kv.Compare{Key: records.ShardPrefix + holder, Version: s.FencingToken}, true
 }
 
 // tendLimits works off the difference between the limits that controllers were given
 // and those on record, and how they are divided.
 func (n *Controller) tendLimits(now time.Time) {
-	if n.quota.HasNoLimits() {
+	if n.view.Quota.HasNoLimits() {
 		return
 	}
-	sit := quota.ClusterState{Revision: n.epoch, Complete: len(n.orphans) == 0, IsLeader: n.leading(), LeaderCompare: kv.Compare{Key: records.LeaderKey, Version: n.leadStamp},
-		Holders: n.shardNames(), TeamUsage: n.usesOf,
-		TeamUsageVersion: func(team string) uint64 { return n.team(team).stamp }}
-	for _, name := range n.liveNodes() {
-		sit.Members = append(sit.Members, quota.Member{QuotaVersion: n.nodes[name].version, TeamsHash: n.nodes[name].teams})
+	sit := quota.ClusterState{Revision: n.view.Revision, Complete: len(n.view.OrphanClaims) == 0, IsLeader: n.isLeader(), LeaderCompare: kv.Compare{Key: records.LeaderKey, Version: n.leadership.version},
+		Holders: n.view.ShardNames(), TeamUsage: n.usesOf,
+		TeamUsageVersion: func(team string) uint64 { return n.view.Team(team).Version }}
+	for _, name := range n.view.LiveNodes() {
+		sit.Members = append(sit.Members, quota.Member{QuotaVersion: n.view.Nodes[name].QuotaVersion, TeamsHash: n.view.Nodes[name].TeamsHash})
 	}
-	for _, t := range n.types {
+	for _, t := range n.view.MachineTypes {
 		sit.InitialShare = sit.InitialShare.Max(quota.Resources{CPUs: t.CPUs, GPUs: t.GPUs})
 	}
-	if len(n.types) == 0 {
+	if len(n.view.MachineTypes) == 0 {
 		return
 	}
-	for _, c := range n.quota.LimitChanges(sit) {
+	for _, c := range n.view.Quota.LimitChanges(sit) {
 		n.log.Info("team limit", "team", c.Team, "is", c.Description)
 		n.commit(kv.PriorityClaim, c.Compares, c.Ops, 0, func(err error) {
-			n.quota.FinishChange(c)
+			n.view.Quota.FinishChange(c)
 			if err != nil {
 				n.log.Debug("team limit not changed", "team", c.Team, "err", err)
 			}
@@ -349,12 +310,12 @@
 // usesOf is a team's use by the names that its one record has for it.
 func (n *Controller) usesOf(team string) map[string]quota.Resources {
 	out := make(map[string]quota.Resources)
-	for _, name := range n.shardNames() {
-		out[name] = n.usedBy(team, name)
+	for _, name := range n.view.ShardNames() {
+		out[name] = n.view.UsedBy(team, name)
 	}
-	for c := range n.wideClaims {
-		if c.spec != nil && c.spec.Team == team && c.sum.kept {
-			out["*"+c.ref] = out["*"+c.ref].Plus(c.sum.use)
+	for c := range n.view.CrossShardClaims {
+		if c.Spec != nil && c.Spec.Team == team && c.Tally.Counted {
+			out["*"+c.JobID] = out["*"+c.JobID].Plus(c.Tally.Use)
 		}
 	}
 	return out
@@ -363,37 +324,27 @@
 // tidyTeams puts right what a team's one record says of this node's shards: what was
 // placed before there was a limit, or ended while the record was written.
 func (n *Controller) tidyTeams(now time.Time) {
-	for _, name := range slices.Sorted(maps.Keys(n.teams)) {
-		t := n.teams[name]
-		if n.quota.IsAllotted(name) || t.busy || t.stamp == 0 || n.epoch < t.stamp || len(n.orphans) > 0 {
+	for _, name := range slices.Sorted(maps.Keys(n.view.Teams)) {
+		t := n.view.Teams[name]
+		if n.view.Quota.IsAllotted(name) || t.Writing || t.Version == 0 || n.view.Revision < t.Version || len(n.view.OrphanClaims) > 0 {
 			continue
 		}
-		for _, shard := range n.shardNames() {
-			s := n.shards[shard]
-			use := n.usedBy(name, shard)
-			if !n.active(s) || use.Within(t.rec.ByShard[shard]) && t.rec.ByShard[shard].Within(use) || slices.ContainsFunc(n.claimsOf(s, name), func(c *claim) bool { return c.pend != nil }) {
+		for _, shard := range n.view.ShardNames() {
+			s := n.view.Shards[shard]
+			use := n.view.UsedBy(name, shard)
+			if !n.view.IsActive(s) || use.Within(t.Record.ByShard[shard]) && t.Record.ByShard[shard].Within(use) || slices.ContainsFunc(n.view.ClaimsOfTeam(s, name), func(c *replica.Claim) bool { return c.Pending != nil }) {
 				continue
 			}
 			rec := &records.TeamUsage{ByShard: map[string]quota.Resources{shard: use}}
-			for other, u := range t.rec.ByShard {
+			for other, u := range t.Record.ByShard {
 				if other != shard {
 					rec.ByShard[other] = u
 				}
 			}
-			t.busy = true
-			conds := append(n.quota.LimitCompares(name), kv.Compare{Key: records.ShardPrefix + shard, Version: s.token}, kv.Compare{Key: records.TeamUsagePrefix + name, Version: t.stamp})
-			n.commit(kv.PriorityBackground, conds, []kv.Op{{Key: records.TeamUsagePrefix + name, Value: rec}}, 0, func(error) { t.busy = false })
+			t.Writing = true
+			conds := append(n.view.Quota.LimitCompares(name), kv.Compare{Key: records.ShardPrefix + shard, Version: s.FencingToken}, kv.Compare{Key: records.TeamUsagePrefix + name, Version: t.Version})
+			n.commit(kv.PriorityBackground, conds, []kv.Op{{Key: records.TeamUsagePrefix + name, Value: rec}}, 0, func(error) { t.Writing = false })
 			break
 		}
 	}
 }
-
-func (n *Controller) claimsOf(s *shard, team string) []*claim {
-	var out []*claim
-	for c := range s.claims {
-		if c.spec != nil && c.spec.Team == team {
-			out = append(out, c)
-		}
-	}
-	return out
-}
--- a/internal/coordination/controller/node.go
+++ b/internal/coordination/controller/node.go
@@ -1,13 +1,10 @@
 package controller
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"log/slog"
 	"math/rand/v2"
-	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -15,7 +12,7 @@
 
 	"madderslip/internal/coordination/health"
 	"madderslip/internal/coordination/provisioning"
-	"madderslip/internal/coordination/quota"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
@@ -50,7 +47,7 @@
 }
 
 // Controller is one controller. Its fields are guarded by mu; methods that do not
-// take the lock themselves expect it to be held.
+// take the lock themselves expect it to be held by the caller.
 type Controller struct {
 	cfg   protocol.Settings
 	pol   policy.Policy
@@ -64,55 +61,26 @@
 	cloud *rate.Limiter
 
 	mu         sync.Mutex
-	loaded     bool
-	epoch      uint64 // the watch is complete up to here
-	stamps     map[string]uint64
-	nodes      map[string]nodeSeen
-	shards     map[string]*shard
-	machines   map[string]*machine
-	jobs       map[string]*job
-	claims     map[string]*claim
-	orphans    map[string]map[string]*claim // claims seen before their job, by ref; no set is empty
-	lookingUp  bool                         // the jobs of some of them are being read
-	final      map[string]finalJob
-	teams      map[string]*teamUse
-	quota      *quota.Manager
-	teamKept   map[string]quota.Resources // what services use, which never end
-	teamSure   map[string]quota.Resources // what is placed for sure, commits under way left out
-	guarantees bool                       // some team has one
-	bookings   map[string]*booking        // by job
+	view       *replica.View
+	lookingUp  bool                // the jobs of some of them are being read
+	guarantees bool                // some team has one
+	bookings   map[string]*booking // by job
 	unbooking  bool
 	wanted     bool // the others were last told of wants
 	wantedAt   time.Time
-	hires      map[string]*hire
-	lead       string
-	leadMine   bool // this very process leads
-	leadBusy   bool
+	leadership leadership
 	untold     []untold // answers that wait for the watch
 	unknown    map[string]unknownHost
-	gathers    map[string]*gathering
-	hosts      map[string]*hostUse // what claims place on each host
-	wideClaims map[*claim]struct{} // those on machines of several shards
-	use        map[teamShard]quota.Resources
-	teamRun    map[string]quota.Resources
-	groups     map[string]group
-	imageRecs  map[string]*records.ImageLocations
-	cancelled  map[string]*job       // those that are cancelled and have claims left
-	ahead      map[string]*job       // those whose cancellation is known ahead of the watch
-	repeatFrom string                // of these, the one to be repeated next
-	hungry     map[string]*job       // those of which a task may be without a machine
-	plans      map[string]*plan      // by job: the room for which it has displaced others
-	planned    []string              // claims for which room is being made, likewise
-	intents    []string              // claims under way that the other controllers were not told of
-	outbox     map[*machine]struct{} // machines with commands to be sent
-	refreshes  int                   // of keys after a transaction failed, so far
-	returns    map[string]*machine   // their return is recorded and not carried out
-	types      map[string]*protocol.MachineType
+	repeatFrom string                        // of these, the one to be repeated next
+	plans      map[string]*plan              // by job: the room for which it has displaced others
+	planned    []string                      // claims for which room is being made, likewise
+	intents    []string                      // claims under way that the other controllers were not told of
+	outbox     map[*replica.Machine]struct{} // machines with commands to be sent
+	refreshes  int                           // of keys after a transaction failed, so far
 
-	leadStamp uint64
 	permit    uint64
-	loads     map[string]loadSeen // by shard
-	queuedNow map[string]float64  // CPUs this node queued at a shard since its last figure
+	loads     map[string]replica.ReportedLoad // by shard
+	queuedNow map[string]float64              // CPUs this node queued at a shard since its last figure
 	stateOKAt map[string]time.Time
 	ratios    map[string]float64   // class: observed run time over the estimate
 	refused   map[string]time.Time // type/zone/kind: not to be asked for before
@@ -122,51 +90,26 @@
 		rooms []room
 		list  []*room
 	}
-	pressing   bool                 // something is new that should not wait
 	heardFrom  map[string]time.Time // when the other controllers last spoke
 	waits      map[string]waitsSeen // changes that wait there, as they last said
 	cutSeen    map[string]time.Time // zones that seemed cut off, and when last
 	fleet      fleetState
 	pipelines  pipelines // jobs that wait for others
 	soughtWide time.Time // when jobs wider than any shard were last sought
-	cardsAt    time.Time // when a job with cards was last seen to come in
 	ctx        context.Context
 	stand      func(context.Context)
 }
 
-type nodeSeen struct {
-	stamp   uint64
-	since   time.Time
-	version int    // of what it understands of limits
-	waits   int    // of what it understands of jobs that wait for others
-	teams   uint64 // hash of the limits it was given
-}
-
 type waitsSeen struct {
 	changes int
 	at      time.Time
 }
 
-type loadSeen struct {
-	load protocol.ShardLoad
-	at   time.Time
-}
-
 type unknownHost struct {
 	first time.Time
 	busy  bool // being recorded, in this shard
 	shard string
-	kind  machineKind
-}
-
-// machineKind is what a hire asks for.
-type machineKind struct {
-	typ, zone string
-	loaner    bool
-}
-
-func (k machineKind) compare(o machineKind) int {
-	return cmp.Or(strings.Compare(k.typ, o.typ), strings.Compare(k.zone, o.zone), cmp.Compare(btoi(k.loaner), btoi(o.loaner)))
+	kind  replica.MachineKind
 }
 
 func btoi(b bool) int {
@@ -190,35 +133,30 @@
 	WaitWhilePaused func(context.Context)
 }
 
-// New makes a node; Run starts its loops.
+// New makes a controller; Run starts its loops.
 func New(o Options) *Controller {
 	n := &Controller{
 		cfg: o.Settings, pol: o.Policy, led: o.Store, http: o.HTTP, peers: o.Peers, log: o.Log, rng: o.Rand,
 		boot: time.Now(), kick: make(chan struct{}, 1),
-		cloud:  rate.NewLimiter(rate.Limit(o.Settings.CloudLimits.RequestRate*0.8/float64(max(1, o.Settings.NodeCount))), 3),
-		stamps: make(map[string]uint64), nodes: make(map[string]nodeSeen), shards: make(map[string]*shard),
-		machines: make(map[string]*machine), jobs: make(map[string]*job), claims: make(map[string]*claim),
-		orphans: make(map[string]map[string]*claim), final: make(map[string]finalJob),
-		teams: make(map[string]*teamUse), hires: make(map[string]*hire), unknown: make(map[string]unknownHost), gathers: make(map[string]*gathering),
-		loads: make(map[string]loadSeen), queuedNow: make(map[string]float64), stateOKAt: make(map[string]time.Time),
+		cloud:     rate.NewLimiter(rate.Limit(o.Settings.CloudLimits.RequestRate*0.8/float64(max(1, o.Settings.NodeCount))), 3),
+		unknown:   make(map[string]unknownHost),
+		loads:     make(map[string]replica.ReportedLoad),
+		queuedNow: make(map[string]float64), stateOKAt: make(map[string]time.Time),
 		ratios: make(map[string]float64), refused: make(map[string]time.Time),
 		heardFrom: make(map[string]time.Time), waits: make(map[string]waitsSeen), cutSeen: make(map[string]time.Time),
-		hosts: make(map[string]*hostUse), wideClaims: make(map[*claim]struct{}), use: make(map[teamShard]quota.Resources),
-		teamRun: make(map[string]quota.Resources), outbox: make(map[*machine]struct{}), groups: make(map[string]group), cancelled: make(map[string]*job), ahead: make(map[string]*job), hungry: make(map[string]*job), plans: make(map[string]*plan), imageRecs: make(map[string]*records.ImageLocations), returns: make(map[string]*machine),
-		teamKept: make(map[string]quota.Resources), teamSure: make(map[string]quota.Resources), bookings: make(map[string]*booking),
-		ctx: context.Background(),
+		outbox: make(map[*replica.Machine]struct{}), plans: make(map[string]*plan), bookings: make(map[string]*booking),
+		pipelines: newPipelines(), ctx: context.Background(),
 	}
-	n.pipelines = newPipelines(n.stateOf)
-	n.quota = quota.New(o.Settings.Teams, o.Policy.Allotments, n.usedBy)
+	n.view = replica.New(o.Settings.Teams, o.Policy.Allotments, o.Log, viewEvents{n})
 	for name := range o.Settings.Teams {
-		n.guarantees = n.guarantees || n.quota.HasGuarantee(name)
+		n.guarantees = n.guarantees || n.view.Quota.HasGuarantee(name)
 	}
 	if n.stand = o.WaitWhilePaused; n.stand == nil {
 		n.stand = func(context.Context) {}
 	}
-	n.shard(n.cfg.NodeName)
+	n.view.Shard(n.cfg.NodeName)
 	for _, p := range n.cfg.Peers {
-		n.shard(p.Node)
+		n.view.Shard(p.Node)
 	}
 	return n
 }
@@ -286,7 +224,7 @@
 			continue
 		}
 		n.mu.Lock()
-		n.relist(items, epoch)
+		n.view.Relist(items, epoch)
 		n.mu.Unlock()
 		n.log.Info("records read", "records", len(items), "epoch", epoch)
 		for ctx.Err() == nil {
@@ -302,10 +240,10 @@
 			}
 			n.mu.Lock()
 			for _, it := range items {
-				n.take(it)
+				n.view.ApplyItem(it)
 			}
 			epoch = upTo
-			n.reached(epoch)
+			n.view.ReachRevision(epoch)
 			n.mu.Unlock()
 			n.poke()
 			n.pause(ctx, watchPause)
@@ -313,38 +251,17 @@
 	}
 }
 
-// relist takes a complete reading. What it lacks was dropped meanwhile.
-func (n *Controller) relist(items []kv.Item, epoch uint64) {
-	have := make(map[string]bool, len(items))
-	for _, it := range items {
-		have[it.Key] = true
-		n.take(it)
-	}
-	var gone []string
-	for key, stamp := range n.stamps {
-		if !have[key] && stamp <= epoch {
-			gone = append(gone, key)
-		}
-	}
-	slices.Sort(gone)
-	for _, key := range gone {
-		n.store(key, nil, epoch)
-	}
-	n.loaded = true
-	n.reached(epoch)
-}
-
 // sessionLoop keeps this node's lease and the record that shows it is alive.
 func (n *Controller) sessionLoop(ctx context.Context) {
 	ttl := n.pol.NodeLease
 	key := records.NodePrefix + n.cfg.NodeName
 	var permit uint64
 	rec := &records.Node{StartedAtMs: n.boot.UnixMilli(), DependencyVersion: understandsPipelines}
-	rec.QuotaVersion, rec.TeamsHash = n.quota.Advertised()
+	rec.QuotaVersion, rec.TeamsHash = n.view.Quota.Advertised()
 	for ctx.Err() == nil {
 		n.mu.Lock()
-		loaded, live := n.loaded, n.nodes[n.cfg.NodeName]
-		mine := permit != 0 && live.stamp != 0 && n.permit == permit
+		loaded, live := n.view.Loaded, n.view.Nodes[n.cfg.NodeName]
+		mine := permit != 0 && live.Version != 0 && n.permit == permit
 		n.mu.Unlock()
 		if !loaded {
 			n.pause(ctx, 50*time.Millisecond)
@@ -365,7 +282,7 @@
 			// Conditional, like all else: a copy that an earlier process of this node had
 			// sent hung the record on that one's lease again, and this node seemed to have
 			// ended when that lease did.
-			n.commit(kv.PriorityLease, []kv.Compare{{Key: key, Version: n.nodes[n.cfg.NodeName].stamp}}, []kv.Op{{Key: key, Value: rec, Lease: permit}}, 2*time.Second,
+			n.commit(kv.PriorityLease, []kv.Compare{{Key: key, Version: n.view.Nodes[n.cfg.NodeName].Version}}, []kv.Op{{Key: key, Value: rec, Lease: permit}}, 2*time.Second,
 				func(err error) {
 					if err == nil {
 						n.permit = permit
@@ -397,17 +314,3 @@
 		}
 	}
 }
-
-func (n *Controller) storeNode(name string, r *records.Node, stamp uint64) {
-	if r == nil {
-		delete(n.nodes, name)
-	} else {
-		seen := n.nodes[name]
-		if seen.stamp == 0 {
-			seen.since = time.Now()
-		}
-		seen.stamp, seen.version, seen.teams, seen.waits = stamp, r.QuotaVersion, r.TeamsHash, r.DependencyVersion
-		n.nodes[name] = seen
-	}
-	n.shareBudget(time.Now())
-}
--- a/internal/coordination/controller/outlook.go
+++ b/internal/coordination/controller/outlook.go
@@ -7,6 +7,7 @@
 	"madderslip/internal/coordination/admission"
 	"madderslip/internal/coordination/failover"
 	"madderslip/internal/coordination/health"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/transport"
@@ -31,24 +32,24 @@
 	}
 	beat := n.reportBeat()
 	var signs []health.MachineSilence
-	for _, s := range n.shards {
-		if !n.active(s) {
+	for _, s := range n.view.Shards {
+		if !n.view.IsActive(s) {
 			continue
 		}
-		for _, m := range s.machines {
+		for _, m := range s.Machines {
 			// A machine that has not reported to this process may be booting, unless
 			// something was placed there. One that has not done so since its shard was
 			// taken over says nothing until it should have: counted as heard, those of a
 			// dead neighbour hid the cut until their new owner had fenced its own.
 			silent := n.silence(m, now)
-			if (m.rep != nil || len(m.use.places) > 0) && (m.heard.After(m.adoptedAt) || silent > beat) {
-				signs = append(signs, health.MachineSilence{Zone: m.rec.Zone, Silent: silent})
+			if (m.Agent.Heartbeat != nil || len(m.Use.Slots) > 0) && (m.Agent.LastContact.After(m.AdoptedAt) || silent > beat) {
+				signs = append(signs, health.MachineSilence{Zone: m.Record.Zone, Silent: silent})
 			}
 		}
 	}
 	witnesses := make([]health.PeerStatus, 0, len(n.cfg.Peers))
 	for _, p := range n.cfg.Peers {
-		_, live := n.nodes[p.Node]
+		_, live := n.view.Nodes[p.Node]
 		witnesses = append(witnesses, health.PeerStatus{Zone: p.Zone, Live: live || now.Sub(n.heardFrom[p.Node]) < n.pol.NodeLease})
 	}
 	for zone := range health.PartitionedZones(n.cfg.Zone, signs, beat, witnesses) {
@@ -68,30 +69,30 @@
 }
 
 // fenceAfter is how long a machine may be silent.
-func (n *Controller) fenceAfter(m *machine, usual time.Duration, now time.Time) time.Duration {
-	return health.FenceDelay(usual, n.pol.PartitionPatience, n.zoneCut(m.rec.Zone, now))
+func (n *Controller) fenceAfter(m *replica.Machine, usual time.Duration, now time.Time) time.Duration {
+	return health.FenceDelay(usual, n.pol.PartitionPatience, n.zoneCut(m.Record.Zone, now))
 }
 
 // keepLease answers a worker of a shard that this node does not own, if it is to
 // keep the lease alive: with the shard's token and without orders.
-func (n *Controller) keepLease(s *shard, r *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
-	w := failover.LastContact{State: n.led.LastSuccess(), Owner: n.heardFrom[s.rec.Owner]}
-	if r.FencingToken > s.stamp || !failover.MayExtendLease(w, now, n.pol.NodeLease) {
+func (n *Controller) keepLease(s *replica.Shard, r *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
+	w := failover.LastContact{State: n.led.LastSuccess(), Owner: n.heardFrom[s.Record.Owner]}
+	if r.FencingToken > s.Version || !failover.MayExtendLease(w, now, n.pol.NodeLease) {
 		return transport.Response{}, false
 	}
 	for i := range r.Tasks {
 		ref, _, _ := protocol.ParseTaskName(r.Tasks[i].Task)
-		if j := n.jobs[ref]; r.Tasks[i].Phase != protocol.TaskExited && (n.cancelled[ref] != nil || (j == nil && n.final[ref].state != "")) {
+		if j := n.view.Jobs[ref]; r.Tasks[i].Phase != protocol.TaskExited && (n.view.CancelledJobs[ref] != nil || (j == nil && n.view.FinalJobs[ref].State != "")) {
 			return transport.Response{}, false // nobody here can stop that but the end of its lease
 		}
 	}
-	return withoutOrders(s.stamp)
+	return withoutOrders(s.Version)
 }
 
 // keepUnread does the same for a node that began behind a cut and has read no
 // records: the worker's own token is the only one it knows.
 func (n *Controller) keepUnread(r *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
-	u := failover.ColdStart{Uptime: now.Sub(n.boot), HeardAnyone: n.led.LastSuccess().After(n.boot) || len(n.types) > 0 || len(n.heardFrom) > 0}
+	u := failover.ColdStart{Uptime: now.Sub(n.boot), HeardAnyone: n.led.LastSuccess().After(n.boot) || len(n.view.MachineTypes) > 0 || len(n.heardFrom) > 0}
 	for _, p := range n.cfg.Peers {
 		u.HasRemotePeers = u.HasRemotePeers || p.Zone != n.cfg.Zone
 	}
@@ -110,13 +111,13 @@
 // has ended.
 func (n *Controller) turn() time.Duration {
 	machines := make(map[string]int)
-	for _, s := range n.shards {
-		if s.rec != nil {
-			machines[s.rec.Owner] += len(s.machines)
+	for _, s := range n.view.Shards {
+		if s.Record != nil {
+			machines[s.Record.Owner] += len(s.Machines)
 		}
 	}
 	var all []failover.Candidate
-	for name := range n.nodes {
+	for name := range n.view.Nodes {
 		all = append(all, failover.Candidate{Node: name, Machines: machines[name]})
 	}
 	return failover.TakeoverDelay(n.cfg.NodeName, all)
@@ -128,7 +129,7 @@
 // shareBudget takes this node's part of the state service's budgets: by need if all
 // live controllers have said theirs, else evenly.
 func (n *Controller) shareBudget(now time.Time) {
-	names := n.liveNodes()
+	names := n.view.LiveNodes()
 	own := slices.Index(names, n.cfg.NodeName)
 	waits := make([]int, max(1, len(names)))
 	known := own >= 0
--- a/internal/coordination/controller/peers.go
+++ b/internal/coordination/controller/peers.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
@@ -28,9 +29,9 @@
 	msg := protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: time.Since(n.led.LastSuccess()) < 1500*time.Millisecond, Periodic: true}
 	msg.PendingChanges, _ = n.led.Backlog(kv.PriorityBackground)
 	msg.Updates = n.repeated(time.Now())
-	msg.Demands, msg.DemandsComplete = n.quota.Demands(time.Now()), true
-	for _, name := range n.shardNames() {
-		if s := n.shards[name]; n.active(s) {
+	msg.Demands, msg.DemandsComplete = n.view.Quota.Demands(time.Now()), true
+	for _, name := range n.view.ShardNames() {
+		if s := n.view.Shards[name]; n.view.IsActive(s) {
 			msg.Loads = append(msg.Loads, n.loadOf(s))
 		}
 	}
@@ -51,7 +52,7 @@
 func (n *Controller) repeated(now time.Time) (news []protocol.KeyUpdate) {
 	var refs []string
 	down := n.stateDown(now)
-	for ref, j := range n.cancelled {
+	for ref, j := range n.view.CancelledJobs {
 		if down || n.unserved(j, now) {
 			refs = append(refs, ref)
 		}
@@ -63,9 +64,9 @@
 			n.repeatFrom = ref
 			break
 		}
-		j := n.cancelled[ref]
-		if raw, err := protocol.Encode(j.rec); err == nil {
-			news = append(news, protocol.KeyUpdate{Key: records.JobPrefix + ref, Value: raw, Version: j.stamp})
+		j := n.view.CancelledJobs[ref]
+		if raw, err := protocol.Encode(j.Record); err == nil {
+			news = append(news, protocol.KeyUpdate{Key: records.JobPrefix + ref, Value: raw, Version: j.Version})
 		}
 	}
 	return news
@@ -73,14 +74,14 @@
 
 // unserved tells that an owner of a machine that may keep a cancelled job's tasks has
 // not said lately that the state service serves it.
-func (n *Controller) unserved(j *job, now time.Time) bool {
-	for _, c := range j.claims {
-		for _, p := range c.on {
-			if p.at.m == nil {
+func (n *Controller) unserved(j *replica.Job, now time.Time) bool {
+	for _, c := range j.Claims {
+		for _, p := range c.Slots {
+			if p.Host.Machine == nil {
 				continue
 			}
-			s := n.shards[p.at.m.rec.Shard]
-			if s != nil && s.rec != nil && s.rec.Owner != n.cfg.NodeName && now.Sub(n.stateOKAt[s.rec.Owner]) > sayEvery {
+			s := n.view.Shards[p.Host.Machine.Record.Shard]
+			if s != nil && s.Record != nil && s.Record.Owner != n.cfg.NodeName && now.Sub(n.stateOKAt[s.Record.Owner]) > sayEvery {
 				return true
 			}
 		}
@@ -112,11 +113,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, k := range news {
-		if j := n.cancelled[strings.TrimPrefix(k.Key, records.JobPrefix)]; j != nil {
-			if j.told == nil {
-				j.told = make(map[string]time.Time)
+		if j := n.view.CancelledJobs[strings.TrimPrefix(k.Key, records.JobPrefix)]; j != nil {
+			if j.NotifiedAt == nil {
+				j.NotifiedAt = make(map[string]time.Time)
 			}
-			j.told[peer] = time.Now()
+			j.NotifiedAt[peer] = time.Now()
 		}
 	}
 }
@@ -124,22 +125,22 @@
 // announce passes a record of the cache on to the other controllers.
 func (n *Controller) announce(key string) {
 	ref := strings.TrimPrefix(key, records.JobPrefix)
-	j := n.jobs[ref]
+	j := n.view.Jobs[ref]
 	if j == nil {
 		return
 	}
-	raw, err := protocol.Encode(j.rec)
+	raw, err := protocol.Encode(j.Record)
 	if err != nil {
 		return
 	}
-	msg := protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true, Updates: []protocol.KeyUpdate{{Key: key, Value: raw, Version: j.stamp}}}
-	for _, c := range j.claims {
+	msg := protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true, Updates: []protocol.KeyUpdate{{Key: key, Value: raw, Version: j.Version}}}
+	for _, c := range j.Claims {
 		// The claim made in the same breath spares the others a vain attempt.
-		if c.rec == nil || len(j.claims) != 1 {
+		if c.Record == nil || len(j.Claims) != 1 {
 			continue
 		}
-		if raw, err := protocol.Encode(c.rec); err == nil {
-			msg.Updates = append(msg.Updates, protocol.KeyUpdate{Key: c.key, Value: raw, Version: c.stamp})
+		if raw, err := protocol.Encode(c.Record); err == nil {
+			msg.Updates = append(msg.Updates, protocol.KeyUpdate{Key: c.Key, Value: raw, Version: c.Version})
 		}
 	}
 	n.broadcast(n.ctx, msg)
@@ -157,23 +158,23 @@
 // announceKey passes a record just committed on.
 func (n *Controller) announceKey(key string, rec any) {
 	if raw, err := protocol.Encode(rec); err == nil {
-		n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true, Updates: []protocol.KeyUpdate{{Key: key, Value: raw, Version: n.stamps[key]}}})
+		n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true, Updates: []protocol.KeyUpdate{{Key: key, Value: raw, Version: n.view.Versions[key]}}})
 	}
 }
 
 // announceFinal passes a finished job on, since its users ask any node.
 func (n *Controller) announceFinal(ref string) {
-	f, ok := n.final[ref]
+	f, ok := n.view.FinalJobs[ref]
 	if !ok {
 		n.announce(records.JobPrefix + ref)
 		return
 	}
-	raw, err := protocol.Encode(&records.Job{State: f.state, Tasks: f.tasks})
+	raw, err := protocol.Encode(&records.Job{State: f.State, Tasks: f.Tasks})
 	if err != nil {
 		return
 	}
 	n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true,
-		Updates: []protocol.KeyUpdate{{Key: records.JobPrefix + ref, Value: raw, Version: f.stamp}}})
+		Updates: []protocol.KeyUpdate{{Key: records.JobPrefix + ref, Value: raw, Version: f.Version}}})
 }
 
 // HandlePeerMessage takes another controller's message.
@@ -190,7 +191,7 @@
 		n.waits[msg.From] = waitsSeen{msg.PendingChanges, now}
 	}
 	if msg.DemandsComplete {
-		n.quota.ObserveDemands(msg.From, msg.Demands, now)
+		n.view.Quota.ObserveDemands(msg.From, msg.Demands, now)
 		if len(msg.Demands) > 0 {
 			n.poke()
 		}
@@ -199,22 +200,22 @@
 		n.stateOKAt[msg.From] = now
 	}
 	for _, l := range msg.Loads {
-		if s := n.shards[l.Shard]; s != nil {
+		if s := n.view.Shards[l.Shard]; s != nil {
 			n.ousted(s, msg.From, l.FencingToken)
 		}
-		n.loads[l.Shard] = loadSeen{l, now}
+		n.loads[l.Shard] = replica.ReportedLoad{Load: l, At: now}
 		n.queuedNow[l.Shard] = 0
 	}
 	n.leaveTo(msg.ClaimIntents, now.Add(2*retryClaim))
 	n.leaveTo(msg.PreemptionIntents, now.Add(planFor))
-	if n.loaded {
+	if n.view.Loaded {
 		for _, k := range msg.Updates {
 			if len(k.Value) > 0 && (strings.HasPrefix(k.Key, records.JobPrefix) || strings.HasPrefix(k.Key, records.ClaimPrefix) || strings.HasPrefix(k.Key, records.AllotmentPrefix)) {
-				n.take(kv.Item{Key: k.Key, Value: k.Value, Version: k.Version})
+				n.view.ApplyItem(kv.Item{Key: k.Key, Value: k.Value, Version: k.Version})
 			}
 		}
 	}
-	return protocol.Encode(&protocol.PeerMessage{From: n.cfg.NodeName, Accepted: n.loaded})
+	return protocol.Encode(&protocol.PeerMessage{From: n.cfg.NodeName, Accepted: n.view.Loaded})
 }
 
 // leaveTo holds this node's own copies of work back for a while: another shard
@@ -222,8 +223,8 @@
 // This is advice; the claim itself decides.
 func (n *Controller) leaveTo(keys []string, until time.Time) {
 	for _, key := range keys {
-		if ref, chunk, err := records.ParseClaimKey(key); err == nil && n.jobs[ref] != nil && n.claims[key] == nil {
-			n.jobs[ref].lost[chunk] = until
+		if ref, chunk, err := records.ParseClaimKey(key); err == nil && n.view.Jobs[ref] != nil && n.view.Claims[key] == nil {
+			n.view.Jobs[ref].LeftUntil[chunk] = until
 		}
 	}
 }
@@ -232,22 +233,22 @@
 const loadKeep = 200 * time.Millisecond
 
 // loadOf is a shard's load now.
-func (n *Controller) loadOf(s *shard) protocol.ShardLoad {
+func (n *Controller) loadOf(s *replica.Shard) protocol.ShardLoad {
 	now := time.Now()
-	if now.Sub(s.load.at) < loadKeep && s.load.load.FencingToken == s.token {
-		return s.load.load
+	if now.Sub(s.Load.At) < loadKeep && s.Load.Load.FencingToken == s.FencingToken {
+		return s.Load.Load
 	}
-	l := protocol.ShardLoad{Shard: s.name, FencingToken: s.token, FreeCPUsByImage: make(protocol.Amounts)}
+	l := protocol.ShardLoad{Shard: s.Name, FencingToken: s.FencingToken, FreeCPUsByImage: make(protocol.Amounts)}
 	for _, r := range n.rooms(s, now) {
 		l.CPUs += r.total.CPUs
 		l.UsedCPUs += r.total.CPUs - r.cpus
-		if r.m.sick {
+		if r.m.Quarantine.Active {
 			l.ExcludedHosts = append(l.ExcludedHosts, r.host)
 		}
 		if !r.usable {
 			continue
 		}
-		for _, u := range r.m.images {
+		for _, u := range r.m.Images {
 			if r.cpus > l.FreeCPUsByImage[u.Name] {
 				l.FreeCPUsByImage[u.Name] = r.cpus
 			}
@@ -263,8 +264,8 @@
 	for _, u := range n.queueOf(s, now) {
 		l.QueuedCPUs += u.spec.CPUs * float64(u.left())
 	}
-	s.load = loadSeen{l, now}
-	n.loads[s.name] = s.load
-	n.queuedNow[s.name] = 0
+	s.Load = replica.ReportedLoad{Load: l, At: now}
+	n.loads[s.Name] = s.Load
+	n.queuedNow[s.Name] = 0
 	return l
 }
--- a/internal/coordination/controller/pipeline.go
+++ b/internal/coordination/controller/pipeline.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"madderslip/internal/coordination/dag"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
@@ -33,70 +34,26 @@
 
 // pipelines is what a node remembers of jobs that wait for others.
 type pipelines struct {
-	graph     *dag.Graph
 	releasing map[string]bool // a change of their record is under way
 	tidying   int
 	looking   bool // the records of needed jobs are being read
-	raised    map[string]*job
+	raised    map[string]*replica.Job
 	ranked    uint64 // the graph's changes up to which ranks have been passed on
 	rankedAt  time.Time
 }
 
-func newPipelines(lookup func(string) dag.State) pipelines {
-	return pipelines{graph: dag.NewGraph(lookup), releasing: make(map[string]bool), raised: make(map[string]*job)}
-}
-
-// inheritance is what an open job has from those that need it.
-type inheritance struct {
-	of   *protocol.Submission // the description that was raised
-	spec *protocol.Submission // the same with the higher rank; nil: its own counts
-	by   time.Time            // when it should be done for their deadlines; zero: any time
-}
-
-// stateOf is what the cache says of a job that does not wait for others.
-func (n *Controller) stateOf(ref string) dag.State {
-	if f, ok := n.final[ref]; ok {
-		return finalState(f.state)
-	}
-	if j := n.jobs[ref]; j != nil && j.rec != nil {
-		return finalState(j.rec.State)
-	}
-	return dag.Unknown
-}
-
-func finalState(state string) dag.State {
-	switch state {
-	case protocol.JobDone:
-		return dag.Done
-	case protocol.JobCancelled:
-		return dag.Cancelled
-	}
-	return dag.Unfinished
-}
-
-// storeHeld takes a version of a job's record into the graph, and tells whether that is
-// all: a job that waits is nowhere else.
-func (n *Controller) storeHeld(ref string, r *records.Job, stamp uint64) bool {
-	if r.State != records.JobBlocked {
-		n.pipelines.graph.ObserveState(ref, finalState(r.State), time.Now())
-		return false
-	}
-	if r.Spec == nil {
-		n.log.Error("held job without a description", "job", ref)
-		return true
-	}
-	n.pipelines.graph.Add(dag.Job{ID: ref, Dependencies: r.Dependencies, Spec: r.Spec, AcceptedAt: time.UnixMilli(r.AcceptedAtMs), Revision: stamp}, time.Now())
-	return true
+func newPipelines() pipelines {
+	return pipelines{releasing: make(map[string]bool), raised: make(map[string]*replica.Job)}
 }
 
 // heldAnswer is what the cache says of a job that waits for others.
 func (n *Controller) heldAnswer(ref string) (a protocol.JobStatus, stamp uint64, final, held bool) {
-	w, held := n.pipelines.graph.Lookup(ref)
+	w, held := n.view.Dependencies.Lookup(ref)
 	if !held {
 		return a, 0, false, false
 	}
 	a = protocol.JobStatus{JobID: ref, Phase: protocol.JobPending}
-	if n.pipelines.graph.IsCancelled(ref) {
+	if n.view.Dependencies.IsCancelled(ref) {
 		a.Phase, final = protocol.JobCancelled, true
 	}
 	return a, w.Revision, final, true
@@ -105,7 +62,7 @@
 // undecided tells that a job waits, and that a cancellation this node has not read of
 // yet could have cancelled it: its own record does not show that.
 func (n *Controller) undecided(ref string) bool {
-	g := n.pipelines.graph
+	g := n.view.Dependencies
 	_, held := g.Lookup(ref)
 	return held && !g.IsReady(ref) && !g.IsCancelled(ref)
 }
@@ -130,12 +87,12 @@
 // allUnderstandPipelines tells whether every live controller knows held jobs. One that
 // does not would start what it accepts at once.
 func (n *Controller) allUnderstandPipelines() bool {
-	for _, seen := range n.nodes {
-		if seen.waits < understandsPipelines {
+	for _, seen := range n.view.Nodes {
+		if seen.DependencyVersion < understandsPipelines {
 			return false
 		}
 	}
-	return len(n.nodes) > 0
+	return len(n.view.Nodes) > 0
 }
 
 // acceptWaiting accepts a job that names others, once it is certain that each of those
@@ -149,7 +106,7 @@
 		n.proveNeeds(spec, missing, until, reply)
 		return
 	}
-	left, cancelled := n.pipelines.graph.Resolve(spec.Dependencies)
+	left, cancelled := n.view.Dependencies.Resolve(spec.Dependencies)
 	own := *spec
 	own.Dependencies = nil
 	now := time.Now()
@@ -207,7 +164,7 @@
 // releaseAfter releases the jobs for which the end of one, just committed here, was the
 // last that they needed. Nobody else knows of it yet.
 func (n *Controller) releaseAfter(ref string, now time.Time) {
-	for _, w := range n.pipelines.graph.ReadyJobs() {
+	for _, w := range n.view.Dependencies.ReadyJobs() {
 		if w.LastDependency == ref {
 			n.release(w.Job, now)
 		}
@@ -217,22 +174,22 @@
 // tendPipelines works off the difference between what is decided of jobs that wait and
 // what is on record. Controllers do so by turns; the conditional write decides.
 func (n *Controller) tendPipelines(now time.Time) {
-	if n.pipelines.graph.Len() == 0 || n.stateDown(now) {
+	if n.view.Dependencies.Len() == 0 || n.stateDown(now) {
 		return
 	}
 	turn := time.Duration(0)
-	for _, name := range n.liveNodes() {
+	for _, name := range n.view.LiveNodes() {
 		if name == n.cfg.NodeName {
 			break
 		}
 		turn++
 	}
-	for _, w := range n.pipelines.graph.ReadyJobs() {
+	for _, w := range n.view.Dependencies.ReadyJobs() {
 		if now.Sub(w.Since) >= releaseFirst+turn*releaseTurn {
 			n.release(w.Job, now)
 		}
 	}
-	for _, w := range n.pipelines.graph.CancelledJobs() {
+	for _, w := range n.view.Dependencies.CancelledJobs() {
 		if now.Sub(w.Since) >= tidyFirst+turn*tidyTurn {
 			n.recordCancelled(w.Job, w.Since)
 		}
@@ -244,12 +201,12 @@
 // the records, for ever, so the job's own revision is the only condition. The claim goes
 // with it if this node can make it at once.
 func (n *Controller) release(w dag.Job, now time.Time) {
-	if n.pipelines.releasing[w.ID] || len(n.pipelines.releasing) >= mostReleasing || len(n.types) == 0 {
+	if n.pipelines.releasing[w.ID] || len(n.pipelines.releasing) >= mostReleasing || len(n.view.MachineTypes) == 0 {
 		return
 	}
 	at := n.chooseShards(w.Spec, now)
 	rec := &records.Job{Spec: w.Spec, Shards: at, AcceptedAtMs: w.AcceptedAt.UnixMilli(), ReleasedAtMs: now.UnixMilli(), ChunkSize: n.chunkSize(w.Spec, at)}
-	raised := dag.Inherit(w.Spec, n.pipelines.graph.Urgency(w.ID, n.estimate), 0)
+	raised := dag.Inherit(w.Spec, n.view.Dependencies.Urgency(w.ID, n.estimate), 0)
 	n.pipelines.releasing[w.ID] = true
 	n.commitRelease(w, rec, n.claimAtOnce(raised, at, now))
 }
@@ -267,7 +224,7 @@
 			n.log.Debug("job released", "job", w.ID, "class", w.Spec.Class, "at", rec.Shards, "claimed", first.claim != nil)
 			n.announce(key)
 		} else if errors.Is(err, kv.ErrCompareFailed) && first.claim != nil {
-			if still, held := n.pipelines.graph.Lookup(w.ID); held && still.Revision == w.Revision {
+			if still, held := n.view.Dependencies.Lookup(w.ID); held && still.Revision == w.Revision {
 				n.commitRelease(w, rec, newClaim{}) // only the claim failed
 				return
 			}
@@ -295,7 +252,7 @@
 // readNeeds reads the records of needed jobs that this node has forgotten: it keeps a
 // bounded number of those that are over.
 func (n *Controller) readNeeds() {
-	refs := n.pipelines.graph.UnknownDependencies()
+	refs := n.view.Dependencies.UnknownDependencies()
 	if len(refs) == 0 || n.pipelines.looking {
 		return
 	}
@@ -311,9 +268,9 @@
 				break
 			}
 			n.mu.Lock()
-			if n.stateOf(ref) == dag.Unknown {
-				delete(n.stamps, it.Key)
-				n.take(it)
+			if n.view.JobState(ref) == dag.Unknown {
+				delete(n.view.Versions, it.Key)
+				n.view.ApplyItem(it)
 			}
 			n.mu.Unlock()
 		}
@@ -327,48 +284,48 @@
 // them back where nobody needs them any more.
 func (n *Controller) passRanksOn(now time.Time) {
 	p := &n.pipelines
-	if p.ranked == p.graph.Changes() && (len(p.raised) == 0 || now.Sub(p.rankedAt) < rankEvery) {
+	if p.ranked == n.view.Dependencies.Changes() && (len(p.raised) == 0 || now.Sub(p.rankedAt) < rankEvery) {
 		return
 	}
-	p.ranked, p.rankedAt = p.graph.Changes(), now
-	p.graph.InvalidateUrgency()
-	for _, ref := range p.graph.DependencyIDs() {
-		if j := n.jobs[ref]; j != nil && j.rec != nil {
+	p.ranked, p.rankedAt = n.view.Dependencies.Changes(), now
+	n.view.Dependencies.InvalidateUrgency()
+	for _, ref := range n.view.Dependencies.DependencyIDs() {
+		if j := n.view.Jobs[ref]; j != nil && j.Record != nil {
 			p.raised[ref] = j
 		}
 	}
 	for ref, j := range p.raised {
 		n.inherit(j)
-		if n.jobs[ref] != j || (j.heir == inheritance{}) {
+		if n.view.Jobs[ref] != j || (j.Inherited == replica.Inheritance{}) {
 			delete(p.raised, ref)
 		}
 	}
 }
 
 // inherit works out what an open job has from those that need it.
-func (n *Controller) inherit(j *job) {
-	g := n.pipelines.graph
-	if j.rec.IsFinal() || j.rec.Spec == nil || (g.DependentCount(j.ref) == 0 && j.heir == inheritance{}) {
+func (n *Controller) inherit(j *replica.Job) {
+	g := n.view.Dependencies
+	if j.Record.IsFinal() || j.Record.Spec == nil || (g.DependentCount(j.ID) == 0 && j.Inherited == replica.Inheritance{}) {
 		return
 	}
-	before := j.spec()
-	u := g.Urgency(j.ref, n.estimate)
-	j.heir.by = u.FinishBy
-	switch raised := dag.Inherit(j.rec.Spec, u, time.Since(j.seen)); {
-	case raised == j.rec.Spec:
-		j.heir.of, j.heir.spec = nil, nil
-	case j.heir.of == j.rec.Spec && j.heir.spec.PriorityClass == raised.PriorityClass && j.heir.spec.AllowSpot == raised.AllowSpot:
+	before := j.Spec()
+	u := g.Urgency(j.ID, n.estimate)
+	j.Inherited.FinishBy = u.FinishBy
+	switch raised := dag.Inherit(j.Record.Spec, u, time.Since(j.SeenAt)); {
+	case raised == j.Record.Spec:
+		j.Inherited.From, j.Inherited.Spec = nil, nil
+	case j.Inherited.From == j.Record.Spec && j.Inherited.Spec.PriorityClass == raised.PriorityClass && j.Inherited.Spec.AllowSpot == raised.AllowSpot:
 		return
 	default:
-		j.heir.of, j.heir.spec = j.rec.Spec, raised
+		j.Inherited.From, j.Inherited.Spec = j.Record.Spec, raised
 	}
-	if j.spec() == before {
+	if j.Spec() == before {
 		return
 	}
-	n.log.Debug("rank inherited", "job", j.ref, "rank", j.spec().PriorityClass)
-	for _, c := range j.claims {
-		n.setSpec(c, j.spec())
-		n.mark(c)
+	n.log.Debug("rank inherited", "job", j.ID, "rank", j.Spec().PriorityClass)
+	for _, c := range j.Claims {
+		n.view.SetSpec(c, j.Spec())
+		n.view.MarkDirty(c)
 	}
-	n.hungry[j.ref] = j
+	n.view.Unplaced[j.ID] = j
 }
--- a/internal/coordination/controller/place.go
+++ b/internal/coordination/controller/place.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 )
 
@@ -20,9 +21,9 @@
 	boots           time.Time // when it should be up, if it is not yet
 	cpus, gpus, mem float64
 	total           *protocol.MachineType
-	m               *machine // nil: not there yet
-	coming          string   // an image that a task placed in this pass brings
-	detailed        bool     // ends and victims are known
+	m               *replica.Machine // nil: not there yet
+	coming          string           // an image that a task placed in this pass brings
+	detailed        bool             // ends and victims are known
 	// A reservation of EASY backfilling: only what ends by then, or fits
 	// beside the head job, may still start here.
 	shadow       time.Time
@@ -30,37 +31,23 @@
 	spareG       float64
 	spareM       float64
 	reservedFor  string
-	ends         []ending
-	victims      []victim
+	ends         []replica.Release
+	victims      []replica.Victim
 	recentErrors map[string]bool
 	kept         bool // whole and with cards, kept from arrays without
 	keptIdle     bool // the same, from idle arrays
 }
 
-// ending is a running task with the time its room is expected back.
-type ending struct {
-	at   time.Time
-	spec *protocol.Submission
-}
-
-// victim is a running task that other work may displace.
-type victim struct {
-	c     *claim
-	task  int
-	host  string
-	began time.Time
-}
-
-const eps = 1e-6
+const tolerance = 1e-6
 
 // holds tells whether a machine has an image, or has been given work that
 // brings it.
 func (r *room) holds(image string) bool {
-	return r.coming == image || (r.m != nil && r.m.holds(image))
+	return r.coming == image || (r.m != nil && r.m.HasImage(image))
 }
 
 func (r *room) fits(s *protocol.Submission) bool {
-	return r.cpus+eps >= s.CPUs && r.gpus+eps >= s.GPUs && r.mem+eps >= s.MemoryGB
+	return r.cpus+tolerance >= s.CPUs && r.gpus+tolerance >= s.GPUs && r.mem+tolerance >= s.MemoryGB
 }
 
 // takes tells whether new tasks of a job may go there, room left aside.
@@ -70,7 +57,7 @@
 
 // whole tells whether a machine with cards runs nothing.
 func (r *room) whole() bool {
-	return r.usable && r.total.GPUs > 0 && r.gpus+eps >= r.total.GPUs && r.cpus+eps >= r.total.CPUs
+	return r.usable && r.total.GPUs > 0 && r.gpus+tolerance >= r.total.GPUs && r.cpus+tolerance >= r.total.CPUs
 }
 
 // keepCards sets some whole machines with cards apart, for jobs that need the
@@ -108,7 +95,7 @@
 
 // canEver tells whether a task fits an empty machine of the type.
 func canEver(s *protocol.Submission, t *protocol.MachineType) bool {
-	return t.CPUs+eps >= s.CPUs && t.GPUs+eps >= s.GPUs && t.MemoryGB+eps >= s.MemoryGB
+	return t.CPUs+tolerance >= s.CPUs && t.GPUs+tolerance >= s.GPUs && t.MemoryGB+tolerance >= s.MemoryGB
 }
 
 // most is the most that any machine has free of each resource.
@@ -127,7 +114,7 @@
 }
 
 func (m most) fits(s *protocol.Submission) bool {
-	return m.cpus+eps >= s.CPUs && m.gpus+eps >= s.GPUs && m.mem+eps >= s.MemoryGB
+	return m.cpus+tolerance >= s.CPUs && m.gpus+tolerance >= s.GPUs && m.mem+tolerance >= s.MemoryGB
 }
 
 func (r *room) give(s *protocol.Submission) {
@@ -238,7 +225,7 @@
 	if s.Shape != protocol.ShapeService && est > 0 && !now.Add(est).After(r.shadow) {
 		return true
 	}
-	return r.spareC+eps >= s.CPUs && r.spareG+eps >= s.GPUs && r.spareM+eps >= s.MemoryGB
+	return r.spareC+tolerance >= s.CPUs && r.spareG+tolerance >= s.GPUs && r.spareM+tolerance >= s.MemoryGB
 }
 
 // slotAt is room for one task that a machine has at some time.
@@ -312,8 +299,8 @@
 	k := float64(tasks)
 	r.spareC, r.spareG, r.spareM = r.cpus-k*s.CPUs, r.gpus-k*s.GPUs, r.mem-k*s.MemoryGB
 	for _, e := range r.ends {
-		if !e.at.After(from) {
-			r.spareC, r.spareG, r.spareM = r.spareC+e.spec.CPUs, r.spareG+e.spec.GPUs, r.spareM+e.spec.MemoryGB
+		if !e.At.After(from) {
+			r.spareC, r.spareG, r.spareM = r.spareC+e.Spec.CPUs, r.spareG+e.Spec.GPUs, r.spareM+e.Spec.MemoryGB
 		}
 	}
 }
@@ -324,7 +311,7 @@
 	c, g, m, at := r.cpus, r.gpus, r.mem, now
 	fetch := r.fetch(s)
 	for i, found := 0, 0; found < most; {
-		if c+eps >= s.CPUs && g+eps >= s.GPUs && m+eps >= s.MemoryGB {
+		if c+tolerance >= s.CPUs && g+tolerance >= s.GPUs && m+tolerance >= s.MemoryGB {
 			out = append(out, slotAt{r, at, at.Add(fetch)})
 			c, g, m = c-s.CPUs, g-s.GPUs, m-s.MemoryGB
 			found++
@@ -335,8 +322,8 @@
 		}
 		e := r.ends[i]
 		i++
-		c, g, m = c+e.spec.CPUs, g+e.spec.GPUs, m+e.spec.MemoryGB
-		if at = e.at; at.Before(now) {
+		c, g, m = c+e.Spec.CPUs, g+e.Spec.GPUs, m+e.Spec.MemoryGB
+		if at = e.At; at.Before(now) {
 			at = now.Add(time.Second) // overdue
 		}
 	}
@@ -369,7 +356,7 @@
 // victims mean that there is room already.
 type eviction struct {
 	r       *room
-	victims []victim
+	victims []replica.Victim
 }
 
 // displaceFor plans the room for so many tasks that must start together, if all
@@ -388,7 +375,7 @@
 		cost := 0.0
 		for len(plan) < need {
 			at := choose(s, ref, try, &zr, 0, now)
-			var victims []victim
+			var victims []replica.Victim
 			if at < 0 || (!try[at].holds(s.Image) && s.ImageGB > 0) {
 				if i, v := displace(s, ref, try, &zr, ask, now); len(v) > 0 && (at < 0 || try[i].holds(s.Image)) {
 					at, victims = i, v
@@ -399,8 +386,8 @@
 			}
 			r := own(rooms, try, at)
 			for _, v := range victims {
-				cost += v.lost(now)
-				r.give(v.c.spec)
+				cost += v.LostWork(now)
+				r.give(v.Claim.Spec)
 			}
 			ask.took(victims)
 			r.victims = without(r.victims, victims)
@@ -419,24 +406,24 @@
 // they must start together. The rooms are left as they were.
 func displaceSome(u *unit, rooms []*room, z *zoneRule, ask *consent, now time.Time) []eviction {
 	if u.together() {
-		return displaceFor(u.spec, u.j.ref, rooms, z, u.waiting(), ask, now)
+		return displaceFor(u.spec, u.j.ID, rooms, z, u.waiting(), ask, now)
 	}
 	try := slices.Clone(rooms)
 	zr := zoneRule{use: maps.Clone(z.use), limit: z.limit, only: z.only}
 	var plan []eviction
 	for range min(u.waiting(), mostDisplaced) {
-		at, victims := displace(u.spec, u.j.ref, try, &zr, ask, now)
+		at, victims := displace(u.spec, u.j.ID, try, &zr, ask, now)
 		if len(victims) == 0 {
 			break
 		}
 		r := own(rooms, try, at)
 		for _, v := range victims {
-			r.give(v.c.spec)
+			r.give(v.Claim.Spec)
 		}
 		ask.took(victims)
 		r.victims = without(r.victims, victims)
 		r.take(u.spec)
-		r.hold(u.spec, u.j.ref, 0, now)
+		r.hold(u.spec, u.j.ID, 0, now)
 		zr.add(u.spec, r.zone)
 		plan = append(plan, eviction{rooms[at], victims})
 	}
@@ -470,16 +457,16 @@
 	return zones
 }
 
-func without(list, out []victim) []victim {
-	return slices.DeleteFunc(slices.Clone(list), func(x victim) bool {
-		return slices.ContainsFunc(out, func(v victim) bool { return v.c == x.c && v.task == x.task })
+func without(list, out []replica.Victim) []replica.Victim {
+	return slices.DeleteFunc(slices.Clone(list), func(x replica.Victim) bool {
+		return slices.ContainsFunc(out, func(v replica.Victim) bool { return v.Claim == x.Claim && v.Task == x.Task })
 	})
 }
 
 // displace chooses the machine where making room for one task of higher
 // priority throws the least work away, and the tasks to stop there.
-func displace(s *protocol.Submission, ref string, rooms []*room, z *zoneRule, ask *consent, now time.Time) (int, []victim) {
-	var best []victim
+func displace(s *protocol.Submission, ref string, rooms []*room, z *zoneRule, ask *consent, now time.Time) (int, []replica.Victim) {
+	var best []replica.Victim
 	at := -1
 	bestCost := math.Inf(1)
 	for i, r := range rooms {
@@ -490,18 +477,18 @@
 			continue
 		}
 		c, g, m, cost := r.cpus, r.gpus, r.mem, 0.0
-		var out []victim
+		var out []replica.Victim
 		for _, v := range r.victims {
-			if c+eps >= s.CPUs && g+eps >= s.GPUs && m+eps >= s.MemoryGB {
+			if c+tolerance >= s.CPUs && g+tolerance >= s.GPUs && m+tolerance >= s.MemoryGB {
 				break
 			}
-			if !ask.may(v.c.spec, out) {
+			if !ask.may(v.Claim.Spec, out) {
 				continue
 			}
-			c, g, m, cost = c+v.c.spec.CPUs, g+v.c.spec.GPUs, m+v.c.spec.MemoryGB, cost+v.lost(now)
+			c, g, m, cost = c+v.Claim.Spec.CPUs, g+v.Claim.Spec.GPUs, m+v.Claim.Spec.MemoryGB, cost+v.LostWork(now)
 			out = append(out, v)
 		}
-		if c+eps < s.CPUs || g+eps < s.GPUs || m+eps < s.MemoryGB || len(out) == 0 {
+		if c+tolerance < s.CPUs || g+tolerance < s.GPUs || m+tolerance < s.MemoryGB || len(out) == 0 {
 			continue
 		}
 		if !r.holds(s.Image) {
--- a/internal/coordination/controller/place_test.go
+++ b/internal/coordination/controller/place_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
@@ -30,7 +31,7 @@
 	short := &protocol.Submission{CPUs: 8, Shape: protocol.ShapeArray}
 	for i, after := range []time.Duration{0, 9, 30, 0, 20, 10} {
 		if rooms[i].cpus == 0 {
-			rooms[i].ends = []ending{{now.Add(after * time.Second), short}}
+			rooms[i].ends = []replica.Release{{At: now.Add(after * time.Second), Spec: short}}
 		}
 	}
 	gang := &protocol.Submission{Shape: protocol.ShapeGang, Tasks: 3, CPUs: 8, SameZone: true}
@@ -58,7 +59,7 @@
 	service := &protocol.Submission{Shape: protocol.ShapeService, CPUs: 8, PriorityClass: "critical"}
 	rooms := roomsFor(typ, 0, 0, 8)
 	for i, s := range []*protocol.Submission{array, service} {
-		rooms[i].victims = []victim{{c: &claim{spec: s, key: fmt.Sprint(i)}, began: now.Add(-time.Minute)}}
+		rooms[i].victims = []replica.Victim{{Claim: &replica.Claim{Spec: s, Key: fmt.Sprint(i)}, StartedAt: now.Add(-time.Minute)}}
 	}
 	gang := &protocol.Submission{Shape: protocol.ShapeGang, CPUs: 8, PriorityClass: "high"}
 	may := new(Controller).byRank(gang)
@@ -87,20 +88,20 @@
 	one := func() *records.Claim {
 		return &records.Claim{Shard: "n0", TaskCount: 2, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}}
 	}
-	n.epoch = 5
-	n.storeJob("wk-1", &records.Job{Spec: spec("wk-1"), ChunkSize: 2}, 3)
-	n.storeClaim(records.ClaimKey("wk-1", 0), one(), 5) // its second task is placed at 8
-	n.team("t").rec, n.team("t").stamp = records.TeamUsage{ByShard: map[string]protocol.Resources{"n0": {CPUs: 4}}}, 8
-	c := &claim{key: records.ClaimKey("wk-2", 0), ref: "wk-2", spec: spec("wk-2")}
+	n.view.Revision = 5
+	n.view.ApplyJob("wk-1", &records.Job{Spec: spec("wk-1"), ChunkSize: 2}, 3)
+	n.view.ApplyClaim(records.ClaimKey("wk-1", 0), one(), 5) // its second task is placed at 8
+	n.view.Team("t").Record, n.view.Team("t").Version = records.TeamUsage{ByShard: map[string]protocol.Resources{"n0": {CPUs: 4}}}, 8
+	c := &replica.Claim{Key: records.ClaimKey("wk-2", 0), JobID: "wk-2", Spec: spec("wk-2")}
 	if _, _, _, ok := n.reserveTeam("n0", c, one()); ok {
 		t.Fatal("the team has 4 of 4 CPUs by its record and was given 2 more")
 	}
-	n.team("t").rec.ByShard = map[string]protocol.Resources{"*": {CPUs: 4}} // the limit is allotted by newer sources
+	n.view.Team("t").Record.ByShard = map[string]protocol.Resources{"*": {CPUs: 4}} // the limit is allotted by newer sources
 	if _, _, _, ok := n.reserveTeam("n0", c, one()); ok {
 		t.Fatal("sources that know no allotments started something")
 	}
-	n.team("t").rec.ByShard = map[string]protocol.Resources{"n0": {CPUs: 4}}
-	n.epoch = 8 // all up to the record has been seen: the claim was in truth not changed
+	n.view.Team("t").Record.ByShard = map[string]protocol.Resources{"n0": {CPUs: 4}}
+	n.view.Revision = 8 // all up to the record has been seen: the claim was in truth not changed
 	if _, ops, _, ok := n.reserveTeam("n0", c, one()); !ok || ops[0].Value.(*records.TeamUsage).ByShard["n0"].CPUs != 4 {
 		t.Fatalf("the sum of all claims is 2 of 4 CPUs, and 2 more gave %v", ops)
 	}
@@ -112,9 +113,9 @@
 // decided a moment before a booking was not seen by it.
 func TestStartsDependOnLimitAndBookings(t *testing.T) {
 	n := New(Options{Settings: protocol.Settings{NodeName: "n0", Teams: map[string]protocol.Team{"t": {Name: "t", GuaranteedCPUs: 2, MaxCPUs: 8}}}, Policy: policy.Policy{Allotments: true}})
-	n.quota.ApplyLimit("t", &records.TeamLimit{Generation: 1, Max: protocol.Resources{CPUs: 8}, Base: map[string]protocol.Resources{"n0": {CPUs: 4}, "*": {CPUs: 4}}}, 11)
-	n.quota.ApplyReservations("t", &records.Reservations{}, 12)
-	c := &claim{key: records.ClaimKey("wk-1", 0), ref: "wk-1", spec: &protocol.Submission{JobID: "wk-1", Team: "t", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 2}}
+	n.view.Quota.ApplyLimit("t", &records.TeamLimit{Generation: 1, Max: protocol.Resources{CPUs: 8}, Base: map[string]protocol.Resources{"n0": {CPUs: 4}, "*": {CPUs: 4}}}, 11)
+	n.view.Quota.ApplyReservations("t", &records.Reservations{}, 12)
+	c := &replica.Claim{Key: records.ClaimKey("wk-1", 0), JobID: "wk-1", Spec: &protocol.Submission{JobID: "wk-1", Team: "t", Shape: protocol.ShapeArray, Tasks: 4, CPUs: 2}}
 	next := func(tasks int) *records.Claim {
 		r := &records.Claim{Shard: "n0", TaskCount: 4}
 		for i := range tasks {
@@ -130,12 +131,12 @@
 	if _, _, _, ok = n.reserveTeam("n0", c, next(3)); ok {
 		t.Fatal("6 CPUs were started within an allotment of 4")
 	}
-	c.rec = next(2)
+	c.Record = next(2)
 	if conds, _, _, ok = n.reserveTeam("n0", c, next(1)); !ok || !slices.Equal(conds, want[1:]) {
 		t.Fatal("an end:", conds, ok)
 	}
-	n.orphans["wk-9"] = map[string]*claim{"c/wk-9/0": {key: "c/wk-9/0", rec: next(1)}}
-	if _, _, _, ok = n.reserveTeam("n0", &claim{key: "c/wk-2/0", ref: "wk-2", spec: c.spec}, next(1)); ok {
+	n.view.OrphanClaims["wk-9"] = map[string]*replica.Claim{"c/wk-9/0": {Key: "c/wk-9/0", Record: next(1)}}
+	if _, _, _, ok = n.reserveTeam("n0", &replica.Claim{Key: "c/wk-2/0", JobID: "wk-2", Spec: c.Spec}, next(1)); ok {
 		t.Fatal("started beside a claim whose size nobody knows")
 	}
 }
--- a/internal/coordination/controller/queue.go
+++ b/internal/coordination/controller/queue.go
@@ -9,6 +9,7 @@
 
 	"madderslip/internal/coordination/placement"
 	"madderslip/internal/coordination/quota"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
@@ -21,12 +22,12 @@
 
 // unit is a queued chunk at one shard: unclaimed, or claimed with tasks left.
 type unit struct {
-	j     *job
-	c     *claim
+	j     *replica.Job
+	c     *replica.Claim
 	chunk int
 	spec  *protocol.Submission
 	due   bool // within its team's guarantee
-	trial bool // it fails wherever it runs: see onTrial
+	trial bool // it fails wherever it runs: see OnProbation
 	ahead bool // one task of it begins ahead of its turn
 	most  int  // tasks that may start now, where idle is set
 	idle  bool // of the lowest rank: it takes what others leave
@@ -34,11 +35,11 @@
 }
 
 func (u *unit) bounds() (first, count int) {
-	if u.c != nil && u.c.rec != nil {
-		return u.c.rec.FirstTask, u.c.rec.TaskCount
+	if u.c != nil && u.c.Record != nil {
+		return u.c.Record.FirstTask, u.c.Record.TaskCount
 	}
-	first = u.chunk * u.j.size
-	return first, min(u.j.size, u.spec.Tasks-first)
+	first = u.chunk * u.j.ChunkSize
+	return first, min(u.j.ChunkSize, u.spec.Tasks-first)
 }
 
 // waiting counts the unit's tasks that may be placed now.
@@ -52,8 +53,8 @@
 // left counts the unit's tasks that have no machine; of a job on trial one at most.
 func (u *unit) left() int {
 	_, count := u.bounds()
-	if u.c != nil && u.c.latest() != nil {
-		rec := u.c.latest()
+	if u.c != nil && u.c.Latest() != nil {
+		rec := u.c.Latest()
 		count = max(0, count-rec.CompletedCount()-len(rec.Placements))
 	}
 	if u.trial && u.spec.Shape != protocol.ShapeGang {
@@ -71,60 +72,60 @@
 const cardsRecent = 2 * time.Minute
 
 // queueOf is a shard's queue: by priority, then first come.
-func (n *Controller) queueOf(s *shard, now time.Time) []*unit {
+func (n *Controller) queueOf(s *replica.Shard, now time.Time) []*unit {
 	var q []*unit
-	for ref, j := range n.hungry {
-		if n.jobs[ref] != j || j.rec == nil || j.rec.Spec == nil || j.rec.IsFinal() {
-			delete(n.hungry, ref)
+	for ref, j := range n.view.Unplaced {
+		if n.view.Jobs[ref] != j || j.Record == nil || j.Record.Spec == nil || j.Record.IsFinal() {
+			delete(n.view.Unplaced, ref)
 			continue
 		}
-		trial := j.onTrial(now)
-		if now.Before(j.pause) || j.ev.InBackoff(now) || (trial && j.tried()) {
+		trial := j.OnProbation(now)
+		if now.Before(j.NotBefore) || j.Evidence.InBackoff(now) || (trial && j.ProbationRunning()) {
 			continue
 		}
-		queued := slices.Contains(j.rec.Shards, s.name) || now.Sub(j.seen) > widenAfter
+		queued := slices.Contains(j.Record.Shards, s.Name) || now.Sub(j.SeenAt) > widenAfter
 		fed := true
-		for i := range j.chunks {
-			c := j.claims[i]
+		for i := range j.Chunks {
+			c := j.Claims[i]
 			if c == nil && !queued {
 				fed = false
 				continue
 			}
 			if c == nil {
-				c = n.claimOf(j, i)
+				c = n.view.ClaimOf(j, i)
 			}
 			if c == nil {
 				fed = false
-				if now.After(j.lost[i]) {
-					q = append(q, &unit{j: j, chunk: i, spec: j.spec(), trial: trial})
+				if now.After(j.LeftUntil[i]) {
+					q = append(q, &unit{j: j, chunk: i, spec: j.Spec(), trial: trial})
 				}
 				continue
 			}
-			u := &unit{j: j, c: c, chunk: i, spec: j.spec(), trial: trial}
-			if c.pend == nil && u.waiting() == 0 {
+			u := &unit{j: j, c: c, chunk: i, spec: j.Spec(), trial: trial}
+			if c.Pending == nil && u.waiting() == 0 {
 				continue
 			}
 			fed = false
-			if c.rec != nil && c.rec.Shard == s.name && c.pend == nil && !now.Before(c.again) && (!c.halted() || len(c.rec.Placements) == 0) {
+			if c.Record != nil && c.Record.Shard == s.Name && c.Pending == nil && !now.Before(c.RetryAt) && (!c.Halted() || len(c.Record.Placements) == 0) {
 				q = append(q, u)
 			}
 		}
 		if fed {
-			delete(n.hungry, ref) // until a claim of it changes
+			delete(n.view.Unplaced, ref) // until a claim of it changes
 		}
 	}
 	slices.SortFunc(q, func(a, b *unit) int {
 		if a.spec.Priority() != b.spec.Priority() {
 			return b.spec.Priority() - a.spec.Priority()
 		}
-		if a.j.rec.AcceptedAtMs != b.j.rec.AcceptedAtMs {
-			if a.j.rec.AcceptedAtMs < b.j.rec.AcceptedAtMs {
+		if a.j.Record.AcceptedAtMs != b.j.Record.AcceptedAtMs {
+			if a.j.Record.AcceptedAtMs < b.j.Record.AcceptedAtMs {
 				return -1
 			}
 			return 1
 		}
 		if a.j != b.j {
-			return strings.Compare(a.j.ref, b.j.ref)
+			return strings.Compare(a.j.ID, b.j.ID)
 		}
 		return a.chunk - b.chunk
 	})
@@ -140,7 +141,7 @@
 	some := false
 	for _, u := range q {
 		u.ahead = u.spec.Shape == protocol.ShapeArray && !isIdle(u.spec) && u.chunk == 0 && !u.trial &&
-			placement.StartsAhead(now.Sub(u.j.queuedAt()), n.pol.StartAheadAfter, len(u.j.claims) > 0)
+			placement.StartsAhead(now.Sub(u.j.QueuedAt()), n.pol.StartAheadAfter, len(u.j.Claims) > 0)
 		some = some || u.ahead
 	}
 	if some {
@@ -150,44 +151,36 @@
 	}
 }
 
-// claimOf is the claim of a job's chunk, one that is being made included.
-func (n *Controller) claimOf(j *job, chunk int) *claim {
-	if c := j.claims[chunk]; c != nil {
-		return c
-	}
-	return n.claims[j.key(chunk)]
-}
-
 // rooms is what each machine of a shard has free: everything that is or may
 // be on it counts, recorded or only reported.
-func (n *Controller) rooms(s *shard, now time.Time) []*room { return n.roomsBut(s, "", now) }
+func (n *Controller) rooms(s *replica.Shard, now time.Time) []*room { return n.roomsBut(s, "", now) }
 
 // roomsBut is rooms, with what is held for the job but counted as free.
-func (n *Controller) roomsBut(s *shard, but string, now time.Time) []*room {
+func (n *Controller) roomsBut(s *replica.Shard, but string, now time.Time) []*room {
 	// The rooms of the last call are over: every caller is done with its own before
 	// anything else asks, and all hold the lock.
-	if cap(n.scratch.rooms) < len(s.machines) {
-		n.scratch.rooms = make([]room, len(s.machines)*5/4)
-		n.scratch.list = make([]*room, 0, len(s.machines)*5/4)
+	if cap(n.scratch.rooms) < len(s.Machines) {
+		n.scratch.rooms = make([]room, len(s.Machines)*5/4)
+		n.scratch.list = make([]*room, 0, len(s.Machines)*5/4)
 	}
-	all := n.scratch.rooms[:len(s.machines)]
+	all := n.scratch.rooms[:len(s.Machines)]
 	out := n.scratch.list[:0]
-	for i, m := range s.machines {
-		t := n.types[m.rec.Type]
+	for i, m := range s.Machines {
+		t := n.view.MachineTypes[m.Record.Type]
 		if t == nil {
 			continue
 		}
 		r := &all[i]
-		*r = room{ends: r.ends[:0], m: m, host: m.host, shard: s.name, typ: m.rec.Type, zone: m.rec.Zone, spot: m.rec.Spot, total: t}
-		r.cpus, r.gpus, r.mem = n.free(m)
+		*r = room{ends: r.ends[:0], m: m, host: m.Host, shard: s.Name, typ: m.Record.Type, zone: m.Record.Zone, spot: m.Record.Spot, total: t}
+		r.cpus, r.gpus, r.mem = n.view.FreeCapacity(m)
 		// What is of unknown size is being ended by housekeeping.
-		r.usable = m.rep != nil && !m.sick && !m.gone && !m.unclear && m.draining.IsZero() && m.warned.IsZero() && !m.returning && m.address() != "" &&
-			n.silence(m, now) < n.pol.SuspectAfter && now.After(m.denied) && len(m.unsure) == 0 && !m.hearing.CannotReceive() && !n.mute(m, now)
-		if m.rep == nil && !m.returning {
-			r.boots = time.UnixMilli(m.rec.RentedAtMs).Add(n.boots.Expected(m.bootKind(), t.BootTime(), now))
+		r.usable = m.Agent.Heartbeat != nil && !m.Quarantine.Active && !m.Lifecycle.Gone && !m.Capacity.UnknownUse && m.Lifecycle.DrainingSince.IsZero() && m.Agent.PreemptionNoticeAt.IsZero() && !m.Lifecycle.Returning && m.Address() != "" &&
+			n.silence(m, now) < n.pol.SuspectAfter && now.After(m.Quarantine.RejectingUntil) && len(m.Commands.Unknown) == 0 && !m.Detector.Reachability.CannotReceive() && !n.mute(m, now)
+		if m.Agent.Heartbeat == nil && !m.Lifecycle.Returning {
+			r.boots = time.UnixMilli(m.Record.RentedAtMs).Add(n.boots.Expected(m.BootKind(), t.BootTime(), now))
 		}
-		for _, ref := range m.ev.AvoidedBy(now) {
-			if j := n.jobs[ref]; j != nil && j.onTrial(now) {
+		for _, ref := range m.Quarantine.Evidence.AvoidedBy(now) {
+			if j := n.view.Jobs[ref]; j != nil && j.OnProbation(now) {
 				continue // the fault is its own, and where its image is costs least
 			}
 			if r.recentErrors == nil {
@@ -197,14 +190,14 @@
 		}
 		out = append(out, r)
 	}
-	if len(n.gathers) > 0 {
+	if len(n.view.GangReservations) > 0 {
 		byHost := make(map[string]*room, len(out))
 		for _, r := range out {
 			byHost[r.host] = r
 		}
 		n.chargeHolds(s, but, byHost)
 	}
-	if now.Sub(n.cardsAt) < cardsRecent {
+	if now.Sub(n.view.GPUJobSeenAt) < cardsRecent {
 		cards := 0
 		for _, r := range out {
 			if r.total.GPUs > 0 {
@@ -226,107 +219,97 @@
 			continue
 		}
 		r.detailed = true
-		if r.m.undetailed {
+		if r.m.Capacity.DetailsStale {
 			n.detailMachine(r.m, now)
 		}
-		r.ends = append(r.ends, r.m.ends...)
-		r.victims = r.m.victims
+		r.ends = append(r.ends, r.m.Capacity.Releases...)
+		r.victims = r.m.Capacity.Victims
 	}
 }
 
-func (n *Controller) detailMachine(m *machine, now time.Time) {
-	m.undetailed = false
-	m.ends, m.victims = m.ends[:0], nil // the list may still be in use by a pass
-	for _, name := range slices.Sorted(maps.Keys(m.use.places)) {
-		p := m.use.places[name]
-		if p.c.spec == nil || p.exited(m) {
+func (n *Controller) detailMachine(m *replica.Machine, now time.Time) {
+	m.Capacity.DetailsStale = false
+	m.Capacity.Releases, m.Capacity.Victims = m.Capacity.Releases[:0], nil // the list may still be in use by a pass
+	for _, name := range slices.Sorted(maps.Keys(m.Use.Slots)) {
+		p := m.Use.Slots[name]
+		if p.Claim.Spec == nil || p.Exited(m) {
 			continue
 		}
 		n.noteEnding(m, p, now)
 	}
 	// Most likely to be displaced first; the order is the same every time.
-	slices.SortFunc(m.victims, func(a, b victim) int {
-		return cmp.Or(cmp.Compare(a.c.spec.Priority(), b.c.spec.Priority()), cmp.Compare(a.lost(now), b.lost(now)), strings.Compare(a.c.key, b.c.key), cmp.Compare(a.task, b.task))
+	slices.SortFunc(m.Capacity.Victims, func(a, b replica.Victim) int {
+		return cmp.Or(cmp.Compare(a.Claim.Spec.Priority(), b.Claim.Spec.Priority()), cmp.Compare(a.LostWork(now), b.LostWork(now)), strings.Compare(a.Claim.Key, b.Claim.Key), cmp.Compare(a.Task, b.Task))
 	})
-	slices.SortStableFunc(m.ends, func(a, b ending) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(m.Capacity.Releases, func(a, b replica.Release) int { return a.At.Compare(b.At) })
 }
 
-func (n *Controller) noteEnding(m *machine, p *place, now time.Time) {
-	c := p.c
-	began, running := m.running[p.name]
+func (n *Controller) noteEnding(m *replica.Machine, p *replica.Slot, now time.Time) {
+	c := p.Claim
+	began, running := m.Agent.RunningSince[p.TaskName]
 	if !running {
 		began = now
 	}
-	_, evicted := c.evict[p.task]
-	if c.spec.Shape != protocol.ShapeService {
-		at := began.Add(n.estimate(c.spec))
+	_, evicted := c.Evictions[p.Task]
+	if c.Spec.Shape != protocol.ShapeService {
+		at := began.Add(n.estimate(c.Spec))
 		if evicted {
 			at = now.Add(300 * time.Millisecond)
 		}
-		m.ends = append(m.ends, ending{at, c.spec})
+		m.Capacity.Releases = append(m.Capacity.Releases, replica.Release{At: at, Spec: c.Spec})
 	}
 	if evicted {
 		return
 	}
-	if c.spec.Shape == protocol.ShapeGang && c.spec.Tasks > 1 {
+	if c.Spec.Shape == protocol.ShapeGang && c.Spec.Tasks > 1 {
 		return // stopping one task of a gang would end them all
 	}
-	if m.tasks[p.name] == nil {
+	if m.Agent.Tasks[p.TaskName] == nil {
 		return // not there yet: it cannot be stopped
 	}
-	m.victims = append(m.victims, victim{c: c, task: p.task, host: m.host, began: began})
-}
-
-// lost is the CPU time that displacing it now would throw away.
-func (v *victim) lost(now time.Time) float64 {
-	s := v.c.spec
-	lost := now.Sub(v.began).Seconds()
-	if s.CheckpointIntervalS > 0 {
-		lost = min(lost, s.CheckpointS)
-	}
-	return max(lost, 0) * max(s.CPUs, 1)
+	m.Capacity.Victims = append(m.Capacity.Victims, replica.Victim{Claim: c, Task: p.Task, Host: m.Host, StartedAt: began})
 }
 
 // evict has a placement stopped.
-func (n *Controller) evict(c *claim, task int, now time.Time) {
-	if c.evict == nil {
-		c.evict = make(map[int]time.Time)
-	}
-	c.evict[task] = now
-	for _, p := range c.placesInOrder() {
-		if p.task == task {
-			p.at.touch()
+func (n *Controller) evict(c *replica.Claim, task int, now time.Time) {
+	if c.Evictions == nil {
+		c.Evictions = make(map[int]time.Time)
+	}
+	c.Evictions[task] = now
+	for _, p := range c.SortedSlots() {
+		if p.Task == task {
+			p.Host.Invalidate()
 			n.stopEvicted(c, p, now)
 		}
 	}
-	n.mark(c)
+	n.view.MarkDirty(c)
 }
 
 // stopEvicted sends the stop at once: settling waits while a version of the
 // claim is being committed, and under load that took longer than the room made
 // could be held.
-func (n *Controller) stopEvicted(c *claim, p *place, now time.Time) {
-	m := p.at.m
-	if m == nil || !n.active(n.shards[m.rec.Shard]) {
+func (n *Controller) stopEvicted(c *replica.Claim, p *replica.Slot, now time.Time) {
+	m := p.Host.Machine
+	if m == nil || !n.view.IsActive(n.view.Shards[m.Record.Shard]) {
 		return
 	}
-	s := n.shards[m.rec.Shard]
-	t := m.tasks[p.name]
-	if t == nil || t.Attempt != p.try || t.Phase == protocol.TaskExited || !m.settled(s) {
+	s := n.view.Shards[m.Record.Shard]
+	t := m.Agent.Tasks[p.TaskName]
+	if t == nil || t.Attempt != p.Attempt || t.Phase == protocol.TaskExited || !m.ShowsToken(s) {
 		return
 	}
-	if grace, stop := n.wantStop(c, &records.Placement{Task: p.task, Attempt: p.try, Host: m.host}, now); stop {
-		m.stopped[p.name] = now
-		n.order(s, m, protocol.StopCommand(p.name, p.try, grace))
+	if grace, stop := n.wantStop(c, &records.Placement{Task: p.Task, Attempt: p.Attempt, Host: m.Host}, now); stop {
+		m.Commands.StopSentAt[p.TaskName] = now
+		n.order(s, m, protocol.StopCommand(p.TaskName, p.Attempt, grace))
 	}
 }
 
 // schedule is one pass over a shard's queue: first come first served within a
 // priority, with EASY backfilling around a reservation for the head job.
-func (n *Controller) schedule(s *shard, now time.Time) {
+func (n *Controller) schedule(s *replica.Shard, now time.Time) {
 	q := n.queueOf(s, now)
 	w := &wishes{of: make(map[string]*quota.Demand), looked: make(map[string]int), started: make(map[string]bool)}
-	defer n.tellWishes(s.name, w, now)
+	defer n.tellWishes(s.Name, w, now)
 	if len(q) == 0 {
 		return
 	}
@@ -366,23 +349,23 @@
 		if (failedSpecs[key] && !u.owed) || n.heldUp(s, u, rooms, w, now) || (saving && u.spec.Shape == protocol.ShapeArray) {
 			continue
 		}
-		if n.plans[u.j.ref] == nil && !u.trial && n.displaceForImage(s, u, rooms, now) {
+		if n.plans[u.j.ID] == nil && !u.trial && n.displaceForImage(s, u, rooms, now) {
 			free, counted = free.with(rooms), false
 			continue // it starts there as soon as the displaced tasks are gone
 		}
 		placed, short := n.placeUnit(s, u, rooms, now)
 		if placed {
 			counted = false
-			delete(n.plans, u.j.ref)
+			delete(n.plans, u.j.ID)
 			w.started[u.spec.Team] = true
 		}
-		if !short || placed || n.plans[u.j.ref] != nil || u.trial {
+		if !short || placed || n.plans[u.j.ID] != nil || u.trial {
 			continue
 		}
 		// Where its tasks are may keep a unit from room that others could use.
 		// So may its own failures there, which say nothing about others alike.
-		failedSpecs[key] = ((!u.spec.SpreadZones && !u.spec.SameZone) || u.c == nil || len(u.c.rec.Placements) == 0) &&
-			!slices.ContainsFunc(rooms, func(r *room) bool { return r.recentErrors[u.j.ref] })
+		failedSpecs[key] = ((!u.spec.SpreadZones && !u.spec.SameZone) || u.c == nil || len(u.c.Record.Placements) == 0) &&
+			!slices.ContainsFunc(rooms, func(r *room) bool { return r.recentErrors[u.j.ID] })
 		if blocked && u.spec.Shape == protocol.ShapeArray && !u.due {
 			continue
 		}
@@ -396,7 +379,7 @@
 		if u.together() {
 			need = u.waiting()
 		}
-		held, start := reserve(u.spec, u.j.ref, rooms, &z, need, now)
+		held, start := reserve(u.spec, u.j.ID, rooms, &z, need, now)
 		if held == nil || start.After(n.startBy(u, rooms, &z, now)) {
 			if n.makeRoom(s, u, rooms, now) {
 				free, counted = free.with(rooms), false
@@ -426,7 +409,7 @@
 			best = at
 		}
 	}
-	if by := u.j.heir.by; !by.IsZero() {
+	if by := u.j.Inherited.FinishBy; !by.IsZero() {
 		if at := by.Add(-n.estimate(u.spec)); at.After(soonest) && (best.IsZero() || at.Before(best)) {
 			best = at
 		}
@@ -443,12 +426,12 @@
 // displaceForImage makes room for a service or a gang of one on a machine that
 // holds its image, when all the free room is on machines that would fetch it
 // for longer than the job's start may take.
-func (n *Controller) displaceForImage(s *shard, u *unit, rooms []*room, now time.Time) bool {
+func (n *Controller) displaceForImage(s *replica.Shard, u *unit, rooms []*room, now time.Time) bool {
 	if u.spec.Shape == protocol.ShapeArray || u.together() {
 		return false
 	}
 	z := n.zonesOf(u)
-	i := choose(u.spec, u.j.ref, rooms, &z, 0, now)
+	i := choose(u.spec, u.j.ID, rooms, &z, 0, now)
 	if i < 0 || rooms[i].holds(u.spec.Image) {
 		return false
 	}
@@ -457,7 +440,7 @@
 		return false
 	}
 	n.detail(rooms, now)
-	at, victims := displace(u.spec, u.j.ref, rooms, &z, n.byRank(u.spec), now)
+	at, victims := displace(u.spec, u.j.ID, rooms, &z, n.byRank(u.spec), now)
 	return len(victims) > 0 && rooms[at].holds(u.spec.Image) && n.makeRoom(s, u, rooms, now)
 }
 
@@ -469,12 +452,12 @@
 func (n *Controller) objectiveStart(o protocol.Objective, u *unit) (time.Time, bool) {
 	switch {
 	case o.Kind == "guarantee" && n.dueTasks(u) > 0, o.Kind == "wait" && o.Class == u.spec.Class:
-		return u.j.seen.Add(o.Within), true
+		return u.j.SeenAt.Add(o.Within), true
 	case o.Kind == "finished" && o.Class == u.spec.Class:
-		return u.j.seen.Add(o.Within - n.estimate(u.spec)), true
+		return u.j.SeenAt.Add(o.Within - n.estimate(u.spec)), true
 	case o.Kind == "deadline" && o.Class == u.spec.Class && u.spec.Deadline() > 0:
 		due := time.Duration(float64(u.spec.Deadline()) * max(o.DeadlineFactor, 1))
-		return u.j.submitted().Add(due - n.estimate(u.spec)), true
+		return u.j.SubmittedAt().Add(due - n.estimate(u.spec)), true
 	}
 	return time.Time{}, false
 }
@@ -498,38 +481,24 @@
 	if u.c == nil || (!u.spec.SpreadZones && !u.spec.SameZone && u.spec.Shape != protocol.ShapeService) {
 		return newZoneRule(u.spec, nil)
 	}
-	return newZoneRule(u.spec, n.zonesTaken(u.c))
-}
-
-// zonesTaken lists the zones of a claim's placements, a zone for each.
-func (n *Controller) zonesTaken(c *claim) []string {
-	var zones []string
-	if c.rec == nil {
-		return nil
-	}
-	for _, p := range c.rec.Placements {
-		if m := n.machines[p.Host]; m != nil {
-			zones = append(zones, m.rec.Zone)
-		}
-	}
-	return zones
+	return newZoneRule(u.spec, n.view.ZonesOf(u.c))
 }
 
 // placeUnit places as many tasks of a unit as there is room for. short is true
 // when tasks are left for want of room.
-func (n *Controller) placeUnit(s *shard, u *unit, rooms []*room, now time.Time) (placed, short bool) {
+func (n *Controller) placeUnit(s *replica.Shard, u *unit, rooms []*room, now time.Time) (placed, short bool) {
 	z := n.zonesOf(u)
-	if choose(u.spec, u.j.ref, rooms, &z, n.estimate(u.spec), now) < 0 && !(u.owed && releaseCards(u.spec, u.j.ref, rooms, &z)) {
+	if choose(u.spec, u.j.ID, rooms, &z, n.estimate(u.spec), now) < 0 && !(u.owed && releaseCards(u.spec, u.j.ID, rooms, &z)) {
 		return false, true // mostly so when much waits; copying the claim first cost more than all else
 	}
 	first, count := u.bounds()
-	next := &records.Claim{Shard: s.name, FirstTask: first, TaskCount: count}
+	next := &records.Claim{Shard: s.Name, FirstTask: first, TaskCount: count}
 	if u.c != nil {
-		next = u.c.rec.Clone()
+		next = u.c.Record.Clone()
 	}
 	need := u.waiting()
 	whole := u.spec.Shape == protocol.ShapeGang
-	picks := n.pickHosts(s.name, u, next, rooms, &z, now)
+	picks := n.pickHosts(s.Name, u, next, rooms, &z, now)
 	if whole && u.spec.SameZone && len(picks) < need {
 		// The best machine for the first task may be in a zone without room for the
 		// rest: such a gang waited for ever beside another zone's free machines.
@@ -541,7 +510,7 @@
 				continue
 			}
 			z.only = zone
-			if picks = n.pickHosts(s.name, u, next, rooms, &z, now); len(picks) == need {
+			if picks = n.pickHosts(s.Name, u, next, rooms, &z, now); len(picks) == need {
 				break
 			}
 		}
@@ -557,17 +526,17 @@
 	if u.spec.SpreadZones {
 		patience = widenAfter + 2*time.Second
 	}
-	if u.c == nil && u.spec.Shape == protocol.ShapeService && len(picks) < need && now.Sub(u.j.seen) < patience {
+	if u.c == nil && u.spec.Shape == protocol.ShapeService && len(picks) < need && now.Sub(u.j.SeenAt) < patience {
 		undo(u.spec, picks, rooms)
 		return false, true
 	}
 	// Copies of an array wait at several shards: one that could start only a few
 	// of the tasks leaves the chunk to a better one for a while.
-	if u.c == nil && u.spec.Shape == protocol.ShapeArray && 2*len(picks) < need && now.Sub(u.j.seen) < 2*time.Second {
+	if u.c == nil && u.spec.Shape == protocol.ShapeArray && 2*len(picks) < need && now.Sub(u.j.SeenAt) < 2*time.Second {
 		undo(u.spec, picks, rooms)
 		return false, true
 	}
-	if whole && u.c != nil && len(u.c.rec.Placements) > 0 {
+	if whole && u.c != nil && len(u.c.Record.Placements) > 0 {
 		undo(u.spec, picks, rooms)
 		return false, false // the old attempt has to be gone first
 	}
@@ -617,7 +586,7 @@
 		if open[t] || rec.IsCompleted(t) {
 			continue
 		}
-		i := choose(u.spec, u.j.ref, rooms, z, est, now)
+		i := choose(u.spec, u.j.ID, rooms, z, est, now)
 		if i < 0 {
 			break
 		}
--- a/internal/coordination/controller/refresh_test.go
+++ b/internal/coordination/controller/refresh_test.go
@@ -8,6 +8,7 @@
 	"testing/synctest"
 	"time"
 
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
@@ -39,13 +40,13 @@
 			key := records.ClaimKey("wk-1", 0)
 			led := &lossy{unread: 20, item: kv.Item{Key: key, Version: 9, Value: []byte(`{"h":"n0","n":1,"o":[[0,1,"vm-1"]],"a":1}`)}}
 			n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: led, Log: slog.New(slog.DiscardHandler)})
-			c := &claim{key: key, ref: "wk-1", spec: &protocol.Submission{JobID: "wk-1", Team: "t", CPUs: 2, Shape: protocol.ShapeArray}}
+			c := &replica.Claim{Key: key, JobID: "wk-1", Spec: &protocol.Submission{JobID: "wk-1", Team: "t", CPUs: 2, Shape: protocol.ShapeArray}}
 			n.mu.Lock()
-			n.claims[key] = c
-			n.setPend(c, &records.Claim{Shard: "n0", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}})
+			n.view.Claims[key] = c
+			n.view.SetPending(c, &records.Claim{Shard: "n0", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}})
 			done := time.Time{}
-			n.commit(kv.PriorityArrayClaim, []kv.Compare{{Key: key}}, []kv.Op{{Key: key, Value: c.pend}}, within, func(error) {
-				n.setPend(c, nil)
+			n.commit(kv.PriorityArrayClaim, []kv.Compare{{Key: key}}, []kv.Op{{Key: key, Value: c.Pending}}, within, func(error) {
+				n.view.SetPending(c, nil)
 				done = time.Now()
 			})
 			n.mu.Unlock()
@@ -53,14 +54,14 @@
 			led.txn.OnResult(kv.Result{Err: kv.ErrCompareFailed, FailedKeys: []string{key}, Revision: 9})
 			time.Sleep(time.Second)
 			n.mu.Lock()
-			if use := n.usedBy("t", "n0"); within == 0 && (use.CPUs != 2 || !done.IsZero()) {
+			if use := n.view.UsedBy("t", "n0"); within == 0 && (use.CPUs != 2 || !done.IsZero()) {
 				t.Errorf("uses %v before anybody knows", use)
 			}
 			n.mu.Unlock()
 			time.Sleep(time.Minute)
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			if use := n.usedBy("t", "n0"); within == 0 && (use.CPUs != 2 || c.rec == nil) {
+			if use := n.view.UsedBy("t", "n0"); within == 0 && (use.CPUs != 2 || c.Record == nil) {
 				t.Errorf("uses %v though it was carried out", use)
 			}
 			if within > 0 && done.Sub(began) > 2*time.Second {
--- a/internal/coordination/controller/settle.go
+++ b/internal/coordination/controller/settle.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"madderslip/internal/coordination/admission"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
@@ -44,9 +45,9 @@
 		n.mu.Lock()
 		began := time.Now()
 		n.look(began)
-		urgent := n.pressing
-		if n.loaded {
-			n.pressing = false
+		urgent := n.view.Urgent
+		if n.view.Loaded {
+			n.view.Urgent = false
 			n.pass(began)
 		}
 		n.mu.Unlock()
@@ -59,23 +60,23 @@
 func (n *Controller) pass(now time.Time) {
 	n.expirePlans(now)
 	n.passRanksOn(now)
-	for _, name := range n.shardNames() {
-		s := n.shards[name]
-		if !n.active(s) {
+	for _, name := range n.view.ShardNames() {
+		s := n.view.Shards[name]
+		if !n.view.IsActive(s) {
 			continue
 		}
-		if now.Sub(s.swept) > sweepEvery {
-			n.markAll(s)
+		if now.Sub(s.SweptAt) > sweepEvery {
+			n.view.MarkAllDirty(s)
 		}
 		n.settle(s, now)
 		n.hold(s, now)
 		// Nothing has changed: the queue would only find what it found before.
-		if s.stirred || now.Sub(s.passed) >= passEvery {
-			s.stirred, s.passed = false, now
+		if s.Changed || now.Sub(s.ScheduledAt) >= passEvery {
+			s.Changed, s.ScheduledAt = false, now
 			n.schedule(s, now)
 		}
 	}
-	if n.leading() {
+	if n.isLeader() {
 		n.gather(now)
 	}
 	n.share(now)
@@ -96,14 +97,14 @@
 // budget on a bad day, until the process ended for memory, and the watch behind
 // them was so late that cancelled tasks ran on.
 func (n *Controller) lookUps(now time.Time) {
-	if n.lookingUp || len(n.orphans) == 0 {
+	if n.lookingUp || len(n.view.OrphanClaims) == 0 {
 		return
 	}
 	var refs []string
-	for _, ref := range slices.Sorted(maps.Keys(n.orphans)) {
+	for _, ref := range slices.Sorted(maps.Keys(n.view.OrphanClaims)) {
 		due := true
-		for _, c := range n.orphans[ref] {
-			due = due && c.again.Before(now)
+		for _, c := range n.view.OrphanClaims[ref] {
+			due = due && c.RetryAt.Before(now)
 		}
 		if due && len(refs) < lookUpsAtOnce {
 			refs = append(refs, ref)
@@ -135,23 +136,23 @@
 const lookUpWithin = 2 * time.Second
 
 func (n *Controller) lookedUp(ref string, it kv.Item, err error) {
-	for _, c := range n.orphans[ref] {
-		c.again = time.Now().Add(time.Second)
+	for _, c := range n.view.OrphanClaims[ref] {
+		c.RetryAt = time.Now().Add(time.Second)
 	}
-	if err != nil || it.Value == nil || !n.hasClaims(ref) || n.jobs[ref] != nil {
+	if err != nil || it.Value == nil || !n.view.HasClaims(ref) || n.view.Jobs[ref] != nil {
 		return
 	}
-	delete(n.final, ref)
-	delete(n.stamps, it.Key)
-	n.take(it)
+	delete(n.view.FinalJobs, ref)
+	delete(n.view.Versions, it.Key)
+	n.view.ApplyItem(it)
 }
 
 // settle works through the claims of a shard: what has ended is booked, what
 // should run is started, what should not is stopped.
-func (n *Controller) settle(s *shard, now time.Time) {
-	for _, c := range n.dirtyClaims(s, now) {
-		j := n.jobs[c.ref]
-		if c.rec == nil || c.pend != nil || j == nil || c.spec == nil {
+func (n *Controller) settle(s *replica.Shard, now time.Time) {
+	for _, c := range n.view.TakeDirtyClaims(s, now) {
+		j := n.view.Jobs[c.JobID]
+		if c.Record == nil || c.Pending != nil || j == nil || c.Spec == nil {
 			continue // marked again when that changes
 		}
 		n.settleClaim(s, j, c, now)
@@ -168,32 +169,32 @@
 	gone
 )
 
-func (n *Controller) settleClaim(s *shard, j *job, c *claim, now time.Time) {
-	next := c.rec.Clone()
+func (n *Controller) settleClaim(s *replica.Shard, j *replica.Job, c *replica.Claim, now time.Time) {
+	next := c.Record.Clone()
 	next.Placements = next.Placements[:0]
-	changed, pressing, uneasy := false, n.limited(c.spec) && (!n.quota.IsAllotted(c.spec.Team) || n.quota.IsDemanded(c.spec.Team)), j.rec.IsFinal()
-	if c.spec.Shape == protocol.ShapeGang && len(c.rec.Placements) > 0 && len(c.rec.Placements)+c.rec.CompletedCount() < c.rec.TaskCount {
-		c.halt = c.rec.LastAttempt // it was placed whole, so a task has been lost
+	changed, pressing, uneasy := false, n.limited(c.Spec) && (!n.view.Quota.IsAllotted(c.Spec.Team) || n.view.Quota.IsDemanded(c.Spec.Team)), j.Record.IsFinal()
+	if c.Spec.Shape == protocol.ShapeGang && len(c.Record.Placements) > 0 && len(c.Record.Placements)+c.Record.CompletedCount() < c.Record.TaskCount {
+		c.HaltedAttempt = c.Record.LastAttempt // it was placed whole, so a task has been lost
 	}
-	for i := range c.rec.Placements {
-		p := &c.rec.Placements[i]
-		if m := n.machines[p.Host]; c.rec.Shard == "" && m != nil && m.rec.Shard != s.name {
+	for i := range c.Record.Placements {
+		p := &c.Record.Placements[i]
+		if m := n.view.Machines[p.Host]; c.Record.Shard == "" && m != nil && m.Record.Shard != s.Name {
 			next.Placements = append(next.Placements, *p) // its own shard's owner judges it
 			continue
 		}
 		switch n.judge(s, j, c, p, now) {
 		case completed:
 			next.MarkCompleted(p.Task)
-			delete(c.evict, p.Task)
+			delete(c.Evictions, p.Task)
 			changed = true
 		case gone:
-			if _, moved := c.evict[p.Task]; !moved && c.spec.Shape == protocol.ShapeService && !j.rec.IsFinal() {
-				n.log.Info("replica lost", "task", protocol.TaskName(c.ref, p.Task), "try", p.Attempt, "host", p.Host)
+			if _, moved := c.Evictions[p.Task]; !moved && c.Spec.Shape == protocol.ShapeService && !j.Record.IsFinal() {
+				n.log.Info("replica lost", "task", protocol.TaskName(c.JobID, p.Task), "try", p.Attempt, "host", p.Host)
 			}
-			delete(c.evict, p.Task)
+			delete(c.Evictions, p.Task)
 			changed, pressing = true, true
-			if c.spec.Shape == protocol.ShapeGang && len(c.rec.Placements) > 1 {
-				c.halt = c.rec.LastAttempt
+			if c.Spec.Shape == protocol.ShapeGang && len(c.Record.Placements) > 1 {
+				c.HaltedAttempt = c.Record.LastAttempt
 			}
 		case unsettled:
 			uneasy = true
@@ -203,77 +204,77 @@
 		}
 	}
 	n.flush(s)
-	if c.spec.Shape == protocol.ShapeGang && next.CompletedCount() > 0 && !next.IsComplete() {
+	if c.Spec.Shape == protocol.ShapeGang && next.CompletedCount() > 0 && !next.IsComplete() {
 		// A gang completes together: if one task is done, every one is.
 		for t := next.FirstTask; t < next.FirstTask+next.TaskCount; t++ {
 			next.MarkCompleted(t)
 		}
 		changed = true
 	}
-	if next.IsComplete() && c.spec.Shape != protocol.ShapeService && !j.rec.IsFinal() {
+	if next.IsComplete() && c.Spec.Shape != protocol.ShapeService && !j.Record.IsFinal() {
 		if n.finishJob(s, j, c, next) {
 			return
 		}
 		pressing, uneasy = true, true // the job's other chunks wait for this one
 	}
-	if j.rec.IsFinal() && len(next.Placements) == 0 {
+	if j.Record.IsFinal() && len(next.Placements) == 0 {
 		n.dropClaim(s, c)
 		return
 	}
 	if changed {
-		if c.ripe.IsZero() {
-			c.ripe = now
+		if c.CompletionSeenAt.IsZero() {
+			c.CompletionSeenAt = now
 		}
 		// A completion alone can wait a little for others: until it is booked
 		// its worker goes on listing it, and its room counts as free already.
 		// One write for each of some hundred tasks a second is beyond the
 		// state service's budget.
-		if (pressing || now.Sub(c.ripe) >= n.pol.CompletionBatchDelay) && n.update(s, c, next, kv.PriorityCompletion, nil) {
+		if (pressing || now.Sub(c.CompletionSeenAt) >= n.pol.CompletionBatchDelay) && n.update(s, c, next, kv.PriorityCompletion, nil) {
 			return
 		}
 		uneasy = true
 	}
 	if uneasy {
-		c.look = now.Add(lookAgain)
-		s.dirty[c] = struct{}{}
+		c.CheckAt = now.Add(lookAgain)
+		s.Dirty[c] = struct{}{}
 	}
 }
 
 // judge decides a placement's fate from proof alone: the worker's own account
 // under the current token with no command outstanding, or a machine that the
 // cloud has taken back. Silence proves nothing.
-func (n *Controller) judge(s *shard, j *job, c *claim, p *records.Placement, now time.Time) fate {
-	m := n.machines[p.Host]
+func (n *Controller) judge(s *replica.Shard, j *replica.Job, c *replica.Claim, p *records.Placement, now time.Time) fate {
+	m := n.view.Machines[p.Host]
 	if m == nil {
 		return onMachine
 	}
-	name := c.nameOf(p)
-	t := m.tasks[name]
+	name := c.TaskName(p)
+	t := m.Agent.Tasks[name]
 	if t != nil && t.Attempt == p.Attempt && t.Phase == protocol.TaskExited && t.Cause == protocol.CauseDone {
 		// Done it is for ever, but an account under an earlier token does not prove
 		// that it is off the machine: its worker's session may have ended since, and
 		// another owner of the shard may have started it again there. Freed on such
 		// an account, a limited team's use was lowered while the task ran.
-		if !m.settled(s) && !m.gone && m.rec.State != records.MachineGone {
+		if !m.ShowsToken(s) && !m.Lifecycle.Gone && m.Record.State != records.MachineGone {
 			return unsettled
 		}
-		n.learn(j, c.spec, m, name, now)
+		n.learn(j, c.Spec, m, name, now)
 		return completed
 	}
-	if m.gone || m.rec.State == records.MachineGone {
+	if m.Lifecycle.Gone || m.Record.State == records.MachineGone {
 		return gone
 	}
-	if m.rep == nil {
+	if m.Agent.Heartbeat == nil {
 		return onMachine
 	}
 	grace, stop := n.wantStop(c, p, now)
 	switch {
 	case t != nil && t.Attempt == p.Attempt && t.Phase == protocol.TaskExited:
-		if !m.settled(s) {
+		if !m.ShowsToken(s) {
 			return unsettled
 		}
-		if m.outstanding(name, p.Attempt) {
-			s.wantRaise(m)
+		if m.HasUnconfirmedStart(name, p.Attempt) {
+			s.RequestNewToken(m)
 			return unsettled
 		}
 		if t.Cause == protocol.CauseGangTimeout && !stop {
@@ -289,22 +290,22 @@
 		if !stop {
 			return onMachine
 		}
-		if now.Sub(m.stopped[name]) > resendGap && (t.Phase != protocol.TaskCheckpointing || grace == 0) {
-			m.stopped[name] = now
+		if now.Sub(m.Commands.StopSentAt[name]) > resendGap && (t.Phase != protocol.TaskCheckpointing || grace == 0) {
+			m.Commands.StopSentAt[name] = now
 			n.order(s, m, protocol.StopCommand(name, p.Attempt, grace))
 		}
 		return unsettled
 	case t != nil: // another attempt of it is still there
 		return unsettled
-	case !m.settled(s):
+	case !m.ShowsToken(s):
 		return unsettled
-	case stop, n.overUsed(c.spec), m.hearing.CannotReceive(), n.mute(m, now) && !n.stateDown(now):
+	case stop, n.overUsed(c.Spec), m.Detector.Reachability.CannotReceive(), n.mute(m, now) && !n.stateDown(now):
 		// Also what a limit lowered since leaves no room for: what runs may go on, what is
 		// not there may not begin. A machine that does not hear would not begin it, and one
 		// that does not report would lose it with its lease, which is more than an outage
 		// lets begin elsewhere.
-		if m.outstanding(name, p.Attempt) {
-			s.wantRaise(m)
+		if m.HasUnconfirmedStart(name, p.Attempt) {
+			s.RequestNewToken(m)
 			return unsettled
 		}
 		return gone // it never started, and now never will
@@ -312,9 +313,9 @@
 	// Committed but not there: started by no one, or lost with the worker's
 	// session. The same attempt may start again, for nothing else can hold it, unless
 	// its job may have been cancelled where this node can't hear of it.
-	if !n.hearsNobody(now) && !slices.ContainsFunc(m.queue, isStart(name)) && !slices.ContainsFunc(m.inflight, isStart(name)) &&
-		now.Sub(m.tried[name]) > resendGap && m.rec.State == "" {
-		m.tried[name] = now
+	if !n.hearsNobody(now) && !slices.ContainsFunc(m.Commands.Pending, isStart(name)) && !slices.ContainsFunc(m.Commands.InFlight, isStart(name)) &&
+		now.Sub(m.Commands.StartSentAt[name]) > resendGap && m.Record.State == "" {
+		m.Commands.StartSentAt[name] = now
 		n.order(s, m, protocol.StartCommand(name, p.Attempt))
 	}
 	return unsettled
@@ -322,13 +323,13 @@
 
 // bookDone takes completions that are not booked yet into a version of a claim
 // that is about to be committed anyway.
-func (n *Controller) bookDone(c *claim, next *records.Claim) {
+func (n *Controller) bookDone(c *replica.Claim, next *records.Claim) {
 	next.Placements = slices.DeleteFunc(next.Placements, func(p records.Placement) bool {
-		m := n.machines[p.Host]
-		if m == nil || c.spec.Shape == protocol.ShapeGang || !m.settled(n.shards[m.rec.Shard]) {
+		m := n.view.Machines[p.Host]
+		if m == nil || c.Spec.Shape == protocol.ShapeGang || !m.ShowsToken(n.view.Shards[m.Record.Shard]) {
 			return false
 		}
-		t := m.tasks[c.nameOf(&p)]
+		t := m.Agent.Tasks[c.TaskName(&p)]
 		if t == nil || t.Attempt != p.Attempt || t.Phase != protocol.TaskExited || t.Cause != protocol.CauseDone {
 			return false
 		}
@@ -337,35 +338,27 @@
 	})
 }
 
-// nameOf is the name of a placement's task.
-func (c *claim) nameOf(p *records.Placement) string {
-	if pl := c.on[slot{p.Task, p.Host}]; pl != nil {
-		return pl.name
-	}
-	return protocol.TaskName(c.ref, p.Task)
-}
-
 func isStart(name string) func(protocol.Command) bool {
 	return func(c protocol.Command) bool { return c.Verb == "start" && c.Task == name }
 }
 
 // wantStop tells whether a placement should end, and with what grace.
-func (n *Controller) wantStop(c *claim, p *records.Placement, now time.Time) (time.Duration, bool) {
-	j := n.jobs[c.ref]
-	if j == nil || j.rec == nil || c.spec == nil {
+func (n *Controller) wantStop(c *replica.Claim, p *records.Placement, now time.Time) (time.Duration, bool) {
+	j := n.view.Jobs[c.JobID]
+	if j == nil || j.Record == nil || c.Spec == nil {
 		return 0, false
 	}
-	if j.rec.IsFinal() {
+	if j.Record.IsFinal() {
 		return 0, true
 	}
 	grace := time.Duration(0)
-	if c.spec.CheckpointInterval() > 0 {
-		grace = c.spec.CheckpointDuration() + 2*time.Second
+	if c.Spec.CheckpointInterval() > 0 {
+		grace = c.Spec.CheckpointDuration() + 2*time.Second
 	}
-	if c.halted() {
+	if c.Halted() {
 		return grace, true
 	}
-	since, ok := c.evict[p.Task]
+	since, ok := c.Evictions[p.Task]
 	if !ok {
 		return 0, false
 	}
@@ -384,42 +377,34 @@
 	return time.Duration(float64(s.RunEstimate()) * ratio)
 }
 
-// placed counts the placements of a claim's committed version.
-func (c *claim) placed() int {
-	if c.rec == nil {
-		return 0
-	}
-	return len(c.rec.Placements)
-}
-
 // update commits a new version of a claim that this shard holds.
-func (n *Controller) update(s *shard, c *claim, next *records.Claim, prio int, then func(error)) bool {
+func (n *Controller) update(s *replica.Shard, c *replica.Claim, next *records.Claim, prio int, then func(error)) bool {
 	if next.MaxEncodedSize() > n.led.MaxValueBytes() {
 		// Written before the state service lowered its limits. Each task that ends makes
 		// it smaller; until it fits, its workers go on listing what has ended.
 		return false
 	}
-	conds, ops, t, ok := n.reserveTeam(s.name, c, next)
+	conds, ops, t, ok := n.reserveTeam(s.Name, c, next)
 	if !ok {
 		return false
 	}
-	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token}, kv.Compare{Key: c.key, Version: c.stamp})
-	if j := n.jobs[c.ref]; j != nil && len(next.Placements) > 0 && prio < kv.PriorityCompletion {
-		conds = append(conds, kv.Compare{Key: records.JobPrefix + c.ref, Version: j.stamp})
+	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: c.Version})
+	if j := n.view.Jobs[c.JobID]; j != nil && len(next.Placements) > 0 && prio < kv.PriorityCompletion {
+		conds = append(conds, kv.Compare{Key: records.JobPrefix + c.JobID, Version: j.Version})
 	}
-	ops = append(ops, kv.Op{Key: c.key, Value: next})
-	n.setPend(c, next)
+	ops = append(ops, kv.Op{Key: c.Key, Value: next})
+	n.view.SetPending(c, next)
 	if t != nil {
-		t.busy = true
+		t.Writing = true
 	}
 	n.commit(prio, conds, ops, 0, func(err error) {
 		if t != nil {
-			t.busy = false
+			t.Writing = false
 		}
-		n.setPend(c, nil)
+		n.view.SetPending(c, nil)
 		if err != nil {
-			c.again = time.Now().Add(150 * time.Millisecond)
-			n.log.Debug("claim not updated", "claim", c.key, "err", err)
+			c.RetryAt = time.Now().Add(150 * time.Millisecond)
+			n.log.Debug("claim not updated", "claim", c.Key, "err", err)
 		}
 		if then != nil {
 			then(err)
@@ -429,106 +414,106 @@
 }
 
 // finishJob commits a job's end together with its last chunk's.
-func (n *Controller) finishJob(s *shard, j *job, c *claim, next *records.Claim) bool {
-	if len(j.claims) != j.chunks {
+func (n *Controller) finishJob(s *replica.Shard, j *replica.Job, c *replica.Claim, next *records.Claim) bool {
+	if len(j.Claims) != j.Chunks {
 		return false
 	}
-	conds := []kv.Compare{{Key: records.JobPrefix + j.ref, Version: j.stamp}, {Key: records.ShardPrefix + s.name, Version: s.token}}
-	for i := range j.chunks {
-		o := j.claims[i]
-		if o == nil || o.rec == nil || (o != c && !o.rec.IsComplete()) {
+	conds := []kv.Compare{{Key: records.JobPrefix + j.ID, Version: j.Version}, {Key: records.ShardPrefix + s.Name, Version: s.FencingToken}}
+	for i := range j.Chunks {
+		o := j.Claims[i]
+		if o == nil || o.Record == nil || (o != c && !o.Record.IsComplete()) {
 			return false
 		}
 	}
 	// The other chunks are no conditions: what is recorded as done stays done, and a
 	// claim goes only once its job is over, which the job's own condition excludes.
 	// Two dozen of them did not fit a transaction of a state service with lower limits.
-	conds = append(conds, kv.Compare{Key: c.key, Version: c.stamp})
-	done := &records.Job{State: protocol.JobDone, Tasks: j.rec.Spec.Tasks}
-	tconds, ops, t, ok := n.reserveTeam(s.name, c, next)
+	conds = append(conds, kv.Compare{Key: c.Key, Version: c.Version})
+	done := &records.Job{State: protocol.JobDone, Tasks: j.Record.Spec.Tasks}
+	tconds, ops, t, ok := n.reserveTeam(s.Name, c, next)
 	if !ok {
 		return false
 	}
 	conds = append(conds, tconds...)
-	if len(next.Placements) > 0 || j.chunks > 1 {
+	if len(next.Placements) > 0 || j.Chunks > 1 {
 		// The description is needed until the last placement is cleared.
-		done.Spec = j.rec.Spec
+		done.Spec = j.Record.Spec
 	}
-	ops = append(ops, kv.Op{Key: records.JobPrefix + j.ref, Value: done})
+	ops = append(ops, kv.Op{Key: records.JobPrefix + j.ID, Value: done})
 	if len(next.Placements) > 0 {
-		ops = append(ops, kv.Op{Key: c.key, Value: next})
+		ops = append(ops, kv.Op{Key: c.Key, Value: next})
 	} else {
-		ops = append(ops, kv.Op{Key: c.key})
+		ops = append(ops, kv.Op{Key: c.Key})
 	}
-	n.setPend(c, next)
+	n.view.SetPending(c, next)
 	if t != nil {
-		t.busy = true
+		t.Writing = true
 	}
 	n.commit(kv.PriorityClaim, conds, ops, 0, func(err error) {
-		n.setPend(c, nil)
+		n.view.SetPending(c, nil)
 		if t != nil {
-			t.busy = false
+			t.Writing = false
 		}
 		if err != nil {
-			c.again = time.Now().Add(150 * time.Millisecond)
+			c.RetryAt = time.Now().Add(150 * time.Millisecond)
 			return
 		}
-		n.announceFinal(j.ref)
-		n.releaseAfter(j.ref, time.Now())
+		n.announceFinal(j.ID)
+		n.releaseAfter(j.ID, time.Now())
 	})
 	return true
 }
 
 // dropClaim removes the claim of a final job once nothing of it is left.
-func (n *Controller) dropClaim(s *shard, c *claim) {
-	empty := c.rec.Clone()
+func (n *Controller) dropClaim(s *replica.Shard, c *replica.Claim) {
+	empty := c.Record.Clone()
 	empty.Placements = nil
-	conds, ops, t, ok := n.reserveTeam(s.name, c, empty)
+	conds, ops, t, ok := n.reserveTeam(s.Name, c, empty)
 	if !ok {
 		return
 	}
-	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token}, kv.Compare{Key: c.key, Version: c.stamp})
-	ops = append(ops, kv.Op{Key: c.key})
-	n.setPend(c, empty)
+	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: c.Version})
+	ops = append(ops, kv.Op{Key: c.Key})
+	n.view.SetPending(c, empty)
 	if t != nil {
-		t.busy = true
+		t.Writing = true
 	}
 	n.commit(kv.PriorityCompletion, conds, ops, 0, func(err error) {
-		n.setPend(c, nil)
+		n.view.SetPending(c, nil)
 		if t != nil {
-			t.busy = false
+			t.Writing = false
 		}
 		if err != nil {
-			c.again = time.Now().Add(200 * time.Millisecond)
+			c.RetryAt = time.Now().Add(200 * time.Millisecond)
 		}
 	})
 }
 
 // finishClaim ends the commit of a new claim: its tasks start at once, or,
 // when another shard won it, the copy is dropped.
-func (n *Controller) finishClaim(s *shard, c *claim, err error) {
-	n.setPend(c, nil)
-	if t := n.teams[c.spec.Team]; t != nil && n.limited(c.spec) {
-		t.busy = false
+func (n *Controller) finishClaim(s *replica.Shard, c *replica.Claim, err error) {
+	n.view.SetPending(c, nil)
+	if t := n.view.Teams[c.Spec.Team]; t != nil && n.limited(c.Spec) {
+		t.Writing = false
 	}
 	if err != nil {
-		if c.rec == nil && n.claims[c.key] == c {
-			n.unlinkClaim(c)
+		if c.Record == nil && n.view.Claims[c.Key] == c {
+			n.view.DropClaim(c)
 		}
-		if j := n.jobs[c.ref]; j != nil {
-			j.lost[c.chunk] = time.Now().Add(retryClaim)
+		if j := n.view.Jobs[c.JobID]; j != nil {
+			j.LeftUntil[c.Chunk] = time.Now().Add(retryClaim)
 		}
 		if !errors.Is(err, kv.ErrCompareFailed) {
-			n.log.Debug("claim not made", "claim", c.key, "err", err)
+			n.log.Debug("claim not made", "claim", c.Key, "err", err)
 		}
 		return
 	}
-	j := n.jobs[c.ref]
-	if j == nil || c.rec == nil || !n.active(s) {
+	j := n.view.Jobs[c.JobID]
+	if j == nil || c.Record == nil || !n.view.IsActive(s) {
 		return
 	}
-	if j.claims[c.chunk] == nil {
-		n.attach(j, c)
+	if j.Claims[c.Chunk] == nil {
+		n.view.Attach(j, c)
 	}
 	n.settleClaim(s, j, c, time.Now())
 }
