--- a/internal/coordination/controller/users.go
+++ b/internal/coordination/controller/users.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"madderslip/internal/coordination/admission"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
@@ -60,7 +61,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	ok := n.loaded && len(n.types) > 0
+	ok := n.view.Loaded && len(n.view.MachineTypes) > 0
 	if !ok || n.servedElsewhere(now) {
 		reply(unavailable(1))
 		return
@@ -71,31 +72,31 @@
 // answerOf is what the cache says of a job; known is false if it says nothing.
 func (n *Controller) answerOf(ref string) (a protocol.JobStatus, stamp uint64, final, known bool) {
 	a.JobID, a.Phase = ref, protocol.JobPending
-	if f, ok := n.final[ref]; ok {
-		a.Phase = f.state
-		if f.state == protocol.JobDone {
-			a.DoneTasks = f.tasks
+	if f, ok := n.view.FinalJobs[ref]; ok {
+		a.Phase = f.State
+		if f.State == protocol.JobDone {
+			a.DoneTasks = f.Tasks
 		}
-		return a, f.stamp, true, true
+		return a, f.Version, true, true
 	}
 	if held, stamp, final, waits := n.heldAnswer(ref); waits {
 		return held, stamp, final, true
 	}
-	j := n.jobs[ref]
-	if j == nil || j.rec == nil {
+	j := n.view.Jobs[ref]
+	if j == nil || j.Record == nil {
 		return a, 0, false, false
 	}
-	a.DoneTasks, a.RunningTasks = j.counts()
+	a.DoneTasks, a.RunningTasks = j.Progress()
 	switch {
-	case j.rec.IsFinal():
-		a.Phase, a.RunningTasks = j.rec.State, 0
-		if j.rec.State == protocol.JobDone {
-			a.DoneTasks = j.rec.Tasks
+	case j.Record.IsFinal():
+		a.Phase, a.RunningTasks = j.Record.State, 0
+		if j.Record.State == protocol.JobDone {
+			a.DoneTasks = j.Record.Tasks
 		}
 	case a.RunningTasks > 0:
 		a.Phase = protocol.JobRunning
 	}
-	return a, j.stamp, j.rec.IsFinal(), true
+	return a, j.Version, j.Record.IsFinal(), true
 }
 
 // untold is an answer that waits for the watch.
@@ -116,7 +117,7 @@
 	if status == 201 && !final {
 		a = protocol.JobStatus{JobID: ref, Phase: protocol.JobPending}
 	}
-	if a.Phase != protocol.JobCancelled || n.epoch >= stamp {
+	if a.Phase != protocol.JobCancelled || n.view.Revision >= stamp {
 		reply(jobResponse(status, a))
 		return
 	}
@@ -137,7 +138,7 @@
 // wait any longer.
 func (n *Controller) tellUntold(now time.Time) {
 	n.untold = slices.DeleteFunc(n.untold, func(u untold) bool {
-		known := n.epoch >= u.epoch
+		known := n.view.Revision >= u.epoch
 		if known || now.After(u.until) {
 			u.tell(known)
 			return true
@@ -159,7 +160,7 @@
 	now := time.Now()
 	until := now.Add(within)
 	switch {
-	case !n.loaded:
+	case !n.view.Loaded:
 		reply(unavailable(1))
 		return
 	case n.stateDown(now):
@@ -228,7 +229,7 @@
 		n.confirm(ref, submitWithin, func() { reply(badRequest(err)) }, reply)
 		return
 	}
-	if !n.loaded || len(n.types) == 0 {
+	if !n.view.Loaded || len(n.view.MachineTypes) == 0 {
 		reply(unavailable(1))
 		return
 	}
@@ -251,7 +252,7 @@
 		return "unknown team"
 	}
 	fits := false
-	for _, t := range n.types {
+	for _, t := range n.view.MachineTypes {
 		if !canEver(s, t) {
 			continue
 		}
@@ -268,7 +269,7 @@
 	if s.Shape == protocol.ShapeArray {
 		count = 1
 	}
-	if (team.MaxCPUs > 0 && s.CPUs*count > team.MaxCPUs+eps) || (team.MaxGPUs > 0 && s.GPUs*count > team.MaxGPUs+eps) {
+	if (team.MaxCPUs > 0 && s.CPUs*count > team.MaxCPUs+tolerance) || (team.MaxGPUs > 0 && s.GPUs*count > team.MaxGPUs+tolerance) {
 		return "more than the team's limit"
 	}
 	return ""
@@ -357,7 +358,7 @@
 	case final:
 		n.tell(ref, 200, left, reply)
 		return
-	case !n.loaded || left < 200*time.Millisecond:
+	case !n.view.Loaded || left < 200*time.Millisecond:
 		reply(unavailable(1))
 		return
 	case n.stateDown(time.Now()):
@@ -397,10 +398,10 @@
 // cancelledRecord is a known job's record once its user has cancelled it. One that waits
 // for others has no tasks, so nobody needs its description any more.
 func (n *Controller) cancelledRecord(ref string, now time.Time) *records.Job {
-	if w, held := n.pipelines.graph.Lookup(ref); held {
+	if w, held := n.view.Dependencies.Lookup(ref); held {
 		return &records.Job{State: protocol.JobCancelled, Tasks: w.Spec.Tasks, CancelledAtMs: now.UnixMilli()}
 	}
-	rec := *n.jobs[ref].rec
+	rec := *n.view.Jobs[ref].Record
 	rec.State, rec.Tasks, rec.CancelledAtMs = protocol.JobCancelled, rec.Spec.Tasks, now.UnixMilli()
 	return &rec
 }
@@ -415,27 +416,27 @@
 		score float64
 	}
 	var all []scored
-	for _, name := range n.shardNames() {
-		sh := n.shards[name]
-		if sh.rec == nil {
+	for _, name := range n.view.ShardNames() {
+		sh := n.view.Shards[name]
+		if sh.Record == nil {
 			continue
 		}
 		l, ok := n.loads[name]
-		if n.active(sh) {
-			l, ok = loadSeen{n.loadOf(sh), now}, true
+		if n.view.IsActive(sh) {
+			l, ok = replica.ReportedLoad{Load: n.loadOf(sh), At: now}, true
 		}
 		score := 0.5 // unknown or stale: neither sought nor shunned
-		if ok && now.Sub(l.at) < 5*time.Second {
-			total := max(l.load.CPUs, 1)
-			score = (l.load.UsedCPUs + l.load.QueuedCPUs + n.queuedNow[name]) / total
-			if l.load.FreeCPUsByImage[s.Image]+eps >= s.CPUs {
+		if ok && now.Sub(l.At) < 5*time.Second {
+			total := max(l.Load.CPUs, 1)
+			score = (l.Load.UsedCPUs + l.Load.QueuedCPUs + n.queuedNow[name]) / total
+			if l.Load.FreeCPUsByImage[s.Image]+tolerance >= s.CPUs {
 				score -= 1
 			}
 		}
-		if n.active(sh) {
+		if n.view.IsActive(sh) {
 			score -= 0.05
 		}
-		if _, live := n.nodes[sh.rec.Owner]; !live {
+		if _, live := n.view.Nodes[sh.Record.Owner]; !live {
 			score += 10
 		}
 		all = append(all, scored{name, score})
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -55,11 +55,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				led := &saturatedReads{now: c.read, err: c.err}
 				n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: led, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1))})
-				n.loaded, n.epoch = true, 8
+				n.view.Loaded, n.view.Revision = true, 8
 				var got transport.Response
 				n.handleQuery("wk-1", func(r transport.Response) { got = r })
 				n.mu.Lock()
-				n.store(key, &records.Job{Spec: spec, ChunkSize: 1}, 7)
+				n.view.Apply(key, &records.Job{Spec: spec, ChunkSize: 1}, 7)
 				n.mu.Unlock()
 				led.txn.OnResult(kv.Result{Err: kv.ErrCompareFailed, FailedKeys: []string{key}, Revision: 8})
 				time.Sleep(5 * time.Second)
@@ -86,7 +86,7 @@
 		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: &saturatedReads{}, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1))})
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.loaded, n.epoch = true, 5
+		n.view.Loaded, n.view.Revision = true, 5
 		answer := func() *transport.Response {
 			r := &transport.Response{}
 			n.tell("wk-1", 201, time.Second, func(got transport.Response) { *r = got })
@@ -99,9 +99,9 @@
 				t.Errorf("%s: %d %s, wanted %d %s", what, r.Status, r.Body, status, phase)
 			}
 		}
-		n.store(records.JobPrefix+"wk-1", &records.Job{Spec: &protocol.Submission{JobID: "wk-1", Tasks: 1}, ChunkSize: 1}, 6)
+		n.view.Apply(records.JobPrefix+"wk-1", &records.Job{Spec: &protocol.Submission{JobID: "wk-1", Tasks: 1}, ChunkSize: 1}, 6)
 		expect("accepted", answer(), 201, protocol.JobPending)
-		n.store(records.JobPrefix+"wk-1", &records.Job{State: protocol.JobCancelled, Tasks: 1}, 8)
+		n.view.Apply(records.JobPrefix+"wk-1", &records.Job{State: protocol.JobCancelled, Tasks: 1}, 8)
 		first := answer()
 		expect("the watch is behind", first, 0, "")
 		time.Sleep(500 * time.Millisecond)
@@ -110,7 +110,7 @@
 		n.tellUntold(time.Now())
 		expect("its time is over", first, 503, "")
 		expect("it still has time", second, 0, "")
-		n.epoch = 8
+		n.view.Revision = 8
 		n.tellUntold(time.Now())
 		expect("the watch has come as far", second, 201, protocol.JobCancelled)
 		expect("and from then on", answer(), 201, protocol.JobCancelled)
--- a/internal/coordination/controller/versions_test.go
+++ b/internal/coordination/controller/versions_test.go
@@ -6,6 +6,7 @@
 	"reflect"
 	"testing"
 
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/records"
 )
@@ -23,7 +24,7 @@
 	}
 	kinds := make(map[string]bool)
 	for key, value := range stored {
-		rec := blank(key)
+		rec := replica.NewRecord(key)
 		if rec == nil {
 			t.Errorf("%s: of no known kind", key)
 			continue
@@ -96,15 +97,15 @@
 // TestNoPipelineBesideOlderVersions: while a live controller does not understand jobs that
 // wait, none is accepted.
 func TestNoPipelineBesideOlderVersions(t *testing.T) {
-	n := &Controller{nodes: map[string]nodeSeen{"n0": {waits: understandsPipelines}, "n1": {}}}
+	n := &Controller{view: &replica.View{Nodes: map[string]replica.NodeInfo{"n0": {DependencyVersion: understandsPipelines}, "n1": {}}}}
 	if n.allUnderstandPipelines() {
 		t.Error("accepted beside n1, which does not say that it understands them")
 	}
-	n.nodes["n1"] = nodeSeen{waits: understandsPipelines}
+	n.view.Nodes["n1"] = replica.NodeInfo{DependencyVersion: understandsPipelines}
 	if !n.allUnderstandPipelines() {
 		t.Error("refused though all understand them")
 	}
-	if (&Controller{}).allUnderstandPipelines() {
+	if (&Controller{view: &replica.View{}}).allUnderstandPipelines() {
 		t.Error("accepted before any controller is known, this one included")
 	}
 }
--- /dev/null
+++ b/internal/coordination/replica/provisions.go
@@ -0,0 +1,42 @@
+package replica
+
+import (
+	"time"
+
+	"madderslip/internal/storage/records"
+)
+
+// view.ApplyProvision takes a hire's record. Once it names the machines it is their
+// record, until one is returned and gets a record of its own.
+func (v *View) ApplyProvision(name string, r *records.Provision, stamp uint64) {
+	delete(v.Groups, name)
+	switch {
+	case r == nil:
+		delete(v.Provisions, name)
+	case len(r.Hosts) == 0:
+		v.Provisions[name] = &Provision{Name: name, Record: *r, Version: stamp}
+	default:
+		delete(v.Provisions, name)
+		v.Groups[name] = MachineGroup{r.Hosts, stamp}
+		for i, host := range r.Hosts {
+			if v.Machines[host] == nil {
+				v.ApplyMachine(host, &records.Machine{Shard: r.ShardOf(i), Type: r.Type, Zone: r.Zone, Spot: r.Spot, RentedAtMs: r.RequestedAtMs}, 0)
+			}
+		}
+	}
+}
+
+// MachineGroup is the machines that one record stands for.
+type MachineGroup struct {
+	Hosts   []string
+	Version uint64
+}
+
+type Provision struct {
+	Name          string
+	Record        records.Provision
+	Version       uint64
+	Busy          bool
+	RetryAt       time.Time
+	AnsweredHosts []string // machines that the cloud has named, until the cache is complete
+}
--- a/internal/emulator/pipeline.go
+++ b/internal/emulator/pipeline.go
@@ -22,7 +22,7 @@
 	return true
 }
 
-// queuedAt is when a job could first have begun: when it was accepted, or when the last
+// QueuedAt is when a job could first have begun: when it was accepted, or when the last
 // job that it needs was done. The world's lock is held.
 func (w *World) queuedAt(j *Job) time.Time {
 	at := j.accepted
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -22,14 +22,14 @@
 
 // taken are the guards that docs/DESIGN.md names.
 var taken = []guard{
-	{"a claim must not exist yet", "coordination/controller/claim.go", `kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token}, kv.Compare{Key: c.key, Version: 0})`, `kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token})`},
-	{"a claim must be the version decided on", "coordination/controller/settle.go", `kv.Compare{Key: c.key, Version: c.stamp})
-	if j := n.jobs`, `kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token})
-	if j := n.jobs`},
-	{"a placement needs the shard still owned", "coordination/controller/settle.go", `	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.name, Version: s.token}, kv.Compare{Key: c.key, Version: c.stamp})
-	if j`, `	conds = append(conds, kv.Compare{Key: c.key, Version: c.stamp})
+	{"a claim must not exist yet", "coordination/controller/claim.go", `kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: 0})`, `kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken})`},
+	{"a claim must be the version decided on", "coordination/controller/settle.go", `kv.Compare{Key: c.Key, Version: c.Version})
+	if j := n.view.Jobs`, `kv.Compare{Key: records.ShardPrefix + s.name, Version: s.FencingToken})
+	if j := n.view.Jobs`},
+	{"a placement needs the shard still owned", "coordination/controller/settle.go", `	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: c.Version})
+	if j`, `	conds = append(conds, kv.Compare{Key: c.Key, Version: c.Version})
 	if j`},
-	{"a placement needs the job as it was", "coordination/controller/settle.go", `conds = append(conds, kv.Compare{Key: records.JobPrefix + c.ref, Version: j.stamp})`, `_ = j`},
+	{"a placement needs the job as it was", "coordination/controller/settle.go", `conds = append(conds, kv.Compare{Key: records.JobPrefix + c.JobID, Version: j.Version})`, `_ = j`},
 	{"write ahead", "coordination/controller/claim.go", `	n.commit(claimPrio(u.spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })`, `	for _, p := range next.Placements {
 		if m := n.machines[p.Host]; m != nil {
 			n.order(s, m, protocol.Start(protocol.TaskName(c.ref, p.Task), p.Try))
@@ -37,23 +37,23 @@
 	}
 	n.flush(s)
 	n.commit(claimPrio(u.spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })`},
-	{"a new process acquires its shard anew", "coordination/controller/shards.go", `case !n.loaded:`, `case false:`},
-	{"a shard is acted for once its records are read", "coordination/controller/shards.go", `s.token != 0 && n.epoch >= s.token`, `s.token != 0`},
-	{"silence proves nothing", "coordination/controller/settle.go", `	if m.rep == nil {
+	{"a new process acquires its shard anew", "coordination/controller/shards.go", `case !n.view.Loaded:`, `case false:`},
+	{"a shard is acted for once its records are read", "coordination/replica/shard.go", `s.FencingToken != 0 && v.Revision >= s.FencingToken`, `s.FencingToken != 0`},
+	{"silence proves nothing", "coordination/controller/settle.go", `	if m.Agent.Heartbeat == nil {
 		return onMachine
 	}
-	grace`, `	if m.rep == nil {
+	grace`, `	if m.Agent.Heartbeat == nil {
 		return onMachine
 	}
 	if n.silence(m, now) > n.pol.Fence {
-		return gone
+		return Lifecycle.Gone
 	}
 	grace`},
-	{"an account counts under the present token only", "coordination/controller/workers.go", `return m.rep != nil && s.token != 0 && m.rep.FencingToken >= s.token`, `return m.rep != nil && s.token != 0`},
-	{"commands of unknown fate", "coordination/controller/workers.go", `slices.ContainsFunc(m.unsure, func(u sentStart) bool { return u.task == task && u.try == try })`, `false`},
+	{"an account counts under the present token only", "coordination/replica/machine.go", `return m.Agent.Heartbeat != nil && s.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= s.FencingToken`, `return m.Agent.Heartbeat != nil && s.FencingToken != 0`},
+	{"commands of unknown fate", "coordination/replica/machine.go", `slices.ContainsFunc(m.Commands.Unknown, func(u UnknownStart) bool { return u.Task == task && u.Attempt == try })`, `false`},
 	{"a machine that keeps a cancelled task is fenced", "coordination/controller/workers.go", `		n.enforceCancels(now)
 `, ``},
-	{"fenced without a record if need be", "coordination/controller/cancel.go", `return c.ReturnUnrecorded(limit, n.stateDown(now)) && m.rec.State == "" && !n.refusedAlone(now)`, `return false`},
+	{"fenced without a record if need be", "coordination/controller/cancel.go", `return c.ReturnUnrecorded(limit, n.stateDown(now)) && m.Record.State == "" && !n.refusedAlone(now)`, `return false`},
 	{"whoever knows stops cancelled tasks", "coordination/controller/workers.go", `n.stopStrayed(m, &r)`, `_ = m`},
 	{"and asks again", "coordination/health/cancelled.go", `s.SinceProbe >= again`, `s.SinceProbe > 1000*again`},
 	{"its owner may begin them again", "coordination/health/cancelled.go", `if s.Finding == Ended || s.Age > limit {`, `if s.Finding == Ended {
@@ -62,13 +62,13 @@
 	if s.Age > limit {`},
 	{"who hears nobody begins nothing", "coordination/controller/settle.go", `if !n.hearsNobody(now) && `, `if `},
 	{"all cancellations are repeated", "coordination/controller/peers.go", `n.repeatFrom = ref`, `n.repeatFrom = ""`},
-	{"the bound counts from the record", "coordination/controller/view.go", `r.CancelledAtMs != 0 && at.Before(j.ended)`, `false && at.Before(j.ended)`},
-	{"team limits are conditions", "coordination/controller/limits.go", `return append(conds, kv.Compare{Key: key, Version: t.stamp}), []kv.Op`, `return conds, []kv.Op`},
-	{"a start needs its limit as it was", "coordination/controller/limits.go", `	conds = append(conds, n.quota.LimitCompares(team)...)`, ``},
+	{"the bound counts from the record", "coordination/replica/jobs.go", `r.CancelledAtMs != 0 && at.Before(j.FinalAt)`, `false && at.Before(j.FinalAt)`},
+	{"team limits are conditions", "coordination/controller/limits.go", `return append(conds, kv.Compare{Key: key, Version: t.Version}), []kv.Op`, `return conds, []kv.Op`},
+	{"a start needs its limit as it was", "coordination/controller/limits.go", `	conds = append(conds, n.view.Quota.LimitCompares(team)...)`, ``},
 	{"a start needs the bookings as they were", "coordination/controller/limits.go", `has && grows {`, `has && grows && false {`},
-	{"a shard starts within its allotment", "coordination/controller/limits.go", `!grows || (n.sized(holder) && more <= n.quota.Allowance(team, holder, unitOf(c.spec)))`, `true || more < 0 || holder == ""`},
-	{"claims of unknown size are not nothing", "coordination/controller/limits.go", `			if c.rec == nil || c.rec.Shard == holder || (c.rec.Shard == "" && holder == quota.CrossShard) {`, `			if false && c.rec == nil && holder == "" {`},
-	{"the larger of two versions counts", "coordination/controller/limits.go", `return max(c.placed(), len(c.pend.Placements))`, `return c.placed()`},
+	{"a shard starts within its allotment", "coordination/controller/limits.go", `!grows || (n.view.KnowsUse(holder) && more <= n.view.Quota.Allowance(team, holder, replica.TaskResources(c.Spec)))`, `true || more < 0 || holder == ""`},
+	{"claims of unknown size are not nothing", "coordination/replica/teams.go", `			if c.Record == nil || c.Record.Shard == holder || (c.Record.Shard == "" && holder == quota.CrossShard) {`, `			if false && c.Record == nil && holder == "" {`},
+	{"the larger of two versions counts", "coordination/replica/claim.go", `return max(c.PlacedCount(), len(c.Pending.Placements))`, `return c.PlacedCount()`},
 	{"what became of a start is found out", "coordination/controller/commit.go", `for err != nil && insist && life`, `for err != nil && false && insist && life`},
 	{"only who decides for a holder gives", "coordination/quota/wants.go", `Compares: []kv.Compare{own, {Key`, `Compares: []kv.Compare{{Key`},
 	{"gifts under way are given", "coordination/quota/keeper.go", `left := t.grants()[holder].Minus(t.transferring[holder]).Minus(`, `left := t.grants()[holder].Minus(`},
@@ -79,7 +79,7 @@
 	{"the lower limit counts", "coordination/quota/keeper.go", `	if t.lowersLimit() {
 		return Resources{}`, `	if false {
 		return Resources{}`},
-	{"a booking is carried out once all before it is known", "coordination/controller/guarantee.go", `b.at == 0 || n.epoch < b.at {`, `b.at == 0 {`},
+	{"a booking is carried out once all before it is known", "coordination/controller/guarantee.go", `b.at == 0 || n.view.Revision < b.at {`, `b.at == 0 {`},
 	{"a booking that does not hold any more goes", "coordination/controller/guarantee.go", `if due < b.tasks ||`, `if (due < 0) ||`},
 	{"bookings exclude one another", "coordination/quota/booking.go", `		conds = append(conds, kv.Compare{Key: key, Version: k.team(name).reservationsVersion})
 `, ``},
@@ -91,10 +91,10 @@
 		switch {
 		case err == nil &&`},
 	{"what could not be read anew is not answered", "coordination/controller/commit.go", `if !read && prio == kv.PriorityUser {`, `if false && !read {`},
-	{"a cancellation is told once its claims are known", "coordination/controller/users.go", `if a.Phase != protocol.JobCancelled || n.epoch >= stamp {`, `if true {`},
-	{"claims may come after their job's cancellation", "coordination/controller/view.go", `return n.loaded && r.State == protocol.JobCancelled && stamp > n.epoch`, `return false`},
-	{"done needs all chunks", "coordination/controller/settle.go", `(o != c && !o.rec.IsComplete())`, `false`},
-	{"a job that waits is in no queue", "coordination/controller/view.go", `	if n.storeHeld(ref, r, stamp) {
+	{"a cancellation is told once its claims are known", "coordination/controller/users.go", `if a.Phase != protocol.JobCancelled || n.view.Revision >= stamp {`, `if true {`},
+	{"claims may come after their job's cancellation", "coordination/replica/jobs.go", `return v.Loaded && r.State == protocol.JobCancelled && stamp > v.Revision`, `return false`},
+	{"done needs all chunks", "coordination/controller/settle.go", `(o != c && !o.Record.IsComplete())`, `false`},
+	{"a job that waits is in no queue", "coordination/replica/jobs.go", `	if v.ApplyBlockedJob(ref, r, stamp) {
 		return
 	}
 `, ``},
@@ -115,41 +115,41 @@
 	return true
 `, `	return false
 `},
-	{"zones of what is placed already", "coordination/controller/queue.go", `return newZoneRule(u.spec, n.zonesTaken(u.c))`, `return newZoneRule(u.spec, nil)`},
+	{"zones of what is placed already", "coordination/controller/queue.go", `return newZoneRule(u.spec, n.view.ZonesOf(u.c))`, `return newZoneRule(u.spec, nil)`},
 	{"a gang claimed meanwhile is not placed again", "coordination/controller/gather.go", `|| !gatherable(j) {
 			n.endGather`, `|| false {
 			n.endGather`},
-	{"a gang's old attempt has to be gone", "coordination/controller/queue.go", `	if whole && u.c != nil && len(u.c.rec.Placements) > 0 {
+	{"a gang's old attempt has to be gone", "coordination/controller/queue.go", `	if whole && u.c != nil && len(u.c.Record.Placements) > 0 {
 		undo(u.spec, picks, rooms)
 		return false, false // the old attempt has to be gone first
 	}
 `, ``},
-	{"done frees a placement under the present token only", "coordination/controller/settle.go", `if !m.settled(s) && !m.gone && m.rec.State != records.MachineGone {
+	{"done frees a placement under the present token only", "coordination/controller/settle.go", `if !m.ShowsToken(s) && !m.Lifecycle.Gone && m.Record.State != records.MachineGone {
 			return unsettled`, `if false {
 			return unsettled`},
-	{"orders of an earlier token are void", "coordination/controller/shards.go", `		m.queue = nil
+	{"orders of an earlier token are void", "coordination/controller/shards.go", `		m.Commands.Pending = nil
 		delete(n.outbox, m)
 `, `		_ = m
 `},
-	{"adoption and a hire's answer exclude one another", "coordination/controller/workers.go", `			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + h.name, Value: &again})
+	{"adoption and a hire's answer exclude one another", "coordination/controller/workers.go", `			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + h.Name, Value: &again})
 `, `			_ = again
 `},
-	{"the lead is known by its record", "coordination/controller/shards.go", `n.leadMine = r.Node == n.cfg.NodeName && r.StartedAtMs == n.boot.UnixMilli(); n.leadMine {`, `n.leadMine = r.NodeName == n.cfg.NodeName && r.StartedAtMs == n.boot.UnixMilli() && !n.leadBusy; n.leadMine {`},
-	{"no empty set of claims without a job", "coordination/controller/view.go", `if delete(set, c.key); len(set) == 0 {`, `if delete(set, c.key); false {`},
-	{"leases are kept behind a cut", "coordination/controller/outlook.go", `	if r.FencingToken > s.stamp || !failover.MayExtendLease`, `	if true || r.FencingToken > s.stamp || !failover.MayExtendLease`},
+	{"the lead is known by its record", "coordination/controller/shards.go", `n.leadership.isSelf = r.Node == n.cfg.NodeName && r.StartedAtMs == n.boot.UnixMilli(); n.leadership.isSelf {`, `n.leadership.isSelf = r.NodeName == n.cfg.NodeName && r.StartedAtMs == n.boot.UnixMilli() && !n.leadership.campaigning; n.leadership.isSelf {`},
+	{"no empty set of claims without a job", "coordination/replica/claims.go", `if delete(set, c.Key); len(set) == 0 {`, `if delete(set, c.Key); false {`},
+	{"leases are kept behind a cut", "coordination/controller/outlook.go", `	if r.FencingToken > s.Version || !failover.MayExtendLease`, `	if true || r.FencingToken > s.Version || !failover.MayExtendLease`},
 	{"a zone that seems cut off is not fenced", "coordination/controller/outlook.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
 	{"no lease is kept for a cancelled task", "coordination/controller/outlook.go", `r.Tasks[i].Phase != protocol.TaskExited && (`, `false && (`},
-	{"silence counts from waking", "coordination/controller/workers.go", `	if woke := n.beat.ResumedAt(); woke.After(m.adoptedAt) {`, `	if woke := n.beat.ResumedAt(); false && woke.After(m.adoptedAt) {`},
-	{"an answer tells that a machine began again", "coordination/controller/workers.go", `m.rec.State == "" && health.HasRestarted(accountOf(before), accountOf(&r)) {`, `m.rec.State == "" && false {`},
+	{"silence counts from waking", "coordination/controller/workers.go", `	if woke := n.beat.ResumedAt(); woke.After(m.AdoptedAt) {`, `	if woke := n.beat.ResumedAt(); false && woke.After(m.AdoptedAt) {`},
+	{"an answer tells that a machine began again", "coordination/controller/workers.go", `m.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(&r)) {`, `m.Record.State == "" && false {`},
 	{"accounts of a former life do not count", "coordination/health/life.go", `return floor == 0 || a.FencingToken > floor`, `return floor == 0 || a.FencingToken >= 0`},
-	{"a doubtful report brings no orders", "coordination/controller/workers.go", `	if !doubtful && n.active(s) {`, `	if n.active(s) {`},
-	{"registration is conditional", "coordination/controller/node.go", `[]kv.Compare{{Key: key, Version: n.nodes[n.cfg.NodeName].stamp}}`, `nil`},
-	{"nothing begins under a limit lowered since", "coordination/controller/settle.go", `	case stop, n.overUsed(c.spec), m.hearing.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`, `	case stop, m.hearing.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`},
-	{"what a mute machine has lost is not begun there again", "coordination/controller/settle.go", `m.hearing.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`, `m.hearing.CannotReceive():`},
+	{"a doubtful report brings no orders", "coordination/controller/workers.go", `	if !doubtful && n.view.IsActive(s) {`, `	if n.view.IsActive(s) {`},
+	{"registration is conditional", "coordination/controller/node.go", `[]kv.Compare{{Key: key, Version: n.view.Nodes[n.cfg.NodeName].Version}}`, `nil`},
+	{"nothing begins under a limit lowered since", "coordination/controller/settle.go", `	case stop, n.overUsed(c.Spec), m.Detector.Reachability.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`, `	case stop, m.Detector.Reachability.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`},
+	{"what a mute machine has lost is not begun there again", "coordination/controller/settle.go", `m.Detector.Reachability.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`, `m.Detector.Reachability.CannotReceive():`},
 	{"nothing new is placed on a mute machine", "coordination/controller/queue.go", ` && !n.mute(m, now)`, ``},
 	{"a machine that stays mute is returned", "coordination/health/hearing.go", `return CannotReport(reported, acting, now.Add(-2*lease), lease)`, `return false`},
-	{"a machine that does not hear and lost its work is returned", "coordination/controller/workers.go", `m.hearing.CannotReceive() && !m.settled(s) && !m.returning`, `false && !m.returning`},
-	{"no token is raised for a machine that may not hear it", "coordination/controller/workers.go", `!m.hearing.Suspect() && `, ``},
+	{"a machine that does not hear and lost its work is returned", "coordination/controller/workers.go", `m.Detector.Reachability.CannotReceive() && !m.ShowsToken(s) && !m.Lifecycle.Returning`, `false && !m.Lifecycle.Returning`},
+	{"no token is raised for a machine that may not hear it", "coordination/replica/shard.go", `!m.Detector.Reachability.Suspect() && `, ``},
 	{"who stands in is told from machines that are silent", "coordination/health/alone.go", `	if s.Home {
 		return true
 	}
@@ -171,14 +171,14 @@
 	{"tries become rarer", "coordination/quarantine/evidence.go", `j.retryAt = now.Add(wait/2`, `j.retryAt = now.Add(0*wait`},
 	{"late boots do not count", "coordination/controller/boots.go", `return out[:provisioning.ReplacementCount(late, coming)]`, `return out[:0*provisioning.ReplacementCount(late, coming)]`},
 	{"late ones are replaced a few at a time", "coordination/provisioning/boots.go", `return min(late, 1+coming/4)`, `return late`},
-	{"boots are judged by who saw them", "coordination/controller/boots.go", ` || !s.since.Before(time.UnixMilli(m.rec.RentedAtMs)) {
+	{"boots are judged by who saw them", "coordination/controller/boots.go", ` || !s.OwnedSince.Before(time.UnixMilli(m.Record.RentedAtMs)) {
 			continue`, ` {
 			continue`},
 	{"idle work starts little while others wait", "coordination/placement/besteffort.go", `	if r.Contended {`, `	if false {`},
 	{"idle work that has begun has its turn again", "coordination/placement/besteffort.go", `return some && waits < bestEffortTurn`, `return some`},
 	{"an array is owed a machine kept for cards", "coordination/controller/place.go", `			r.kept, r.keptIdle = false, false
 			return true`, `			return false`},
-	{"a hire's machines wait for the watch", "coordination/controller/fleet.go", `if n.epoch < h.stamp {`, `if false {`},
+	{"a hire's machines wait for the watch", "coordination/controller/fleet.go", `if n.view.Revision < h.Version {`, `if false {`},
 	{"an array begins ahead of a burst", "coordination/placement/startahead.go", `return !begun && waited >= by`, `return false`},
 	{"little is rented for idle work", "coordination/placement/besteffort.go", `	idleNeed = min(idleNeed, most)
 `, ``},
