--- a/internal/coordination/controller/workers.go
+++ b/internal/coordination/controller/workers.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"madderslip/internal/coordination/health"
-	"madderslip/internal/coordination/quarantine"
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
@@ -19,57 +18,6 @@
 	"madderslip/internal/transport"
 )
 
-// replica.Machine is a rented machine, as recorded and as last reported.
-type Machine struct {
-	Host          string
-	ListedAddress string // its address in the cloud's list
-	Record        records.Machine
-	Version       uint64
-	AdoptedAt     time.Time // when this process began to answer for it
-
-	Heartbeat          *protocol.Heartbeat // the newest, by session and sequence
-	Tasks              map[string]*protocol.TaskStatus
-	LastContact        time.Time // latest sign of life
-	LastHeartbeat      time.Time // when a report of its own last arrived
-	HeardAgainAt       time.Time // since when it is heard again, after a silence
-	RunningSince       map[string]time.Time
-	Images             []records.CachedImage // most recently used last
-	PreemptionNoticeAt time.Time
-
-	Pending     []protocol.Command // not sent yet
-	Sending     bool
-	InFlight    []protocol.Command
-	Unknown     []replica.UnknownStart // starts of unknown fate
-	StartSentAt map[string]time.Time
-	StopSentAt  map[string]time.Time
-
-	CancelProbeAt  time.Time // when it was last asked for cancelled tasks by a node that may not act for it
-	Probing        bool
-	UnansweredAt   time.Time // when it last failed to answer a direct question
-	Reachability   health.Reachability
-	Returning      bool // a commit or a call to return it is under way
-	ReturnRetryAt  time.Time
-	IdleSince      time.Time
-	DrainingSince  time.Time                  // being emptied since, to be returned
-	Evidence       quarantine.MachineEvidence // against it
-	RejectingUntil time.Time                  // refused a start for want of room: nothing new before
-	Active         bool
-	ChangedAt      time.Time
-	Overdue        bool // it did not come up in time
-	Gone           bool // the cloud has taken it back, which may not be recorded yet
-
-	Use   *replica.HostUse
-	Free  [3]float64 // CPUs, cards and memory that are free, unless stale
-	Stale bool
-	// When its tasks should end and which may be displaced, unless undetailed.
-	Releases     []replica.Release
-	Victims      []replica.Victim
-	DetailsStale bool
-	UnknownUse   bool // something of unknown size is there
-
-	MinToken uint64 // it has begun again since it was shown this token; 0: it has not
-}
-
 // observe takes a worker's account, from a report or a direct answer. It
 // returns false when a newer one was seen before, or it may be of a former life.
 func (n *Controller) observe(m *replica.Machine, r *protocol.Heartbeat) bool {
