--- /dev/null
+++ b/internal/coordination/health/cancelled_tasks_test.go
@@ -0,0 +1,31 @@
+package health
+
+import (
+	"testing"
+	"time"
+)
+
+// A machine that was not heard yet has two heartbeat timeouts to stop the task, and the
+// limit is kept whatever happens.
+func TestCancelledTaskIsFencedWithinLimit(t *testing.T) {
+	const limit, timeout = 47 * sec, 6500 * time.Millisecond
+	for name, c := range map[string]struct {
+		task       CancelledTask
+		down       bool
+		fence      bool
+		unrecorded bool
+	}{
+		"its stop command is in transit":                {CancelledTask{Age: 10 * sec, Heard: true, OwnedFor: 60 * sec}, false, false, false},
+		"the machine keeps the task though it is heard": {CancelledTask{Age: 19 * sec, Heard: true, OwnedFor: 60 * sec}, false, true, false},
+		"the machine is silent":                         {CancelledTask{Age: sec, Silent: true, OwnedFor: 60 * sec}, false, true, false},
+		"its owner has just begun":                      {CancelledTask{Age: 30 * sec, OwnedFor: sec}, false, false, false},
+		"and has not heard it in two timeouts":          {CancelledTask{Age: 30 * sec, OwnedFor: 14 * sec}, false, true, false},
+		"the limit leaves no time for that":             {CancelledTask{Age: 33 * sec, OwnedFor: sec}, false, true, false},
+		"no record can be written":                      {CancelledTask{Age: 24 * sec, Heard: true, OwnedFor: 60 * sec}, true, true, true},
+		"records are slow":                              {CancelledTask{Age: 36 * sec, Heard: true, OwnedFor: 60 * sec}, false, true, true},
+	} {
+		if fence, unrecorded := c.task.ShouldFence(limit, timeout), c.task.ReturnUnrecorded(limit, c.down); fence != c.fence || (fence && unrecorded != c.unrecorded) {
+			t.Errorf("%s: fence %v, without a record %v", name, fence, unrecorded)
+		}
+	}
+}
--- a/internal/coordination/health/doc.go
+++ b/internal/coordination/health/doc.go
@@ -1,9 +1,15 @@
-// Package health detects failures from heartbeats and direct probes: machines that are
-// silent, cannot receive or cannot report, restarted agents, partitioned zones, a
-// controller that is itself isolated, and pauses of its own process. It also bounds how
-// long a cancelled task may outlive its cancellation.
+// Package health is the failure detector. From heartbeats, direct probes and the time it
+// decides which machines are silent, cannot receive or cannot report, which agents have
+// restarted, which zones are partitioned, whether a controller is itself isolated, and
+// whether its own process was paused. It also bounds how long a task may outlive the
+// cancellation of its job.
 //
-// All of it is decisions on what is known and the time. Nothing here has a clock, a lock
-// or a connection, and no verdict is proof: a task counts as gone only by its agent's
-// heartbeat under the current fencing token or by the cloud's confirmation.
+// Every function depends on its arguments alone, and a verdict is advice, not proof: a
+// task counts as gone only by its agent's heartbeat under the current fencing token or by
+// the cloud's confirmation that the machine is returned. Verdicts therefore delay fencing,
+// trigger probes or return machines; they never release a task's placement.
+//
+// The package has no clock, lock, goroutine or connection. It imports the standard library
+// alone and must not import other packages of the module. Its values are not safe for
+// concurrent use; the caller guards them.
 package health
--- /dev/null
+++ b/internal/coordination/health/incarnation_test.go
@@ -0,0 +1,38 @@
+package health
+
+import "testing"
+
+// Messages are ordered within one incarnation. A heartbeat with a lower position raises the
+// suspicion of a restart; only an answer to a direct call proves one, since a late heartbeat
+// of the former incarnation looks the same.
+func TestOnlyDirectAnswerProvesRestart(t *testing.T) {
+	newest := Incarnation{AgentEpoch: 1, Sequence: 88, FencingToken: 41}
+	for name, c := range map[string]struct {
+		message                         Incarnation
+		supersedes, mayBe, hasRestarted bool
+	}{
+		"the next heartbeat":                          {Incarnation{1, 89, 41}, true, false, false},
+		"the same, under a newer token":               {Incarnation{1, 89, 50}, true, false, false},
+		"after its lease has expired":                 {Incarnation{2, 1, 41}, true, false, false},
+		"overtaken in transit by answers":             {Incarnation{1, 86, 41}, false, false, true},
+		"the first heartbeat after a restart":         {Incarnation{1, 1, 0}, false, true, true},
+		"a little later, with the token":              {Incarnation{1, 3, 41}, false, true, true},
+		"more heartbeats than before the restart":     {Incarnation{1, 90, 0}, true, true, true},
+		"a later sequence number of the same epoch":   {Incarnation{1, 95, 41}, true, false, false},
+		"of an agent epoch that has ended since":      {Incarnation{0, 300, 41}, false, true, true},
+		"the very message that was processed already": {newest, false, false, true},
+	} {
+		if got := c.message.Supersedes(newest); got != c.supersedes {
+			t.Errorf("%s: supersedes %v", name, got)
+		}
+		if got := MayBeRestarted(newest, c.message); got != c.mayBe {
+			t.Errorf("%s: may be restarted %v", name, got)
+		}
+		if got := HasRestarted(newest, c.message); got != c.hasRestarted {
+			t.Errorf("%s, as an answer: has restarted %v", name, got)
+		}
+	}
+	if (Incarnation{1, 300, 41}).Valid(41) || !(Incarnation{1, 3, 42}).Valid(41) || !newest.Valid(0) {
+		t.Error("a message is valid from the first token that the former incarnation can't have seen")
+	}
+}
--- /dev/null
+++ b/internal/coordination/health/isolation_test.go
@@ -0,0 +1,26 @@
+package health
+
+import "testing"
+
+// Silence of a shard's machines is the controller's fault if it has lost its links to the
+// workers, and the machines' fault otherwise.
+func TestSelfIsolatedTellsOwnFaultFromMachinesFault(t *testing.T) {
+	home, takenOver := ShardSilence{Home: true, Reporting: 60, Silent: 58, Lost: 58}, ShardSilence{Reporting: 60, Silent: 60, Lost: 60}
+	for name, c := range map[string]struct {
+		shard ShardSilence
+		all   []ShardSilence
+		want  bool
+	}{
+		"home shard, all silent":                         {home, []ShardSilence{home}, true},
+		"home shard, a quarter heard":                    {ShardSilence{Home: true, Reporting: 60, Silent: 45}, nil, false},
+		"home shard, too few machines to tell":           {ShardSilence{Home: true, Reporting: 2, Silent: 2}, nil, false},
+		"taken over, silent with the home shard":         {takenOver, []ShardSilence{home, takenOver}, true},
+		"taken over, the home shard is heard":            {takenOver, []ShardSilence{{Home: true, Reporting: 60, Silent: 3}, takenOver}, false},
+		"taken over, never heard since":                  {ShardSilence{Reporting: 60, Silent: 60}, []ShardSilence{home, {Reporting: 60, Silent: 60}}, false},
+		"taken over, the home shard has no machines yet": {takenOver, []ShardSilence{{Home: true, Reporting: 1}, takenOver}, true},
+	} {
+		if got := SelfIsolated(c.shard, c.all); got != c.want {
+			t.Errorf("%s: %v", name, got)
+		}
+	}
+}
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -55,11 +55,11 @@
 `, ``},
 	{"fenced without a record if need be", "coordination/controller/cancel.go", `return c.ReturnUnrecorded(limit, n.stateDown(now)) && m.Record.State == "" && !n.refusedAlone(now)`, `return false`},
 	{"whoever knows stops cancelled tasks", "coordination/controller/workers.go", `n.stopStrayed(m, &r)`, `_ = m`},
-	{"and asks again", "coordination/health/cancelled.go", `s.SinceProbe >= again`, `s.SinceProbe > 1000*again`},
-	{"its owner may begin them again", "coordination/health/cancelled.go", `if s.Finding == Ended || s.Age > limit {`, `if s.Finding == Ended {
+	{"and asks again", "coordination/health/misplaced_tasks.go", `t.SinceProbe >= interval`, `t.SinceProbe > 1000*interval`},
+	{"its owner may begin them again", "coordination/health/misplaced_tasks.go", `if t.Finding == Ended || t.Age > limit {`, `if t.Finding == Ended {
 		return false
 	}
-	if s.Age > limit {`},
+	if t.Age > limit {`},
 	{"who hears nobody begins nothing", "coordination/controller/settle.go", `if !n.hearsNobody(now) && `, `if `},
 	{"all cancellations are repeated", "coordination/controller/peers.go", `n.repeatFrom = ref`, `n.repeatFrom = ""`},
 	{"the bound counts from the record", "coordination/replica/jobs.go", `r.CancelledAtMs != 0 && at.Before(j.FinalAt)`, `false && at.Before(j.FinalAt)`},
@@ -141,16 +141,16 @@
 	{"no lease is kept for a cancelled task", "coordination/controller/outlook.go", `r.Tasks[i].Phase != protocol.TaskExited && (`, `false && (`},
 	{"silence counts from waking", "coordination/controller/workers.go", `	if woke := n.beat.ResumedAt(); woke.After(m.AdoptedAt) {`, `	if woke := n.beat.ResumedAt(); false && woke.After(m.AdoptedAt) {`},
 	{"an answer tells that a machine began again", "coordination/controller/workers.go", `m.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(&r)) {`, `m.Record.State == "" && false {`},
-	{"accounts of a former life do not count", "coordination/health/life.go", `return floor == 0 || a.FencingToken > floor`, `return floor == 0 || a.FencingToken >= 0`},
+	{"accounts of a former life do not count", "coordination/health/incarnation.go", `return floor == 0 || i.FencingToken > floor`, `return floor == 0 || i.FencingToken >= 0`},
 	{"a doubtful report brings no orders", "coordination/controller/workers.go", `	if !doubtful && n.view.IsActive(s) {`, `	if n.view.IsActive(s) {`},
 	{"registration is conditional", "coordination/controller/node.go", `[]kv.Compare{{Key: key, Version: n.view.Nodes[n.cfg.NodeName].Version}}`, `nil`},
 	{"nothing begins under a limit lowered since", "coordination/controller/settle.go", `	case stop, n.overUsed(c.Spec), m.Detector.Reachability.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`, `	case stop, m.Detector.Reachability.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`},
 	{"what a mute machine has lost is not begun there again", "coordination/controller/settle.go", `m.Detector.Reachability.CannotReceive(), n.mute(m, now) && !n.stateDown(now):`, `m.Detector.Reachability.CannotReceive():`},
 	{"nothing new is placed on a mute machine", "coordination/controller/queue.go", ` && !n.mute(m, now)`, ``},
-	{"a machine that stays mute is returned", "coordination/health/hearing.go", `return CannotReport(reported, acting, now.Add(-2*lease), lease)`, `return false`},
+	{"a machine that stays mute is returned", "coordination/health/reachability.go", `return CannotReport(lastHeartbeat, actingSince, now.Add(-unreachableLeases*lease), lease)`, `return false`},
 	{"a machine that does not hear and lost its work is returned", "coordination/controller/workers.go", `m.Detector.Reachability.CannotReceive() && !m.ShowsToken(s) && !m.Lifecycle.Returning`, `false && !m.Lifecycle.Returning`},
 	{"no token is raised for a machine that may not hear it", "coordination/replica/shard.go", `!m.Detector.Reachability.Suspect() && `, ``},
-	{"who stands in is told from machines that are silent", "coordination/health/alone.go", `	if s.Home {
+	{"who stands in is told from machines that are silent", "coordination/health/isolation.go", `	if s.Home {
 		return true
 	}
 `, `	if s.Home {
