--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -7,9 +7,9 @@
 
 const sec = time.Second
 
-// However long a pass takes, most of the time is left.
-func TestPace(t *testing.T) {
-	p := Throttle{MaxShare: 0.25, MinPause: 15 * time.Millisecond, IdlePause: 50 * time.Millisecond, MaxPause: 150 * time.Millisecond}
+// However long a pass takes, most of the time is left for answers.
+func TestThrottleLeavesMostOfTheTime(t *testing.T) {
+	throttle := Throttle{MaxShare: 0.25, MinPause: 15 * time.Millisecond, IdlePause: 50 * time.Millisecond, MaxPause: 150 * time.Millisecond}
 	for _, c := range []struct {
 		took, want time.Duration
 		urgent     bool
@@ -18,14 +18,14 @@
 		{20 * time.Millisecond, 60 * time.Millisecond, true}, {20 * time.Millisecond, 140 * time.Millisecond, false},
 		{40 * time.Millisecond, 150 * time.Millisecond, false}, {100 * time.Millisecond, 300 * time.Millisecond, true},
 	} {
-		if got := p.Pause(c.took, c.urgent); got != c.want {
+		if got := throttle.Pause(c.took, c.urgent); got != c.want {
 			t.Errorf("after %v, urgent %v: %v, wanted %v", c.took, c.urgent, got, c.want)
 		}
 	}
 }
 
-// The parts never add up to more than the limit, and none is left out.
-func TestShareSockets(t *testing.T) {
+// The parts never add up to more than the limit, and each has sockets.
+func TestSocketBudgetStaysWithinLimit(t *testing.T) {
 	for _, limit := range []int{150, 1000, 1803, 3604} {
 		for _, peers := range []int{2, 6} {
 			s := DivideSockets(limit, peers)
@@ -36,13 +36,14 @@
 	}
 }
 
-// Who is turned away is told when the backlog is gone, and not all the same.
-func TestComeBack(t *testing.T) {
+// A refused client is told when the backlog will have drained, and clients are told different
+// times.
+func TestRetryAfterFollowsBacklog(t *testing.T) {
 	for _, c := range []struct {
-		b      Backlog
-		spread float64
-		want   time.Duration
-		refuse bool
+		backlog Backlog
+		spread  float64
+		want    time.Duration
+		shed    bool
 	}{
 		{Backlog{0, 10, false}, 0.9, sec, false},
 		{Backlog{30, 10, false}, 0, 3 * sec, false},
@@ -52,28 +53,28 @@
 		{Backlog{9000, 10, false}, 0.99, 20 * sec, true},
 		{Backlog{1, 0, false}, 0, 10 * sec, true},
 	} {
-		if got := c.b.RetryAfter(c.spread); got != c.want || c.b.ShouldShed(4*sec) != c.refuse {
-			t.Errorf("%+v: come back in %v, refused %v", c.b, got, c.b.ShouldShed(4*sec))
+		if got := c.backlog.RetryAfter(c.spread); got != c.want || c.backlog.ShouldShed(4*sec) != c.shed {
+			t.Errorf("%+v: retry after %v, shed %v", c.backlog, got, c.backlog.ShouldShed(4*sec))
 		}
 	}
 }
 
-// Whatever waits where, the parts of all make one, and none is left without.
-func TestPart(t *testing.T) {
-	for _, waits := range [][]int{{0}, {0, 0, 0}, {50, 0, 3}, {1000, 0, 0, 0, 0, 0, 0}} {
+// Whatever is pending where, the shares of all controllers add up to one, and each has one.
+func TestBudgetSharesAddUpToOne(t *testing.T) {
+	for _, pending := range [][]int{{0}, {0, 0, 0}, {50, 0, 3}, {1000, 0, 0, 0, 0, 0, 0}} {
 		sum := 0.0
-		for own := range waits {
-			p := BudgetShare(waits, own)
-			if p < 0.5/float64(len(waits)) {
-				t.Errorf("%v: %v for %d", waits, p, own)
+		for own := range pending {
+			share := BudgetShare(pending, own)
+			if share < 0.5/float64(len(pending)) {
+				t.Errorf("%v: %v for %d", pending, share, own)
 			}
-			sum += p
+			sum += share
 		}
 		if sum < 0.999 || sum > 1.001 {
-			t.Errorf("%v: %v in all", waits, sum)
+			t.Errorf("%v: %v in all", pending, sum)
 		}
 	}
-	if a, b := BudgetShare([]int{50, 0, 3}, 0), BudgetShare([]int{50, 0, 3}, 1); a < 2*b {
-		t.Errorf("%v with a backlog, %v without", a, b)
+	if busy, idle := BudgetShare([]int{50, 0, 3}, 0), BudgetShare([]int{50, 0, 3}, 1); busy < 2*idle {
+		t.Errorf("%v with a backlog, %v without", busy, idle)
 	}
 }
--- a/internal/coordination/admission/doc.go
+++ b/internal/coordination/admission/doc.go
@@ -1,6 +1,12 @@
-// Package admission decides how a controller spends what it shares with others or with
-// itself: its part of the state service's budget, processor time, sockets, and which
-// clients are turned away and when they should retry.
+// Package admission decides how a controller spends what is limited: its share of the state
+// service's budget, its processor time and its sockets. It also decides which requests are
+// refused, and when their clients should retry.
 //
-// Decisions only: no clock, no lock and no I/O.
+// It guarantees that the budget shares of controllers with the same view add up to one, that
+// the parts of a socket limit do not exceed it if it has room for their minimums, and that
+// a retry time is at least one second.
+//
+// Every function depends on its arguments alone. The package has no clock, lock, goroutine
+// or I/O. It imports the standard library alone and must not import other packages of the
+// module.
 package admission
--- a/internal/coordination/admission/sockets.go
+++ b/internal/coordination/admission/sockets.go
@@ -1,25 +1,38 @@
 package admission
 
-// SocketBudget is how the sockets that a process may hold are shared out.
+// SocketBudget is the division of the sockets that a process may hold.
 type SocketBudget struct {
-	Public      int // for users' and workers' connections together
-	Users       int // of these: a user's connection beyond this many is refused
-	KeepAlive   int // beyond this many open ones each is closed once it is answered
-	WorkerCalls int // for calls of its own to workers
-	State       int // to state service and cloud
-	Peers       int // to and from the other controllers, and what the system needs
+	Public      int // connections of users and workers together
+	Users       int // of the public ones, those that users may hold; further ones are refused
+	KeepAlive   int // open public connections above which each is closed after its answer
+	WorkerCalls int // outgoing calls to workers
+	State       int // connections to state service and cloud
+	Peers       int // connections to and from other controllers, and what the system needs
 }
 
-// DivideSockets divides a limit. State service and peers have theirs whatever
-// happens; of the public ones a sixth is beyond users' reach, so that workers, whose
-// leases run out, get through when a crowd of users does not. Connections are kept only
-// while there are few: one controller left with the machines of three held a socket for
-// each of 1,800, and was at its limit.
+// Fixed parts of a socket budget, and the least and most of the divided ones.
+const (
+	stateSockets       = 24
+	systemSockets      = 16
+	socketsPerPeer     = 4
+	minWorkerCalls     = 16
+	maxWorkerCalls     = 300
+	workerCallsDivisor = 4 // a quarter of the limit
+	minPublic          = 8
+	minUsers           = 4
+	minKeepAlive       = 2
+)
+
+// DivideSockets divides a limit of open sockets. State service and peers have a fixed part.
+// Users may hold five sixths of the public connections, so that workers, whose leases
+// expire, connect when users have taken all of theirs. Connections are kept open up to
+// three fifths of the public part, which prevents a controller that has taken over the
+// machines of several from holding a socket for each machine and reaching its limit.
 func DivideSockets(limit, peers int) SocketBudget {
-	s := SocketBudget{State: 24, Peers: 16 + 4*peers}
-	s.WorkerCalls = max(16, min(300, limit/4))
-	s.Public = max(8, limit-s.WorkerCalls-s.State-s.Peers)
-	s.Users = max(4, s.Public*5/6)
-	s.KeepAlive = max(2, s.Public*3/5)
+	s := SocketBudget{State: stateSockets, Peers: systemSockets + socketsPerPeer*peers}
+	s.WorkerCalls = max(minWorkerCalls, min(maxWorkerCalls, limit/workerCallsDivisor))
+	s.Public = max(minPublic, limit-s.WorkerCalls-s.State-s.Peers)
+	s.Users = max(minUsers, s.Public*5/6)
+	s.KeepAlive = max(minKeepAlive, s.Public*3/5)
 	return s
 }
--- /dev/null
+++ b/internal/coordination/failover/lease_extension_test.go
@@ -0,0 +1,44 @@
+package failover
+
+import (
+	"testing"
+	"time"
+)
+
+const sec = time.Second
+
+// A controller extends leases that it does not own only if it hears neither the state service
+// nor the owner; any other would keep a worker from its owner. One that has not read its
+// records does so only as long as no cancelled task can outlive its limit.
+func TestOnlyIsolatedControllerExtendsOthersLeases(t *testing.T) {
+	now := time.Unix(1000, 0)
+	for name, c := range map[string]struct {
+		state, owner time.Duration // since the last contact
+		want         bool
+	}{
+		"cut off from both":             {9 * sec, 9 * sec, true},
+		"an outage, the owner is heard": {9 * sec, sec, false},
+		"the owner alone is not heard":  {sec, 9 * sec, false},
+		"both are heard":                {sec, sec, false},
+	} {
+		if got := MayExtendLease(LastContact{now.Add(-c.state), now.Add(-c.owner)}, now, 4*sec); got != c.want {
+			t.Errorf("%s: %v", name, got)
+		}
+	}
+	for name, c := range map[string]struct {
+		start              ColdStart
+		cancelLimit, lease time.Duration
+		want               bool
+	}{
+		"started behind a partition":      {ColdStart{3 * sec, false, true}, 47 * sec, 27 * sec, true},
+		"just started":                    {ColdStart{sec / 2, false, true}, 47 * sec, 27 * sec, false},
+		"for too long already":            {ColdStart{10 * sec, false, true}, 47 * sec, 27 * sec, false},
+		"another is heard":                {ColdStart{3 * sec, true, true}, 47 * sec, 27 * sec, false},
+		"no controller in another zone":   {ColdStart{3 * sec, false, false}, 47 * sec, 27 * sec, false},
+		"the limit leaves no time for it": {ColdStart{3 * sec, false, true}, 38 * sec, 27 * sec, false},
+	} {
+		if got := MayExtendUnread(c.start, c.cancelLimit, c.lease); got != c.want {
+			t.Errorf("%s: %v", name, got)
+		}
+	}
+}
--- a/internal/coordination/failover/takeover.go
+++ b/internal/coordination/failover/takeover.go
@@ -6,31 +6,34 @@
 	"time"
 )
 
-// Candidate is a live controller that might take a shard over.
+// Candidate is a live controller that may take over a shard.
 type Candidate struct {
 	Node     string
-	Machines int // that it answers for already
+	Machines int // machines of the shards that it owns already
 }
 
-// turnDelay is how far apart the candidates' turns are: longer than it takes the one
-// before to write its claim and the others to see it.
-const turnDelay = 400 * time.Millisecond
+// takeoverInterval is the time between the attempts of two candidates that follow each
+// other: longer than the former needs to write its record and the latter to observe it.
+const takeoverInterval = 400 * time.Millisecond
 
-// StartupGrace is how long a controller that has just come back leaves the shards of
-// others alone whose leases are over. When all end together they come back within
-// a moment of one another; whoever was first took everything, and gave it back
-// seconds later, with two new tokens and two moves for every worker.
+// StartupGrace is how long a controller that has just started leaves other controllers'
+// shards with an expired lease alone. Controllers that ended together start again within a
+// moment of each other, so the grace prevents the first one from acquiring every shard and
+// returning it seconds later, at the price of two new fencing tokens and two redirects for
+// every worker.
 const StartupGrace = 1500 * time.Millisecond
 
-// TakeoverDelay is how long a controller waits before it takes over a shard whose owner's
-// lease has ended: the one that answers for the fewest machines goes first, the
-// next follows if that one did not. Whoever noticed first used to take all: of
-// seven controllers one had the machines of three dead ones.
-func TakeoverDelay(me string, all []Candidate) time.Duration {
-	order := slices.Clone(all)
+// TakeoverDelay returns how long the controller self waits before it takes over a shard
+// whose owner's lease has expired. The candidate with the fewest machines goes first, and
+// each further one follows in case those before it did not act; candidates with equally
+// many go by node name, so that all controllers agree on the order. This prevents one
+// controller from acquiring the shards of several failed ones. A controller that is not
+// among the candidates does not wait.
+func TakeoverDelay(self string, candidates []Candidate) time.Duration {
+	order := slices.Clone(candidates)
 	slices.SortFunc(order, func(a, b Candidate) int {
 		return cmp.Or(cmp.Compare(a.Machines, b.Machines), cmp.Compare(a.Node, b.Node))
 	})
-	at := slices.IndexFunc(order, func(c Candidate) bool { return c.Node == me })
-	return time.Duration(max(at, 0)) * turnDelay
+	position := slices.IndexFunc(order, func(c Candidate) bool { return c.Node == self })
+	return time.Duration(max(position, 0)) * takeoverInterval
 }
