--- a/internal/coordination/quarantine/doc.go
+++ b/internal/coordination/quarantine/doc.go
@@ -1,8 +1,14 @@
-// Package quarantine attributes failed tasks to the machine they ran on or to the job they
-// belong to. A job with a mistake fails on every machine until its user cancels it, and
-// must not put machines out of use; a faulty machine fails the tasks of every job, and is
-// quarantined on the evidence of jobs that are known to be healthy.
+// Package quarantine attributes failed tasks to the machine that they ran on or to the job
+// that they belong to. A job with a mistake fails on every machine until its user cancels
+// it, and must not put machines out of use. A faulty machine fails the tasks of every job,
+// and is quarantined on the evidence of jobs that are known to be healthy.
 //
-// The package keeps what was observed and weighs it. It has no clock, no lock and does no
-// I/O: times come in, verdicts go out, and its owner acts on them.
+// The package owns the evidence of each job and machine, and forgets it after two minutes.
+// It guarantees that a suspected job never counts against a machine, that two jobs of which
+// nothing is known do not quarantine one, and that the same records at the same times give
+// the same verdicts. Its owner acts on them.
+//
+// The package has no clock, lock, goroutine or I/O. It imports the standard library and the
+// backoff package, and must not import other packages of the module. Its values are not
+// safe for concurrent use; the caller guards them.
 package quarantine
--- a/internal/coordination/quarantine/machine.go
+++ b/internal/coordination/quarantine/machine.go
@@ -7,90 +7,92 @@
 )
 
 const (
-	// avoidDuration is for how long a job stays away from a machine that failed it.
+	// avoidDuration is how long a job avoids a machine on which it failed.
 	avoidDuration = 30 * time.Second
-	// The weights of failures against a machine: of a job that goes well elsewhere,
-	// of one that has done so again and again, and of one of which nothing is known.
+	// The weights of a job's failures against a machine: of a job that succeeds elsewhere,
+	// of one that does and has failed there in several attempts, and of one of which
+	// nothing is known.
 	weightHealthy, weightRepeated, weightUnknown = 2, 3, 1
-	// quarantineWeight is the weight that condemns. Two jobs of which nothing is known do not
-	// reach it: both may have been submitted with a mistake.
+	// quarantineWeight is the weight from which a machine is quarantined. Two jobs of which
+	// nothing is known do not reach it: both may have been submitted with a mistake.
 	quarantineWeight = 3
 )
 
 // MachineEvidence is what is known of one machine. The zero value is one that never failed.
 type MachineEvidence struct {
-	failures map[string]jobFailures // by job
+	failures map[string]jobFailures // by job ID
 }
 
 // jobFailures is a job's failures on a machine.
 type jobFailures struct {
 	lastFailure time.Time
-	attempts    int // tries that failed, those of one moment counted once
+	attempts    int // failed attempts; tasks that ran at the same time are one
 }
 
-// RecordFailure notes that a task of a job, begun at some time, failed there.
-func (m *MachineEvidence) RecordFailure(ref string, began, now time.Time) {
+// RecordFailure records that a task of a job, started at startedAt, failed on the machine.
+func (m *MachineEvidence) RecordFailure(jobID string, startedAt, now time.Time) {
 	if m.failures == nil {
 		m.failures = make(map[string]jobFailures)
 	}
-	s := m.failures[ref]
-	if s.attempts == 0 || began.After(s.lastFailure) {
-		s.attempts++
+	f := m.failures[jobID]
+	if f.attempts == 0 || startedAt.After(f.lastFailure) {
+		f.attempts++
 	}
-	s.lastFailure = now
-	m.failures[ref] = s
+	f.lastFailure = now
+	m.failures[jobID] = f
 }
 
-// Succeeded notes that a task that began at some time went well there. Only what began
-// after a failure speaks for the machine: a sick one may well complete what it
-// began before.
-func (m *MachineEvidence) Succeeded(began time.Time) {
-	maps.DeleteFunc(m.failures, func(_ string, s jobFailures) bool { return began.After(s.lastFailure) })
+// Succeeded records that a task started at startedAt succeeded on the machine, which drops
+// the failures before that instant. Later failures stay: a faulty machine may well complete
+// what it started before the fault.
+func (m *MachineEvidence) Succeeded(startedAt time.Time) {
+	maps.DeleteFunc(m.failures, func(_ string, f jobFailures) bool { return startedAt.After(f.lastFailure) })
 }
 
-// Failing tells that some job has failed there and nothing went well since.
+// Failing reports whether a job has failed on the machine and none has succeeded since.
 func (m *MachineEvidence) Failing() bool { return len(m.failures) > 0 }
 
-// Avoids tells that a job failed there lately and should be tried elsewhere.
-func (m *MachineEvidence) Avoids(ref string, now time.Time) bool {
-	s, ok := m.failures[ref]
-	return ok && now.Sub(s.lastFailure) < avoidDuration
+// Avoids reports whether a job failed on the machine lately and should be placed elsewhere.
+func (m *MachineEvidence) Avoids(jobID string, now time.Time) bool {
+	f, ok := m.failures[jobID]
+	return ok && now.Sub(f.lastFailure) < avoidDuration
 }
 
-// AvoidedBy lists the jobs that should be tried elsewhere.
+// AvoidedBy returns the IDs of the jobs that should be placed elsewhere, in order.
 func (m *MachineEvidence) AvoidedBy(now time.Time) []string {
-	var out []string
-	for _, ref := range slices.Sorted(maps.Keys(m.failures)) {
-		if m.Avoids(ref, now) {
-			out = append(out, ref)
+	var jobIDs []string
+	for _, jobID := range slices.Sorted(maps.Keys(m.failures)) {
+		if m.Avoids(jobID, now) {
+			jobIDs = append(jobIDs, jobID)
 		}
 	}
-	return out
+	return jobIDs
 }
 
-// Quarantine weighs the failures by the standing of their jobs, and names the jobs on
-// whose word the machine is condemned. It may be taken back when a job turns out to
-// fail everywhere.
-func (m *MachineEvidence) Quarantine(standing func(ref string) Verdict, now time.Time) ([]string, bool) {
+// Quarantine weighs the failures on the machine by the verdicts on their jobs. It returns
+// the IDs of the jobs that count against the machine, in order, and reports whether it
+// should be quarantined. A later call may report false again, when a job turns out to fail
+// on every machine. Failures older than evidenceTTL are dropped.
+func (m *MachineEvidence) Quarantine(verdict func(jobID string) Verdict, now time.Time) ([]string, bool) {
 	weight := 0
-	var on []string
-	for _, ref := range slices.Sorted(maps.Keys(m.failures)) {
-		s := m.failures[ref]
-		if now.Sub(s.lastFailure) > evidenceTTL {
-			delete(m.failures, ref)
+	var against []string
+	for _, jobID := range slices.Sorted(maps.Keys(m.failures)) {
+		f := m.failures[jobID]
+		if now.Sub(f.lastFailure) > evidenceTTL {
+			delete(m.failures, jobID)
 			continue
 		}
-		switch standing(ref) {
+		switch verdict(jobID) {
 		case Suspect:
 			continue
 		case Unknown:
 			weight += weightUnknown
 		case Healthy:
-			if weight += weightHealthy; s.attempts > 1 {
+			if weight += weightHealthy; f.attempts > 1 {
 				weight += weightRepeated - weightHealthy
 			}
 		}
-		on = append(on, ref)
+		against = append(against, jobID)
 	}
-	return on, weight >= quarantineWeight
+	return against, weight >= quarantineWeight
 }
