--- a/internal/coordination/dag/graph.go
+++ b/internal/coordination/dag/graph.go
@@ -9,10 +9,10 @@
 	"madderslip/internal/protocol"
 )
 
-// State is what the records say of a job, as far as the jobs that need it are concerned.
+// State is the state of a job as far as its dependents are concerned.
 type State int
 
-// The states of a needed job.
+// The states of a dependency.
 const (
 	Unknown    State = iota // no record of it has been read
 	Unfinished              // accepted, and neither done nor cancelled
@@ -20,227 +20,236 @@
 	Cancelled
 )
 
-// Job is a job that waits for others, as its record has it.
+// Job is a job that is blocked on its dependencies, as its record describes it.
 type Job struct {
 	ID           string
-	Dependencies []string
+	Dependencies []string // job IDs
 	Spec         *protocol.Submission
-	AcceptedAt   time.Time // its acceptance, from which its deadline counts
-	Revision     uint64
+	AcceptedAt   time.Time // the deadline counts from here
+	Revision     uint64    // of its record
 }
 
-// Graph holds the jobs that wait and whom each of them waits for.
+// Graph holds the blocked jobs and their dependencies. It is not safe for concurrent use.
 type Graph struct {
-	lookup     func(ref string) State
-	waiting    map[string]*blockedJob
-	dependents map[string]map[string]*blockedJob // by needed job, then by the job that needs it
-	unknown    map[string]struct{}               // needed jobs of which no record has been read
+	lookup     func(jobID string) State
+	blocked    map[string]*blockedJob            // by job ID
+	dependents map[string]map[string]*blockedJob // by ID of the dependency, then of the dependent
+	unknown    map[string]struct{}               // dependencies of which no record has been read
 	changes    uint64
-	urgency    map[string]Urgency // worked out since the latest change
+	urgency    map[string]Urgency // computed since the latest change
 }
 
-// blockedJob is a waiting job.
+// blockedJob is a blocked job and what is known of its dependencies.
 type blockedJob struct {
 	Job
-	unfinished     map[string]struct{} // needed jobs that are not known to be done
-	cancelled      bool
-	resolvedAt     time.Time // when the last needed job was seen done, or one of them cancelled
-	lastDependency string    // the needed job that was the last to be done
+	unfinished     map[string]struct{} // dependencies that are not known to be done
+	cancelled      bool                // a direct or indirect dependency is cancelled
+	resolvedAt     time.Time           // when it became ready or cancelled
+	lastDependency string              // the dependency that was done last
 }
 
-// NewGraph makes an empty graph. lookup says what the records hold of a job that does
-// not wait itself.
-func NewGraph(lookup func(ref string) State) *Graph {
-	return &Graph{lookup: lookup, waiting: make(map[string]*blockedJob), dependents: make(map[string]map[string]*blockedJob),
+// NewGraph returns an empty graph. lookup returns the recorded state of a job that is not
+// blocked itself.
+func NewGraph(lookup func(jobID string) State) *Graph {
+	return &Graph{lookup: lookup, blocked: make(map[string]*blockedJob), dependents: make(map[string]map[string]*blockedJob),
 		unknown: make(map[string]struct{}), urgency: make(map[string]Urgency)}
 }
 
-// Changes counts what has changed: while it stays the same, so do all answers.
+// Changes returns a counter that rises with every change of the graph. While it stays the
+// same, so do the ready and the cancelled jobs.
 func (g *Graph) Changes() uint64 { return g.changes }
 
-// Len is how many jobs wait.
-func (g *Graph) Len() int { return len(g.waiting) }
+// Len returns the number of blocked jobs.
+func (g *Graph) Len() int { return len(g.blocked) }
 
-// Lookup is a waiting job.
-func (g *Graph) Lookup(ref string) (Job, bool) {
-	if n := g.waiting[ref]; n != nil {
-		return n.Job, true
+// Lookup returns a blocked job, and false if the job is not blocked.
+func (g *Graph) Lookup(jobID string) (Job, bool) {
+	if job := g.blocked[jobID]; job != nil {
+		return job.Job, true
 	}
 	return Job{}, false
 }
 
-// IsCancelled tells whether a waiting job is cancelled because a job before it is.
-func (g *Graph) IsCancelled(ref string) bool {
-	n := g.waiting[ref]
-	return n != nil && n.cancelled
+// IsCancelled reports whether a job is blocked and cancelled, since one that it depends on,
+// directly or indirectly, is cancelled.
+func (g *Graph) IsCancelled(jobID string) bool {
+	job := g.blocked[jobID]
+	return job != nil && job.cancelled
 }
 
-// IsReady tells whether all that a waiting job needs is done.
-func (g *Graph) IsReady(ref string) bool {
-	n := g.waiting[ref]
-	return n != nil && n.ready()
+// IsReady reports whether a job is blocked and all its dependencies are done.
+func (g *Graph) IsReady(jobID string) bool {
+	job := g.blocked[jobID]
+	return job != nil && job.ready()
 }
 
-func (n *blockedJob) ready() bool { return len(n.unfinished) == 0 && !n.cancelled }
+// ready reports whether all dependencies are done and none is cancelled.
+func (b *blockedJob) ready() bool { return len(b.unfinished) == 0 && !b.cancelled }
 
-// Resolve is how a job that names others would stand: which of them are not done, and
-// whether one is cancelled.
-func (g *Graph) Resolve(needs []string) (left []string, cancelled bool) {
-	for _, ref := range needs {
-		switch g.stateOf(ref) {
+// Resolve returns which of the dependencies of a new job are neither done nor cancelled, and
+// reports whether one is cancelled.
+func (g *Graph) Resolve(dependencies []string) (unfinished []string, cancelled bool) {
+	for _, jobID := range dependencies {
+		switch g.stateOf(jobID) {
 		case Done:
 		case Cancelled:
 			cancelled = true
 		default:
-			left = append(left, ref)
+			unfinished = append(unfinished, jobID)
 		}
 	}
-	return left, cancelled
+	return unfinished, cancelled
 }
 
-func (g *Graph) stateOf(ref string) State {
-	n := g.waiting[ref]
+// stateOf returns the state of a job, blocked or not.
+func (g *Graph) stateOf(jobID string) State {
+	job := g.blocked[jobID]
 	switch {
-	case n == nil:
-		return g.lookup(ref)
-	case n.cancelled:
+	case job == nil:
+		return g.lookup(jobID)
+	case job.cancelled:
 		return Cancelled
 	}
 	return Unfinished
 }
 
-// Add takes the record of a job that waits. Such a record is written once; what is held
-// already is left as it is.
+// Add adds a blocked job from its record. Such a record is written once, so a job that the
+// graph holds already is left as it is. now is when the record was read.
 func (g *Graph) Add(j Job, now time.Time) {
-	if g.waiting[j.ID] != nil {
+	if g.blocked[j.ID] != nil {
 		return
 	}
-	n := &blockedJob{Job: j, unfinished: make(map[string]struct{})}
-	g.waiting[j.ID] = n
+	job := &blockedJob{Job: j, unfinished: make(map[string]struct{})}
+	g.blocked[j.ID] = job
 	g.changed()
 	delete(g.unknown, j.ID)
 	cancelled := false
-	for _, ref := range j.Dependencies {
-		switch g.stateOf(ref) {
+	for _, jobID := range j.Dependencies {
+		switch g.stateOf(jobID) {
 		case Done:
 			continue
 		case Cancelled:
 			cancelled = true
 		case Unknown:
-			g.unknown[ref] = struct{}{}
+			g.unknown[jobID] = struct{}{}
 		}
-		n.unfinished[ref] = struct{}{}
-		if g.dependents[ref] == nil {
-			g.dependents[ref] = make(map[string]*blockedJob)
+		job.unfinished[jobID] = struct{}{}
+		if g.dependents[jobID] == nil {
+			g.dependents[jobID] = make(map[string]*blockedJob)
 		}
-		g.dependents[ref][j.ID] = n
+		g.dependents[jobID][j.ID] = job
 	}
-	if len(n.unfinished) == 0 {
-		n.resolvedAt = now
+	if len(job.unfinished) == 0 {
+		job.resolvedAt = now
 	}
 	if cancelled {
-		g.cancel(n, now)
+		g.cancel(job, now)
 	}
 }
 
-// ObserveState takes what a record says of a job that does not wait, or does not wait any more.
-func (g *Graph) ObserveState(ref string, state State, now time.Time) {
-	g.drop(ref)
+// ObserveState applies the recorded state of a job that is not blocked, or no longer is: the
+// job leaves the graph, and its dependents become ready or cancelled where this decides it.
+func (g *Graph) ObserveState(jobID string, state State, now time.Time) {
+	g.drop(jobID)
 	if state != Unknown {
-		delete(g.unknown, ref)
+		delete(g.unknown, jobID)
 	}
-	needing := g.dependents[ref]
-	if len(needing) == 0 || (state != Done && state != Cancelled) {
+	dependents := g.dependents[jobID]
+	if len(dependents) == 0 || (state != Done && state != Cancelled) {
 		return
 	}
 	g.changed()
 	if state == Cancelled {
-		for _, n := range needing {
-			g.cancel(n, now)
+		for _, job := range dependents {
+			g.cancel(job, now)
 		}
 		return
 	}
-	delete(g.dependents, ref)
-	for _, n := range needing {
-		delete(n.unfinished, ref)
-		if n.ready() {
-			n.resolvedAt, n.lastDependency = now, ref
+	delete(g.dependents, jobID)
+	for _, job := range dependents {
+		delete(job.unfinished, jobID)
+		if job.ready() {
+			job.resolvedAt, job.lastDependency = now, jobID
 		}
 	}
 }
 
-// cancel marks a job and all that need it, directly or through others.
-func (g *Graph) cancel(first *blockedJob, now time.Time) {
-	todo := []*blockedJob{first}
-	for len(todo) > 0 {
-		n := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		if n.cancelled {
+// cancel marks a job and all its direct and indirect dependents as cancelled.
+func (g *Graph) cancel(root *blockedJob, now time.Time) {
+	pending := []*blockedJob{root}
+	for len(pending) > 0 {
+		job := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		if job.cancelled {
 			continue
 		}
-		n.cancelled, n.resolvedAt = true, now
-		for _, next := range g.dependents[n.ID] {
-			todo = append(todo, next)
+		job.cancelled, job.resolvedAt = true, now
+		for _, dependent := range g.dependents[job.ID] {
+			pending = append(pending, dependent)
 		}
 	}
 }
 
-// drop takes a job out that does not wait any more. Those that need it stay linked.
-func (g *Graph) drop(ref string) {
-	n := g.waiting[ref]
-	if n == nil {
+// drop removes a job that is no longer blocked. Its dependents stay linked to it.
+func (g *Graph) drop(jobID string) {
+	job := g.blocked[jobID]
+	if job == nil {
 		return
 	}
 	g.changed()
-	delete(g.waiting, ref)
-	for need := range n.unfinished {
-		delete(g.dependents[need], ref)
-		if len(g.dependents[need]) == 0 {
-			delete(g.dependents, need)
-			delete(g.unknown, need)
+	delete(g.blocked, jobID)
+	for dependency := range job.unfinished {
+		delete(g.dependents[dependency], jobID)
+		if len(g.dependents[dependency]) == 0 {
+			delete(g.dependents, dependency)
+			delete(g.unknown, dependency)
 		}
 	}
 }
 
+// changed counts a change and drops the urgencies computed before it.
 func (g *Graph) changed() {
 	g.changes++
 	clear(g.urgency)
 }
 
-// ResolvedJob is a waiting job whose fate is decided and not yet on record.
+// ResolvedJob is a blocked job that is ready or cancelled and whose record does not say so
+// yet.
 type ResolvedJob struct {
 	Job
-	Since          time.Time
-	LastDependency string // the job whose end decided it, as far as known
+	Since          time.Time // when it became ready or cancelled
+	LastDependency string    // the dependency that was done last, if it was observed
 }
 
-// ReadyJobs lists the jobs that may be released, in order.
+// ReadyJobs returns the jobs that may be released, in order of their IDs.
 func (g *Graph) ReadyJobs() []ResolvedJob {
-	return g.list(func(n *blockedJob) bool { return n.ready() })
+	return g.list(func(job *blockedJob) bool { return job.ready() })
 }
 
-// CancelledJobs lists the waiting jobs that are cancelled because one before them is,
-// in order.
+// CancelledJobs returns the blocked jobs that are cancelled with a dependency, in order of
+// their IDs.
 func (g *Graph) CancelledJobs() []ResolvedJob {
-	return g.list(func(n *blockedJob) bool { return n.cancelled })
+	return g.list(func(job *blockedJob) bool { return job.cancelled })
 }
 
-func (g *Graph) list(which func(*blockedJob) bool) []ResolvedJob {
+// list returns the blocked jobs that match, in order of their IDs.
+func (g *Graph) list(matches func(*blockedJob) bool) []ResolvedJob {
 	var out []ResolvedJob
-	for _, n := range g.waiting {
-		if which(n) {
-			out = append(out, ResolvedJob{n.Job, n.resolvedAt, n.lastDependency})
+	for _, job := range g.blocked {
+		if matches(job) {
+			out = append(out, ResolvedJob{job.Job, job.resolvedAt, job.lastDependency})
 		}
 	}
 	slices.SortFunc(out, func(a, b ResolvedJob) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
 
-// UnknownDependencies lists the needed jobs of which no record has been read, in order.
+// UnknownDependencies returns the IDs of dependencies of which no record has been read, in
+// order.
 func (g *Graph) UnknownDependencies() []string { return slices.Sorted(maps.Keys(g.unknown)) }
 
-// DependencyIDs lists the jobs that others wait for, in order.
+// DependencyIDs returns the IDs of jobs that others are blocked on, in order.
 func (g *Graph) DependencyIDs() []string { return slices.Sorted(maps.Keys(g.dependents)) }
 
-// DependentCount counts the jobs that wait for a job directly.
-func (g *Graph) DependentCount(ref string) int { return len(g.dependents[ref]) }
+// DependentCount returns how many jobs are blocked on a job directly.
+func (g *Graph) DependentCount(jobID string) int { return len(g.dependents[jobID]) }
--- a/internal/coordination/dag/urgency.go
+++ b/internal/coordination/dag/urgency.go
@@ -6,44 +6,45 @@
 	"madderslip/internal/protocol"
 )
 
-// Urgency is what a job inherits from the jobs that need it.
+// Urgency is what a job inherits from its direct and indirect dependents.
 type Urgency struct {
-	// Rank is the highest rank of any of them; 0 where there is none.
+	// Priority is the highest priority of any dependent; 0 where there is none.
 	Priority int
-	// By is when the job has to be done so that each of them can still meet its
-	// deadline; zero where none has one.
+	// FinishBy is the latest instant at which the job may finish so that each dependent can
+	// still meet its deadline; zero where none has a deadline.
 	FinishBy time.Time
 }
 
-// Estimate is how long a job's tasks are expected to run.
+// Estimate returns how long a job's tasks are expected to run.
 type Estimate func(*protocol.Submission) time.Duration
 
-// Urgency works out what a job inherits, along the longest of the ways to each
-// deadline. Jobs that are cancelled pass nothing on. Answers are kept until the graph
-// changes or Forget is called.
-func (g *Graph) Urgency(ref string, estimate Estimate) Urgency {
-	if u, known := g.urgency[ref]; known {
-		return u
+// Urgency returns what a job inherits, along the longest path to each deadline. Cancelled
+// dependents pass nothing on. Results are cached until the graph changes or
+// InvalidateUrgency is called.
+func (g *Graph) Urgency(jobID string, estimate Estimate) Urgency {
+	if cached, ok := g.urgency[jobID]; ok {
+		return cached
 	}
-	var u Urgency
-	for _, n := range g.dependents[ref] {
-		if n.cancelled {
+	var urgency Urgency
+	for _, dependent := range g.dependents[jobID] {
+		if dependent.cancelled {
 			continue
 		}
-		beyond := g.Urgency(n.ID, estimate)
-		u.Priority = max(u.Priority, beyond.Priority, n.Spec.Priority())
-		if by := earlier(beyond.FinishBy, n.deadline()); !by.IsZero() {
-			u.FinishBy = earlier(u.FinishBy, by.Add(-estimate(n.Spec)))
+		inherited := g.Urgency(dependent.ID, estimate)
+		urgency.Priority = max(urgency.Priority, inherited.Priority, dependent.Spec.Priority())
+		if finishBy := earlier(inherited.FinishBy, dependent.deadline()); !finishBy.IsZero() {
+			startBy := finishBy.Add(-estimate(dependent.Spec))
+			urgency.FinishBy = earlier(urgency.FinishBy, startBy)
 		}
 	}
-	g.urgency[ref] = u
-	return u
+	g.urgency[jobID] = urgency
+	return urgency
 }
 
-// InvalidateUrgency drops the answers kept, since estimates have changed.
+// InvalidateUrgency drops the cached results, which is needed when estimates have changed.
 func (g *Graph) InvalidateUrgency() { clear(g.urgency) }
 
-// deadline is a job's own; zero: none.
+// deadline returns the job's own deadline; zero if it has none.
 func (j *Job) deadline() time.Time {
 	if j.Spec.Deadline() == 0 {
 		return time.Time{}
@@ -51,7 +52,7 @@
 	return j.AcceptedAt.Add(j.Spec.Deadline())
 }
 
-// earlier is the earlier of two instants, of which zero ones do not count.
+// earlier returns the earlier of two instants. A zero instant counts as none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -59,24 +60,24 @@
 	return a
 }
 
-// spotAvoidance is for how long a job on the way to a deadline keeps off cheap machines. Longer
-// it would wait beside room that it may use.
+// spotAvoidance is how long a job that has to finish by an instant avoids spot machines.
+// Afterwards it may use them, so that it does not wait beside free capacity.
 const spotAvoidance = 15 * time.Second
 
-// Inherit is a description with the rank that it inherits, the description itself where
-// nothing changes. On the way to a deadline a job keeps off cheap machines at first: what
-// is lost with one that is taken without notice begins again only once that is proved, a
-// minute later. waited is for how long it has been in the queues.
-func Inherit(spec *protocol.Submission, u Urgency, waited time.Duration) *protocol.Submission {
+// Inherit returns a submission with the priority that it inherits, the submission itself
+// where nothing changes. waited is how long the job has been queued: one that has to finish
+// by an instant avoids spot machines at first, since a task that is lost with a machine
+// preempted without notice restarts only once the loss is proved, a minute later.
+func Inherit(spec *protocol.Submission, urgency Urgency, waited time.Duration) *protocol.Submission {
 	if spec == nil {
 		return nil
 	}
-	rank := max(u.Priority, spec.Priority())
-	spot := spec.AllowSpot && (u.FinishBy.IsZero() || waited > spotAvoidance)
-	if rank == spec.Priority() && spot == spec.AllowSpot {
+	priority := max(urgency.Priority, spec.Priority())
+	allowSpot := spec.AllowSpot && (urgency.FinishBy.IsZero() || waited > spotAvoidance)
+	if priority == spec.Priority() && allowSpot == spec.AllowSpot {
 		return spec
 	}
 	raised := *spec
-	raised.PriorityClass, raised.AllowSpot = protocol.PriorityClassOf(rank), spot
+	raised.PriorityClass, raised.AllowSpot = protocol.PriorityClassOf(priority), allowSpot
 	return &raised
 }
--- /dev/null
+++ b/internal/coordination/dag/urgency_test.go
@@ -0,0 +1,55 @@
+package dag
+
+import (
+	"testing"
+	"time"
+
+	"madderslip/internal/protocol"
+)
+
+// The jobs before a deadline inherit priority and time along the longest path to it; a
+// cancelled job passes nothing on.
+func TestUrgencyIsInheritedAlongLongestPath(t *testing.T) {
+	r := records{"root": Unfinished}
+	g := r.graph()
+	estimate := func(s *protocol.Submission) time.Duration { return s.RunEstimate() }
+	g.Add(blocked("short", "root", "idle", 0), noon)
+	g.Add(blocked("long", "root", "normal", 0), noon)
+	g.Add(blocked("longer", "long", "idle", 0), noon)
+	if urgency := g.Urgency("root", estimate); urgency.Priority != 1 || !urgency.FinishBy.IsZero() {
+		t.Fatalf("without a deadline: %+v", urgency)
+	}
+	g.Add(blocked("last", "short longer", "high", 100), noon)
+	if urgency := g.Urgency("root", estimate); urgency.Priority != 2 || urgency.FinishBy != noon.Add(70*time.Second) {
+		t.Fatalf("root inherits %+v", urgency)
+	}
+	if urgency := g.Urgency("longer", estimate); urgency.Priority != 2 || urgency.FinishBy != noon.Add(90*time.Second) {
+		t.Fatalf("longer inherits %+v", urgency)
+	}
+	spec := &protocol.Submission{PriorityClass: "idle"}
+	if raised := Inherit(spec, g.Urgency("root", estimate), 0); raised == spec || raised.PriorityClass != "high" || spec.PriorityClass != "idle" {
+		t.Errorf("raised %+v, own %+v", raised, spec)
+	}
+	if own := (&protocol.Submission{PriorityClass: "critical"}); Inherit(own, g.Urgency("root", estimate), 0) != own {
+		t.Error("a higher priority of its own was lowered")
+	}
+	r.observe(g, "last", Cancelled)
+	if urgency := g.Urgency("root", estimate); urgency.Priority != 1 || !urgency.FinishBy.IsZero() {
+		t.Errorf("after the last is cancelled: %+v", urgency)
+	}
+}
+
+// A job that has to finish by an instant avoids spot machines for a while, and no longer.
+func TestUrgentJobAvoidsSpotAtFirst(t *testing.T) {
+	spec := &protocol.Submission{PriorityClass: "high", AllowSpot: true}
+	urgency := Urgency{Priority: 1, FinishBy: noon}
+	if got := Inherit(spec, urgency, time.Second); got.AllowSpot || got.PriorityClass != "high" {
+		t.Errorf("at first: %+v", got)
+	}
+	if got := Inherit(spec, urgency, spotAvoidance+1); got != spec {
+		t.Errorf("after a while: %+v", got)
+	}
+	if got := Inherit(spec, Urgency{Priority: 2}, 0); got != spec {
+		t.Errorf("without a deadline: %+v", got)
+	}
+}
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -98,19 +98,19 @@
 		return
 	}
 `, ``},
-	{"a job is released once all that it needs is done", "coordination/dag/graph.go", `return len(n.unfinished) == 0 && !n.cancelled`, `return len(n.unfinished) <= 1 && !n.cancelled`},
+	{"a job is released once all that it needs is done", "coordination/dag/graph.go", `return len(b.unfinished) == 0 && !b.cancelled`, `return len(b.unfinished) <= 1 && !b.cancelled`},
 	{"a job is refused on proof that one it names is not there", "coordination/controller/pipeline.go", `		n.proveNeeds(spec, missing, until, reply)
 		return
 `, `		reply(transport.Response{Status: 422})
 		return
 `},
 	{"jobs that were never accepted are not waited for", "coordination/controller/pipeline.go", `if missing := n.notRead(spec.Dependencies); len(missing) > 0 {`, `if missing := n.notRead(spec.Dependencies); len(missing) > 1000 {`},
-	{"a cancellation goes down the graph", "coordination/dag/graph.go", `		for _, next := range g.dependents[n.ID] {
-			todo = append(todo, next)
+	{"a cancellation goes down the graph", "coordination/dag/graph.go", `		for _, dependent := range g.dependents[job.ID] {
+			pending = append(pending, dependent)
 		}
 `, ``},
 	{"a job that waits is answered by what was read since", "coordination/controller/users.go", `case err == nil && n.undecided(ref):`, `case false:`},
-	{"what an urgent job needs is urgent", "coordination/dag/urgency.go", `u.Priority = max(u.Priority, beyond.Priority, n.Spec.Priority())`, `_ = beyond`},
+	{"what an urgent job needs is urgent", "coordination/dag/urgency.go", `urgency.Priority = max(urgency.Priority, inherited.Priority, dependent.Spec.Priority())`, `_ = inherited`},
 	{"a refused transaction proves lower limits", "storage/kv/limits.go", `	l.lowered = true
 	return true
 `, `	return false
