--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -170,7 +170,7 @@
 `, ``},
 	{"tries become rarer", "coordination/quarantine/job.go", `j.retryAt = now.Add(wait/2`, `j.retryAt = now.Add(0*wait`},
 	{"late boots do not count", "coordination/controller/boots.go", `return out[:provisioning.ReplacementCount(late, coming)]`, `return out[:0*provisioning.ReplacementCount(late, coming)]`},
-	{"late ones are replaced a few at a time", "coordination/provisioning/boots.go", `return min(late, 1+coming/4)`, `return late`},
+	{"late ones are replaced a few at a time", "coordination/provisioning/replacement.go", `return min(overdue, 1+booting/bootingPerReplacement)`, `return overdue`},
 	{"boots are judged by who saw them", "coordination/controller/boots.go", ` || !s.OwnedSince.Before(time.UnixMilli(m.Record.RentedAtMs)) {
 			continue`, ` {
 			continue`},
