--- a/internal/coordination/placement/besteffort_test.go
+++ b/internal/coordination/placement/besteffort_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// What idle work may take: all that nobody needs, but the warm room; a small share
-// while others wait.
-func TestMay(t *testing.T) {
+// Best-effort work may use all free capacity but the warm reserve, and a small share while
+// other work waits.
+func TestBestEffortIsLimitedToShareWhileOthersWait(t *testing.T) {
 	for name, c := range map[string]struct {
-		r    BestEffortCapacity
-		want float64
+		capacity BestEffortCapacity
+		want     float64
 	}{
-		"an empty shard":                      {BestEffortCapacity{Total: 400, Free: 400, WarmReserve: 40}, 360},
-		"only the warm room is free":          {BestEffortCapacity{Total: 400, Free: 40, WarmReserve: 40, InUse: 100}, 0},
-		"it, and idle work has nothing yet":   {BestEffortCapacity{Total: 400, Free: 40, WarmReserve: 40}, 20},
-		"others wait":                         {BestEffortCapacity{Total: 400, Free: 100, Contended: true}, 20},
-		"others wait, it has its share":       {BestEffortCapacity{Total: 400, Free: 100, InUse: 20, Contended: true}, 0},
-		"others wait, little is free":         {BestEffortCapacity{Total: 400, Free: 3, Contended: true}, 3},
-		"it has much, others have come since": {BestEffortCapacity{Total: 400, Free: 10, InUse: 300, Contended: true}, 0},
+		"an empty shard":                       {BestEffortCapacity{Total: 400, Free: 400, WarmReserve: 40}, 360},
+		"only the warm reserve is free":        {BestEffortCapacity{Total: 400, Free: 40, WarmReserve: 40, InUse: 100}, 0},
+		"it, and no best-effort task runs yet": {BestEffortCapacity{Total: 400, Free: 40, WarmReserve: 40}, 20},
+		"others wait":                          {BestEffortCapacity{Total: 400, Free: 100, Contended: true}, 20},
+		"others wait, its share is used":       {BestEffortCapacity{Total: 400, Free: 100, InUse: 20, Contended: true}, 0},
+		"others wait, little is free":          {BestEffortCapacity{Total: 400, Free: 3, Contended: true}, 3},
+		"it uses much, others wait since":      {BestEffortCapacity{Total: 400, Free: 10, InUse: 300, Contended: true}, 0},
 	} {
-		if got := c.r.Available(0.05); got != c.want {
+		if got := c.capacity.Available(0.05); got != c.want {
 			t.Errorf("%s: %v, wanted %v", name, got, c.want)
 		}
 	}
@@ -29,45 +29,49 @@
 	}
 }
 
-// On a small shard an idle task is larger than the share, and the room that is free is
-// the warm room: six schedules ended with idle arrays that had waited for ever.
-func TestSmallShard(t *testing.T) {
-	r := BestEffortCapacity{Total: 8, Free: 2, WarmReserve: 1, Contended: true}
-	if got := r.MaxTasks(0.05, 2, true); got != 1 {
+// On a small shard a best-effort task may be larger than the share, and all that is free may
+// be the warm reserve. One task is granted anyway, so that no array waits for ever.
+func TestOneBestEffortTaskRunsOnSmallShard(t *testing.T) {
+	capacity := BestEffortCapacity{Total: 8, Free: 2, WarmReserve: 1, Contended: true}
+	if got := capacity.MaxTasks(0.05, 2, true); got != 1 {
 		t.Errorf("%d tasks where none runs", got)
 	}
-	if r.InUse = 2; r.MaxTasks(0.05, 2, true) != 0 {
+	if capacity.InUse = 2; capacity.MaxTasks(0.05, 2, true) != 0 {
 		t.Error("more than one while others wait")
 	}
-	if r.InUse = 400; r.MaxTasks(0.05, 2, false) != 1 {
-		t.Error("a tiny job waits behind another guest's hours of work")
+	if capacity.InUse = 400; capacity.MaxTasks(0.05, 2, false) != 1 {
+		t.Error("a tiny job waits behind another best-effort job's hours of work")
 	}
 }
 
-func TestRent(t *testing.T) {
-	for name, c := range map[string]struct{ need, idle, have, warm, total, others, forIdle float64 }{
-		"what is there serves all":             {100, 50, 200, 0, 1000, 0, 0},
-		"others first":                         {300, 50, 200, 0, 1000, 100, 50},
-		"what others leave serves idle work":   {100, 50, 130, 0, 1000, 0, 20},
-		"a mountain of idle work rents little": {100, 50000, 100, 0, 1000, 0, 150},
-		"the warm room is not for idle work":   {0, 50, 40, 30, 1000, 0, 40},
+// Normal arrays are provisioned for first, best-effort ones up to a limit and without the warm
+// reserve.
+func TestArrayDemandOfBestEffortIsBounded(t *testing.T) {
+	for name, c := range map[string]struct {
+		normalDemand, bestEffortDemand, supply, warmReserve, total, normal, bestEffort float64
+	}{
+		"the supply serves all":                            {100, 50, 200, 0, 1000, 0, 0},
+		"normal arrays first":                              {300, 50, 200, 0, 1000, 100, 50},
+		"what normal arrays leave serves best-effort work": {100, 50, 130, 0, 1000, 0, 20},
+		"much best-effort work is provisioned for little":  {100, 50000, 100, 0, 1000, 0, 150},
+		"the warm reserve is not for best-effort work":     {0, 50, 40, 30, 1000, 0, 40},
 	} {
-		if others, idle := SplitArrayDemand(c.need, c.idle, c.have, c.warm, 0.15*c.total); others != c.others || idle != c.forIdle {
-			t.Errorf("%s: %v and %v", name, others, idle)
+		if normal, bestEffort := SplitArrayDemand(c.normalDemand, c.bestEffortDemand, c.supply, c.warmReserve, 0.15*c.total); normal != c.normal || bestEffort != c.bestEffort {
+			t.Errorf("%s: %v and %v", name, normal, bestEffort)
 		}
 	}
 }
 
-// An array that has begun and of which nothing runs has its turn again after a while; one
-// that has not begun has it at once, one that runs does not need it.
-func TestTurn(t *testing.T) {
+// A started array of which nothing is placed counts as not started after a while; one that
+// runs counts as started.
+func TestStartedArrayWithoutPlacedTasksCountsAsNotStarted(t *testing.T) {
 	for _, c := range []struct {
-		some  bool
-		waits time.Duration
-		want  bool
+		anyStarted  bool
+		unplacedFor time.Duration
+		want        bool
 	}{{false, 0, false}, {true, 0, true}, {true, 10 * time.Second, true}, {true, 31 * time.Second, false}} {
-		if got := HasStarted(c.some, c.waits); got != c.want {
-			t.Errorf("begun %v, waits for %v: %v", c.some, c.waits, got)
+		if got := HasStarted(c.anyStarted, c.unplacedFor); got != c.want {
+			t.Errorf("started %v, unplaced for %v: %v", c.anyStarted, c.unplacedFor, got)
 		}
 	}
 }
--- a/internal/coordination/placement/startahead.go
+++ b/internal/coordination/placement/startahead.go
@@ -2,6 +2,9 @@
 
 import "time"
 
-// StartsAhead tells whether an array that has waited for so long begins with one task now.
-// begun tells that some of it was placed before; by is how long it waits for its turn.
-func StartsAhead(waited, by time.Duration, begun bool) bool { return !begun && waited >= by }
+// StartsAhead reports whether an array starts one task now, ahead of its turn in the queue:
+// none of it was placed before, and it has waited for at least maxWait. This prevents a
+// burst of other arrays from delaying the first task of an array without bound.
+func StartsAhead(waited, maxWait time.Duration, started bool) bool {
+	return !started && waited >= maxWait
+}
--- a/internal/coordination/placement/startahead_test.go
+++ b/internal/coordination/placement/startahead_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// One that has begun waits for its turn, however long; one that has not is given the
-// time in which its turn may come.
-func TestAhead(t *testing.T) {
-	const by = 3 * time.Minute
+// A started array waits for its turn, however long; one that has not started starts ahead once
+// it has waited for the longest time.
+func TestOnlyUnstartedArrayStartsAhead(t *testing.T) {
+	const maxWait = 3 * time.Minute
 	for _, c := range []struct {
-		waited time.Duration
-		begun  bool
-		want   bool
-	}{{by - time.Second, false, false}, {by, false, true}, {time.Hour, false, true}, {time.Hour, true, false}} {
-		if got := StartsAhead(c.waited, by, c.begun); got != c.want {
-			t.Errorf("waited %v, begun %v: %v", c.waited, c.begun, got)
+		waited  time.Duration
+		started bool
+		want    bool
+	}{{maxWait - time.Second, false, false}, {maxWait, false, true}, {time.Hour, false, true}, {time.Hour, true, false}} {
+		if got := StartsAhead(c.waited, maxWait, c.started); got != c.want {
+			t.Errorf("waited %v, started %v: %v", c.waited, c.started, got)
 		}
 	}
 }
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -174,13 +174,13 @@
 	{"boots are judged by who saw them", "coordination/controller/boots.go", ` || !s.OwnedSince.Before(time.UnixMilli(m.Record.RentedAtMs)) {
 			continue`, ` {
 			continue`},
-	{"idle work starts little while others wait", "coordination/placement/besteffort.go", `	if r.Contended {`, `	if false {`},
-	{"idle work that has begun has its turn again", "coordination/placement/besteffort.go", `return some && waits < bestEffortTurn`, `return some`},
+	{"idle work starts little while others wait", "coordination/placement/besteffort.go", `	if c.Contended {`, `	if false {`},
+	{"idle work that has begun has its turn again", "coordination/placement/besteffort.go", `return anyStarted && unplacedFor < maxUnplaced`, `return anyStarted`},
 	{"an array is owed a machine kept for cards", "coordination/controller/place.go", `			r.kept, r.keptIdle = false, false
 			return true`, `			return false`},
 	{"a hire's machines wait for the watch", "coordination/controller/fleet.go", `if n.view.Revision < h.Version {`, `if false {`},
-	{"an array begins ahead of a burst", "coordination/placement/startahead.go", `return !begun && waited >= by`, `return false`},
-	{"little is rented for idle work", "coordination/placement/besteffort.go", `	idleNeed = min(idleNeed, most)
+	{"an array begins ahead of a burst", "coordination/placement/startahead.go", `return !started && waited >= maxWait`, `return false`},
+	{"little is rented for idle work", "coordination/placement/besteffort.go", `	bestEffortDemand = min(bestEffortDemand, bestEffortLimit)
 `, ``},
 	{"questions go by turns with changes", "storage/kv/commit.go", `		if due && !c.readLast {`, `		if due {`},
 	{"questions leave requests under way to changes", "storage/kv/commit.go", `maxReading  = maxInflight / 2`, `maxReading  = maxInflight`},
