--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -111,7 +111,7 @@
 `, ``},
 	{"a job that waits is answered by what was read since", "coordination/controller/users.go", `case err == nil && n.undecided(ref):`, `case false:`},
 	{"what an urgent job needs is urgent", "coordination/dag/urgency.go", `urgency.Priority = max(urgency.Priority, inherited.Priority, dependent.Spec.Priority())`, `_ = inherited`},
-	{"a refused transaction proves lower limits", "storage/kv/limits.go", `	l.lowered = true
+	{"a refused transaction proves lower limits", "storage/kv/limiter.go", `	l.lowered = true
 	return true
 `, `	return false
 `},
@@ -182,8 +182,8 @@
 	{"an array begins ahead of a burst", "coordination/placement/startahead.go", `return !started && waited >= maxWait`, `return false`},
 	{"little is rented for idle work", "coordination/placement/besteffort.go", `	bestEffortDemand = min(bestEffortDemand, bestEffortLimit)
 `, ``},
-	{"questions go by turns with changes", "storage/kv/commit.go", `		if due && !c.readLast {`, `		if due {`},
-	{"questions leave requests under way to changes", "storage/kv/commit.go", `maxReading  = maxInflight / 2`, `maxReading  = maxInflight`},
+	{"questions go by turns with changes", "storage/kv/batch.go", `	if readsDue && !b.lastWasRead {`, `	if readsDue {`},
+	{"questions leave requests under way to changes", "storage/kv/batch.go", `maxReadsInflight = maxInflight / 2`, `maxReadsInflight = maxInflight`},
 	{"every wait ends with the context", "coordination/controller/node.go", `			case <-ctx.Done():
 				return // the ledger may have ended first
 `, ``},
--- a/internal/storage/kv/client_test.go
+++ b/internal/storage/kv/client_test.go
@@ -55,8 +55,8 @@
 // A failed condition must not sink its neighbours in the same request.
 func TestConflictSparesNeighbours(t *testing.T) {
 	s := &script{answer: func(n int, body string) (int, string, error) {
-		if strings.Contains(body, keyRoot+"b") {
-			return 409, `{"failed":["` + keyRoot + `b"],"epoch":5}`, nil
+		if strings.Contains(body, keyPrefix+"b") {
+			return 409, `{"failed":["` + keyPrefix + `b"],"epoch":5}`, nil
 		}
 		return 200, `{"epoch":6}`, nil
 	}}
@@ -77,7 +77,7 @@
 		if n == 1 {
 			return 0, "", errors.New("timeout")
 		}
-		return 409, `{"failed":["` + keyRoot + `a"],"epoch":5}`, nil
+		return 409, `{"failed":["` + keyPrefix + `a"],"epoch":5}`, nil
 	}}
 	got := run(t, s, func(c *Client, done func(string) func(Result)) { c.Submit(set("a", 0, done("a"))) })
 	if !errors.Is(got["a"], ErrCompareFailed) || len(s.bodies) != 2 || s.bodies[0] != s.bodies[1] {
@@ -173,7 +173,7 @@
 	if !errors.Is(got["a"], ErrCompareFailed) || got["b"] != nil || got["c"] != nil {
 		t.Fatalf("%v", got)
 	}
-	if sent := strings.Join(s.bodies, ""); strings.Contains(sent, keyRoot+"a") {
+	if sent := strings.Join(s.bodies, ""); strings.Contains(sent, keyPrefix+"a") {
 		t.Fatal("sent ", sent)
 	}
 }
--- /dev/null
+++ b/internal/storage/kv/connection.go
@@ -0,0 +1,65 @@
+package kv
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"madderslip/internal/protocol"
+)
+
+// HTTPClient makes one HTTP call.
+type HTTPClient interface {
+	Do(ctx context.Context, addr, method, target string, body []byte) (int, []byte, error)
+}
+
+// connection makes the calls to the state service and notes when one was last executed.
+// It has no lock; all of its methods may be called at once. It holds no call back for the
+// rate limits: that is the caller's task.
+type connection struct {
+	http        HTTPClient
+	addr        string
+	lastSuccess atomic.Int64 // UnixNano of the latest executed call
+}
+
+// call sends request, unless it is nil, and decodes the answer into response, unless that
+// is nil. A status of 0 with an error means that there was no answer. An error beside a
+// status means that the service answered and its message was not understood.
+func (c *connection) call(ctx context.Context, method, target string, request, response any, timeout time.Duration) (int, error) {
+	var body []byte
+	if request != nil {
+		var err error
+		if body, err = protocol.Encode(request); err != nil {
+			return 0, fmt.Errorf("encode: %w", err)
+		}
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	status, message, err := c.http.Do(ctx, c.addr, method, target, body)
+	if err != nil {
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+	}
+	if executed := status != 0 && status < http.StatusTooManyRequests; executed {
+		c.lastSuccess.Store(time.Now().UnixNano())
+	}
+	if response == nil || len(message) == 0 || !hasMessage(status) {
+		return status, nil
+	}
+	err = protocol.Decode(message, response)
+	// The body of a 400 may come from a proxy or a library and need not be the service's.
+	if err != nil && status != http.StatusBadRequest {
+		return status, fmt.Errorf("decode %s: %w", target, err)
+	}
+	return status, nil
+}
+
+// hasMessage reports whether an answer of this status has a body that is decoded.
+func hasMessage(status int) bool {
+	switch status {
+	case http.StatusOK, http.StatusBadRequest, http.StatusNotFound, http.StatusConflict:
+		return true
+	}
+	return false
+}
--- a/internal/storage/kv/golden_test.go
+++ b/internal/storage/kv/golden_test.go
@@ -20,14 +20,14 @@
 	golden.Check(t, codec, []golden.Kind{
 		{Name: "state-list", Value: &wireList{}},
 		{Name: "state-watch", Value: &wireWatch{}},
-		{Name: "state-multi", Value: &wireMulti{}},
-		{Name: "state-multi-answer", Value: &wireResult{}},
+		{Name: "state-multi", Value: &wireTxn{}},
+		{Name: "state-multi-answer", Value: &wireTxnAnswer{}},
 	}, "state-calls.txt")
 }
 
 // TestGeneratedCodeIsCurrent: the generated codecs know every field of the messages.
 func TestGeneratedCodeIsCurrent(t *testing.T) {
-	golden.CheckGenerated(t, codec, &wireList{}, &wireWatch{}, &wireMulti{}, &wireResult{})
+	golden.CheckGenerated(t, codec, &wireList{}, &wireWatch{}, &wireTxn{}, &wireTxnAnswer{})
 }
 
 // recorder answers every call alike and notes what was asked.
--- /dev/null
+++ b/internal/storage/kv/limiter.go
@@ -0,0 +1,177 @@
+package kv
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"madderslip/internal/protocol"
+)
+
+// Smallest bursts of the budgets.
+const (
+	minRequestBurst = 4
+	minWriteBurst   = 8 // the most that one transaction changes, with a margin
+)
+
+// limiter holds this node's share of the budgets, requests and changes a second, and what
+// the state service takes. The rate limiters and the limits have their own locks; only
+// setShare changes the rates. Leases do not pass here.
+type limiter struct {
+	requests *rate.Limiter
+	writes   *rate.Limiter
+	limits   *learnedLimits
+}
+
+// newLimiter starts with half of the budgets, until the node knows its share.
+func newLimiter(announced protocol.StateLimits) *limiter {
+	return &limiter{
+		requests: rate.NewLimiter(rate.Limit(announced.RequestRate/2), max(minRequestBurst, int(announced.RequestRate/8))),
+		writes:   rate.NewLimiter(rate.Limit(announced.WriteRate/2), max(minWriteBurst, int(announced.WriteRate/3))),
+		limits:   newLearnedLimits(announced),
+	}
+}
+
+// setShare sets this node's part of the budgets, from 0 to 1, a tenth of which stays
+// unused.
+func (l *limiter) setShare(part float64) {
+	part *= 0.9
+	requests, changes := l.limits.sizes().RequestRate, l.limits.writeRate(time.Now())
+	l.requests.SetLimit(rate.Limit(requests * part))
+	l.writes.SetLimit(rate.Limit(changes * part))
+	l.requests.SetBurst(max(minRequestBurst, int(requests*part/2)))
+	l.writes.SetBurst(max(minWriteBurst, int(changes*part)))
+}
+
+// waitForRequest waits until the budget allows a request, and takes it.
+func (l *limiter) waitForRequest(ctx context.Context) error {
+	if err := l.requests.Wait(ctx); err != nil {
+		return fmt.Errorf("%w: %w", ErrNotExecuted, err)
+	}
+	return nil
+}
+
+// untilRequest is how long it takes until the budget allows a request; 0 if it does now.
+func (l *limiter) untilRequest(now time.Time) time.Duration {
+	tokens := l.requests.TokensAt(now)
+	if tokens >= 1 {
+		return 0
+	}
+	return untilTokens(1-tokens, l.requests.Limit())
+}
+
+// reservedFor is the budget that a transaction leaves to more urgent ones. None
+// waits for that for ever, since waiting makes it more urgent.
+func (l *limiter) reservedFor(t *Txn, now time.Time) float64 {
+	switch t.effectivePriority(now) {
+	case PriorityBackground:
+		return float64(l.writes.Burst()) * 0.5
+	case PriorityCompletion:
+		return float64(l.writes.Burst()) * 0.25
+	}
+	return 0
+}
+
+// untilTokens is how long it takes until a budget has so much more than now.
+func untilTokens(missing float64, limit rate.Limit) time.Duration {
+	return time.Duration(missing/max(float64(limit), 0.1)*float64(time.Second)) + time.Millisecond
+}
+
+// Constants by which the rate of changes is found.
+const (
+	minRateFactor    = 0.5                    // of the announced rate, unless a lower one is announced
+	rateDecrease     = 0.95                   // what a refusal leaves of the rate
+	decreaseInterval = 250 * time.Millisecond // between refusals that count; those of one burst are one
+	recoveryPeriod   = 50 * time.Second       // in which a rate that is not refused grows by the whole
+)
+
+// learnedLimits are what the state service takes, as far as this client knows. The service
+// may lower them at some moment without notice; which ones it will have then is known from
+// the settings. A refusal of what only the lower limits exclude proves that the moment
+// has come. The rate is found from its refusals alone. Limits once lowered stay so; the
+// rate falls and recovers.
+type learnedLimits struct {
+	mu            sync.Mutex
+	current       protocol.StateLimits // guarded by mu, as all below
+	announced     protocol.StateLimits
+	lowered       bool
+	rateFactor    float64 // part of the announced rate of changes that the service takes
+	rateUpdatedAt time.Time
+}
+
+func newLearnedLimits(current protocol.StateLimits) *learnedLimits {
+	return &learnedLimits{current: current, announced: current, rateFactor: 1}
+}
+
+// announce takes the limits that the service will have.
+func (l *learnedLimits) announce(next protocol.StateLimits) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.announced = l.current.LoweredBy(next)
+}
+
+// sizes are the limits on values and transactions.
+func (l *learnedLimits) sizes() protocol.StateLimits {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.lowered {
+		return l.announced
+	}
+	return l.current
+}
+
+// recordRefused takes note of a refused request: if only the announced limits exclude it,
+// they hold from now on. It reports whether that is new.
+func (l *learnedLimits) recordRefused(request *Txn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.lowered || request.fitsIn(l.announced) || !request.fitsIn(l.current) {
+		return false
+	}
+	l.lowered = true
+	return true
+}
+
+// writeRate is how many changes a second the service takes from all controllers.
+func (l *learnedLimits) writeRate(now time.Time) float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.recoverRate(now)
+	return l.fullWriteRate() * l.rateFactor
+}
+
+// recordRateLimited takes note that the service refused changes for their rate.
+func (l *learnedLimits) recordRateLimited(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now.Sub(l.rateUpdatedAt) < decreaseInterval {
+		return
+	}
+	l.recoverRate(now)
+	least := minRateFactor
+	if l.announced.WriteRate < l.current.WriteRate {
+		least = l.announced.WriteRate / l.fullWriteRate()
+	}
+	l.rateFactor = max(least, l.rateFactor*rateDecrease)
+}
+
+// fullWriteRate is the rate of changes of the limits that hold. The mutex is held by the
+// caller.
+func (l *learnedLimits) fullWriteRate() float64 {
+	if l.lowered {
+		return l.announced.WriteRate
+	}
+	return l.current.WriteRate
+}
+
+// recoverRate lets the rate grow for the time since it was last updated. The mutex is held
+// by the caller.
+func (l *learnedLimits) recoverRate(now time.Time) {
+	if !l.rateUpdatedAt.IsZero() {
+		l.rateFactor = min(1, l.rateFactor+now.Sub(l.rateUpdatedAt).Seconds()/recoveryPeriod.Seconds())
+	}
+	l.rateUpdatedAt = now
+}
--- a/internal/storage/kv/limits_test.go
+++ b/internal/storage/kv/limiter_test.go
@@ -71,15 +71,15 @@
 // again once there are none.
 func TestRateIsFoundFromRefusals(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	l := newLimits(protocol.StateLimits{WriteRate: 30})
-	l.expect(protocol.StateLimits{WriteRate: 21})
-	l.tooMany(now)
-	l.tooMany(now.Add(time.Millisecond)) // of the same burst
-	if got := l.writeRate(now); got != 30*slowBy {
+	l := newLearnedLimits(protocol.StateLimits{WriteRate: 30})
+	l.announce(protocol.StateLimits{WriteRate: 21})
+	l.recordRateLimited(now)
+	l.recordRateLimited(now.Add(time.Millisecond)) // of the same burst
+	if got := l.writeRate(now); got != 30*rateDecrease {
 		t.Fatalf("%v after one burst", got)
 	}
 	for i := range 40 {
-		l.tooMany(now.Add(time.Duration(i) * time.Second / 2))
+		l.recordRateLimited(now.Add(time.Duration(i) * time.Second / 2))
 	}
 	now = now.Add(20 * time.Second)
 	if got := l.writeRate(now); got < 21 || got > 22 {
--- a/internal/storage/kv/outcome.go
+++ b/internal/storage/kv/outcome.go
@@ -3,10 +3,8 @@
 import (
 	"context"
 	"errors"
-	"slices"
+	"net/http"
 	"time"
-
-	"madderslip/internal/protocol"
 )
 
 // How long a transaction waits before it is sent again: the last send had no answer, the
@@ -14,162 +12,189 @@
 // from new transactions: with a timeout the first makes up a round number that loops of
 // the controller wait too, and in tests nobody could repeat which came first.
 const (
-	againUnsure  = 100*time.Millisecond + 73*time.Nanosecond
-	againLimited = 60*time.Millisecond + 79*time.Nanosecond
-	againDown    = 200*time.Millisecond + 83*time.Nanosecond
+	retryNoAnswer    = 100*time.Millisecond + 73*time.Nanosecond
+	retryRateLimited = 60*time.Millisecond + 79*time.Nanosecond
+	retryUnavailable = 200*time.Millisecond + 83*time.Nanosecond
 )
 
-// apart is a moment that differs between batches. Two that were sent one gatherFor apart
-// and got no answer would else come back one gatherFor apart: the second just as the
-// first is sent, and nobody could repeat whether together with it.
-func apart(batch []*Txn) time.Duration {
-	const most = 1000
-	return time.Duration(batch[0].number%most) * time.Nanosecond
+// outcomeKind is what an answer of the state service says of a batch.
+type outcomeKind int
+
+const (
+	noAnswer      outcomeKind = iota // carried out, or not, or later
+	committed                        // carried out whole
+	compareFailed                    // not carried out, as none of those below: a condition failed
+	leaseExpired                     // a lease that a change names has ended
+	refused                          // malformed, or larger than the service takes
+	rateLimited                      // over the service's rate
+	unavailable                      // the service could not
+)
+
+// outcome is what became of one sending of a batch. It is a value without a lock; it
+// belongs to the goroutine that sent the batch. Every transaction of the batch is either
+// given its result or sent again, and none is sent again as part of a batch that was
+// refused whole.
+type outcome struct {
+	kind   outcomeKind
+	answer wireTxnAnswer // of kinds other than noAnswer
+	err    error         // of noAnswer
 }
 
-// settle gives each transaction of a batch its result or sends it again.
-func (c *Client) settle(ctx context.Context, batch []*Txn, status int, out wireResult, err error) {
-	var again []*Txn
-	pause := time.Duration(0)
-	switch {
-	case err != nil && status == 0:
-		// It may have been applied, or be applied later. Sent once more it
-		// either succeeds or conflicts with what is there, and both are clear.
-		c.log.Debug("transaction without an answer", "n", len(batch), "err", err)
-		for _, t := range batch {
-			t.unsure = true
+// classify tells the outcome of a call. A status with an error is an answer whose message
+// was not understood: the status alone counts.
+func classify(status int, answer wireTxnAnswer, err error) outcome {
+	if err != nil && status == 0 {
+		return outcome{kind: noAnswer, err: err}
+	}
+	kind := unavailable
+	switch status {
+	case http.StatusOK:
+		kind = committed
+	case http.StatusConflict:
+		kind = compareFailed
+	case http.StatusBadRequest:
+		// A lease that has ended makes nothing malformed: a process that stood still for
+		// a while sends such a transaction when it goes on.
+		kind = refused
+		if answer.Error == reasonLeaseExpired {
+			kind = leaseExpired
 		}
-		again, pause = batch, againUnsure
-	case status == 200:
+	case http.StatusTooManyRequests:
+		kind = rateLimited
+	}
+	return outcome{kind: kind, answer: answer}
+}
+
+// resolve gives each transaction of a batch its result or sends it again.
+func (c *Client) resolve(ctx context.Context, batch []*Txn, result outcome) {
+	var retry []*Txn
+	delay := time.Duration(0)
+	switch result.kind {
+	case noAnswer:
+		c.recordNoAnswer(batch, result.err)
+		retry, delay = batch, retryNoAnswer
+	case committed:
 		for _, t := range batch {
-			t.OnResult(Result{Revision: out.Epoch})
+			t.OnResult(Result{Revision: result.answer.Revision})
 		}
-	case status == 409:
-		again = c.sortFailed(batch, out.Failed, out.Epoch)
-	case status == 400 && out.Error == noSuchLease:
-		again = c.sortLeased(batch)
-	case status == 400:
-		again = c.sortRefused(batch, out.Error)
-	case status == 429:
-		if len(batch[0].Ops) > 0 {
-			c.lim.tooMany(time.Now())
+	case compareFailed:
+		retry = c.resolveCompareFailed(batch, result.answer)
+	case leaseExpired:
+		retry = c.resolveLeaseExpired(batch)
+	case refused:
+		retry = c.resolveRefused(batch, result.answer.Error)
+	case rateLimited:
+		if !batch[0].isRead() {
+			c.limiter.limits.recordRateLimited(time.Now())
 		}
-		again, pause = batch, againLimited
-	default:
-		again, pause = batch, againDown
+		retry, delay = batch, retryRateLimited
+	case unavailable:
+		retry, delay = batch, retryUnavailable
 	}
-	if len(again) == 0 {
+	if len(retry) == 0 {
 		return
 	}
-	if pause > 0 {
-		sleep(ctx, pause+apart(batch))
+	if delay > 0 {
+		sleep(ctx, delay+retryOffset(batch))
 	}
-	c.queue(again...)
+	c.queue.add(retry...)
 }
 
-// noSuchLease is the reason that the state service gives when a key was to hang
-// on a lease that has ended. Nothing is malformed about that: a process that
-// stood still for a while sends such a transaction when it goes on.
-const noSuchLease = "no such lease"
+// retryOffset is a moment that differs between batches. Two that were sent one batchDelay
+// apart and got no answer would else come back one batchDelay apart: the second just as the
+// first is sent, and nobody could repeat whether together with it.
+func retryOffset(batch []*Txn) time.Duration {
+	const most = 1000
+	return time.Duration(batch[0].sequence%most) * time.Nanosecond
+}
+
+// recordNoAnswer marks transactions that may have been applied, or be applied later. Sent
+// once more each either succeeds or conflicts with what is there, and both are clear.
+func (c *Client) recordNoAnswer(batch []*Txn, err error) {
+	c.log.Debug("transaction without an answer", "transactions", len(batch), "err", err)
+	for _, t := range batch {
+		t.outcomeUnknown = true
+	}
+}
 
-// sortLeased ends those of a batch that need a lease, and sends the others
-// again: which of several leases has ended is not told, and whoever has a live
-// one decides anew soon. Taken for malformed, one of them had all its
-// neighbours sent one by one.
-func (c *Client) sortLeased(batch []*Txn) (again []*Txn) {
+// resolveCompareFailed ends those of a batch whose own conditions failed, and sends the
+// others again.
+func (c *Client) resolveCompareFailed(batch []*Txn, answer wireTxnAnswer) (retry []*Txn) {
+	c.budgetLog.recordFailed(batch)
 	for _, t := range batch {
-		if !slices.ContainsFunc(t.Ops, func(op Op) bool { return op.Lease != 0 }) {
-			again = append(again, t)
+		failed := t.failedKeys(answer.FailedKeys)
+		switch {
+		case len(failed) > 0:
+			t.OnResult(Result{Err: ErrCompareFailed, Revision: answer.Revision, FailedKeys: failed})
+		case len(batch) == 1:
+			t.OnResult(Result{Err: errors.Join(ErrCompareFailed, errNoKeyNamed), Revision: answer.Revision})
+		default:
+			retry = append(retry, t)
+		}
+	}
+	return retry
+}
+
+// resolveLeaseExpired ends those of a batch that need a lease, and sends the others again:
+// the answer does not tell which of several leases has ended, and whoever has a live one
+// decides anew soon. Taken for malformed, one of them would have all its neighbours sent
+// one by one.
+func (c *Client) resolveLeaseExpired(batch []*Txn) (retry []*Txn) {
+	for _, t := range batch {
+		if !t.usesLease() {
+			retry = append(retry, t)
 			continue
 		}
-		c.log.Info("lease of a transaction has ended", "keys", keysOf(t))
+		c.log.Info("lease of a transaction has ended", "keys", t.opKeys())
 		t.refuse(ErrLeaseExpired)
 	}
-	if len(again) == len(batch) { // not one that this client understands
-		for _, t := range again {
+	if len(retry) == len(batch) { // not an answer that this client understands
+		for _, t := range retry {
 			t.OnResult(Result{Err: ErrInvalid})
 		}
 		return nil
 	}
-	return again
-}
-
-// refuse ends a transaction that this sending did not carry out. An earlier one without an
-// answer may have been: its caller then reads the keys again before it decides anew.
-func (t *Txn) refuse(err error) {
-	if t.unsure {
-		err = errors.Join(err, ErrOutcomeUnknown)
-	}
-	t.OnResult(Result{Err: err})
+	return retry
 }
 
-// fitsIn tells whether a transaction alone keeps limits.
-func (t *Txn) fitsIn(l protocol.StateLimits) bool {
-	return len(t.Ops) <= l.MaxTxnOps && len(t.Compares) <= condsPerOp*l.MaxTxnOps && t.largest <= l.MaxValueBytes
-}
-
-// sortRefused ends those of a batch that the state service does not take, and sends the
+// resolveRefused ends those of a batch that the state service does not take, and sends the
 // others again: in smaller batches if the service has lowered its limits, else one by
 // one. None is sent again as it was.
-func (c *Client) sortRefused(batch []*Txn, reason string) (again []*Txn) {
-	whole := &Txn{}
-	seen := make(map[string]bool)
-	for _, t := range batch {
-		whole.Ops, whole.largest = append(whole.Ops, t.Ops...), max(whole.largest, t.largest)
-		for _, cond := range t.Compares {
-			if !seen[cond.Key] {
-				seen[cond.Key] = true
-				whole.Compares = append(whole.Compares, cond)
-			}
-		}
-	}
-	if c.lim.proves(whole) {
-		c.log.Info("the state service has lowered its limits", "reason", reason, "changes", len(whole.Ops), "bytes", whole.largest)
+func (c *Client) resolveRefused(batch []*Txn, reason string) (retry []*Txn) {
+	whole := merge(batch)
+	if c.limiter.limits.recordRefused(whole) {
+		c.log.Info("the state service has lowered its limits", "reason", reason, "changes", len(whole.Ops), "bytes", whole.maxValueBytes)
 	}
-	now := c.lim.sizes()
-	fitted := whole.fitsIn(now)
+	limits := c.limiter.limits.sizes()
+	wholeFits := whole.fitsIn(limits)
 	for _, t := range batch {
 		switch {
-		case !t.fitsIn(now):
+		case !t.fitsIn(limits):
 			t.refuse(ErrTooLarge)
 		case len(batch) == 1:
-			c.log.Error("transaction refused as malformed", "reason", reason, "keys", keysOf(t))
+			c.log.Error("transaction refused as malformed", "reason", reason, "keys", t.opKeys())
 			t.refuse(ErrInvalid)
 		default:
-			t.alone = fitted
-			again = append(again, t)
+			t.sendAlone = wholeFits
+			retry = append(retry, t)
 		}
 	}
-	return again
-}
-
-func keysOf(t *Txn) []string {
-	keys := make([]string, 0, len(t.Ops))
-	for _, op := range t.Ops {
-		keys = append(keys, op.Key)
-	}
-	return keys
+	return retry
 }
 
-func (c *Client) sortFailed(batch []*Txn, failed []string, epoch uint64) (again []*Txn) {
+// merge is a batch as one transaction, to be measured against limits: all changes, and each
+// condition once.
+func merge(batch []*Txn) *Txn {
+	whole := &Txn{}
+	seen := make(map[string]bool)
 	for _, t := range batch {
-		var mine []string
-		for _, cond := range t.Compares {
-			if slices.Contains(failed, keyRoot+cond.Key) {
-				mine = append(mine, cond.Key)
+		whole.Ops, whole.maxValueBytes = append(whole.Ops, t.Ops...), max(whole.maxValueBytes, t.maxValueBytes)
+		for _, compare := range t.Compares {
+			if !seen[compare.Key] {
+				seen[compare.Key] = true
+				whole.Compares = append(whole.Compares, compare)
 			}
 		}
-		c.mu.Lock()
-		c.spent[t.Priority].failed += len(t.Ops)
-		c.mu.Unlock()
-		switch {
-		case len(mine) > 0:
-			t.OnResult(Result{Err: ErrCompareFailed, Revision: epoch, FailedKeys: mine})
-		case len(batch) == 1:
-			t.OnResult(Result{Err: errors.Join(ErrCompareFailed, errors.New("no failed key named")), Revision: epoch})
-		default:
-			again = append(again, t)
-		}
 	}
-	return again
+	return whole
 }
--- /dev/null
+++ b/internal/storage/kv/queue.go
@@ -0,0 +1,166 @@
+package kv
+
+import (
+	"cmp"
+	"slices"
+	"sync"
+	"time"
+)
+
+// queue holds the transactions that wait to be sent. Each that is added is either handed
+// out once, by update, or answered once: when its deadline passes, when a version seen
+// elsewhere has failed it, or when the queue closes. No result is delivered with the lock
+// held, nor on the caller's goroutine, since the caller may hold a lock that OnResult takes.
+type queue struct {
+	wakeup chan struct{} // tells the sender that something was added, or an answer came
+
+	mu       sync.Mutex
+	pending  []*Txn // guarded by mu
+	sequence uint64 // of the latest transaction, guarded by mu
+	closed   bool   // guarded by mu
+}
+
+func newQueue() *queue { return &queue{wakeup: make(chan struct{}, 1)} }
+
+// add has transactions sent. Once the queue is closed nothing is sent any
+// more, and each gets its result at once: whoever waits for it would wait for
+// ever, and with it a controller that is told to stop.
+func (q *queue) add(transactions ...*Txn) {
+	q.mu.Lock()
+	closed := q.closed
+	if !closed {
+		for _, t := range transactions {
+			if t.sequence == 0 {
+				q.sequence++
+				t.sequence = q.sequence
+			}
+		}
+		q.pending = append(q.pending, transactions...)
+	}
+	q.mu.Unlock()
+	if closed {
+		abandonAll(transactions)
+	}
+}
+
+// wake has the sender look at the queue.
+func (q *queue) wake() {
+	select {
+	case q.wakeup <- struct{}{}:
+	default:
+	}
+}
+
+// close answers all that still waits.
+func (q *queue) close() {
+	q.mu.Lock()
+	left := q.pending
+	q.pending, q.closed = nil, true
+	q.mu.Unlock()
+	abandonAll(left)
+}
+
+// update replaces the pending transactions by those that f leaves of them. f is called
+// with the lock held.
+func (q *queue) update(f func(pending []*Txn) (rest []*Txn)) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.pending = f(q.pending)
+}
+
+// removeFunc takes out the transactions for which match returns true, in their order.
+func (q *queue) removeFunc(match func(*Txn) bool) (removed []*Txn) {
+	q.update(func(pending []*Txn) []*Txn {
+		return slices.DeleteFunc(pending, func(t *Txn) bool {
+			if !match(t) {
+				return false
+			}
+			removed = append(removed, t)
+			return true
+		})
+	})
+	return removed
+}
+
+// expire ends transactions whose caller no longer waits.
+func (q *queue) expire(now time.Time) {
+	abandonAll(q.removeFunc(func(t *Txn) bool { return !t.Deadline.IsZero() && now.After(t.Deadline) }))
+}
+
+// observeVersion ends the transactions that a version of a key seen elsewhere has failed.
+func (q *queue) observeVersion(key string, version uint64, exists bool) {
+	failed := q.removeFunc(func(t *Txn) bool {
+		// One whose outcome is unknown may itself have made that version.
+		return !t.outcomeUnknown && t.dependsOnOlder(key, version, exists)
+	})
+	if len(failed) == 0 {
+		return
+	}
+	go func() {
+		for _, t := range failed {
+			t.OnResult(Result{Err: ErrCompareFailed, Revision: version, FailedKeys: []string{key}})
+		}
+	}()
+}
+
+// countByPriority counts the transactions of each priority that wait.
+func (q *queue) countByPriority() (waiting [priorityCount]int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, t := range q.pending {
+		waiting[t.Priority]++
+	}
+	return waiting
+}
+
+// count counts the transactions that wait for which match returns true.
+func (q *queue) count(match func(*Txn) bool) (waiting int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, t := range q.pending {
+		if match(t) {
+			waiting++
+		}
+	}
+	return waiting
+}
+
+// ahead counts the changes, and the transactions that only compare, that go before a new
+// transaction of a priority.
+func (q *queue) ahead(priority int) (changes, reads int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for _, t := range q.pending {
+		switch {
+		case t.Priority > priority:
+		case t.isRead():
+			reads++
+		default:
+			changes += len(t.Ops)
+		}
+	}
+	return changes, reads
+}
+
+// sortByUrgency puts the most urgent first, and of those the oldest: one that is sent
+// again keeps its place.
+func sortByUrgency(pending []*Txn, now time.Time) {
+	slices.SortStableFunc(pending, func(a, b *Txn) int {
+		return cmp.Or(
+			a.effectivePriority(now)-b.effectivePriority(now),
+			a.queuedAt.Compare(b.queuedAt),
+			cmp.Compare(a.sequence, b.sequence))
+	})
+}
+
+// abandonAll ends transactions that are not sent, or not sent again.
+func abandonAll(transactions []*Txn) {
+	if len(transactions) == 0 {
+		return
+	}
+	go func() {
+		for _, t := range transactions {
+			t.abandon()
+		}
+	}()
+}
--- /dev/null
+++ b/internal/storage/kv/send.go
@@ -0,0 +1,118 @@
+package kv
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"madderslip/internal/protocol"
+)
+
+// txnTimeout is how long the answer to a batch is waited for. The nanoseconds keep its end
+// apart from other timers.
+const txnTimeout = 2*time.Second + 47*time.Nanosecond
+
+// Submit queues a transaction. OnResult is called once, from another goroutine; it
+// must not wait, since others are told after it.
+func (c *Client) Submit(t *Txn) {
+	if key, err := t.encode(); err != nil {
+		c.log.Error("record cannot be written", "key", key, "err", err)
+		go t.OnResult(Result{Err: ErrInvalid})
+		return
+	}
+	if !t.fitsIn(c.limiter.limits.sizes()) {
+		c.log.Info("transaction is larger than the state service takes", "keys", t.opKeys(), "changes", len(t.Ops), "bytes", t.maxValueBytes)
+		go t.OnResult(Result{Err: ErrTooLarge})
+		return
+	}
+	t.queuedAt = time.Now()
+	c.queue.add(t)
+	c.queue.wake()
+}
+
+// Run sends queued transactions until the context ends. Those that still wait
+// then get their result, as do all that are submitted later.
+func (c *Client) Run(ctx context.Context) {
+	defer c.queue.close()
+	wait := idleInterval
+	for c.awaitWork(ctx, wait) {
+		c.queue.expire(time.Now())
+		c.budgetLog.logIfDue(time.Now(), c.queue, c.batcher)
+		wait = c.sendReady(ctx)
+	}
+}
+
+// awaitWork returns when the queue is to be looked at, or false when the context ends.
+// What comes within batchDelay of the first goes with it.
+func (c *Client) awaitWork(ctx context.Context, wait time.Duration) bool {
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-c.queue.wakeup:
+		return sleep(ctx, batchDelay)
+	case <-timer.C:
+		return true
+	}
+}
+
+// sendReady sends the batches that the budgets allow now and returns how long to wait for
+// the next.
+func (c *Client) sendReady(ctx context.Context) time.Duration {
+	for {
+		batch, wait := c.batcher.next(time.Now())
+		if batch == nil {
+			return wait
+		}
+		c.budgetLog.recordSent(batch)
+		go c.send(ctx, batch)
+	}
+}
+
+// send sends a batch and deals with its answer.
+func (c *Client) send(ctx context.Context, batch []*Txn) {
+	var answer wireTxnAnswer
+	status, err := c.connection.call(ctx, http.MethodPost, protocol.PathTransactions, encodeBatch(batch), &answer, txnTimeout)
+	c.resolve(ctx, batch, classify(status, answer, err))
+	c.batcher.done(batch)
+	c.queue.wake()
+}
+
+// sleep waits, and reports whether it did so before the context ended.
+func sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
+// HasPending counts the transactions of a priority that wait for the budget.
+func (c *Client) HasPending(prio int) int {
+	return c.queue.count(func(t *Txn) bool { return t.Priority == prio })
+}
+
+// Backlog is how many changes wait that go before a new transaction of a
+// priority, and how many a second the budget allows. Comparisons count as a
+// change for as many as go together in a request.
+func (c *Client) Backlog(prio int) (changes int, rate float64) {
+	changes, reads := c.queue.ahead(prio)
+	return changes + reads/max(1, c.limiter.limits.sizes().MaxTxnOps), float64(c.limiter.writes.Limit())
+}
+
+// ReadBacklog is how many questions wait and how many a second are answered at least:
+// half of the requests carry as many as fit one.
+func (c *Client) ReadBacklog() (waiting int, rate float64) {
+	return c.queue.count((*Txn).isRead), float64(c.limiter.requests.Limit()) / 2 * float64(comparesPerOp*c.limiter.limits.sizes().MaxTxnOps)
+}
+
+// ObserveVersion tells of a version of a key seen elsewhere. Transactions that wait and
+// depend on an older one have failed already; sending them would only spend
+// the budget, which failing changes take from as much as others.
+func (c *Client) ObserveVersion(key string, stamp uint64, exists bool) {
+	c.queue.observeVersion(key, stamp, exists)
+}
--- /dev/null
+++ b/internal/storage/kv/watch.go
@@ -0,0 +1,56 @@
+package kv
+
+import (
+	"context"
+	"net/http"
+	"net/url"
+	"strconv"
+	"strings"
+	"time"
+
+	"madderslip/internal/protocol"
+)
+
+// watchMargin is how long after a watch's own end its answer may come.
+const watchMargin = 5 * time.Second
+
+// watcher asks for what changed after a revision. It keeps no state, so it needs no lock:
+// the caller holds the revision. A caller that asks on from the revision returned misses
+// no change and sees none twice; after ErrCompacted it has to list anew.
+type watcher struct {
+	connection *connection
+	limiter    *limiter
+}
+
+// watch returns the changes after from in order and the revision up to which they are
+// complete; none, if there are none within block.
+func (w *watcher) watch(ctx context.Context, from uint64, block time.Duration) ([]Item, uint64, error) {
+	if err := w.limiter.waitForRequest(ctx); err != nil {
+		return nil, 0, err
+	}
+	target := protocol.PathWatch + "?under=" + url.QueryEscape(keyPrefix) + "&from=" + strconv.FormatUint(from, 10) +
+		"&blockMs=" + strconv.FormatInt(block.Milliseconds(), 10)
+	var answer wireWatch
+	status, err := w.connection.call(ctx, http.MethodGet, target, nil, &answer, block+watchMargin)
+	switch {
+	case err != nil:
+		return nil, 0, err
+	case status == http.StatusGone:
+		return nil, 0, ErrCompacted
+	case status != http.StatusOK:
+		return nil, 0, notExecuted(status)
+	}
+	items := make([]Item, 0, len(answer.Changes))
+	for _, change := range answer.Changes {
+		items = append(items, change.item())
+	}
+	return items, max(answer.Revision, from), nil
+}
+
+// item is what a change made of its key.
+func (change wireChange) item() Item {
+	if change.Delete != "" {
+		return Item{Key: strings.TrimPrefix(change.Delete, keyPrefix), Version: change.Version}
+	}
+	return Item{strings.TrimPrefix(change.Set, keyPrefix), change.Value, change.Version}
+}
--- a/internal/storage/kv/wire_easyjson.go
+++ b/internal/storage/kv/wire_easyjson.go
@@ -35,27 +35,27 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Epoch = uint64(in.Uint64())
+				out.Revision = uint64(in.Uint64())
 			}
 		case "news":
 			if in.IsNull() {
 				in.Skip()
-				out.News = nil
+				out.Changes = nil
 			} else {
 				in.Delim('[')
-				if out.News == nil {
+				if out.Changes == nil {
 					if !in.IsDelim(']') {
-						out.News = make([]wireNews, 0, 1)
+						out.Changes = make([]wireChange, 0, 1)
 					} else {
-						out.News = []wireNews{}
+						out.Changes = []wireChange{}
 					}
 				} else {
-					out.News = (out.News)[:0]
+					out.Changes = (out.Changes)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v1 wireNews
+					var v1 wireChange
 					easyjsonF4688553DecodeMadderslipInternalStorageKv1(in, &v1)
-					out.News = append(out.News, v1)
+					out.Changes = append(out.Changes, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -77,16 +77,16 @@
 	{
 		const prefix string = ",\"epoch\":"
 		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Epoch))
+		out.Uint64(uint64(in.Revision))
 	}
 	{
 		const prefix string = ",\"news\":"
 		out.RawString(prefix)
-		if in.News == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.Changes == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v2, v3 := range in.News {
+			for v2, v3 := range in.Changes {
 				if v2 > 0 {
 					out.RawByte(',')
 				}
@@ -121,7 +121,7 @@
 func (v *wireWatch) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeMadderslipInternalStorageKv(l, v)
 }
-func easyjsonF4688553DecodeMadderslipInternalStorageKv1(in *jlexer.Lexer, out *wireNews) {
+func easyjsonF4688553DecodeMadderslipInternalStorageKv1(in *jlexer.Lexer, out *wireChange) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -145,7 +145,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Drop = string(in.String())
+				out.Delete = string(in.String())
 			}
 		case "value":
 			if in.IsNull() {
@@ -159,7 +159,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Stamp = uint64(in.Uint64())
+				out.Version = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -171,7 +171,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeMadderslipInternalStorageKv1(out *jwriter.Writer, in wireNews) {
+func easyjsonF4688553EncodeMadderslipInternalStorageKv1(out *jwriter.Writer, in wireChange) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -183,7 +183,7 @@
 	{
 		const prefix string = ",\"drop\":"
 		out.RawString(prefix)
-		out.String(string(in.Drop))
+		out.String(string(in.Delete))
 	}
 	{
 		const prefix string = ",\"value\":"
@@ -193,11 +193,11 @@
 	{
 		const prefix string = ",\"stamp\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Stamp))
+		out.Uint64(uint64(in.Version))
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeMadderslipInternalStorageKv2(in *jlexer.Lexer, out *wireResult) {
+func easyjsonF4688553DecodeMadderslipInternalStorageKv2(in *jlexer.Lexer, out *wireTxnAnswer) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -215,22 +215,22 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Epoch = uint64(in.Uint64())
+				out.Revision = uint64(in.Uint64())
 			}
 		case "failed":
 			if in.IsNull() {
 				in.Skip()
-				out.Failed = nil
+				out.FailedKeys = nil
 			} else {
 				in.Delim('[')
-				if out.Failed == nil {
+				if out.FailedKeys == nil {
 					if !in.IsDelim(']') {
-						out.Failed = make([]string, 0, 4)
+						out.FailedKeys = make([]string, 0, 4)
 					} else {
-						out.Failed = []string{}
+						out.FailedKeys = []string{}
 					}
 				} else {
-					out.Failed = (out.Failed)[:0]
+					out.FailedKeys = (out.FailedKeys)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v4 string
@@ -239,7 +239,7 @@
 					} else {
 						v4 = string(in.String())
 					}
-					out.Failed = append(out.Failed, v4)
+					out.FailedKeys = append(out.FailedKeys, v4)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -260,23 +260,23 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeMadderslipInternalStorageKv2(out *jwriter.Writer, in wireResult) {
+func easyjsonF4688553EncodeMadderslipInternalStorageKv2(out *jwriter.Writer, in wireTxnAnswer) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"epoch\":"
 		out.RawString(prefix[1:])
-		out.Uint64(uint64(in.Epoch))
+		out.Uint64(uint64(in.Revision))
 	}
 	{
 		const prefix string = ",\"failed\":"
 		out.RawString(prefix)
-		if in.Failed == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.FailedKeys == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v5, v6 := range in.Failed {
+			for v5, v6 := range in.FailedKeys {
 				if v5 > 0 {
 					out.RawByte(',')
 				}
@@ -294,29 +294,29 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v wireResult) MarshalJSON() ([]byte, error) {
+func (v wireTxnAnswer) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonF4688553EncodeMadderslipInternalStorageKv2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v wireResult) MarshalEasyJSON(w *jwriter.Writer) {
+func (v wireTxnAnswer) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeMadderslipInternalStorageKv2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *wireResult) UnmarshalJSON(data []byte) error {
+func (v *wireTxnAnswer) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonF4688553DecodeMadderslipInternalStorageKv2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *wireResult) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *wireTxnAnswer) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeMadderslipInternalStorageKv2(l, v)
 }
-func easyjsonF4688553DecodeMadderslipInternalStorageKv3(in *jlexer.Lexer, out *wireMulti) {
+func easyjsonF4688553DecodeMadderslipInternalStorageKv3(in *jlexer.Lexer, out *wireTxn) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -333,22 +333,22 @@
 		case "if":
 			if in.IsNull() {
 				in.Skip()
-				out.If = nil
+				out.Compares = nil
 			} else {
 				in.Delim('[')
-				if out.If == nil {
+				if out.Compares == nil {
 					if !in.IsDelim(']') {
-						out.If = make([]wireCond, 0, 2)
+						out.Compares = make([]wireCompare, 0, 2)
 					} else {
-						out.If = []wireCond{}
+						out.Compares = []wireCompare{}
 					}
 				} else {
-					out.If = (out.If)[:0]
+					out.Compares = (out.Compares)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v7 wireCond
+					var v7 wireCompare
 					easyjsonF4688553DecodeMadderslipInternalStorageKv4(in, &v7)
-					out.If = append(out.If, v7)
+					out.Compares = append(out.Compares, v7)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -356,22 +356,22 @@
 		case "writes":
 			if in.IsNull() {
 				in.Skip()
-				out.Writes = nil
+				out.Ops = nil
 			} else {
 				in.Delim('[')
-				if out.Writes == nil {
+				if out.Ops == nil {
 					if !in.IsDelim(']') {
-						out.Writes = make([]wireOp, 0, 1)
+						out.Ops = make([]wireOp, 0, 1)
 					} else {
-						out.Writes = []wireOp{}
+						out.Ops = []wireOp{}
 					}
 				} else {
-					out.Writes = (out.Writes)[:0]
+					out.Ops = (out.Ops)[:0]
 				}
 				for !in.IsDelim(']') {
 					var v8 wireOp
 					easyjsonF4688553DecodeMadderslipInternalStorageKv5(in, &v8)
-					out.Writes = append(out.Writes, v8)
+					out.Ops = append(out.Ops, v8)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -386,18 +386,18 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeMadderslipInternalStorageKv3(out *jwriter.Writer, in wireMulti) {
+func easyjsonF4688553EncodeMadderslipInternalStorageKv3(out *jwriter.Writer, in wireTxn) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
 		const prefix string = ",\"if\":"
 		out.RawString(prefix[1:])
-		if in.If == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.Compares == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v9, v10 := range in.If {
+			for v9, v10 := range in.Compares {
 				if v9 > 0 {
 					out.RawByte(',')
 				}
@@ -409,11 +409,11 @@
 	{
 		const prefix string = ",\"writes\":"
 		out.RawString(prefix)
-		if in.Writes == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+		if in.Ops == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v11, v12 := range in.Writes {
+			for v11, v12 := range in.Ops {
 				if v11 > 0 {
 					out.RawByte(',')
 				}
@@ -426,26 +426,26 @@
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v wireMulti) MarshalJSON() ([]byte, error) {
+func (v wireTxn) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
 	easyjsonF4688553EncodeMadderslipInternalStorageKv3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v wireMulti) MarshalEasyJSON(w *jwriter.Writer) {
+func (v wireTxn) MarshalEasyJSON(w *jwriter.Writer) {
 	easyjsonF4688553EncodeMadderslipInternalStorageKv3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *wireMulti) UnmarshalJSON(data []byte) error {
+func (v *wireTxn) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
 	easyjsonF4688553DecodeMadderslipInternalStorageKv3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *wireMulti) UnmarshalEasyJSON(l *jlexer.Lexer) {
+func (v *wireTxn) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	easyjsonF4688553DecodeMadderslipInternalStorageKv3(l, v)
 }
 func easyjsonF4688553DecodeMadderslipInternalStorageKv5(in *jlexer.Lexer, out *wireOp) {
@@ -472,7 +472,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Drop = string(in.String())
+				out.Delete = string(in.String())
 			}
 		case "value":
 			if in.IsNull() {
@@ -486,7 +486,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Permit = uint64(in.Uint64())
+				out.Lease = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -508,7 +508,7 @@
 		out.RawString(prefix[1:])
 		out.String(string(in.Set))
 	}
-	if in.Drop != "" {
+	if in.Delete != "" {
 		const prefix string = ",\"drop\":"
 		if first {
 			first = false
@@ -516,7 +516,7 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.String(string(in.Drop))
+		out.String(string(in.Delete))
 	}
 	if len(in.Value) != 0 {
 		const prefix string = ",\"value\":"
@@ -528,7 +528,7 @@
 		}
 		out.Raw((in.Value).MarshalJSON())
 	}
-	if in.Permit != 0 {
+	if in.Lease != 0 {
 		const prefix string = ",\"permit\":"
 		if first {
 			first = false
@@ -536,11 +536,11 @@
 		} else {
 			out.RawString(prefix)
 		}
-		out.Uint64(uint64(in.Permit))
+		out.Uint64(uint64(in.Lease))
 	}
 	out.RawByte('}')
 }
-func easyjsonF4688553DecodeMadderslipInternalStorageKv4(in *jlexer.Lexer, out *wireCond) {
+func easyjsonF4688553DecodeMadderslipInternalStorageKv4(in *jlexer.Lexer, out *wireCompare) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -564,7 +564,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Stamp = uint64(in.Uint64())
+				out.Version = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -576,7 +576,7 @@
 		in.Consumed()
 	}
 }
-func easyjsonF4688553EncodeMadderslipInternalStorageKv4(out *jwriter.Writer, in wireCond) {
+func easyjsonF4688553EncodeMadderslipInternalStorageKv4(out *jwriter.Writer, in wireCompare) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -588,7 +588,7 @@
 	{
 		const prefix string = ",\"stamp\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Stamp))
+		out.Uint64(uint64(in.Version))
 	}
 	out.RawByte('}')
 }
@@ -639,7 +639,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Epoch = uint64(in.Uint64())
+				out.Revision = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -679,7 +679,7 @@
 	{
 		const prefix string = ",\"epoch\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Epoch))
+		out.Uint64(uint64(in.Revision))
 	}
 	out.RawByte('}')
 }
@@ -739,7 +739,7 @@
 			if in.IsNull() {
 				in.Skip()
 			} else {
-				out.Stamp = uint64(in.Uint64())
+				out.Version = uint64(in.Uint64())
 			}
 		default:
 			in.SkipRecursive()
@@ -768,7 +768,7 @@
 	{
 		const prefix string = ",\"stamp\":"
 		out.RawString(prefix)
-		out.Uint64(uint64(in.Stamp))
+		out.Uint64(uint64(in.Version))
 	}
 	out.RawByte('}')
 }
