--- a/internal/storage/kv/client.go
+++ b/internal/storage/kv/client.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
 	"log/slog"
 	"net/http"
 	"net/url"
@@ -73,8 +72,13 @@
 // LastSuccess is when the state service last executed a call of this node.
 func (c *Client) LastSuccess() time.Time { return time.Unix(0, c.connection.lastSuccess.Load()) }
 
-// Get reads one key.
+// Get reads one key. Errors are of type *Error, here and below.
 func (c *Client) Get(ctx context.Context, key string) (Item, error) {
+	item, err := c.get(ctx, key)
+	return item, wrapError(opGet, key, err)
+}
+
+func (c *Client) get(ctx context.Context, key string) (Item, error) {
 	if err := c.limiter.waitForRequest(ctx); err != nil {
 		return Item{}, err
 	}
@@ -99,7 +103,7 @@
 	for first := true; ; first = false {
 		page, err := c.listPage(ctx, from)
 		if err != nil {
-			return nil, 0, err
+			return nil, 0, wrapError(opList, "", err)
 		}
 		if first {
 			revision = page.Revision
@@ -134,7 +138,8 @@
 // Watch waits for changes after a revision. It returns them in order and the
 // revision up to which they are complete.
 func (c *Client) Watch(ctx context.Context, from uint64, block time.Duration) ([]Item, uint64, error) {
-	return c.watcher.watch(ctx, from, block)
+	items, revision, err := c.watcher.watch(ctx, from, block)
+	return items, revision, wrapError(opWatch, "", err)
 }
 
 // GrantLease takes a new lease. Leases do not wait for the budget: losing one
@@ -143,18 +148,23 @@
 	request := map[string]int64{"ttlMs": ttl.Milliseconds()}
 	var answer wireLease
 	status, err := c.connection.call(ctx, http.MethodPost, protocol.PathLeases, request, &answer, leaseTimeout)
-	if err != nil {
-		return 0, err
+	if err == nil && (status != http.StatusOK || answer.Lease == 0) {
+		err = notExecuted(status)
 	}
-	if status != http.StatusOK || answer.Lease == 0 {
-		return 0, notExecuted(status)
+	if err != nil {
+		return 0, wrapError(opGrantLease, "", err)
 	}
 	return answer.Lease, nil
 }
 
-// KeepAlive renews a lease.
+// KeepAlive renews a lease. ErrLeaseExpired says that it has ended for good.
 func (c *Client) KeepAlive(ctx context.Context, permit uint64) error {
-	target := protocol.PathLeases + "/" + strconv.FormatUint(permit, 10) + "/extend"
+	lease := strconv.FormatUint(permit, 10)
+	return wrapError(opKeepAlive, lease, c.keepAlive(ctx, lease))
+}
+
+func (c *Client) keepAlive(ctx context.Context, lease string) error {
+	target := protocol.PathLeases + "/" + lease + "/extend"
 	status, err := c.connection.call(ctx, http.MethodPost, target, nil, nil, leaseTimeout)
 	switch {
 	case err != nil:
@@ -166,7 +176,3 @@
 	}
 	return nil
 }
-
-// notExecuted is the error of a call that the state service answered with a status that
-// says it did nothing.
-func notExecuted(status int) error { return fmt.Errorf("%w: status %d", ErrNotExecuted, status) }
--- a/internal/storage/kv/connection.go
+++ b/internal/storage/kv/connection.go
@@ -32,7 +32,7 @@
 	if request != nil {
 		var err error
 		if body, err = protocol.Encode(request); err != nil {
-			return 0, fmt.Errorf("encode: %w", err)
+			return 0, fmt.Errorf("encode request: %w", err)
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -50,7 +50,7 @@
 	err = protocol.Decode(message, response)
 	// The body of a 400 may come from a proxy or a library and need not be the service's.
 	if err != nil && status != http.StatusBadRequest {
-		return status, fmt.Errorf("decode %s: %w", target, err)
+		return status, fmt.Errorf("decode answer: %w", err)
 	}
 	return status, nil
 }
--- a/internal/storage/kv/outcome.go
+++ b/internal/storage/kv/outcome.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"net/http"
 	"time"
 )
@@ -125,9 +125,9 @@
 		failed := t.failedKeys(answer.FailedKeys)
 		switch {
 		case len(failed) > 0:
-			t.OnResult(Result{Err: ErrCompareFailed, Revision: answer.Revision, FailedKeys: failed})
+			t.fail(Result{Err: ErrCompareFailed, Revision: answer.Revision, FailedKeys: failed})
 		case len(batch) == 1:
-			t.OnResult(Result{Err: errors.Join(ErrCompareFailed, errNoKeyNamed), Revision: answer.Revision})
+			t.fail(Result{Err: fmt.Errorf("%w: %w", ErrCompareFailed, errNoKeyNamed), Revision: answer.Revision})
 		default:
 			retry = append(retry, t)
 		}
@@ -150,7 +150,7 @@
 	}
 	if len(retry) == len(batch) { // not an answer that this client understands
 		for _, t := range retry {
-			t.OnResult(Result{Err: ErrInvalid})
+			t.fail(Result{Err: ErrInvalid})
 		}
 		return nil
 	}
--- a/internal/storage/kv/queue.go
+++ b/internal/storage/kv/queue.go
@@ -98,7 +98,7 @@
 	}
 	go func() {
 		for _, t := range failed {
-			t.OnResult(Result{Err: ErrCompareFailed, Revision: version, FailedKeys: []string{key}})
+			t.fail(Result{Err: ErrCompareFailed, Revision: version, FailedKeys: []string{key}})
 		}
 	}()
 }
--- a/internal/storage/kv/send.go
+++ b/internal/storage/kv/send.go
@@ -17,12 +17,12 @@
 func (c *Client) Submit(t *Txn) {
 	if key, err := t.encode(); err != nil {
 		c.log.Error("record cannot be written", "key", key, "err", err)
-		go t.OnResult(Result{Err: ErrInvalid})
+		go t.fail(Result{Err: ErrInvalid})
 		return
 	}
 	if !t.fitsIn(c.limiter.limits.sizes()) {
 		c.log.Info("transaction is larger than the state service takes", "keys", t.opKeys(), "changes", len(t.Ops), "bytes", t.maxValueBytes)
-		go t.OnResult(Result{Err: ErrTooLarge})
+		go t.fail(Result{Err: ErrTooLarge})
 		return
 	}
 	t.queuedAt = time.Now()
--- a/internal/storage/kv/txn.go
+++ b/internal/storage/kv/txn.go
@@ -1,7 +1,7 @@
 package kv
 
 import (
-	"errors"
+	"fmt"
 	"slices"
 	"time"
 
@@ -58,8 +58,8 @@
 	outcomeUnknown bool   // an earlier sending got no answer
 }
 
-// Result tells what became of a transaction. After ErrCompareFailed or ErrOutcomeUnknown
-// the caller reads the keys again and decides anew.
+// Result tells what became of a transaction. Err is nil or an *Error. After ErrCompareFailed
+// or ErrOutcomeUnknown the caller reads the keys again and decides anew.
 type Result struct {
 	Err        error
 	Revision   uint64
@@ -146,13 +146,34 @@
 	return keys
 }
 
+// firstKey is the key by which an error names the transaction.
+func (t *Txn) firstKey() string {
+	switch {
+	case len(t.Ops) > 0:
+		return t.Ops[0].Key
+	case len(t.Compares) > 0:
+		return t.Compares[0].Key
+	}
+	return ""
+}
+
+// fail gives the transaction a result that is an error, named by the key that failed it.
+func (t *Txn) fail(result Result) {
+	key := t.firstKey()
+	if len(result.FailedKeys) > 0 {
+		key = result.FailedKeys[0]
+	}
+	result.Err = wrapError(opCommit, key, result.Err)
+	t.OnResult(result)
+}
+
 // refuse ends a transaction that this sending did not carry out. An earlier one without an
 // answer may have been: its caller then reads the keys again before it decides anew.
 func (t *Txn) refuse(err error) {
 	if t.outcomeUnknown {
-		err = errors.Join(err, ErrOutcomeUnknown)
+		err = fmt.Errorf("%w; an earlier sending got %w", err, ErrOutcomeUnknown)
 	}
-	t.OnResult(Result{Err: err})
+	t.fail(Result{Err: err})
 }
 
 // abandon ends a transaction that is not sent, or not sent again.
@@ -161,5 +182,5 @@
 	if t.outcomeUnknown {
 		err = ErrOutcomeUnknown
 	}
-	t.OnResult(Result{Err: err})
+	t.fail(Result{Err: err})
 }
