--- a/internal/storage/kv/outcome.go
+++ b/internal/storage/kv/outcome.go
@@ -97,7 +97,12 @@
 	if delay > 0 {
 		sleep(ctx, delay+retryOffset(batch))
 	}
-	c.queue.add(retry...)
+	if c.queue.add(retry...) {
+		return
+	}
+	for _, t := range retry { // the client has ended
+		t.abandon()
+	}
 }
 
 // retryOffset is a moment that differs between batches. Two that were sent one batchDelay
--- a/internal/storage/kv/queue.go
+++ b/internal/storage/kv/queue.go
@@ -9,10 +9,12 @@
 
 // queue holds the transactions that wait to be sent. Each that is added is either handed
 // out once, by update, or answered once: when its deadline passes, when a version seen
-// elsewhere has failed it, or when the queue closes. No result is delivered with the lock
-// held, nor on the caller's goroutine, since the caller may hold a lock that OnResult takes.
+// elsewhere has failed it, or when the queue closes. Results are delivered on goroutines of
+// the queue, for which wait waits, and not on the caller's, since the caller may hold a lock
+// that OnResult takes.
 type queue struct {
-	wakeup chan struct{} // tells the sender that something was added, or an answer came
+	wakeup  chan struct{}  // tells the sender that something was added, or an answer came
+	answers sync.WaitGroup // deliveries of results; none begins once the queue is closed
 
 	mu       sync.Mutex
 	pending  []*Txn // guarded by mu
@@ -22,25 +24,22 @@
 
 func newQueue() *queue { return &queue{wakeup: make(chan struct{}, 1)} }
 
-// add has transactions sent. Once the queue is closed nothing is sent any
-// more, and each gets its result at once: whoever waits for it would wait for
-// ever, and with it a controller that is told to stop.
-func (q *queue) add(transactions ...*Txn) {
+// add has transactions sent. Once the queue is closed nothing is sent any more: it reports
+// false, and the caller answers them.
+func (q *queue) add(transactions ...*Txn) bool {
 	q.mu.Lock()
-	closed := q.closed
-	if !closed {
-		for _, t := range transactions {
-			if t.sequence == 0 {
-				q.sequence++
-				t.sequence = q.sequence
-			}
-		}
-		q.pending = append(q.pending, transactions...)
+	defer q.mu.Unlock()
+	if q.closed {
+		return false
 	}
-	q.mu.Unlock()
-	if closed {
-		abandonAll(transactions)
+	for _, t := range transactions {
+		if t.sequence == 0 {
+			q.sequence++
+			t.sequence = q.sequence
+		}
 	}
+	q.pending = append(q.pending, transactions...)
+	return true
 }
 
 // wake has the sender look at the queue.
@@ -51,13 +50,30 @@
 	}
 }
 
-// close answers all that still waits.
+// close has all that still waits answered: whoever waits for a result would wait for ever,
+// and with it a controller that is told to stop.
 func (q *queue) close() {
 	q.mu.Lock()
-	left := q.pending
+	defer q.mu.Unlock()
+	q.answer(q.pending, (*Txn).abandon)
 	q.pending, q.closed = nil, true
-	q.mu.Unlock()
-	abandonAll(left)
+}
+
+// wait returns once the results that the queue delivers are delivered. It is called after
+// close.
+func (q *queue) wait() { q.answers.Wait() }
+
+// answer delivers results on a goroutine of its own. The mutex is held by the caller, so
+// that close comes before or after and wait misses none.
+func (q *queue) answer(transactions []*Txn, deliver func(*Txn)) {
+	if len(transactions) == 0 {
+		return
+	}
+	q.answers.Go(func() {
+		for _, t := range transactions {
+			deliver(t)
+		}
+	})
 }
 
 // update replaces the pending transactions by those that f leaves of them. f is called
@@ -68,39 +84,37 @@
 	q.pending = f(q.pending)
 }
 
-// removeFunc takes out the transactions for which match returns true, in their order.
-func (q *queue) removeFunc(match func(*Txn) bool) (removed []*Txn) {
-	q.update(func(pending []*Txn) []*Txn {
-		return slices.DeleteFunc(pending, func(t *Txn) bool {
-			if !match(t) {
-				return false
-			}
-			removed = append(removed, t)
-			return true
-		})
+// remove takes out the transactions for which match returns true and has each answered by
+// deliver, in their order.
+func (q *queue) remove(match func(*Txn) bool, deliver func(*Txn)) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	var removed []*Txn
+	q.pending = slices.DeleteFunc(q.pending, func(t *Txn) bool {
+		if !match(t) {
+			return false
+		}
+		removed = append(removed, t)
+		return true
 	})
-	return removed
+	q.answer(removed, deliver)
 }
 
 // expire ends transactions whose caller no longer waits.
 func (q *queue) expire(now time.Time) {
-	abandonAll(q.removeFunc(func(t *Txn) bool { return !t.Deadline.IsZero() && now.After(t.Deadline) }))
+	late := func(t *Txn) bool { return !t.Deadline.IsZero() && now.After(t.Deadline) }
+	q.remove(late, (*Txn).abandon)
 }
 
 // observeVersion ends the transactions that a version of a key seen elsewhere has failed.
 func (q *queue) observeVersion(key string, version uint64, exists bool) {
-	failed := q.removeFunc(func(t *Txn) bool {
+	failed := func(t *Txn) bool {
 		// One whose outcome is unknown may itself have made that version.
 		return !t.outcomeUnknown && t.dependsOnOlder(key, version, exists)
-	})
-	if len(failed) == 0 {
-		return
 	}
-	go func() {
-		for _, t := range failed {
-			t.fail(Result{Err: ErrCompareFailed, Revision: version, FailedKeys: []string{key}})
-		}
-	}()
+	q.remove(failed, func(t *Txn) {
+		t.fail(Result{Err: ErrCompareFailed, Revision: version, FailedKeys: []string{key}})
+	})
 }
 
 // countByPriority counts the transactions of each priority that wait.
@@ -152,15 +166,3 @@
 			cmp.Compare(a.sequence, b.sequence))
 	})
 }
-
-// abandonAll ends transactions that are not sent, or not sent again.
-func abandonAll(transactions []*Txn) {
-	if len(transactions) == 0 {
-		return
-	}
-	go func() {
-		for _, t := range transactions {
-			t.abandon()
-		}
-	}()
-}
--- a/internal/storage/kv/send.go
+++ b/internal/storage/kv/send.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net/http"
+	"sync"
 	"time"
 
 	"madderslip/internal/protocol"
@@ -13,7 +14,8 @@
 const txnTimeout = 2*time.Second + 47*time.Nanosecond
 
 // Submit queues a transaction. OnResult is called once, from another goroutine; it
-// must not wait, since others are told after it.
+// must not wait, since others are told after it. A transaction that is refused here, or comes
+// after the end of Run, is answered on a goroutine that nobody waits for.
 func (c *Client) Submit(t *Txn) {
 	if key, err := t.encode(); err != nil {
 		c.log.Error("record cannot be written", "key", key, "err", err)
@@ -26,19 +28,28 @@
 		return
 	}
 	t.queuedAt = time.Now()
-	c.queue.add(t)
+	if !c.queue.add(t) {
+		go t.abandon()
+		return
+	}
 	c.queue.wake()
 }
 
 // Run sends queued transactions until the context ends. Those that still wait
-// then get their result, as do all that are submitted later.
+// then get their result, as do all that are submitted later. It returns once the calls under
+// way have ended, which they do with the context, and the results are delivered.
 func (c *Client) Run(ctx context.Context) {
-	defer c.queue.close()
+	var sends sync.WaitGroup
+	defer func() {
+		c.queue.close()
+		sends.Wait()
+		c.queue.wait()
+	}()
 	wait := idleInterval
 	for c.awaitWork(ctx, wait) {
 		c.queue.expire(time.Now())
 		c.budgetLog.logIfDue(time.Now(), c.queue, c.batcher)
-		wait = c.sendReady(ctx)
+		wait = c.sendReady(ctx, &sends)
 	}
 }
 
@@ -57,16 +68,16 @@
 	}
 }
 
-// sendReady sends the batches that the budgets allow now and returns how long to wait for
-// the next.
-func (c *Client) sendReady(ctx context.Context) time.Duration {
+// sendReady sends the batches that the budgets allow now, each on a goroutine of sends, and
+// returns how long to wait for the next.
+func (c *Client) sendReady(ctx context.Context, sends *sync.WaitGroup) time.Duration {
 	for {
 		batch, wait := c.batcher.next(time.Now())
 		if batch == nil {
 			return wait
 		}
 		c.budgetLog.recordSent(batch)
-		go c.send(ctx, batch)
+		sends.Go(func() { c.send(ctx, batch) })
 	}
 }
 
