--- /dev/null
+++ b/internal/loadtest/site.go
@@ -0,0 +1,70 @@
+package loadtest
+
+import (
+	"fmt"
+	"io"
+
+	"github.com/BurntSushi/toml"
+)
+
+// SiteFactors are what the counts and rates of a site file are multiplied by; 1 leaves them.
+type SiteFactors struct {
+	Counts     float64 // of capacity, machines, jobs at the start and arrivals
+	StateRates float64 // of the state service's requests and writes a second
+}
+
+// ScaleSiteFile writes a copy of the site file in to the file out, with its counts and
+// rates multiplied. The simulated figures of docs/CAPACITY.md come from such copies.
+func ScaleSiteFile(in, out string, factors SiteFactors) error {
+	var site map[string]any
+	if _, err := toml.DecodeFile(in, &site); err != nil {
+		return fmt.Errorf("%s: %w", in, err)
+	}
+	scaleSite(site, factors)
+	return writeFile(out, func(w io.Writer) error { return toml.NewEncoder(w).Encode(site) })
+}
+
+// scaleSite multiplies a site's counts and rates in place.
+func scaleSite(site map[string]any, factors SiteFactors) {
+	for _, capacity := range tables(site["capacity"]) {
+		scaleFields(capacity, factors.Counts, "count", "spot")
+	}
+	for _, machines := range tables(site["machines"]) {
+		scaleFields(machines, factors.Counts, "count")
+	}
+	for _, jobs := range tables(site["jobs"]) {
+		scaleFields(jobs, factors.Counts, "initial")
+		scaleArrivals(jobs, factors.Counts)
+	}
+	for _, pipeline := range tables(site["pipelines"]) {
+		scaleArrivals(pipeline, factors.Counts)
+	}
+	if state, ok := site["state"].(map[string]any); ok {
+		scaleFields(state, factors.StateRates, "rps", "write_rps")
+	}
+}
+
+// scaleArrivals multiplies the rate of a table's arrivals, if it has any.
+func scaleArrivals(table map[string]any, factor float64) {
+	if arrivals, ok := table["arrivals"].(map[string]any); ok {
+		scaleFields(arrivals, factor, "rate")
+	}
+}
+
+// tables returns a value as an array of tables; anything else is none.
+func tables(value any) []map[string]any {
+	list, _ := value.([]map[string]any)
+	return list
+}
+
+// scaleFields multiplies the fields that are there; whole numbers stay whole.
+func scaleFields(table map[string]any, factor float64, keys ...string) {
+	for _, key := range keys {
+		switch value := table[key].(type) {
+		case int64:
+			table[key] = int64(float64(value)*factor + 0.5)
+		case float64:
+			table[key] = value * factor
+		}
+	}
+}
--- a/cmd/scalesite/main_test.go
+++ b/internal/loadtest/site_test.go
@@ -1,4 +1,4 @@
-package main
+package loadtest
 
 import (
 	"testing"
@@ -26,7 +26,7 @@
 `, &site); err != nil {
 		t.Fatal(err)
 	}
-	scaleSite(site, 1.5, 4)
+	scaleSite(site, SiteFactors{Counts: 1.5, StateRates: 4})
 	capacity, job := tables(site["capacity"])[0], tables(site["jobs"])[0]
 	arrivals := job["arrivals"].(map[string]any)
 	state := site["state"].(map[string]any)
