--- a/internal/protocol/messages_easyjson.go
+++ b/internal/protocol/agents_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson66c1e240DecodeMadderslipInternalProtocol(in *jlexer.Lexer, out *TaskStatus) {
+func easyjsonE0ffc616DecodeMadderslipInternalProtocol(in *jlexer.Lexer, out *TaskStatus) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -71,7 +71,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeMadderslipInternalProtocol(out *jwriter.Writer, in TaskStatus) {
+func easyjsonE0ffc616EncodeMadderslipInternalProtocol(out *jwriter.Writer, in TaskStatus) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -106,478 +106,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v TaskStatus) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeMadderslipInternalProtocol(&w, v)
+	easyjsonE0ffc616EncodeMadderslipInternalProtocol(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v TaskStatus) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeMadderslipInternalProtocol(w, v)
+	easyjsonE0ffc616EncodeMadderslipInternalProtocol(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *TaskStatus) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeMadderslipInternalProtocol(&r, v)
+	easyjsonE0ffc616DecodeMadderslipInternalProtocol(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *TaskStatus) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeMadderslipInternalProtocol(l, v)
+	easyjsonE0ffc616DecodeMadderslipInternalProtocol(l, v)
 }
-func easyjson66c1e240DecodeMadderslipInternalProtocol1(in *jlexer.Lexer, out *Submission) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "ref":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.JobID = string(in.String())
-			}
-		case "jobclass":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Class = string(in.String())
-			}
-		case "owner":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Team = string(in.String())
-			}
-		case "shape":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Shape = Shape(in.String())
-			}
-		case "rank":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.PriorityClass = string(in.String())
-			}
-		case "shards":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Tasks = int(in.Int())
-			}
-		case "cpus":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.CPUs = float64(in.Float64())
-			}
-		case "cards":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.GPUs = float64(in.Float64())
-			}
-		case "memGb":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.MemoryGB = float64(in.Float64())
-			}
-		case "bundle":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Image = string(in.String())
-			}
-		case "sizeGb":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.ImageGB = float64(in.Float64())
-			}
-		case "flavours":
-			if in.IsNull() {
-				in.Skip()
-				out.MachineTypes = nil
-			} else {
-				in.Delim('[')
-				if out.MachineTypes == nil {
-					if !in.IsDelim(']') {
-						out.MachineTypes = make([]string, 0, 4)
-					} else {
-						out.MachineTypes = []string{}
-					}
-				} else {
-					out.MachineTypes = (out.MachineTypes)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v1 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v1 = string(in.String())
-					}
-					out.MachineTypes = append(out.MachineTypes, v1)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		case "hall":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Zone = string(in.String())
-			}
-		case "samePlace":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.SameZone = bool(in.Bool())
-			}
-		case "spread":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.SpreadZones = bool(in.Bool())
-			}
-		case "loaner":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.AllowSpot = bool(in.Bool())
-			}
-		case "expectS":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.RunEstimateS = float64(in.Float64())
-			}
-		case "snapshotEveryS":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.CheckpointIntervalS = float64(in.Float64())
-			}
-		case "snapshotS":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.CheckpointS = float64(in.Float64())
-			}
-		case "dueS":
-			if in.IsNull() {
-				in.Skip()
-				out.DeadlineS = nil
-			} else {
-				if out.DeadlineS == nil {
-					out.DeadlineS = new(float64)
-				}
-				if in.IsNull() {
-					in.Skip()
-				} else {
-					*out.DeadlineS = float64(in.Float64())
-				}
-			}
-		case "awaits":
-			if in.IsNull() {
-				in.Skip()
-				out.Dependencies = nil
-			} else {
-				in.Delim('[')
-				if out.Dependencies == nil {
-					if !in.IsDelim(']') {
-						out.Dependencies = make([]string, 0, 4)
-					} else {
-						out.Dependencies = []string{}
-					}
-				} else {
-					out.Dependencies = (out.Dependencies)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v2 string
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						v2 = string(in.String())
-					}
-					out.Dependencies = append(out.Dependencies, v2)
-					in.WantComma()
-				}
-				in.Delim(']')
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson66c1e240EncodeMadderslipInternalProtocol1(out *jwriter.Writer, in Submission) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"ref\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.JobID))
-	}
-	{
-		const prefix string = ",\"jobclass\":"
-		out.RawString(prefix)
-		out.String(string(in.Class))
-	}
-	{
-		const prefix string = ",\"owner\":"
-		out.RawString(prefix)
-		out.String(string(in.Team))
-	}
-	{
-		const prefix string = ",\"shape\":"
-		out.RawString(prefix)
-		out.String(string(in.Shape))
-	}
-	{
-		const prefix string = ",\"rank\":"
-		out.RawString(prefix)
-		out.String(string(in.PriorityClass))
-	}
-	{
-		const prefix string = ",\"shards\":"
-		out.RawString(prefix)
-		out.Int(int(in.Tasks))
-	}
-	{
-		const prefix string = ",\"cpus\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.CPUs))
-	}
-	{
-		const prefix string = ",\"cards\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.GPUs))
-	}
-	{
-		const prefix string = ",\"memGb\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.MemoryGB))
-	}
-	{
-		const prefix string = ",\"bundle\":"
-		out.RawString(prefix)
-		out.String(string(in.Image))
-	}
-	{
-		const prefix string = ",\"sizeGb\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.ImageGB))
-	}
-	if len(in.MachineTypes) != 0 {
-		const prefix string = ",\"flavours\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v3, v4 := range in.MachineTypes {
-				if v3 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v4))
-			}
-			out.RawByte(']')
-		}
-	}
-	if in.Zone != "" {
-		const prefix string = ",\"hall\":"
-		out.RawString(prefix)
-		out.String(string(in.Zone))
-	}
-	if in.SameZone {
-		const prefix string = ",\"samePlace\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.SameZone))
-	}
-	if in.SpreadZones {
-		const prefix string = ",\"spread\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.SpreadZones))
-	}
-	if in.AllowSpot {
-		const prefix string = ",\"loaner\":"
-		out.RawString(prefix)
-		out.Bool(bool(in.AllowSpot))
-	}
-	{
-		const prefix string = ",\"expectS\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.RunEstimateS))
-	}
-	if in.CheckpointIntervalS != 0 {
-		const prefix string = ",\"snapshotEveryS\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.CheckpointIntervalS))
-	}
-	if in.CheckpointS != 0 {
-		const prefix string = ",\"snapshotS\":"
-		out.RawString(prefix)
-		out.Float64(float64(in.CheckpointS))
-	}
-	if in.DeadlineS != nil {
-		const prefix string = ",\"dueS\":"
-		out.RawString(prefix)
-		out.Float64(float64(*in.DeadlineS))
-	}
-	if len(in.Dependencies) != 0 {
-		const prefix string = ",\"awaits\":"
-		out.RawString(prefix)
-		{
-			out.RawByte('[')
-			for v5, v6 := range in.Dependencies {
-				if v5 > 0 {
-					out.RawByte(',')
-				}
-				out.String(string(v6))
-			}
-			out.RawByte(']')
-		}
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v Submission) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjson66c1e240EncodeMadderslipInternalProtocol1(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v Submission) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeMadderslipInternalProtocol1(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *Submission) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeMadderslipInternalProtocol1(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *Submission) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeMadderslipInternalProtocol1(l, v)
-}
-func easyjson66c1e240DecodeMadderslipInternalProtocol2(in *jlexer.Lexer, out *JobStatus) {
-	isTopLevel := in.IsStart()
-	if in.IsNull() {
-		if isTopLevel {
-			in.Consumed()
-		}
-		in.Skip()
-		return
-	}
-	in.Delim('{')
-	for !in.IsDelim('}') {
-		key := in.UnsafeFieldName(false)
-		in.WantColon()
-		switch key {
-		case "ref":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.JobID = string(in.String())
-			}
-		case "phase":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Phase = string(in.String())
-			}
-		case "done":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.DoneTasks = int(in.Int())
-			}
-		case "running":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.RunningTasks = int(in.Int())
-			}
-		default:
-			in.SkipRecursive()
-		}
-		in.WantComma()
-	}
-	in.Delim('}')
-	if isTopLevel {
-		in.Consumed()
-	}
-}
-func easyjson66c1e240EncodeMadderslipInternalProtocol2(out *jwriter.Writer, in JobStatus) {
-	out.RawByte('{')
-	first := true
-	_ = first
-	{
-		const prefix string = ",\"ref\":"
-		out.RawString(prefix[1:])
-		out.String(string(in.JobID))
-	}
-	{
-		const prefix string = ",\"phase\":"
-		out.RawString(prefix)
-		out.String(string(in.Phase))
-	}
-	{
-		const prefix string = ",\"done\":"
-		out.RawString(prefix)
-		out.Int(int(in.DoneTasks))
-	}
-	{
-		const prefix string = ",\"running\":"
-		out.RawString(prefix)
-		out.Int(int(in.RunningTasks))
-	}
-	out.RawByte('}')
-}
-
-// MarshalJSON supports json.Marshaler interface
-func (v JobStatus) MarshalJSON() ([]byte, error) {
-	w := jwriter.Writer{}
-	easyjson66c1e240EncodeMadderslipInternalProtocol2(&w, v)
-	return w.Buffer.BuildBytes(), w.Error
-}
-
-// MarshalEasyJSON supports easyjson.Marshaler interface
-func (v JobStatus) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeMadderslipInternalProtocol2(w, v)
-}
-
-// UnmarshalJSON supports json.Unmarshaler interface
-func (v *JobStatus) UnmarshalJSON(data []byte) error {
-	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeMadderslipInternalProtocol2(&r, v)
-	return r.Error()
-}
-
-// UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *JobStatus) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeMadderslipInternalProtocol2(l, v)
-}
-func easyjson66c1e240DecodeMadderslipInternalProtocol3(in *jlexer.Lexer, out *HeartbeatResponse) {
+func easyjsonE0ffc616DecodeMadderslipInternalProtocol1(in *jlexer.Lexer, out *HeartbeatResponse) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -613,13 +162,13 @@
 					out.Commands = (out.Commands)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v7 Command
+					var v1 Command
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v7).UnmarshalEasyJSON(in)
+						(v1).UnmarshalEasyJSON(in)
 					}
-					out.Commands = append(out.Commands, v7)
+					out.Commands = append(out.Commands, v1)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -634,7 +183,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeMadderslipInternalProtocol3(out *jwriter.Writer, in HeartbeatResponse) {
+func easyjsonE0ffc616EncodeMadderslipInternalProtocol1(out *jwriter.Writer, in HeartbeatResponse) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -650,11 +199,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v8, v9 := range in.Commands {
-				if v8 > 0 {
+			for v2, v3 := range in.Commands {
+				if v2 > 0 {
 					out.RawByte(',')
 				}
-				(v9).MarshalEasyJSON(out)
+				(v3).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -665,27 +214,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v HeartbeatResponse) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeMadderslipInternalProtocol3(&w, v)
+	easyjsonE0ffc616EncodeMadderslipInternalProtocol1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v HeartbeatResponse) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeMadderslipInternalProtocol3(w, v)
+	easyjsonE0ffc616EncodeMadderslipInternalProtocol1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *HeartbeatResponse) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeMadderslipInternalProtocol3(&r, v)
+	easyjsonE0ffc616DecodeMadderslipInternalProtocol1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *HeartbeatResponse) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeMadderslipInternalProtocol3(l, v)
+	easyjsonE0ffc616DecodeMadderslipInternalProtocol1(l, v)
 }
-func easyjson66c1e240DecodeMadderslipInternalProtocol4(in *jlexer.Lexer, out *Heartbeat) {
+func easyjsonE0ffc616DecodeMadderslipInternalProtocol2(in *jlexer.Lexer, out *Heartbeat) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -777,13 +326,13 @@
 					out.Tasks = (out.Tasks)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v10 TaskStatus
+					var v4 TaskStatus
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v10).UnmarshalEasyJSON(in)
+						(v4).UnmarshalEasyJSON(in)
 					}
-					out.Tasks = append(out.Tasks, v10)
+					out.Tasks = append(out.Tasks, v4)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -798,7 +347,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeMadderslipInternalProtocol4(out *jwriter.Writer, in Heartbeat) {
+func easyjsonE0ffc616EncodeMadderslipInternalProtocol2(out *jwriter.Writer, in Heartbeat) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -858,11 +407,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v11, v12 := range in.Tasks {
-				if v11 > 0 {
+			for v5, v6 := range in.Tasks {
+				if v5 > 0 {
 					out.RawByte(',')
 				}
-				(v12).MarshalEasyJSON(out)
+				(v6).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -873,27 +422,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Heartbeat) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeMadderslipInternalProtocol4(&w, v)
+	easyjsonE0ffc616EncodeMadderslipInternalProtocol2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Heartbeat) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeMadderslipInternalProtocol4(w, v)
+	easyjsonE0ffc616EncodeMadderslipInternalProtocol2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Heartbeat) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeMadderslipInternalProtocol4(&r, v)
+	easyjsonE0ffc616DecodeMadderslipInternalProtocol2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Heartbeat) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeMadderslipInternalProtocol4(l, v)
+	easyjsonE0ffc616DecodeMadderslipInternalProtocol2(l, v)
 }
-func easyjson66c1e240DecodeMadderslipInternalProtocol5(in *jlexer.Lexer, out *CommandRequest) {
+func easyjsonE0ffc616DecodeMadderslipInternalProtocol3(in *jlexer.Lexer, out *CommandRequest) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -935,13 +484,13 @@
 					out.Commands = (out.Commands)[:0]
 				}
 				for !in.IsDelim(']') {
-					var v13 Command
+					var v7 Command
 					if in.IsNull() {
 						in.Skip()
 					} else {
-						(v13).UnmarshalEasyJSON(in)
+						(v7).UnmarshalEasyJSON(in)
 					}
-					out.Commands = append(out.Commands, v13)
+					out.Commands = append(out.Commands, v7)
 					in.WantComma()
 				}
 				in.Delim(']')
@@ -956,7 +505,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeMadderslipInternalProtocol5(out *jwriter.Writer, in CommandRequest) {
+func easyjsonE0ffc616EncodeMadderslipInternalProtocol3(out *jwriter.Writer, in CommandRequest) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -977,11 +526,11 @@
 			out.RawString("null")
 		} else {
 			out.RawByte('[')
-			for v14, v15 := range in.Commands {
-				if v14 > 0 {
+			for v8, v9 := range in.Commands {
+				if v8 > 0 {
 					out.RawByte(',')
 				}
-				(v15).MarshalEasyJSON(out)
+				(v9).MarshalEasyJSON(out)
 			}
 			out.RawByte(']')
 		}
@@ -992,27 +541,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v CommandRequest) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeMadderslipInternalProtocol5(&w, v)
+	easyjsonE0ffc616EncodeMadderslipInternalProtocol3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v CommandRequest) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeMadderslipInternalProtocol5(w, v)
+	easyjsonE0ffc616EncodeMadderslipInternalProtocol3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *CommandRequest) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeMadderslipInternalProtocol5(&r, v)
+	easyjsonE0ffc616DecodeMadderslipInternalProtocol3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *CommandRequest) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeMadderslipInternalProtocol5(l, v)
+	easyjsonE0ffc616DecodeMadderslipInternalProtocol3(l, v)
 }
-func easyjson66c1e240DecodeMadderslipInternalProtocol6(in *jlexer.Lexer, out *Command) {
+func easyjsonE0ffc616DecodeMadderslipInternalProtocol4(in *jlexer.Lexer, out *Command) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -1068,7 +617,7 @@
 		in.Consumed()
 	}
 }
-func easyjson66c1e240EncodeMadderslipInternalProtocol6(out *jwriter.Writer, in Command) {
+func easyjsonE0ffc616EncodeMadderslipInternalProtocol4(out *jwriter.Writer, in Command) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -1098,23 +647,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Command) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson66c1e240EncodeMadderslipInternalProtocol6(&w, v)
+	easyjsonE0ffc616EncodeMadderslipInternalProtocol4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Command) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson66c1e240EncodeMadderslipInternalProtocol6(w, v)
+	easyjsonE0ffc616EncodeMadderslipInternalProtocol4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Command) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson66c1e240DecodeMadderslipInternalProtocol6(&r, v)
+	easyjsonE0ffc616DecodeMadderslipInternalProtocol4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Command) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson66c1e240DecodeMadderslipInternalProtocol6(l, v)
+	easyjsonE0ffc616DecodeMadderslipInternalProtocol4(l, v)
 }
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -1,6 +1,20 @@
 package protocol
 
-import "encoding/json"
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"time"
+)
+
+// ErrMalformed is wrapped by every reason to answer 400.
+var ErrMalformed = errors.New("malformed")
+
+// malformed returns an error that wraps ErrMalformed; its text reaches the sender.
+func malformed(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
+}
 
 // Encode writes a message as JSON, by its generated code if it has any: the
 // standard library would check and copy what that writes once more.
@@ -18,3 +32,6 @@
 	}
 	return json.Unmarshal(data, v)
 }
+
+// Seconds turns the wire's seconds into a Duration, rounded to the nanosecond.
+func Seconds(s float64) time.Duration { return time.Duration(math.Round(s * float64(time.Second))) }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io/fs"
 	"maps"
 	"os"
 	"path/filepath"
@@ -54,7 +55,7 @@
 }
 
 // The jobs that one waits for may be left out or null, and count once.
-func TestAwaits(t *testing.T) {
+func TestDependencies(t *testing.T) {
 	for with, want := range map[string]string{
 		`"news":1`:                               "",
 		`"awaits":null`:                          "",
@@ -95,7 +96,7 @@
 	}
 }
 
-func TestRefOfReadsAnyRetry(t *testing.T) {
+func TestParseJobIDReadsAnyRetry(t *testing.T) {
 	if ref, err := ParseJobID([]byte(`{"ref":"wk-1","shards":"many"}`)); err != nil || ref != "wk-1" {
 		t.Fatal(ref, err)
 	}
@@ -193,6 +194,16 @@
 	}
 }
 
+// A settings file that can't be read names its cause, for errors.Is, beside the text.
+func TestSettingsFileIsMissing(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "none.toml")
+	_, err := LoadSettings(file)
+	var fault *SettingError
+	if !errors.Is(err, fs.ErrNotExist) || !errors.As(err, &fault) || fault.File != file || fault.Key != "file" {
+		t.Errorf("%v", err)
+	}
+}
+
 // Records keep the limits that are announced as well as those of today.
 func TestRecordLimits(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "s.toml")
@@ -214,7 +225,7 @@
 
 // A guest team whose figures contradict one another is no reason not to start: the
 // limit counts, and the contradiction is named.
-func TestDoubtfulTeams(t *testing.T) {
+func TestContradictoryTeamsAreWarnings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "s.toml")
 	text := goodSettings + `
 [[cluster.teams]]
--- /dev/null
+++ b/internal/protocol/settingsfile.go
@@ -0,0 +1,123 @@
+package protocol
+
+import (
+	"errors"
+	"os"
+	"strings"
+
+	"github.com/BurntSushi/toml"
+)
+
+// wireSettings is the settings file in its own words and units; see Settings for the
+// terms. Names that end in _s are seconds, in _ms milliseconds, in _kb and _mb units of
+// 1024 and 1024*1024 bytes; rps is requests a second. Its parts have no names of their own:
+// the library's errors, which operators read, spell the type of a part.
+type wireSettings struct {
+	Node       string `toml:"node"`
+	Area       string `toml:"area"`
+	PublicAddr string `toml:"public_addr"`
+	PeerBind   string `toml:"peer_bind"`
+	Policy     string `toml:"policy"`
+	Others     []struct {
+		Node     string `toml:"node"`
+		Area     string `toml:"area"`
+		Endpoint string `toml:"endpoint"`
+	} `toml:"others"`
+	Outside struct {
+		Cloud string `toml:"cloud"`
+		State string `toml:"state"`
+	} `toml:"outside"`
+	Cluster struct {
+		Nodes      int      `toml:"nodes"`
+		Zones      []string `toml:"zones"`
+		ClockError float64  `toml:"clock_error_ms"`
+		Teams      []struct {
+			Name    string  `toml:"name"`
+			CPUs    float64 `toml:"cpus"`
+			CPUsMax float64 `toml:"cpus_max"`
+			GPUs    float64 `toml:"gpus"`
+			GPUsMax float64 `toml:"gpus_max"`
+		} `toml:"teams"`
+		Objectives []struct {
+			Kind    string  `toml:"kind"`
+			Class   string  `toml:"class"`
+			WithinS float64 `toml:"within_s"`
+			Share   float64 `toml:"share"`
+			Times   float64 `toml:"times"`
+		} `toml:"objectives"`
+		Workers struct {
+			Report   float64 `toml:"report_s"`
+			Lease    float64 `toml:"lease_s"`
+			GangWait float64 `toml:"gang_wait_s"`
+			GangPeer float64 `toml:"gang_peer_s"`
+			Cancel   float64 `toml:"cancel_s"`
+		} `toml:"workers"`
+		State struct {
+			RPS      float64 `toml:"rps"`
+			WriteRPS float64 `toml:"write_rps"`
+			ValueKB  float64 `toml:"value_kb"`
+			TxnOps   int     `toml:"txn_ops"`
+			Next     struct {
+				WriteRPS float64 `toml:"write_rps"`
+				ValueKB  float64 `toml:"value_kb"`
+				TxnOps   int     `toml:"txn_ops"`
+			} `toml:"next"`
+		} `toml:"state"`
+		Cloud struct {
+			RPS     float64 `toml:"rps"`
+			ListLag float64 `toml:"list_lag_s"`
+		} `toml:"cloud"`
+		Limits struct {
+			CPUShare float64 `toml:"cpu_share"`
+			RAM      float64 `toml:"ram_mb"`
+			Conns    int     `toml:"max_connections"`
+		} `toml:"machine_limits"`
+	} `toml:"cluster"`
+}
+
+// SettingError is a fault of a settings file. It names the file, the key and what is
+// wrong with it, in one line.
+type SettingError struct {
+	File   string
+	Key    string // dotted, with an index for lists; "file" or "syntax" for the file as a whole
+	Reason string
+	Cause  error // of a file that can't be read; nil where a value is at fault
+}
+
+func (e *SettingError) Error() string { return e.File + ": " + e.Key + ": " + e.Reason }
+
+// Unwrap returns the cause.
+func (e *SettingError) Unwrap() error { return e.Cause }
+
+// LoadSettings reads and checks a settings file. Unknown keys are ignored. Its errors are
+// of type *SettingError.
+func LoadSettings(path string) (Settings, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return Settings{}, &SettingError{File: path, Key: "file", Reason: err.Error(), Cause: err}
+	}
+	var wire wireSettings
+	if err := toml.Unmarshal(raw, &wire); err != nil {
+		return Settings{}, &SettingError{File: path, Key: keyOfTOMLError(err), Reason: err.Error(), Cause: err}
+	}
+	settings, fault := wire.settings()
+	if fault != nil {
+		fault.File = path
+		return Settings{}, fault
+	}
+	return settings, nil
+}
+
+// keyOfTOMLError returns the key that a fault of the file's form was found at.
+func keyOfTOMLError(err error) string {
+	var parseError toml.ParseError
+	if errors.As(err, &parseError) && parseError.LastKey != "" {
+		return parseError.LastKey
+	}
+	// A value of the wrong type: the library names the key in its text only.
+	if _, rest, ok := strings.Cut(err.Error(), `(last key "`); ok {
+		key, _, _ := strings.Cut(rest, `"`)
+		return key
+	}
+	return "syntax"
+}
