--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -1,15 +1,12 @@
 package transport
 
 import (
-	"container/list"
 	"context"
 	"errors"
 	"fmt"
 	"io"
 	"net"
-	"slices"
 	"strconv"
-	"sync"
 	"time"
 )
 
@@ -17,180 +14,151 @@
 // other error leaves open whether the request was, or will yet be, executed.
 var ErrNotSent = errors.New("request not sent")
 
-// Client makes HTTP calls over pooled connections.
-type Client struct {
-	DialTimeout time.Duration
-	Limits      Limits
-	MaxIdle     int // per address
-	sockets     chan struct{}
-
-	mu   sync.Mutex
-	idle map[string][]*idleConn
-	old  list.List // of *idleConn, the longest idle first
-	open int       // connections in use, idle, or being made
-}
+// notSent returns an error that wraps ErrNotSent and its cause.
+func notSent(cause error) error { return fmt.Errorf("%w: %w", ErrNotSent, cause) }
 
-type idleConn struct {
-	net.Conn
-	addr  string
-	since time.Time
-	at    *list.Element
+// CallError is a call that failed after its request may have been sent: where, at which
+// step and why. Its text names step and cause.
+type CallError struct {
+	Step string // "write", "read" or "status"
+	Addr string // that was called, IP address and port
+	Err  error  // what failed, an *HTTPError among others
 }
 
-// NewClient makes a client that holds at most sockets connections at once, idle
-// ones included. Idle ones were not counted once: after a takeover one was kept
-// for each machine of two shards, and a process stood short of its last socket.
-func NewClient(sockets, maxIdle int, dial time.Duration) *Client {
-	return &Client{
-		DialTimeout: dial,
-		Limits:      Limits{Head: 16 << 10, Body: 64 << 20},
-		MaxIdle:     maxIdle,
-		sockets:     make(chan struct{}, sockets),
-		idle:        make(map[string][]*idleConn),
-	}
-}
+func (e *CallError) Error() string { return e.Step + ": " + e.Err.Error() }
 
-const idleKeep = 45 * time.Second
-
-// take gives an idle connection to an address, or nil and leave to make one. The
-// caller of a nil has to count the new one off with closed.
-func (c *Client) take(addr string) net.Conn {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for list := c.idle[addr]; len(list) > 0; list = c.idle[addr] {
-		ic := list[len(list)-1]
-		c.unlink(ic)
-		if time.Since(ic.since) < idleKeep {
-			return ic.Conn
-		}
-		c.open--
-		ic.Close()
-	}
-	// The longest idle make room: those whose time is over in any case.
-	for e := c.old.Front(); e != nil; e = c.old.Front() {
-		ic := e.Value.(*idleConn)
-		if c.open < cap(c.sockets) && time.Since(ic.since) < idleKeep {
-			break
-		}
-		c.unlink(ic)
-		c.open--
-		ic.Close()
-	}
-	c.open++
-	return nil
-}
+// Unwrap returns the cause.
+func (e *CallError) Unwrap() error { return e.Err }
 
-// unlink takes a connection out of the idle ones.
-func (c *Client) unlink(ic *idleConn) {
-	c.old.Remove(ic.at)
-	list := slices.DeleteFunc(c.idle[ic.addr], func(x *idleConn) bool { return x == ic })
-	if c.idle[ic.addr] = list; len(list) == 0 {
-		delete(c.idle, ic.addr)
-	}
-}
+// Client makes HTTP calls over pooled connections. Its fields are set before the first
+// call; its methods may be called from any goroutine.
+type Client struct {
+	DialTimeout time.Duration
+	Limits      Limits // of a response
+	MaxIdle     int    // connections kept per address
 
-func (c *Client) put(addr string, conn net.Conn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.idle[addr]) >= c.MaxIdle {
-		c.open--
-		conn.Close()
-		return
-	}
-	ic := &idleConn{Conn: conn, addr: addr, since: time.Now()}
-	ic.at = c.old.PushBack(ic)
-	c.idle[addr] = append(c.idle[addr], ic)
+	calls chan struct{} // holds one element for each call in progress
+	pool  *connPool
 }
 
-// closed counts a connection off that was not kept.
-func (c *Client) closed() {
-	c.mu.Lock()
-	c.open--
-	c.mu.Unlock()
+// Bounds of a response, in bytes.
+const (
+	maxResponseHead = 16 << 10
+	maxResponseBody = 64 << 20
+)
+
+// NewClient makes a client that holds at most maxConns connections at once, idle ones
+// included, and keeps at most maxIdle idle ones per address.
+func NewClient(maxConns, maxIdle int, dialTimeout time.Duration) *Client {
+	return &Client{
+		DialTimeout: dialTimeout,
+		Limits:      Limits{Head: maxResponseHead, Body: maxResponseBody},
+		MaxIdle:     maxIdle,
+		calls:       make(chan struct{}, maxConns),
+		pool:        newConnPool(maxConns),
+	}
 }
 
 // Open counts the connections that are held now.
-func (c *Client) Open() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.open
-}
+func (c *Client) Open() int { return c.pool.count() }
 
-// Do makes one call and returns the status and body of its answer.
+// Do makes one call and returns the status and body of its answer. It waits until a
+// connection may be opened, and ends with the context at the latest. An error wraps
+// ErrNotSent, or is a *CallError: then the request may have been executed.
 func (c *Client) Do(ctx context.Context, addr, method, target string, body []byte) (int, []byte, error) {
 	select {
-	case c.sockets <- struct{}{}:
-		defer func() { <-c.sockets }()
+	case c.calls <- struct{}{}:
+		defer func() { <-c.calls }()
 	case <-ctx.Done():
-		return 0, nil, fmt.Errorf("%w: %w", ErrNotSent, ctx.Err())
+		return 0, nil, notSent(ctx.Err())
 	}
-	conn := c.take(addr)
-	if conn == nil {
-		d := net.Dialer{Timeout: c.DialTimeout, KeepAlive: -1}
-		var err error
-		if conn, err = d.DialContext(ctx, "tcp4", addr); err != nil {
-			c.closed()
-			return 0, nil, fmt.Errorf("%w: %w", ErrNotSent, err)
-		}
+	conn, err := c.connect(ctx, addr)
+	if err != nil {
+		return 0, nil, notSent(err)
 	}
-	keep := false
-	defer func() {
-		if keep {
-			c.put(addr, conn)
-		} else {
-			conn.Close()
-			c.closed()
-		}
-	}()
+	reusable := false
+	defer func() { c.release(addr, conn, reusable) }()
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := conn.SetDeadline(deadline); err != nil {
-			return 0, nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+			return 0, nil, notSent(err)
 		}
 	}
 	// A deadline alone would hold a caller whose context is cancelled: a watch
 	// waits for many seconds.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	if _, err := conn.Write(AppendRequest(nil, method, target, addr, body)); err != nil {
-		return 0, nil, fmt.Errorf("write: %w", err)
-	}
-	m, err := c.read(conn)
+	response, status, err := c.exchange(conn, addr, AppendRequest(nil, method, target, addr, body))
 	if err != nil {
 		return 0, nil, err
 	}
-	status, err := strconv.Atoi(m.Start[1])
+	// Not kept when the context has just ended: its deadline may yet be set.
+	reusable = stop() && !response.Close && conn.SetDeadline(time.Time{}) == nil
+	return status, response.Body, nil
+}
+
+// connect returns an idle connection to an address or makes one.
+func (c *Client) connect(ctx context.Context, addr string) (net.Conn, error) {
+	if conn := c.pool.take(addr); conn != nil {
+		return conn, nil
+	}
+	dialer := net.Dialer{Timeout: c.DialTimeout, KeepAlive: -1}
+	conn, err := dialer.DialContext(ctx, "tcp4", addr)
 	if err != nil {
-		return 0, nil, fmt.Errorf("status: %w", err)
+		c.pool.forget()
+		return nil, err
 	}
-	// Not kept when the context has just ended: its deadline may yet be set.
-	if stop() && !m.Close && conn.SetDeadline(time.Time{}) == nil {
-		keep = true
+	return conn, nil
+}
+
+// release keeps a connection for another call if it is reusable, and closes it otherwise.
+func (c *Client) release(addr string, conn net.Conn, reusable bool) {
+	if reusable {
+		c.pool.put(addr, conn, c.MaxIdle)
+		return
 	}
-	return status, m.Body, nil
+	_ = conn.Close()
+	c.pool.forget()
 }
 
+// exchange writes a request and reads its response, whose status it returns as well.
+func (c *Client) exchange(conn net.Conn, addr string, request []byte) (Message, int, error) {
+	if _, err := conn.Write(request); err != nil {
+		return Message{}, 0, &CallError{Step: "write", Addr: addr, Err: err}
+	}
+	response, err := c.read(conn)
+	if err != nil {
+		return Message{}, 0, &CallError{Step: "read", Addr: addr, Err: err}
+	}
+	status, err := strconv.Atoi(response.status())
+	if err != nil {
+		return Message{}, 0, &CallError{Step: "status", Addr: addr, Err: err}
+	}
+	return response, status, nil
+}
+
+// read reads one response. A connection that ends before is io.ErrUnexpectedEOF.
 func (c *Client) read(conn net.Conn) (Message, error) {
 	buf := make([]byte, 0, 2048)
 	for {
 		if len(buf) == cap(buf) {
 			buf = append(buf, make([]byte, cap(buf))...)[:len(buf)]
 		}
-		n, err := conn.Read(buf[len(buf):cap(buf)])
-		buf = buf[:len(buf)+n]
-		if n > 0 {
-			m, used, perr := Parse(buf, c.Limits, true)
-			if perr != nil {
-				return m, fmt.Errorf("read: %w", perr)
+		received, err := conn.Read(buf[len(buf):cap(buf)])
+		buf = buf[:len(buf)+received]
+		if received > 0 {
+			response, consumed, parseErr := Parse(buf, c.Limits, true)
+			if parseErr != nil {
+				return response, parseErr
 			}
-			if used > 0 {
-				return m, nil
+			if consumed > 0 {
+				return response, nil
 			}
 		}
+		if errors.Is(err, io.EOF) {
+			return Message{}, io.ErrUnexpectedEOF
+		}
 		if err != nil {
-			if errors.Is(err, io.EOF) {
-				err = io.ErrUnexpectedEOF
-			}
-			return Message{}, fmt.Errorf("read: %w", err)
+			return Message{}, err
 		}
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"log/slog"
+	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -11,13 +12,14 @@
 	"github.com/tidwall/evio"
 )
 
-// Handler answers one request. reply may be called from any goroutine, once.
+// Handler answers one request. It may keep body. reply may be called from any goroutine;
+// only its first call counts. No lock is held while the handler runs.
 type Handler func(method, target string, body []byte, reply func(Response))
 
 // ServerConfig bounds the public server.
 type ServerConfig struct {
-	Addr     string
-	MaxConns int // connections open at once
+	Addr     string // IP address and port
+	MaxConns int    // connections open at once
 	// A connection whose first request is a user's is closed beyond so many that
 	// are open, of whatever kind: the rest is for workers, whose leases run out.
 	MaxUsers int
@@ -25,43 +27,43 @@
 	// there is something to say: then only those hold a socket who are being answered.
 	// 0: never.
 	Keep   int
-	IsUser func(method, target string) bool
-	Limits Limits
-	Idle   time.Duration // an idle connection is closed after this
-	Stall  time.Duration // a half-sent request is cut off after this
+	IsUser func(method, target string) bool // nil: nobody is a user
+	Limits Limits                           // of a request
+	Idle   time.Duration                    // an idle connection is closed after this
+	Stall  time.Duration                    // a half-sent request is cut off after this
 }
 
-// Server is the evio server on the public address.
+const (
+	// sweepInterval is how often idle and half-open connections are looked for.
+	sweepInterval = time.Second
+	// reopenDelay is the pause before a server that ended opens its address again.
+	reopenDelay = 200 * time.Millisecond
+	// turnedAwayRetryAfter is when a client without a connection may come back, in seconds.
+	turnedAwayRetryAfter = 2
+)
+
+// Server is the evio server on the public address. It answers every request that it has
+// read whole, one after the other on a connection, and turns away at once, with a time to
+// come back, what it has no connection for.
 type Server struct {
 	cfg    ServerConfig
 	handle Handler
 	log    *slog.Logger
-	open   atomic.Int32
-
-	mu    sync.Mutex
-	conns map[evio.Conn]*peerConn
-}
+	open   atomic.Int32 // connections
 
-type peerConn struct {
-	mu      sync.Mutex
-	in      []byte
-	out     []byte
-	busy    bool // a request is being handled
-	inline  bool // the event loop is inside the handler and will look at out itself
-	closing bool
-	told100 bool
-	known   bool // its first request has come
-	touched time.Time
+	mu    sync.Mutex // guards conns; taken before a connection's own, never after
+	conns map[evio.Conn]*connection
 }
 
 // NewServer makes a server; Run starts it.
 func NewServer(cfg ServerConfig, handle Handler, log *slog.Logger) *Server {
-	return &Server{cfg: cfg, handle: handle, log: log, conns: make(map[evio.Conn]*peerConn)}
+	return &Server{cfg: cfg, handle: handle, log: log, conns: make(map[evio.Conn]*connection)}
 }
 
 var errStopped = errors.New("server stopped")
 
-// Run serves until the context ends. evio leaves its loop for good on any
+// Run serves until the context ends, and calls ready, if there is one, each time that the
+// address has been opened. evio leaves its loop for good on any
 // error of accept (an aborted handshake is enough), so the listener is opened
 // again rather than leaving a deaf process behind.
 func (s *Server) Run(ctx context.Context, ready func()) error {
@@ -74,148 +76,168 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(200 * time.Millisecond):
+		case <-time.After(reopenDelay):
 		}
 	}
 }
 
+// serveOnce serves until the context ends or evio leaves its loop.
 func (s *Server) serveOnce(ctx context.Context, ready func()) error {
-	ev := evio.Events{NumLoops: 1}
-	ev.Serving = func(evio.Server) evio.Action {
-		if ready != nil {
-			ready()
-		}
-		return evio.None
-	}
-	ev.Opened = func(c evio.Conn) ([]byte, evio.Options, evio.Action) {
-		pc := &peerConn{touched: time.Now()}
-		c.SetContext(pc)
-		s.mu.Lock()
-		s.conns[c] = pc
-		s.mu.Unlock()
-		if int(s.open.Add(1)) > s.cfg.MaxConns {
-			return AppendResponse(nil, Response{Status: 503, RetryAfter: 2, Close: true}), evio.Options{}, evio.Close
-		}
-		return nil, evio.Options{}, evio.None
-	}
-	ev.Closed = func(c evio.Conn, _ error) evio.Action {
-		s.mu.Lock()
-		if _, ok := s.conns[c]; ok {
-			delete(s.conns, c)
-			s.open.Add(-1)
-		}
-		s.mu.Unlock()
-		return evio.None
-	}
-	ev.Data = s.data
-	ev.Tick = func() (time.Duration, evio.Action) {
-		if ctx.Err() != nil {
-			return 0, evio.Shutdown
-		}
-		s.sweep(time.Now())
-		return time.Second, evio.None
+	events := evio.Events{
+		NumLoops: 1,
+		Serving: func(evio.Server) evio.Action {
+			if ready != nil {
+				ready()
+			}
+			return evio.None
+		},
+		Opened: s.opened,
+		Closed: s.closed,
+		Data:   s.data,
+		Tick: func() (time.Duration, evio.Action) {
+			if ctx.Err() != nil {
+				return 0, evio.Shutdown
+			}
+			s.sweep(time.Now())
+			return sweepInterval, evio.None
+		},
 	}
-	if err := evio.Serve(ev, "tcp://"+s.cfg.Addr); err != nil {
+	if err := evio.Serve(events, "tcp://"+s.cfg.Addr); err != nil {
 		return err
 	}
 	return errStopped
 }
 
+// opened takes a new connection, or turns it away beyond MaxConns.
+func (s *Server) opened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
+	conn := &connection{lastActivity: time.Now()}
+	c.SetContext(conn)
+	s.mu.Lock()
+	s.conns[c] = conn
+	s.mu.Unlock()
+	if int(s.open.Add(1)) > s.cfg.MaxConns {
+		busy := Response{Status: http.StatusServiceUnavailable, RetryAfter: turnedAwayRetryAfter, Close: true}
+		return AppendResponse(nil, busy), evio.Options{}, evio.Close
+	}
+	return nil, evio.Options{}, evio.None
+}
+
+// closed forgets a connection.
+func (s *Server) closed(c evio.Conn, _ error) evio.Action {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if _, ok := s.conns[c]; ok {
+		delete(s.conns, c)
+		s.open.Add(-1)
+	}
+	return evio.None
+}
+
 // sweep cuts off idle and half-open connections.
 func (s *Server) sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c, pc := range s.conns {
-		pc.mu.Lock()
-		age := now.Sub(pc.touched)
-		if !pc.busy && !pc.closing && (age > s.cfg.Idle || (len(pc.in) > 0 && age > s.cfg.Stall)) {
-			pc.closing = true
+	for c, conn := range s.conns {
+		if conn.closeIfStale(now, s.cfg.Idle, s.cfg.Stall) {
 			c.Wake()
 		}
-		pc.mu.Unlock()
 	}
 }
 
-// data is called with new bytes, or with none after a Wake.
-func (s *Server) data(c evio.Conn, in []byte) ([]byte, evio.Action) {
-	pc, _ := c.Context().(*peerConn)
-	if pc == nil {
+// data is called by the event loop with new bytes, or with none after a Wake. It returns
+// what is to be sent.
+func (s *Server) data(c evio.Conn, received []byte) ([]byte, evio.Action) {
+	conn, _ := c.Context().(*connection)
+	if conn == nil {
 		return nil, evio.Close
 	}
-	pc.mu.Lock()
-	if len(in) > 0 && !pc.closing {
-		if len(pc.in) == 0 {
-			pc.touched = time.Now()
-		}
-		pc.in = append(pc.in, in...)
-	}
-	for !pc.busy && !pc.closing && len(pc.in) > 0 {
-		m, n, err := Parse(pc.in, s.cfg.Limits, false)
-		if err != nil {
-			status := 400
-			var he *HTTPError
-			if errors.As(err, &he) {
-				status = he.Status
-			}
-			pc.out = AppendResponse(pc.out, Response{Status: status, Body: []byte(`{"error":"` + err.Error() + `"}`), Close: true})
-			pc.closing = true
+	conn.mu.Lock()
+	conn.receive(received)
+	for conn.mayHandle() {
+		request, ok := s.nextRequest(conn)
+		if !ok {
 			break
 		}
-		if n == 0 {
-			if m.Expect && !pc.told100 {
-				pc.told100 = true
-				pc.out = append(pc.out, "HTTP/1.1 100 Continue\r\n\r\n"...)
-			}
-			break
-		}
-		pc.told100 = false
-		if !pc.known {
-			pc.known = true
-			if s.cfg.IsUser != nil && int(s.open.Load()) > s.cfg.MaxUsers && s.cfg.IsUser(m.Start[0], m.Start[1]) {
-				pc.out = AppendResponse(pc.out, Response{Status: 503, Body: []byte(`{"error":"too many connections"}`), RetryAfter: 2, Close: true})
-				pc.closing = true
-				break
-			}
-		}
-		body := append([]byte(nil), m.Body...)
-		pc.in = append(pc.in[:0], pc.in[n:]...)
-		if len(pc.in) == 0 && cap(pc.in) > 16384 {
-			pc.in = nil
+		conn.handling, conn.inEventLoop = true, true
+		conn.mu.Unlock()
+		s.dispatch(c, conn, request)
+		conn.mu.Lock()
+		conn.inEventLoop = false
+	}
+	if len(conn.received) > s.maxBuffered() {
+		conn.closing = true
+	}
+	response, action := conn.flush()
+	conn.mu.Unlock()
+	return response, action
+}
+
+// maxBuffered is how many bytes a connection may send ahead of what is handled.
+func (s *Server) maxBuffered() int { return s.cfg.Limits.Head + s.cfg.Limits.Body + 4096 }
+
+// nextRequest takes one whole request from what a connection has received. Without one,
+// or with one that is turned away, it returns false. conn.mu is held by the caller.
+func (s *Server) nextRequest(conn *connection) (Message, bool) {
+	request, consumed, err := Parse(conn.received, s.cfg.Limits, false)
+	if err != nil {
+		conn.refuse(faultResponse(err))
+		return Message{}, false
+	}
+	if consumed == 0 {
+		if request.Expect {
+			conn.sendContinue()
 		}
-		pc.busy, pc.inline = true, true
-		pc.mu.Unlock()
-		s.dispatch(c, pc, m, body)
-		pc.mu.Lock()
-		pc.inline = false
+		return Message{}, false
 	}
-	if len(pc.in) > s.cfg.Limits.Head+s.cfg.Limits.Body+4096 {
-		pc.closing = true
+	conn.sentContinue = false
+	if !s.admit(conn, &request) {
+		conn.refuse(Response{
+			Status:     http.StatusServiceUnavailable,
+			Body:       []byte(`{"error":"too many connections"}`),
+			RetryAfter: turnedAwayRetryAfter,
+		})
+		return Message{}, false
 	}
-	out := pc.out
-	pc.out = nil
-	action := evio.None
-	if pc.closing && !pc.busy {
-		action = evio.Close
+	// The body shares memory with what the connection receives next.
+	request.Body = append([]byte(nil), request.Body...)
+	conn.consume(consumed)
+	return request, true
+}
+
+// admit reports whether a connection's request is to be handled: its first one decides
+// for all. conn.mu is held by the caller.
+func (s *Server) admit(conn *connection, request *Message) bool {
+	if conn.admitted {
+		return true
 	}
-	pc.mu.Unlock()
-	return out, action
+	conn.admitted = true
+	crowded := s.cfg.IsUser != nil && int(s.open.Load()) > s.cfg.MaxUsers
+	return !crowded || !s.cfg.IsUser(request.method(), request.target())
 }
 
-func (s *Server) dispatch(c evio.Conn, pc *peerConn, m Message, body []byte) {
+// faultResponse is the answer to a request that can't be parsed.
+func faultResponse(err error) Response {
+	status := http.StatusBadRequest
+	var fault *HTTPError
+	if errors.As(err, &fault) {
+		status = fault.Status
+	}
+	return Response{Status: status, Body: []byte(`{"error":"` + err.Error() + `"}`)}
+}
+
+// dispatch has a request handled. The first reply is written out: by the event loop if
+// the handler replies before it returns, else after a Wake.
+func (s *Server) dispatch(c evio.Conn, conn *connection, request Message) {
 	var once sync.Once
-	s.handle(m.Start[0], m.Start[1], body, func(r Response) {
+	s.handle(request.method(), request.target(), request.Body, func(r Response) {
 		once.Do(func() {
-			r.Close = r.Close || m.Close || (s.cfg.Keep > 0 && int(s.open.Load()) > s.cfg.Keep)
-			pc.mu.Lock()
-			pc.out = AppendResponse(pc.out, r)
-			pc.busy = false
-			pc.closing = pc.closing || r.Close
-			pc.touched = time.Now()
-			inline := pc.inline
-			pc.mu.Unlock()
-			if !inline {
+			r.Close = r.Close || request.Close || s.isCrowded()
+			if !conn.reply(r) {
 				c.Wake()
 			}
 		})
 	})
 }
+
+// isCrowded reports whether connections are closed with their next answer.
+func (s *Server) isCrowded() bool { return s.cfg.Keep > 0 && int(s.open.Load()) > s.cfg.Keep }
