--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,70 +1,138 @@
 // Package policy holds the operators' own settings: expressions that are
 // type-checked when they are loaded, with built-in defaults. The language is
 // expr-lang's; the checker's errors carry the line and column in the file.
+//
+// It guarantees that every field of a loaded Policy is within its bounds, and that machines
+// are suspected before they are fenced. It imports protocol alone, for the platform's
+// settings that expressions may use.
 package policy
 
 import (
 	_ "embed"
-	"errors"
 	"fmt"
-	"math"
 	"os"
-	"strings"
 	"time"
 
-	"github.com/expr-lang/expr"
-
 	"madderslip/internal/protocol"
 )
 
 //go:embed default.policy
 var defaults string
 
-// Policy is the checked and evaluated policy.
+// defaultsName is how errors call the built-in defaults.
+const defaultsName = "default.policy"
+
+// Policy is the checked and evaluated policy; names in brackets are those of the file.
+// Nobody changes it once it is loaded.
 type Policy struct {
-	Copies                    int
-	TasksPerChunk             int
-	NodeLease                 time.Duration
-	HandbackDelay             time.Duration
-	ProbeAfter                time.Duration
-	SuspectAfter              time.Duration
-	FenceAfter                time.Duration
-	FenceReplicasAfter        time.Duration // with replicas of services
-	WarmShare                 float64
-	GPUMachineReserve         int
-	GPUMachineShare           float64
-	ArrayWait                 time.Duration
-	StartAheadAfter           time.Duration // that an array waits for its turn to begin
-	BestEffortWait            time.Duration // the same for arrays of the lowest rank
-	BestEffortShare           float64
-	BestEffortProvisionShare  float64
+	// Copies [copies] is at how many shards a job queues.
+	Copies int
+	// TasksPerChunk [chunk_tasks] is how many tasks of an array are claimed together, an
+	// even number.
+	TasksPerChunk int
+
+	// NodeLease [node_lease] is the time after which a controller without contact loses
+	// its shard.
+	NodeLease time.Duration
+	// HandbackDelay [handback_after] is how long a returned controller must be stable
+	// before it gets its shard back.
+	HandbackDelay time.Duration
+
+	// ProbeAfter [probe_after] is the silence after which a machine is asked.
+	ProbeAfter time.Duration
+	// SuspectAfter [suspect_after] is the silence after which a machine gets nothing new.
+	SuspectAfter time.Duration
+	// FenceAfter [fence_after] is the silence after which a machine is fenced.
+	FenceAfter time.Duration
+	// FenceReplicasAfter [fence_replicas_after] is the same for a machine that runs
+	// replicas of services.
+	FenceReplicasAfter time.Duration
+	// PartitionPatience [zone_patience] is the same for the machines of a zone that seems
+	// cut off as a whole.
+	PartitionPatience time.Duration
+
+	// WarmShare [warm_share] is the part of the services' CPUs that is kept free so that
+	// the next ones start at once; 0.12 is 12 %.
+	WarmShare float64
+	// GPUMachineReserve [card_reserve] is how many whole machines with GPUs each shard
+	// keeps from arrays without GPUs.
+	GPUMachineReserve int
+	// GPUMachineShare [card_share] is the same as a part, from 0 to 1, of the shard's
+	// machines with GPUs, if that is more.
+	GPUMachineShare float64
+
+	// ArrayWait [array_wait] is the queue, as time, that an array may wait for before
+	// machines are rented for it.
+	ArrayWait time.Duration
+	// StartAheadAfter [begin_by] is how long an array waits for its turn; then one task of
+	// it begins ahead of others of its priority class.
+	StartAheadAfter time.Duration
+
+	// BestEffortWait [idle_wait] is the same as ArrayWait for best-effort arrays, those of
+	// the lowest priority class.
+	BestEffortWait time.Duration
+	// BestEffortShare [idle_share] is the part, from 0 to 1, of a shard's CPUs that
+	// best-effort work may use though others wait.
+	BestEffortShare float64
+	// BestEffortProvisionShare [idle_rent] is the part, from 0 to 1, of the fleet that may
+	// be rented for best-effort work at most.
+	BestEffortProvisionShare float64
+	// BestEffortGPUMachineShare [idle_cards] is the same as GPUMachineShare, of what is
+	// kept from best-effort arrays.
 	BestEffortGPUMachineShare float64
-	IdleMachineTTL            time.Duration
-	RefusedOfferPause         time.Duration
-	CompletionBatchDelay      time.Duration
-	Allotments                bool          // limits are divided among the shards
-	PartitionPatience         time.Duration // with machines of a zone that seems cut off
+
+	// IdleMachineTTL [idle_after] is how long an idle machine is kept.
+	IdleMachineTTL time.Duration
+	// RefusedOfferPause [refused_pause] is the time before a refused kind of machine is
+	// asked for again.
+	RefusedOfferPause time.Duration
+	// CompletionBatchDelay [book_after] is how long completed tasks of an array may wait to
+	// be recorded, so that one write records many.
+	CompletionBatchDelay time.Duration
+	// Allotments [allotments] is whether each team's limit is divided among the shards;
+	// otherwise all controllers share one record for each team.
+	Allotments bool
 }
 
-// bound is what a name may be.
-type bound struct{ low, high float64 }
+// setting is a name of the policy file: its bounds, and how its value gets into a Policy.
+type setting struct {
+	name      string
+	low, high float64 // both included
+	set       func(p *Policy, value float64)
+}
 
-var bounds = map[string]bound{
-	"copies": {1, 64}, "chunk_tasks": {2, 128}, "node_lease": {1, 60}, "handback_after": {0, 600},
-	"probe_after": {0.5, 600}, "suspect_after": {0.5, 600}, "fence_after": {1, 3600}, "fence_replicas_after": {1, 3600},
-	"warm_share": {0, 10}, "card_reserve": {0, 1000}, "card_share": {0, 1}, "array_wait": {1, 3600}, "begin_by": {1, 86400}, "idle_wait": {1, 86400}, "idle_share": {0, 1}, "idle_rent": {0, 1}, "idle_cards": {0, 1}, "idle_after": {0, 86400}, "refused_pause": {1, 3600}, "book_after": {0, 60}, "zone_patience": {0, 3600}, "allotments": {0, 1},
+// settings are all names of the policy file. Times are seconds.
+var settings = []setting{
+	{"copies", 1, 64, func(p *Policy, v float64) { p.Copies = int(v) }},
+	{"chunk_tasks", 2, 128, func(p *Policy, v float64) { p.TasksPerChunk = int(v) &^ 1 }},
+	{"node_lease", 1, 60, func(p *Policy, v float64) { p.NodeLease = protocol.Seconds(v) }},
+	{"handback_after", 0, 600, func(p *Policy, v float64) { p.HandbackDelay = protocol.Seconds(v) }},
+	{"probe_after", 0.5, 600, func(p *Policy, v float64) { p.ProbeAfter = protocol.Seconds(v) }},
+	{"suspect_after", 0.5, 600, func(p *Policy, v float64) { p.SuspectAfter = protocol.Seconds(v) }},
+	{"fence_after", 1, 3600, func(p *Policy, v float64) { p.FenceAfter = protocol.Seconds(v) }},
+	{"fence_replicas_after", 1, 3600, func(p *Policy, v float64) { p.FenceReplicasAfter = protocol.Seconds(v) }},
+	{"zone_patience", 0, 3600, func(p *Policy, v float64) { p.PartitionPatience = protocol.Seconds(v) }},
+	{"warm_share", 0, 10, func(p *Policy, v float64) { p.WarmShare = v }},
+	{"card_reserve", 0, 1000, func(p *Policy, v float64) { p.GPUMachineReserve = int(v) }},
+	{"card_share", 0, 1, func(p *Policy, v float64) { p.GPUMachineShare = v }},
+	{"array_wait", 1, 3600, func(p *Policy, v float64) { p.ArrayWait = protocol.Seconds(v) }},
+	{"begin_by", 1, 86400, func(p *Policy, v float64) { p.StartAheadAfter = protocol.Seconds(v) }},
+	{"idle_wait", 1, 86400, func(p *Policy, v float64) { p.BestEffortWait = protocol.Seconds(v) }},
+	{"idle_share", 0, 1, func(p *Policy, v float64) { p.BestEffortShare = v }},
+	{"idle_rent", 0, 1, func(p *Policy, v float64) { p.BestEffortProvisionShare = v }},
+	{"idle_cards", 0, 1, func(p *Policy, v float64) { p.BestEffortGPUMachineShare = v }},
+	{"idle_after", 0, 86400, func(p *Policy, v float64) { p.IdleMachineTTL = protocol.Seconds(v) }},
+	{"refused_pause", 1, 3600, func(p *Policy, v float64) { p.RefusedOfferPause = protocol.Seconds(v) }},
+	{"book_after", 0, 60, func(p *Policy, v float64) { p.CompletionBatchDelay = protocol.Seconds(v) }},
+	{"allotments", 0, 1, func(p *Policy, v float64) { p.Allotments = v != 0 }},
 }
 
-// Load reads the defaults and, if path is not empty, an operators' file over them.
-func Load(path string, s protocol.Settings) (Policy, error) {
-	env := map[string]float64{
-		"report": s.Workers.HeartbeatInterval.Seconds(), "lease": s.Workers.LeaseDuration.Seconds(), "cancel": s.Workers.CancelDeadline.Seconds(),
-		"list_lag": s.CloudLimits.ListLag.Seconds(), "state_rps": s.StateLimits.RequestRate,
-		"state_write_rps": s.StateLimits.WriteRate, "cloud_rps": s.CloudLimits.RequestRate,
-		"nodes": float64(s.NodeCount), "zones": float64(len(s.Zones)),
-	}
-	values := make(map[string]float64)
-	if err := read("default.policy", defaults, env, values); err != nil {
+// Load reads the defaults and, if path is not empty, an operators' file over them. A fault
+// of a line is a *LineError.
+func Load(path string, platform protocol.Settings) (Policy, error) {
+	variables := variablesOf(platform)
+	var p Policy
+	if err := p.read(defaultsName, defaults, variables); err != nil {
 		return Policy{}, err
 	}
 	if path != "" {
@@ -72,66 +140,23 @@
 		if err != nil {
 			return Policy{}, fmt.Errorf("policy: %w", err)
 		}
-		if err := read(path, string(raw), env, values); err != nil {
+		if err := p.read(path, string(raw), variables); err != nil {
 			return Policy{}, err
 		}
 	}
-	sec := func(name string) time.Duration { return protocol.Seconds(values[name]) }
-	p := Policy{Copies: int(values["copies"]), TasksPerChunk: int(values["chunk_tasks"]) &^ 1,
-		NodeLease: sec("node_lease"), HandbackDelay: sec("handback_after"), ProbeAfter: sec("probe_after"),
-		SuspectAfter: sec("suspect_after"), FenceAfter: sec("fence_after"), FenceReplicasAfter: sec("fence_replicas_after"), WarmShare: values["warm_share"],
-		GPUMachineReserve: int(values["card_reserve"]), GPUMachineShare: values["card_share"], ArrayWait: sec("array_wait"), StartAheadAfter: sec("begin_by"), BestEffortWait: sec("idle_wait"), BestEffortShare: values["idle_share"], BestEffortProvisionShare: values["idle_rent"], BestEffortGPUMachineShare: values["idle_cards"], IdleMachineTTL: sec("idle_after"), RefusedOfferPause: sec("refused_pause"), CompletionBatchDelay: sec("book_after"), PartitionPatience: sec("zone_patience"), Allotments: values["allotments"] != 0}
-	if p.FenceReplicasAfter <= p.SuspectAfter {
-		return Policy{}, fmt.Errorf("policy: fence_replicas_after (%v) must be above suspect_after (%v)", p.FenceReplicasAfter, p.SuspectAfter)
-	}
-	if p.FenceAfter <= p.SuspectAfter {
-		return Policy{}, fmt.Errorf("policy: fence_after (%v) must be above suspect_after (%v)", p.FenceAfter, p.SuspectAfter)
+	if err := p.checkFencing(); err != nil {
+		return Policy{}, err
 	}
 	return p, nil
 }
 
-func read(file, text string, env, values map[string]float64) error {
-	for i, line := range strings.Split(text, "\n") {
-		trimmed := strings.TrimSpace(line)
-		if trimmed == "" || strings.HasPrefix(trimmed, "#") {
-			continue
-		}
-		name, source, ok := strings.Cut(line, "=")
-		at := strings.Index(line, "=") + 2
-		name = strings.TrimSpace(name)
-		if !ok {
-			return fmt.Errorf("%s:%d:1: wants name = expression", file, i+1)
-		}
-		b, known := bounds[name]
-		if !known {
-			return fmt.Errorf("%s:%d:1: unknown name %q", file, i+1, name)
-		}
-		v, err := evaluate(source, env)
-		if err != nil {
-			return fmt.Errorf("%s:%d:%d: %s: %w", file, i+1, at, name, err)
-		}
-		if !(v >= b.low && v <= b.high) || math.IsNaN(v) {
-			return fmt.Errorf("%s:%d:%d: %s is %v, must be from %v to %v", file, i+1, at, name, v, b.low, b.high)
-		}
-		values[name] = v
-	}
-	return nil
-}
-
-func evaluate(source string, env map[string]float64) (float64, error) {
-	program, err := expr.Compile(source, expr.Env(env), expr.AsFloat64())
-	if err != nil {
-		// The library draws the place on further lines; one line is enough.
-		text, _, _ := strings.Cut(err.Error(), "\n")
-		return 0, errors.New(text)
-	}
-	out, err := expr.Run(program, env)
-	if err != nil {
-		return 0, err
+// checkFencing checks that a machine is suspected before it is fenced.
+func (p *Policy) checkFencing() error {
+	if p.FenceReplicasAfter <= p.SuspectAfter {
+		return fmt.Errorf("policy: fence_replicas_after (%v) must be above suspect_after (%v)", p.FenceReplicasAfter, p.SuspectAfter)
 	}
-	v, ok := out.(float64)
-	if !ok {
-		return 0, fmt.Errorf("is no number but %T", out)
+	if p.FenceAfter <= p.SuspectAfter {
+		return fmt.Errorf("policy: fence_after (%v) must be above suspect_after (%v)", p.FenceAfter, p.SuspectAfter)
 	}
-	return v, nil
+	return nil
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -1,8 +1,10 @@
 package policy
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
+	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -10,12 +12,12 @@
 	"madderslip/internal/protocol"
 )
 
-func settings() protocol.Settings {
+func platform() protocol.Settings {
 	return protocol.Settings{NodeCount: 3, Zones: []string{"a"}, Workers: protocol.WorkerSettings{HeartbeatInterval: 2 * time.Second, LeaseDuration: 10 * time.Second}}
 }
 
 func TestDefaultsFollowSettings(t *testing.T) {
-	p, err := Load("", settings())
+	p, err := Load("", platform())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,6 +26,38 @@
 	}
 }
 
+// Every field is set by one name, and the defaults set every name.
+func TestEveryNameHasADefault(t *testing.T) {
+	for _, s := range settings {
+		if !strings.Contains(defaults, "\n"+s.name+" = ") {
+			t.Errorf("%s has no default", s.name)
+		}
+		var p Policy
+		if s.set(&p, s.high); p == (Policy{}) {
+			t.Errorf("%s sets nothing", s.name)
+		}
+	}
+	if fields := reflect.TypeFor[Policy]().NumField(); fields != len(settings) {
+		t.Errorf("%d fields, %d names", fields, len(settings))
+	}
+}
+
+// A fault of a line is told with file, line and column, for people and for errors.As.
+func TestLineError(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "p")
+	if err := os.WriteFile(file, []byte("copies = 2\n  card_share = 1.5\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	_, err := Load(file, platform())
+	var fault *LineError
+	if !errors.As(err, &fault) || fault.File != file || fault.Line != 2 || fault.Column != 15 {
+		t.Fatalf("%v", err)
+	}
+	if want := file + ":2:15: card_share is 1.5, must be from 0 to 1"; err.Error() != want {
+		t.Errorf("%v, wanted %s", err, want)
+	}
+}
+
 func TestOperatorsFile(t *testing.T) {
 	cases := []struct{ text, want string }{
 		{"copies = nodes\nidle_after = lease > 5 ? 30 : 10", ""},
@@ -39,7 +73,7 @@
 		if err := os.WriteFile(file, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		p, err := Load(file, settings())
+		p, err := Load(file, platform())
 		if c.want == "" {
 			if err != nil || p.Copies != 3 || p.IdleMachineTTL != 30*time.Second {
 				t.Fatalf("%q: %+v %v", c.text, p, err)
