--- a/internal/coordination/controller/bench_test.go
+++ b/internal/coordination/controller/bench_test.go
@@ -45,7 +45,7 @@
 	}
 	n := New(Options{Settings: s, Policy: pol, Store: idleStore{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Rand: rand.New(rand.NewPCG(1, 1))})
 	n.view.MachineTypes = map[string]*protocol.MachineType{"m16": {Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: s.Zones}}
-	n.view.Loaded, n.permit, n.view.Revision = true, 1, 1_000_000
+	n.view.Loaded, n.membership.lease, n.view.Revision = true, 1, 1_000_000
 	put := func(key string, rec any, stamp uint64) { n.view.Apply(key, rec, stamp) }
 	for i, name := range []string{"n0", "n1", "n2"} {
 		put(records.NodePrefix+name, &records.Node{StartedAtMs: 1}, uint64(i+1))
@@ -75,7 +75,7 @@
 		put(records.ClaimKey(ref, chunk%2), c, 40)
 	}
 	for _, m := range n.view.Shards["n0"].Machines {
-		n.report(reportOf(m, 1))
+		n.respondToHeartbeat(reportOf(m, 1))
 	}
 	n.pass(time.Now())
 	return n
@@ -110,7 +110,7 @@
 					b.Fatal(err)
 				}
 				r.Sequence = uint64(i + 2)
-				if got := n.report(r); got.Status != 200 {
+				if got := n.respondToHeartbeat(r); got.Status != 200 {
 					b.Fatal(got.Status)
 				}
 			}
@@ -135,8 +135,8 @@
 				if i%2 == 0 {
 					r.Tasks[0].Phase, r.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone
 				}
-				n.report(r)
-				n.settleClaim(s, j, c, time.Now())
+				n.respondToHeartbeat(r)
+				n.reconcileClaim(s, j, c, time.Now())
 			}
 		})
 		b.Run(fmt.Sprintf("pass/%d", machines), func(b *testing.B) {
@@ -149,7 +149,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				n.schedule(s, time.Now())
+				n.scheduleShard(s, time.Now())
 			}
 		})
 	}
--- a/internal/coordination/controller/blame.go
+++ b/internal/coordination/controller/blame.go
@@ -12,8 +12,8 @@
 // Package evidence decides who is to blame when tasks fail. Here it is told what was
 // seen, and asked.
 
-// blame notes why a task ended.
-func (n *Controller) blame(j *replica.Job, m *replica.Machine, t *protocol.TaskStatus, now time.Time) {
+// recordTaskEnd notes why a task ended.
+func (n *Controller) recordTaskEnd(j *replica.Job, m *replica.Machine, t *protocol.TaskStatus, now time.Time) {
 	n.log.Debug("task ended", "task", t.Task, "try", t.Attempt, "host", m.Host, "cause", t.Cause)
 	switch t.Cause {
 	case protocol.CauseNoCapacity, protocol.CauseBusy:
@@ -27,20 +27,20 @@
 		}
 		was := j.Evidence.Verdict(now)
 		if !m.Quarantine.Active {
-			j.Evidence.RecordFailure(m.Host, now.Sub(began), n.rng.Float64(), now)
+			j.Evidence.RecordFailure(m.Host, now.Sub(began), n.random.Float64(), now)
 		}
 		m.Quarantine.Evidence.RecordFailure(j.ID, began, now)
-		n.hearWitnesses(j, now)
+		n.corroborateJob(j, now)
 		if was != quarantine.Suspect && j.Evidence.Verdict(now) == quarantine.Suspect {
 			n.log.Info("job fails wherever it runs, its tasks are tried one at a time", "job", j.ID, "on", strings.Join(j.Evidence.FailedHosts(), ","))
 		}
-		n.weigh(m, now)
+		n.updateQuarantine(m, now)
 	}
 }
 
-// hearWitnesses looks for tasks of a job that have failed elsewhere and run there
+// corroborateJob looks for tasks of a job that have failed elsewhere and run there
 // for long enough to speak for it.
-func (n *Controller) hearWitnesses(j *replica.Job, now time.Time) {
+func (n *Controller) corroborateJob(j *replica.Job, now time.Time) {
 	if !j.Evidence.Failing(now) {
 		return
 	}
@@ -59,8 +59,8 @@
 	}
 }
 
-// weigh condemns a machine or takes it back.
-func (n *Controller) weigh(m *replica.Machine, now time.Time) {
+// updateQuarantine condemns a machine or takes it back.
+func (n *Controller) updateQuarantine(m *replica.Machine, now time.Time) {
 	if !m.Quarantine.Evidence.Failing() && !m.Quarantine.Active {
 		return
 	}
@@ -69,7 +69,7 @@
 		if j == nil {
 			return quarantine.Unknown
 		}
-		n.hearWitnesses(j, now)
+		n.corroborateJob(j, now)
 		return j.Evidence.Verdict(now)
 	}, now)
 	if sick == m.Quarantine.Active {
@@ -89,12 +89,12 @@
 	}
 }
 
-// sickFor is how long a machine stays condemned before it is returned: the next try
+// quarantineGrace is how long a machine stays condemned before it is returned: the next try
 // elsewhere of the jobs that failed there may yet speak for it.
-const sickFor = 5 * time.Second
+const quarantineGrace = 5 * time.Second
 
-// learn takes what a completed task tells of its machine, its job and its class.
-func (n *Controller) learn(j *replica.Job, spec *protocol.Submission, m *replica.Machine, task string, now time.Time) {
+// recordCompletion takes what a completed task tells of its machine, its job and its class.
+func (n *Controller) recordCompletion(j *replica.Job, spec *protocol.Submission, m *replica.Machine, task string, now time.Time) {
 	j.Evidence.Succeeded(now)
 	began, ok := m.Agent.RunningSince[task]
 	if !ok || spec.RunEstimateS <= 0 {
@@ -103,8 +103,8 @@
 	delete(m.Agent.RunningSince, task)
 	m.Quarantine.Evidence.Succeeded(began)
 	ratio := min(max(now.Sub(began).Seconds()/spec.RunEstimateS, 0.1), 10)
-	if old, ok := n.ratios[spec.Class]; ok {
+	if old, ok := n.runtimeRatios[spec.Class]; ok {
 		ratio = old*0.9 + ratio*0.1
 	}
-	n.ratios[spec.Class] = ratio
+	n.runtimeRatios[spec.Class] = ratio
 }
--- a/internal/coordination/controller/boots.go
+++ b/internal/coordination/controller/boots.go
@@ -11,20 +11,20 @@
 // a shard sees them come up; the leader, who rents, is told of the late ones and of
 // kinds in trouble with the shard's load.
 
-// cameUp notes a machine's first account. It tells how long the boot took only if the
+// recordBoot notes a machine's first account. It tells how long the boot took only if the
 // shard was this process's all along.
-func (n *Controller) cameUp(m *replica.Machine, now time.Time) {
+func (n *Controller) recordBoot(m *replica.Machine, now time.Time) {
 	if s := n.view.Shards[m.Record.Shard]; n.view.IsActive(s) && s.OwnedSince.Before(time.UnixMilli(m.Record.RentedAtMs)) {
-		n.boots.Booted(m.BootKind(), m.Age(now), now)
+		n.provisioner.bootStats.Booted(bootKindOf(m), m.Age(now), now)
 	}
 	if m.Lifecycle.Overdue {
 		n.log.Info("a late machine has come up", "host", m.Host, "after", m.Age(now).Round(time.Second))
 	}
 }
 
-// lateBoots lists the machines of a shard that are late in coming up and do not count
+// overdueMachines lists the machines of a shard that are late in coming up and do not count
 // for the work that waits. Those that come after all are used, or returned as idle.
-func (n *Controller) lateBoots(s *replica.Shard, now time.Time) (out []string) {
+func (n *Controller) overdueMachines(s *replica.Shard, now time.Time) (out []string) {
 	late, coming := 0, 0
 	for _, m := range s.Machines {
 		// Only those that were rented while this process had the shard: what an earlier
@@ -34,13 +34,13 @@
 		}
 		coming++
 		t := n.view.MachineType(m.Record.Type)
-		if m.Age(now) < n.boots.Overdue(m.BootKind(), t.BootTime(), now) {
+		if m.Age(now) < n.provisioner.bootStats.Overdue(bootKindOf(m), t.BootTime(), now) {
 			continue
 		}
 		late++
 		if !m.Lifecycle.Overdue {
 			m.Lifecycle.Overdue = true
-			n.boots.Failed(m.BootKind(), now)
+			n.provisioner.bootStats.Failed(bootKindOf(m), now)
 			n.log.Info("a machine is late, others are rented for what waits for it", "host", m.Host, "type", m.Record.Type, "zone", m.Record.Zone, "age", m.Age(now).Round(time.Second))
 		}
 		out = append(out, m.Host)
@@ -48,14 +48,19 @@
 	return out[:provisioning.ReplacementCount(late, coming)]
 }
 
-// shy is how many times as dear as it is a kind should seem, by what any shard's owner
+// unreliability is how many times as dear as it is a kind should seem, by what any shard's owner
 // has seen of late.
-func (n *Controller) shy(typ, zone string, now time.Time) float64 {
-	most := n.boots.Unreliability(provisioning.MachineKind{Type: typ, Zone: zone}, now)
-	for _, l := range n.loads {
-		if now.Sub(l.At) < sayEvery {
+func (n *Controller) unreliability(typ, zone string, now time.Time) float64 {
+	most := n.provisioner.bootStats.Unreliability(provisioning.MachineKind{Type: typ, Zone: zone}, now)
+	for _, l := range n.shardLoads.reported {
+		if now.Sub(l.At) < peerStatusTTL {
 			most = max(most, l.Load.Unreliability[typ+"/"+zone])
 		}
 	}
 	return most
 }
+
+// bootKindOf is what a machine's boot is expected to be like.
+func bootKindOf(m *replica.Machine) provisioning.MachineKind {
+	return provisioning.MachineKind{Type: m.Record.Type, Zone: m.Record.Zone}
+}
--- a/internal/coordination/controller/cancel.go
+++ b/internal/coordination/controller/cancel.go
@@ -28,17 +28,17 @@
 // restarts. They do not wait for settling, which leaves a claim alone while a
 // version of it is being committed, and in an outage that is all along.
 
-// hearOthers is the time in which whoever is there has spoken: peers do so every
+// peerContactTime is the time in which whoever is there has spoken: peers do so every
 // second.
-const hearOthers = 2500 * time.Millisecond
+const peerContactTime = 2500 * time.Millisecond
 
-// enforceCancels looks at the machines that may keep tasks of cancelled jobs.
-func (n *Controller) enforceCancels(now time.Time) {
+// enforceCancellations looks at the machines that may keep tasks of cancelled jobs.
+func (n *Controller) enforceCancellations(now time.Time) {
 	var bare []string // to be returned without a record
 	ask := make(map[*replica.Machine]bool)
 	// A process that has just begun, or gone on after standing still, knows the age of
 	// each alone, not what others have done about it meanwhile.
-	settled := n.beat.Stable(now, hearOthers) && now.Sub(n.boot) > hearOthers
+	settled := n.pauses.Stable(now, peerContactTime) && now.Sub(n.startedAt) > peerContactTime
 	for _, ref := range slices.Sorted(maps.Keys(n.view.CancelledJobs)) {
 		j := n.view.CancelledJobs[ref]
 		for _, chunk := range slices.Sorted(maps.Keys(j.Claims)) {
@@ -50,11 +50,11 @@
 				}
 				late := false
 				if n.view.IsActive(n.view.Shards[m.Record.Shard]) {
-					late = n.keeps(m, p) && n.enforceCancel(j, m, now)
+					late = n.mayRunTask(m, p) && n.enforceCancellation(j, m, now)
 				} else if m.Record.State == "" {
-					stray := n.strayed(j, m, p, now)
-					late = settled && stray.ShouldReturn(n.cfg.Workers.CancelDeadline, n.stateDown(now)) && !n.refusedAlone(now)
-					if settled && stray.ShouldProbe(n.cfg.Workers.CancelDeadline) && !m.Detector.Probing && m.Address() != "" {
+					stray := n.misplacedTask(j, m, p, now)
+					late = settled && stray.ShouldReturn(n.settings.Workers.CancelDeadline, n.isStateDown(now)) && !n.isRefusedAlone(now)
+					if settled && stray.ShouldProbe(n.settings.Workers.CancelDeadline) && !m.Detector.Probing && m.Address() != "" {
 						ask[m] = true
 					}
 				}
@@ -64,18 +64,18 @@
 			}
 		}
 	}
-	n.askStrayed(ask, now)
-	if len(bare) > 0 && !n.fleet.bareBusy {
+	n.probeMisplaced(ask, now)
+	if len(bare) > 0 && !n.provisioner.returningUnrecorded {
 		slices.Sort(bare)
-		bare = bare[:min(len(bare), maxReturn)]
+		bare = bare[:min(len(bare), maxReturnsPerCall)]
 		n.log.Info("returning machines without a record, the state service takes none", "hosts", bare)
-		n.fleet.bareBusy = true
-		go n.returnBare(n.ctx, bare)
+		n.provisioner.returningUnrecorded = true
+		go n.returnUnrecorded(n.ctx, bare)
 	}
 }
 
-// keeps tells whether a placement's task is, or may yet be, on its machine.
-func (n *Controller) keeps(m *replica.Machine, p *replica.Slot) bool {
+// mayRunTask tells whether a placement's task is, or may yet be, on its machine.
+func (n *Controller) mayRunTask(m *replica.Machine, p *replica.Slot) bool {
 	t := m.Agent.Tasks[p.TaskName]
 	if t != nil && t.Attempt == p.Attempt {
 		return t.Phase != protocol.TaskExited
@@ -83,15 +83,15 @@
 	return !m.ShowsToken(n.view.Shards[m.Record.Shard]) || m.HasUnconfirmedStart(p.TaskName, p.Attempt)
 }
 
-// enforceCancel has a machine fenced if it is time, and tells whether that must
+// enforceCancellation has a machine fenced if it is time, and tells whether that must
 // not wait for a record any longer.
-func (n *Controller) enforceCancel(j *replica.Job, m *replica.Machine, now time.Time) bool {
-	limit, s := n.cfg.Workers.CancelDeadline, n.view.Shards[m.Record.Shard]
+func (n *Controller) enforceCancellation(j *replica.Job, m *replica.Machine, now time.Time) bool {
+	limit, s := n.settings.Workers.CancelDeadline, n.view.Shards[m.Record.Shard]
 	c := health.CancelledTask{Age: now.Sub(j.FinalAt), Heard: m.ShowsToken(s), OwnedFor: now.Sub(s.OwnedSince)}
 	// Not when all of them are silent to this node: on a day with such troubles it
 	// fenced healthy machines for the one task that was cancelled on each.
-	c.Silent = m.Agent.Heartbeat != nil && n.silence(m, now) > n.pol.SuspectAfter && m.Detector.UnansweredAt.After(m.Agent.LastContact) && !n.ownFault(s, now) && !n.zoneCut(m.Record.Zone, now)
-	if !c.ShouldFence(limit, n.reportBeat()) {
+	c.Silent = m.Agent.Heartbeat != nil && n.silenceOf(m, now) > n.policy.SuspectAfter && m.Detector.UnansweredAt.After(m.Agent.LastContact) && !n.isOwnFault(s, now) && !n.isPartitioned(m.Record.Zone, now)
+	if !c.ShouldFence(limit, n.maxHeartbeatGap()) {
 		return false
 	}
 	if m.Record.State == "" && !m.Lifecycle.Returning {
@@ -100,15 +100,15 @@
 	}
 	// A process that has just gone on after standing still knows the age alone, not
 	// what others have done about it meanwhile.
-	return c.ReturnUnrecorded(limit, n.stateDown(now)) && m.Record.State == "" && !n.refusedAlone(now) && n.beat.Stable(now, hearOthers)
+	return c.ReturnUnrecorded(limit, n.isStateDown(now)) && m.Record.State == "" && !n.isRefusedAlone(now) && n.pauses.Stable(now, peerContactTime)
 }
 
-// strayed is what this node knows of a cancelled task on a machine of a shard that it
+// misplacedTask is what this node knows of a cancelled task on a machine of a shard that it
 // may not act for.
-func (n *Controller) strayed(j *replica.Job, m *replica.Machine, p *replica.Slot, now time.Time) health.MisplacedTask {
+func (n *Controller) misplacedTask(j *replica.Job, m *replica.Machine, p *replica.Slot, now time.Time) health.MisplacedTask {
 	stray := health.MisplacedTask{Age: now.Sub(j.FinalAt), SinceProbe: now.Sub(m.Detector.CancelProbeAt), Unanswered: m.Detector.UnansweredAt.After(j.FinalAt) && m.Detector.UnansweredAt.After(m.Agent.LastContact)}
 	if s := n.view.Shards[m.Record.Shard]; s != nil && s.Record != nil {
-		stray.OwnerNotified = now.Sub(j.NotifiedAt[s.Record.Owner]) < toldKeep || now.Sub(n.stateOKAt[s.Record.Owner]) < sayEvery
+		stray.OwnerNotified = now.Sub(j.NotifiedAt[s.Record.Owner]) < notifiedTTL || now.Sub(n.membership.stateReachableAt[s.Record.Owner]) < peerStatusTTL
 	}
 	if !m.Agent.LastContact.After(j.FinalAt) {
 		return stray
@@ -124,31 +124,31 @@
 	return stray
 }
 
-// askAtOnce bounds how many machines are asked in a pass; some three passes are made a
+// maxCancelProbes bounds how many machines are asked in a pass; some three passes are made a
 // second.
-const askAtOnce = 20
+const maxCancelProbes = 20
 
-// askStrayed asks machines, those first that were not asked for longest. Each
+// probeMisplaced asks machines, those first that were not asked for longest. Each
 // controller begins elsewhere in the list, so that together they come through sooner.
-func (n *Controller) askStrayed(due map[*replica.Machine]bool, now time.Time) {
+func (n *Controller) probeMisplaced(due map[*replica.Machine]bool, now time.Time) {
 	ask := slices.SortedFunc(maps.Keys(due), func(a, b *replica.Machine) int { return strings.Compare(a.Host, b.Host) })
-	names := append(slices.Collect(maps.Keys(n.peers)), n.cfg.NodeName)
+	names := append(slices.Collect(maps.Keys(n.peerClients)), n.settings.NodeName)
 	slices.Sort(names)
-	from := slices.Index(names, n.cfg.NodeName) * len(ask) / len(names)
+	from := slices.Index(names, n.settings.NodeName) * len(ask) / len(names)
 	ask = slices.Concat(ask[from:], ask[:from])
 	slices.SortStableFunc(ask, func(a, b *replica.Machine) int { return a.Detector.CancelProbeAt.Compare(b.Detector.CancelProbeAt) })
-	for _, m := range ask[:min(len(ask), askAtOnce)] {
+	for _, m := range ask[:min(len(ask), maxCancelProbes)] {
 		m.Detector.CancelProbeAt = now
-		n.probe(m)
+		n.probeMachine(m)
 	}
 }
 
-// stopStrayed stops what a machine of a shard that this node may not act for has just
+// stopCancelledTasks stops what a machine of a shard that this node may not act for has just
 // shown of cancelled jobs. The stop carries the token and the session that the machine
 // itself has shown: it raises nothing, and a machine that has seen a newer one refuses
 // it. Nothing may follow on a cancellation but the end of its tasks, and their names
 // are not used again; so it is right from whoever sends it, late or twice.
-func (n *Controller) stopStrayed(m *replica.Machine, r *protocol.Heartbeat) {
+func (n *Controller) stopCancelledTasks(m *replica.Machine, r *protocol.Heartbeat) {
 	if r.FencingToken == 0 || m.Record.State != "" {
 		return
 	}
@@ -166,36 +166,36 @@
 	addr, ctx := m.Address(), n.ctx
 	go func() {
 		var after protocol.Heartbeat
-		status, err := n.call(ctx, addr, "POST", protocol.PathCommands, body, &after, commandTimeout)
+		status, err := n.callJSON(ctx, addr, "POST", protocol.PathCommands, body, &after, commandTimeout)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if err == nil && status == 200 && after.Host == m.Host {
-			n.observe(m, &after)
+			n.observeHeartbeat(m, &after)
 		}
 	}()
 }
 
-// refusedAlone tells that other controllers have just heard from the state
+// isRefusedAlone tells that other controllers have just heard from the state
 // service and this one has not for a while: its shards' next owner does what is
 // needed, with a record.
-func (n *Controller) refusedAlone(now time.Time) bool {
-	return now.Sub(n.led.LastSuccess()) >= 4*time.Second && n.servedElsewhere(now)
+func (n *Controller) isRefusedAlone(now time.Time) bool {
+	return now.Sub(n.store.LastSuccess()) >= 4*time.Second && n.isStateServingOthers(now)
 }
 
-// returnBare returns machines whose return could not be recorded. Their 200
+// returnUnrecorded returns machines whose return could not be recorded. Their 200
 // proves them gone as any other does. What a return does that is carried out
 // late, twice, or by a node that owns the shard no longer: it takes away a
 // machine that kept a cancelled task when it was sent, with whatever was placed
 // there since. To its owner that is a machine lost without notice, found and
 // proved as such; no task is taken for gone by it, and no name is used again.
-func (n *Controller) returnBare(ctx context.Context, hosts []string) {
-	status, err := n.askReturn(ctx, hosts)
+func (n *Controller) returnUnrecorded(ctx context.Context, hosts []string) {
+	status, err := n.callReturn(ctx, hosts)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.fleet.bareBusy = false
+	n.provisioner.returningUnrecorded = false
 	if err == nil && status == 200 {
 		for _, host := range hosts {
-			n.provedGone(n.view.Machines[host])
+			n.markGone(n.view.Machines[host])
 		}
 	}
 	n.log.Info("machines returned without a record", "hosts", hosts, "status", status, "err", err)
--- a/internal/coordination/controller/cancel_test.go
+++ b/internal/coordination/controller/cancel_test.go
@@ -31,21 +31,21 @@
 		}
 		told := make(map[string]bool)
 		for range 3 {
-			news := n.repeated(time.Now())
-			if len(news) > mostRepeated {
+			news := n.repeatedCancellations(time.Now())
+			if len(news) > maxRepeatedCancellations {
 				t.Fatalf("%d in one message", len(news))
 			}
 			for _, k := range news {
 				told[k.Key] = true
 			}
 			n.mu.Unlock()
-			n.told("n1", news)
+			n.recordNotified("n1", news)
 			n.mu.Lock()
 		}
 		if len(told) != 250 {
 			t.Errorf("%d of 250 are repeated", len(told))
 		}
-		if j := n.view.Jobs["wk-249"]; time.Since(j.NotifiedAt["n1"]) > toldKeep {
+		if j := n.view.Jobs["wk-249"]; time.Since(j.NotifiedAt["n1"]) > notifiedTTL {
 			t.Error("what n1 has taken does not count as told")
 		}
 	})
--- a/internal/coordination/controller/commit.go
+++ b/internal/coordination/controller/commit.go
@@ -13,12 +13,12 @@
 // commit submits a transaction. done runs with the lock held, after the cache
 // shows the outcome: the written records, or what the failed keys hold now.
 func (n *Controller) commit(prio int, conds []kv.Compare, ops []kv.Op, within time.Duration, done func(error)) {
-	n.commitAt(prio, conds, ops, within, func(err error, _ uint64) { done(err) })
+	n.commitWithRevision(prio, conds, ops, within, func(err error, _ uint64) { done(err) })
 }
 
-// commitAt is commit, and tells done the state service's revision as it answered; 0 if
+// commitWithRevision is commit, and tells done the state service's revision as it answered; 0 if
 // it did not.
-func (n *Controller) commitAt(prio int, conds []kv.Compare, ops []kv.Op, within time.Duration, done func(error, uint64)) {
+func (n *Controller) commitWithRevision(prio int, conds []kv.Compare, ops []kv.Op, within time.Duration, done func(error, uint64)) {
 	t := &kv.Txn{Compares: conds, Ops: ops, Priority: prio}
 	if within > 0 {
 		t.Deadline = time.Now().Add(within)
@@ -26,11 +26,11 @@
 	t.OnResult = func(res kv.Result) {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if keys := n.doubtful(res, t); len(keys) > 0 {
+		if keys := n.keysToRefresh(res, t); len(keys) > 0 {
 			// One without a deadline reserves something: its caller may not go on before it
 			// is known what became of it.
-			n.refreshes++
-			go n.refresh(n.refreshes, keys, res.Revision, t.Deadline.IsZero(), func(read bool) {
+			n.refreshCount++
+			go n.refreshKeys(n.refreshCount, keys, res.Revision, t.Deadline.IsZero(), func(read bool) {
 				if !read && prio == kv.PriorityUser {
 					// The cache may be newer than the condition and still older than what
 					// another node has told users: nobody here knows.
@@ -47,14 +47,14 @@
 			}
 		}
 		done(res.Err, res.Revision)
-		n.poke()
+		n.wake()
 	}
-	n.led.Submit(t)
+	n.store.Submit(t)
 }
 
-// doubtful lists the keys to be read again after a transaction failed, since
+// keysToRefresh lists the keys to be read again after a transaction failed, since
 // deciding again from the same cache would only fail again.
-func (n *Controller) doubtful(res kv.Result, t *kv.Txn) []string {
+func (n *Controller) keysToRefresh(res kv.Result, t *kv.Txn) []string {
 	var keys []string
 	for _, c := range t.Compares {
 		// What the watch has brought meanwhile need not be read, except for users:
@@ -72,14 +72,14 @@
 	return keys
 }
 
-// refresh reads keys into the cache and then calls done with the lock held, and tells
+// refreshKeys reads keys into the cache and then calls done with the lock held, and tells
 // it whether all of them were read. With insist set it goes on until each is read, or the watch has come to the revision
 // at which the transaction failed: a limited team's start whose fate was forgotten
 // was missing in what the team used.
 //
 // Those begun at one instant, after transactions that were sent together, start a
 // nanosecond apart in the order of their numbers: they compete for the same requests.
-func (n *Controller) refresh(number int, keys []string, epoch uint64, insist bool, done func(read bool)) {
+func (n *Controller) refreshKeys(number int, keys []string, epoch uint64, insist bool, done func(read bool)) {
 	n.mu.Lock()
 	life := n.ctx
 	n.mu.Unlock()
@@ -88,15 +88,15 @@
 	pause(ctx, time.Duration(number%maxRefreshes+1)*time.Nanosecond)
 	read := true
 	for _, key := range keys {
-		it, err := n.led.Get(ctx, key)
+		it, err := n.store.Get(ctx, key)
 		for err != nil && insist && life.Err() == nil {
 			n.mu.Lock()
 			reached := epoch > 0 && n.view.Revision >= epoch
 			n.mu.Unlock()
-			if reached || !n.pause(life, refreshGap) {
+			if reached || !n.pause(life, refreshRetryPause) {
 				break
 			}
-			it, err = n.led.Get(life, key)
+			it, err = n.store.Get(life, key)
 		}
 		if err != nil {
 			read = false
@@ -109,16 +109,16 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	done(read)
-	n.poke()
+	n.wake()
 }
 
 const (
-	refreshGap   = 300*time.Millisecond + 71*time.Nanosecond
-	maxRefreshes = 1000 // that are told apart by their start
+	refreshRetryPause = 300*time.Millisecond + 71*time.Nanosecond
+	maxRefreshes      = 1000 // that are told apart by their start
 )
 
-// call makes an HTTP call with a JSON answer.
-func (n *Controller) call(ctx context.Context, addr, method, target string, in, out any, timeout time.Duration) (int, error) {
+// callJSON makes an HTTP call with a JSON answer.
+func (n *Controller) callJSON(ctx context.Context, addr, method, target string, in, out any, timeout time.Duration) (int, error) {
 	var body []byte
 	if in != nil {
 		var err error
@@ -128,7 +128,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	status, resp, err := n.http.Do(ctx, addr, method, target, body)
+	status, resp, err := n.httpClient.Do(ctx, addr, method, target, body)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/coordination/controller/gather.go
+++ b/internal/coordination/controller/gather.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"madderslip/internal/coordination/placement"
 	"madderslip/internal/coordination/quota"
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
@@ -14,34 +15,34 @@
 )
 
 const (
-	gatherAfter = 3 * time.Second        // a job waits so long before room is gathered
-	gatherFor   = 30 * time.Second       // and holds last so long at most
-	wideGap     = 500 * time.Millisecond // jobs to gather for are sought so often: they have waited for longer
+	gangReservationDelay = 3 * time.Second        // a job waits so long before room is gathered
+	gangReservationTTL   = 30 * time.Second       // and holds last so long at most
+	gangSearchInterval   = 500 * time.Millisecond // jobs to gather for are sought so often: they have waited for longer
 )
 
-// wide lists the gangs that no shard could take with all its machines empty,
+// crossShardGangs lists the gangs that no shard could take with all its machines empty,
 // in the queue's order. One that was placed across shards and lost its attempt
 // stays among them, since no shard holds its claim: it was left waiting for ever
 // once a shard had grown large enough for it.
-func (n *Controller) wide(now time.Time) []*replica.Job {
+func (n *Controller) crossShardGangs(now time.Time) []*replica.Job {
 	var out []*replica.Job
 	for _, j := range n.view.Jobs {
 		if j.Record == nil || j.Record.Spec == nil || j.Record.IsFinal() || j.Spec().Shape != protocol.ShapeGang || j.Spec().Tasks < 2 ||
-			now.Sub(j.SeenAt) < gatherAfter || now.Before(j.NotBefore) || j.OnProbation(now) {
+			now.Sub(j.SeenAt) < gangReservationDelay || now.Before(j.NotBefore) || j.OnProbation(now) {
 			continue
 		}
-		if !gatherable(j) {
+		if !canReserveAcrossShards(j) {
 			continue
 		}
 		fits := make(map[[2]string]int) // by shard, and by zone if it must be one
 		for _, s := range n.view.Shards {
 			for k, count := range s.Kinds {
-				if t := n.view.MachineTypes[k.Type]; t != nil && canEver(j.Spec(), t) && allowed(j.Spec(), k.Type, k.Zone, k.Spot) {
+				if t := n.view.MachineTypes[k.Type]; t != nil && placement.FitsEmpty(j.Spec(), t) && placement.Allowed(j.Spec(), k.Type, k.Zone, k.Spot) {
 					at := [2]string{s.Name}
 					if j.Spec().SameZone {
 						at[1] = k.Zone
 					}
-					fits[at] += perMachine(j.Spec(), t) * count
+					fits[at] += placement.TasksPerMachine(j.Spec(), t) * count
 				}
 			}
 		}
@@ -65,17 +66,17 @@
 	return out
 }
 
-// gatherable tells that a job may be placed across shards: no shard has claimed
+// canReserveAcrossShards tells that a job may be placed across shards: no shard has claimed
 // it, and nothing of an earlier attempt is left.
-func gatherable(j *replica.Job) bool {
+func canReserveAcrossShards(j *replica.Job) bool {
 	c := j.Claims[0]
 	return c == nil || (c.Record != nil && c.Pending == nil && c.Record.Shard == "" && len(c.Record.Placements) == 0)
 }
 
-// gather is the leader's part: ask for room for one wide job at a time, and
+// reserveForGangs is the leader's part: ask for room for one wide job at a time, and
 // place the job once the shards hold enough for all of it. Two jobs gathering
 // at once could each hold what the other needs.
-func (n *Controller) gather(now time.Time) {
+func (n *Controller) reserveForGangs(now time.Time) {
 	var current *replica.Job
 	for _, ref := range slices.Sorted(maps.Keys(n.view.GangReservations)) {
 		g := n.view.GangReservations[ref]
@@ -85,49 +86,49 @@
 		// A shard may have claimed the job while room was being gathered. It was
 		// placed a second time beside what ran already (ran_twice).
 		j := n.view.Jobs[ref]
-		if j == nil || j.Record.IsFinal() || now.UnixMilli() > g.Record.ExpiresAtMs || !gatherable(j) {
-			n.endGather(ref, g)
+		if j == nil || j.Record.IsFinal() || now.UnixMilli() > g.Record.ExpiresAtMs || !canReserveAcrossShards(j) {
+			n.endGangReservation(ref, g)
 			continue
 		}
 		current = j
 	}
 	if current == nil {
-		if now.Sub(n.soughtWide) < wideGap {
+		if now.Sub(n.gangsSearchedAt) < gangSearchInterval {
 			return
 		}
-		n.soughtWide = now
-		for team := range n.cfg.Teams {
+		n.gangsSearchedAt = now
+		for team := range n.settings.Teams {
 			n.view.Quota.SetDemand(team, quota.CrossShard, nil, false, now)
 		}
-		for _, j := range n.wide(now) {
+		for _, j := range n.crossShardGangs(now) {
 			if g := n.view.GangReservation(j.ID); !g.Writing && g.Version == 0 && now.After(g.RetryAt) {
-				n.beginGather(j.ID, g, now)
+				n.beginGangReservation(j.ID, g, now)
 				return
 			}
 		}
 		return
 	}
-	n.placeWide(current, n.view.GangReservations[current.ID], now)
+	n.placeGang(current, n.view.GangReservations[current.ID], now)
 }
 
-func (n *Controller) beginGather(ref string, g *replica.GangReservation, now time.Time) {
+func (n *Controller) beginGangReservation(ref string, g *replica.GangReservation, now time.Time) {
 	g.Writing = true
 	key := records.GangReservationPrefix + ref
 	n.log.Info("gathering room", "job", ref)
 	n.commit(kv.PriorityClaim, []kv.Compare{{Key: records.LeaderKey, Version: n.leadership.version}, {Key: key, Version: 0}},
-		[]kv.Op{{Key: key, Value: &records.GangReservation{ExpiresAtMs: now.Add(gatherFor).UnixMilli()}, Lease: n.permit}}, 5*time.Second,
+		[]kv.Op{{Key: key, Value: &records.GangReservation{ExpiresAtMs: now.Add(gangReservationTTL).UnixMilli()}, Lease: n.membership.lease}}, 5*time.Second,
 		func(error) { g.Writing = false })
 }
 
-func (n *Controller) endGather(ref string, g *replica.GangReservation) {
+func (n *Controller) endGangReservation(ref string, g *replica.GangReservation) {
 	g.Writing = true
 	key := records.GangReservationPrefix + ref
 	n.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: g.Version}}, []kv.Op{{Key: key}}, 5*time.Second, func(error) { g.Writing = false })
 }
 
-// hold is an owner's part: hold the room that a shard has for the job being
+// holdForGangs is an owner's part: hold the room that a shard has for the job being
 // gathered, and let go when the leader no longer asks.
-func (n *Controller) hold(s *replica.Shard, now time.Time) {
+func (n *Controller) holdForGangs(s *replica.Shard, now time.Time) {
 	for _, ref := range slices.Sorted(maps.Keys(n.view.GangReservations)) {
 		g := n.view.GangReservations[ref]
 		h := g.Holds[s.Name]
@@ -150,20 +151,20 @@
 				}
 			}
 		default:
-			next := n.holdable(s, ref, j.Spec(), now)
-			if len(next) == 0 || sameHold(next, h.Record.TasksByHost) {
+			next := n.holdableTasks(s, ref, j.Spec(), now)
+			if len(next) == 0 || equalHolds(next, h.Record.TasksByHost) {
 				continue
 			}
 			// Held from now on: while the record was on its way the queue gave the same
 			// room to others, and the job's tasks were refused for want of it.
 			h.Writing, h.Pending = true, next
 			n.commit(kv.PriorityClaim, []kv.Compare{{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, {Key: records.GangReservationPrefix + ref, Version: g.Version}, {Key: key, Version: h.Version}},
-				[]kv.Op{{Key: key, Value: &records.GangHold{TasksByHost: next}, Lease: n.permit}}, 5*time.Second, func(error) { h.Writing, h.Pending = false, nil })
+				[]kv.Op{{Key: key, Value: &records.GangHold{TasksByHost: next}, Lease: n.membership.lease}}, 5*time.Second, func(error) { h.Writing, h.Pending = false, nil })
 		}
 	}
 }
 
-func sameHold(a, b map[string]int) bool {
+func equalHolds(a, b map[string]int) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -175,21 +176,21 @@
 	return true
 }
 
-// holdable is how many of a job's tasks each of a shard's machines could take
+// holdableTasks is how many of a job's tasks each of a shard's machines could take
 // now, what is held for the job already included.
-func (n *Controller) holdable(s *replica.Shard, ref string, spec *protocol.Submission, now time.Time) map[string]int {
+func (n *Controller) holdableTasks(s *replica.Shard, ref string, spec *protocol.Submission, now time.Time) map[string]int {
 	out := make(map[string]int)
-	for _, r := range n.roomsBut(s, ref, now) {
-		for r.usable && r.fits(spec) && allowed(spec, r.typ, r.zone, r.spot) && out[r.host] < spec.Tasks {
-			r.take(spec)
-			out[r.host]++
+	for _, r := range n.capacitiesFor(s, ref, now) {
+		for r.Usable && r.Fits(spec) && placement.Allowed(spec, r.TypeName, r.Zone, r.Spot) && out[r.Host] < spec.Tasks {
+			r.Allocate(spec)
+			out[r.Host]++
 		}
 	}
 	return out
 }
 
-// chargeHolds takes held room out of the free room, but for the job but.
-func (n *Controller) chargeHolds(s *replica.Shard, but string, byHost map[string]*room) {
+// chargeGangHolds takes held room out of the free room, but for the job but.
+func (n *Controller) chargeGangHolds(s *replica.Shard, but string, byHost map[string]*placement.Capacity) {
 	for _, ref := range slices.Sorted(maps.Keys(n.view.GangReservations)) {
 		g := n.view.GangReservations[ref]
 		h, j := g.Holds[s.Name], n.view.Jobs[ref]
@@ -205,21 +206,21 @@
 		}
 		for host, k := range hosts {
 			for range k {
-				if r := byHost[host]; r != nil && r.fits(j.Spec()) {
-					r.take(j.Spec())
+				if r := byHost[host]; r != nil && r.Fits(j.Spec()) {
+					r.Allocate(j.Spec())
 				}
 			}
 		}
 	}
 }
 
-// placeWide places a gathered job whole, on condition of every hold it uses.
-func (n *Controller) placeWide(j *replica.Job, g *replica.GangReservation, now time.Time) {
+// placeGang places a gathered job whole, on condition of every hold it uses.
+func (n *Controller) placeGang(j *replica.Job, g *replica.GangReservation, now time.Time) {
 	spec := j.Spec()
 	if g.Writing {
 		return
 	}
-	if n.limited(spec) && n.allowanceIn(quota.CrossShard, spec) < spec.Tasks {
+	if n.isLimited(spec) && n.allowanceOf(quota.CrossShard, spec) < spec.Tasks {
 		if n.view.Quota.IsAllotted(spec.Team) {
 			all := replica.TaskResources(spec).Times(float64(spec.Tasks))
 			n.view.Quota.SetDemand(spec.Team, quota.CrossShard, &quota.Demand{Head: all, PerTask: replica.TaskResources(spec), Total: all, Priority: spec.Priority(), AcceptedAtMs: j.Record.AcceptedAtMs, JobID: j.ID, AllOrNothing: true}, false, now)
@@ -230,11 +231,11 @@
 	conds := []kv.Compare{{Key: records.LeaderKey, Version: n.leadership.version}, {Key: records.GangReservationPrefix + j.ID, Version: g.Version},
 		{Key: records.JobPrefix + j.ID, Version: j.Version}}
 	var places []records.Placement
-	for _, only := range append([]string{""}, n.cfg.Zones...) {
+	for _, only := range append([]string{""}, n.settings.Zones...) {
 		if (only == "") == spec.SameZone {
 			continue
 		}
-		places = n.pickHeld(spec, g, only)
+		places = n.assignHeld(spec, g, only)
 		if len(places) == spec.Tasks {
 			break
 		}
@@ -264,7 +265,7 @@
 		conds = append(conds, kv.Compare{Key: records.GangHoldPrefix + j.ID + "/" + shard, Version: g.Holds[shard].Version},
 			kv.Compare{Key: records.ShardPrefix + shard, Version: s.Version})
 	}
-	tconds, ops, t, ok := n.reserveTeam("", c, next)
+	tconds, ops, t, ok := n.reserveTeamUse("", c, next)
 	if !ok {
 		return
 	}
@@ -289,10 +290,10 @@
 	})
 }
 
-// pickHeld chooses held room for all tasks, in one zone if only is set.
-func (n *Controller) pickHeld(spec *protocol.Submission, g *replica.GangReservation, only string) []records.Placement {
+// assignHeld chooses held room for all tasks, in one zone if only is set.
+func (n *Controller) assignHeld(spec *protocol.Submission, g *replica.GangReservation, only string) []records.Placement {
 	var places []records.Placement
-	zones := newZoneRule(spec, nil)
+	zones := placement.NewZoneConstraint(spec, nil)
 	for _, shard := range n.view.ShardNames() {
 		h := g.Holds[shard]
 		if h == nil || h.Version == 0 {
@@ -309,8 +310,8 @@
 				continue
 			}
 			for range h.Record.TasksByHost[host] {
-				if len(places) < spec.Tasks && zones.permits(m.Record.Zone) {
-					zones.add(spec, m.Record.Zone)
+				if len(places) < spec.Tasks && zones.Permits(m.Record.Zone) {
+					zones.Add(spec, m.Record.Zone)
 					places = append(places, records.Placement{Task: len(places), Host: host})
 				}
 			}
--- a/internal/coordination/controller/guarantee.go
+++ b/internal/coordination/controller/guarantee.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"madderslip/internal/coordination/placement"
 	"madderslip/internal/coordination/quota"
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
@@ -33,7 +34,7 @@
 }
 
 func (w usageView) TaskUse(task string) quota.Resources {
-	if c, p := w.n.victimAt(task); p != nil && c.Spec != nil {
+	if c, p := w.n.findVictim(task); p != nil && c.Spec != nil {
 		return replica.TaskResources(c.Spec)
 	}
 	return quota.Resources{}
@@ -48,17 +49,12 @@
 
 func (w usageView) HoldsCapacity(id, shard string) bool {
 	ref, _, _ := records.ParseClaimKey(id)
-	j, p, b := w.n.view.Jobs[ref], w.n.plans[ref], w.n.bookings[id]
+	j, p, b := w.n.view.Jobs[ref], w.n.preemptions.plans[ref], w.n.preemptions.reservations[id]
 	return j != nil && j.Record != nil && !j.Record.IsFinal() && ((p != nil && p.shard == shard) || (b != nil && b.shard == shard))
 }
 
-// id names what claims on a guarantee: a chunk, for the chunks of an array are claimed
-// by several shards, each with a booking of its own. Booked by job, one hid the other,
-// and a team got 48 CPUs of 40.
-func (u *unit) id() string { return u.j.ClaimKey(u.chunk) }
-
-// victimAt finds what name names; the place is nil once it is gone.
-func (n *Controller) victimAt(name string) (*replica.Claim, *replica.Slot) {
+// findVictim finds what name names; the place is nil once it is gone.
+func (n *Controller) findVictim(name string) (*replica.Claim, *replica.Slot) {
 	key, rest, _ := strings.Cut(name, "#")
 	num, host, _ := strings.Cut(rest, "@")
 	c := n.view.Claims[key]
@@ -69,184 +65,186 @@
 	return c, c.Slots[replica.SlotKey{Task: id, Host: host}]
 }
 
-// dueTasks counts the tasks of a unit that its team may claim on its guarantee now.
+// entitledTasks counts the tasks of a unit that its team may claim on its guarantee now.
 // A gang claims all of them or none.
-func (n *Controller) dueTasks(u *unit) int {
-	if !n.view.Quota.HasGuarantee(u.spec.Team) {
+func (n *Controller) entitledTasks(u *placement.QueueEntry) int {
+	if !n.view.Quota.HasGuarantee(u.Spec.Team) {
 		return 0
 	}
-	waiting := u.waiting()
-	due := n.view.Quota.Standing(u.spec.Team, u.id(), usageView{n}).Entitled(replica.TaskResources(u.spec))
-	if u.spec.Shape == protocol.ShapeGang && due < waiting {
+	waiting := u.PlaceableTasks()
+	due := n.view.Quota.Standing(u.Spec.Team, u.ClaimKey(), usageView{n}).Entitled(replica.TaskResources(u.Spec))
+	if u.Spec.Shape == protocol.ShapeGang && due < waiting {
 		return 0
 	}
 	return min(due, waiting)
 }
 
-// dueFirst moves work within its team's guarantee ahead of others' of the same rank.
+// prioritizeEntitled moves work within its team's guarantee ahead of others' of the same rank.
 // Behind a backlog of borrowers a team waited for its guarantee until they were done.
-func (n *Controller) dueFirst(q []*unit) {
-	if !n.guarantees {
+func (n *Controller) prioritizeEntitled(q []*placement.QueueEntry) {
+	if !n.preemptions.hasGuarantees {
 		return
 	}
 	at := make(map[string]quota.Standing)
 	for _, u := range q {
-		team := u.spec.Team
+		team := u.Spec.Team
 		if !n.view.Quota.HasGuarantee(team) {
 			continue
 		}
-		if u.due = n.view.Quota.HasReservation(team, u.id()); u.due {
+		if u.WithinGuarantee = n.view.Quota.HasReservation(team, u.ClaimKey()); u.WithinGuarantee {
 			continue // counted as booked
 		}
 		st, seen := at[team]
 		if !seen {
 			st = n.view.Quota.Standing(team, "", usageView{n})
 		}
-		need, waiting := 1, u.waiting()
-		if u.spec.Shape == protocol.ShapeGang {
+		need, waiting := 1, u.PlaceableTasks()
+		if u.Spec.Shape == protocol.ShapeGang {
 			need = waiting
 		}
-		if due := st.Entitled(replica.TaskResources(u.spec)); due >= need && due > 0 {
-			u.due = true
-			st.Reserved = st.Reserved.Plus(replica.TaskResources(u.spec).Times(float64(min(due, waiting))))
+		if due := st.Entitled(replica.TaskResources(u.Spec)); due >= need && due > 0 {
+			u.WithinGuarantee = true
+			st.Reserved = st.Reserved.Plus(replica.TaskResources(u.Spec).Times(float64(min(due, waiting))))
 		}
 		at[team] = st
 	}
-	slices.SortStableFunc(q, func(a, b *unit) int {
-		return cmp.Or(cmp.Compare(b.spec.Priority(), a.spec.Priority()), cmp.Compare(btoi(b.due), btoi(a.due)))
+	slices.SortStableFunc(q, func(a, b *placement.QueueEntry) int {
+		return cmp.Or(cmp.Compare(b.Spec.Priority(), a.Spec.Priority()), cmp.Compare(boolToInt(b.WithinGuarantee), boolToInt(a.WithinGuarantee)))
 	})
 }
 
-// consent says whose work a job may have stopped: that of lower rank, and for what
+// preemptionPolicy says whose work a job may have stopped: that of lower rank, and for what
 // its team's guarantee still covers what other teams borrow. It counts what is taken
 // so that no lender is pushed below its own guarantee.
-type consent struct {
-	spec  *protocol.Submission
-	left  int // tasks that the guarantee covers
-	taker *quota.Preemptor
-	seen  map[string]quota.Standing
-	n     *Controller
+type preemptionPolicy struct {
+	spec       *protocol.Submission
+	entitled   int // tasks that the guarantee covers
+	preemptor  *quota.Preemptor
+	standings  map[string]quota.Standing
+	controller *Controller
 }
 
-func (n *Controller) consentFor(u *unit) *consent {
-	k := &consent{spec: u.spec, left: n.dueTasks(u), n: n, seen: make(map[string]quota.Standing)}
-	k.reset()
+func (n *Controller) preemptionPolicyFor(u *placement.QueueEntry) *preemptionPolicy {
+	k := &preemptionPolicy{spec: u.Spec, entitled: n.entitledTasks(u), controller: n, standings: make(map[string]quota.Standing)}
+	k.Reset()
 	return k
 }
 
-// byRank consents to the displacement of lower ranks alone.
-func (n *Controller) byRank(spec *protocol.Submission) *consent { return &consent{spec: spec, n: n} }
+// priorityOnlyPolicy consents to the displacement of lower ranks alone.
+func (n *Controller) priorityOnlyPolicy(spec *protocol.Submission) *preemptionPolicy {
+	return &preemptionPolicy{spec: spec, controller: n}
+}
 
-func (k *consent) reset() {
-	k.taker = &quota.Preemptor{ClaimedTask: replica.TaskResources(k.spec), StandingOf: func(team string) quota.Standing {
-		st, ok := k.seen[team]
+func (k *preemptionPolicy) Reset() {
+	k.preemptor = &quota.Preemptor{ClaimedTask: replica.TaskResources(k.spec), StandingOf: func(team string) quota.Standing {
+		st, ok := k.standings[team]
 		if !ok {
-			st = k.n.view.Quota.Standing(team, "", usageView{k.n})
-			k.seen[team] = st
+			st = k.controller.view.Quota.Standing(team, "", usageView{k.controller})
+			k.standings[team] = st
 		}
 		return st
 	}}
 }
 
-// may tells whether one more task may be stopped, beside those chosen so far.
-func (k *consent) may(v *protocol.Submission, chosen []replica.Victim) bool {
+// MayPreempt tells whether one more task may be stopped, beside those chosen so far.
+func (k *preemptionPolicy) MayPreempt(v *protocol.Submission, chosen []replica.Victim) bool {
 	if v.Priority() < k.spec.Priority() {
 		return true
 	}
-	if k.left == 0 || v.Team == k.spec.Team {
+	if k.entitled == 0 || v.Team == k.spec.Team {
 		return false
 	}
 	beside := quota.Resources{}
 	for i := range chosen {
-		if s := chosen[i].Claim.Spec; s.Team == v.Team && k.borrowed(&chosen[i]) {
+		if s := chosen[i].Claim.Spec; s.Team == v.Team && k.isBorrowed(&chosen[i]) {
 			beside = beside.Plus(replica.TaskResources(s))
 		}
 	}
-	return k.taker.MayPreempt(v.Team, replica.TaskResources(v), beside)
+	return k.preemptor.MayPreempt(v.Team, replica.TaskResources(v), beside)
 }
 
-// borrowed tells that a victim is taken for the guarantee, not for its rank.
-func (k *consent) borrowed(v *replica.Victim) bool {
+// isBorrowed tells that a victim is taken for the guarantee, not for its rank.
+func (k *preemptionPolicy) isBorrowed(v *replica.Victim) bool {
 	return v.Claim.Spec.Priority() >= k.spec.Priority()
 }
 
-// took notes what was chosen for one task.
-func (k *consent) took(list []replica.Victim) {
+// RecordPreemption notes what was chosen for one task.
+func (k *preemptionPolicy) RecordPreemption(list []replica.Victim) {
 	claims := false
 	for i := range list {
-		if k.borrowed(&list[i]) {
-			k.taker.RecordPreemption(list[i].Claim.Spec.Team, replica.TaskResources(list[i].Claim.Spec))
+		if k.isBorrowed(&list[i]) {
+			k.preemptor.RecordPreemption(list[i].Claim.Spec.Team, replica.TaskResources(list[i].Claim.Spec))
 			claims = true
 		}
 	}
-	if claims && k.left > 0 {
-		k.left--
+	if claims && k.entitled > 0 {
+		k.entitled--
 	}
 }
 
-// booking is a displacement that waits for its claim on the guarantee to be on
+// guaranteeReservation is a displacement that waits for its claim on the guarantee to be on
 // record, and for the cache to show all that was placed before.
-type booking struct {
-	shard string
-	team  string
-	at    uint64 // the record's revision; 0 while it is on its way
-	until time.Time
-	plan  []bookedRoom
-	tasks int // of the job, for which what is borrowed is taken
+type guaranteeReservation struct {
+	shard   string
+	team    string
+	version uint64 // the record's revision; 0 while it is on its way
+	until   time.Time
+	planned []reservedCapacity
+	tasks   int // of the job, for which what is borrowed is taken
 }
 
-type bookedRoom struct {
+type reservedCapacity struct {
 	host    string
 	victims []replica.Victim
 }
 
-// book has a displacement booked, if it takes what is borrowed.
-func (n *Controller) book(s *replica.Shard, u *unit, plan []eviction, k *consent, now time.Time) {
-	if plan = cutLenders(plan, k, n.cfg.RecordLimits().MaxTxnOps-1, u.together()); len(plan) == 0 {
+// reserveGuarantee has a displacement booked, if it takes what is borrowed.
+func (n *Controller) reserveGuarantee(s *replica.Shard, u *placement.QueueEntry, plan []placement.Eviction, k *preemptionPolicy, now time.Time) {
+	if plan = limitLenders(plan, k, n.settings.RecordLimits().MaxTxnOps-1, u.StartsTogether()); len(plan) == 0 {
 		return
 	}
-	id := u.id()
-	b := &booking{shard: s.Name, team: u.spec.Team, until: now.Add(planFor)}
+	id := u.ClaimKey()
+	b := &guaranteeReservation{shard: s.Name, team: u.Spec.Team, until: now.Add(preemptionHold)}
 	victims := make(map[string][]string)
 	tasks := 0
 	for _, e := range plan {
-		b.plan = append(b.plan, bookedRoom{e.r.host, e.victims})
+		b.planned = append(b.planned, reservedCapacity{e.Capacity.Host, e.Victims})
 		claims := false
-		for i := range e.victims {
-			if v := &e.victims[i]; k.borrowed(v) {
+		for i := range e.Victims {
+			if v := &e.Victims[i]; k.isBorrowed(v) {
 				victims[v.Claim.Spec.Team] = append(victims[v.Claim.Spec.Team], v.Name())
 				claims = true
 			}
 		}
-		if claims || u.together() {
+		if claims || u.StartsTogether() {
 			tasks++ // where lower ranks give way alone the guarantee is not asked
 		}
 	}
-	n.bookings[id], b.tasks = b, tasks
-	use := replica.TaskResources(u.spec).Times(float64(tasks)).Plus(usageView{n}.PlacedBy(id))
+	n.preemptions.reservations[id], b.tasks = b, tasks
+	use := replica.TaskResources(u.Spec).Times(float64(tasks)).Plus(usageView{n}.PlacedBy(id))
 	conds, ops := n.view.Quota.Reserve(quota.ReservationRequest{Team: b.team, ClaimKey: id, Shard: s.Name, FencingToken: s.FencingToken, Use: use, Victims: victims})
-	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: records.JobPrefix + u.j.ID, Version: u.j.Version})
+	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: records.JobPrefix + u.Job.ID, Version: u.Job.Version})
 	n.commit(kv.PriorityClaim, conds, ops, 0, func(err error) {
 		if err != nil {
 			n.log.Debug("guarantee not booked", "claim", id, "team", b.team, "err", err)
-			if n.bookings[id] == b {
-				delete(n.bookings, id)
+			if n.preemptions.reservations[id] == b {
+				delete(n.preemptions.reservations, id)
 			}
 			return
 		}
-		b.at = n.view.Versions[records.ReservationPrefix+b.team]
+		b.version = n.view.Versions[records.ReservationPrefix+b.team]
 		s.Changed = true
 	})
 }
 
-// cutLenders leaves as many evictions of a plan as take from so many teams: each has a
+// limitLenders leaves as many evictions of a plan as take from so many teams: each has a
 // record that the booking's one transaction changes. A plan that only serves whole goes
 // altogether.
-func cutLenders(plan []eviction, k *consent, most int, whole bool) []eviction {
+func limitLenders(plan []placement.Eviction, k *preemptionPolicy, most int, whole bool) []placement.Eviction {
 	lenders := map[string]bool{k.spec.Team: true}
 	for i, e := range plan {
-		for j := range e.victims {
-			if v := &e.victims[j]; k.borrowed(v) {
+		for j := range e.Victims {
+			if v := &e.Victims[j]; k.isBorrowed(v) {
 				lenders[v.Claim.Spec.Team] = true
 			}
 		}
@@ -261,57 +259,57 @@
 	return plan
 }
 
-// carryOutBooked stops what a booking names, once all that was placed before it is
+// executeReservation stops what a booking names, once all that was placed before it is
 // known and it still holds. Where it does not the booking goes, and nothing is
 // stopped.
-func (n *Controller) carryOutBooked(s *replica.Shard, u *unit, b *booking, rooms []*room, now time.Time) bool {
-	if b.shard != s.Name || b.at == 0 || n.view.Revision < b.at {
+func (n *Controller) executeReservation(s *replica.Shard, u *placement.QueueEntry, b *guaranteeReservation, rooms []*placement.Capacity, now time.Time) bool {
+	if b.shard != s.Name || b.version == 0 || n.view.Revision < b.version {
 		return false
 	}
-	delete(n.bookings, u.id())
-	byHost := make(map[string]*room, len(rooms))
+	delete(n.preemptions.reservations, u.ClaimKey())
+	byHost := make(map[string]*placement.Capacity, len(rooms))
 	for _, r := range rooms {
-		byHost[r.host] = r
+		byHost[r.Host] = r
 	}
-	k := n.consentFor(u)
-	due := k.left
+	k := n.preemptionPolicyFor(u)
+	due := k.entitled
 	// What is on record for this very job is leaving in its own name.
-	k.taker.StandingOf = func(team string) quota.Standing {
-		return n.view.Quota.StandingExcludingPreemptionsFor(team, u.id(), usageView{n})
+	k.preemptor.StandingOf = func(team string) quota.Standing {
+		return n.view.Quota.StandingExcludingPreemptionsFor(team, u.ClaimKey(), usageView{n})
 	}
-	var plan []eviction
-	for _, br := range b.plan {
+	var plan []placement.Eviction
+	for _, br := range b.planned {
 		r := byHost[br.host]
-		if r == nil || !r.usable {
+		if r == nil || !r.Usable {
 			continue
 		}
-		e := eviction{r: r}
+		e := placement.Eviction{Capacity: r}
 		for _, v := range br.victims {
-			if _, going := v.Claim.Evictions[v.Task]; v.Claim.Slots[replica.SlotKey{Task: v.Task, Host: br.host}] == nil || going || !k.may(v.Claim.Spec, e.victims) {
+			if _, going := v.Claim.Evictions[v.Task]; v.Claim.Slots[replica.SlotKey{Task: v.Task, Host: br.host}] == nil || going || !k.MayPreempt(v.Claim.Spec, e.Victims) {
 				continue
 			}
-			e.victims = append(e.victims, v)
+			e.Victims = append(e.Victims, v)
 		}
-		if len(e.victims) > 0 {
-			k.took(e.victims)
+		if len(e.Victims) > 0 {
+			k.RecordPreemption(e.Victims)
 			plan = append(plan, e)
 		}
 	}
-	if due < b.tasks || (u.together() && len(plan) < len(b.plan)) {
+	if due < b.tasks || (u.StartsTogether() && len(plan) < len(b.planned)) {
 		// It goes as a whole and is made anew: what is on record is what is taken.
-		n.log.Debug("a booking does not hold any more", "claim", u.id(), "team", b.team)
+		n.log.Debug("a booking does not hold any more", "claim", u.ClaimKey(), "team", b.team)
 		return false
 	}
 	for _, e := range plan {
-		for i := range e.victims {
-			if v := &e.victims[i]; k.borrowed(v) {
+		for i := range e.Victims {
+			if v := &e.Victims[i]; k.isBorrowed(v) {
 				if v.Claim.PreemptedFor == nil {
 					v.Claim.PreemptedFor = make(map[replica.SlotKey]string)
 				}
-				v.Claim.PreemptedFor[replica.SlotKey{Task: v.Task, Host: v.Host}] = u.id()
+				v.Claim.PreemptedFor[replica.SlotKey{Task: v.Task, Host: v.Host}] = u.ClaimKey()
 			}
 		}
-		n.carryOut(s, u, e, now)
+		n.executeEviction(s, u, e, now)
 	}
 	return len(plan) > 0
 }
@@ -329,16 +327,16 @@
 	return ""
 }
 
-// tidyBookings frees what jobs have booked and do not use any more, and withdraws
+// releaseReservations frees what jobs have booked and do not use any more, and withdraws
 // the stops for them that were not sent yet.
-func (n *Controller) tidyBookings(now time.Time) {
-	for id, b := range n.bookings {
+func (n *Controller) releaseReservations(now time.Time) {
+	for id, b := range n.preemptions.reservations {
 		ref, _, _ := records.ParseClaimKey(id)
-		if j := n.view.Jobs[ref]; (now.After(b.until) && b.at != 0) || j == nil || j.Record.IsFinal() || !n.view.IsActive(n.view.Shards[b.shard]) {
-			delete(n.bookings, id)
+		if j := n.view.Jobs[ref]; (now.After(b.until) && b.version != 0) || j == nil || j.Record.IsFinal() || !n.view.IsActive(n.view.Shards[b.shard]) {
+			delete(n.preemptions.reservations, id)
 		}
 	}
-	if n.unbooking {
+	if n.preemptions.releasing {
 		return
 	}
 	ids := slices.DeleteFunc(n.view.Quota.ExpiredReservations(usageView{n}), func(id string) bool {
@@ -346,7 +344,7 @@
 		// the record before, it was lent a second time.
 		going := false
 		for _, task := range n.view.Quota.PreemptedFor(id) {
-			going = !n.withdraw(task) || going
+			going = !n.withdrawEviction(task) || going
 		}
 		return going
 	})
@@ -354,15 +352,15 @@
 		return
 	}
 	ids = ids[:min(len(ids), 4)]
-	n.unbooking = true
+	n.preemptions.releasing = true
 	conds, ops := n.view.Quota.Release(ids)
-	n.commit(kv.PriorityClaim, conds, ops, 0, func(error) { n.unbooking = false })
+	n.commit(kv.PriorityClaim, conds, ops, 0, func(error) { n.preemptions.releasing = false })
 }
 
-// withdraw takes a stop back that was not sent yet, and tells whether nothing is being
+// withdrawEviction takes a stop back that was not sent yet, and tells whether nothing is being
 // stopped there any more.
-func (n *Controller) withdraw(task string) bool {
-	c, p := n.victimAt(task)
+func (n *Controller) withdrawEviction(task string) bool {
+	c, p := n.findVictim(task)
 	if p == nil || p.Host.Machine == nil {
 		return true
 	}
--- a/internal/coordination/controller/images.go
+++ b/internal/coordination/controller/images.go
@@ -14,18 +14,18 @@
 // after every restart of a controller. It is advice, so a shard's machines share
 // a few records: one for each machine took more of the state service's budget
 // than all placements together.
-const imageGap = 5 * time.Second // one part of a shard is recorded at a time
+const imageRecordInterval = 5 * time.Second // one part of a shard is recorded at a time
 
-// noteImages records the images of the next part of a shard's machines, if
+// recordImages records the images of the next part of a shard's machines, if
 // they have changed.
-func (n *Controller) noteImages(s *replica.Shard, now time.Time) {
-	if s.RecordingImages || now.Sub(s.ImagesRecordedAt) < imageGap {
+func (n *Controller) recordImages(s *replica.Shard, now time.Time) {
+	if s.RecordingImages || now.Sub(s.ImagesRecordedAt) < imageRecordInterval {
 		return
 	}
 	s.ImagesRecordedAt = now
 	for range replica.ImageParts {
 		s.ImagePart = (s.ImagePart + 1) % replica.ImageParts
-		rec := replica.ImagesOfPart(s, s.ImagePart, n.cfg.RecordLimits().MaxValueBytes)
+		rec := replica.ImagesOfPart(s, s.ImagePart, n.settings.RecordLimits().MaxValueBytes)
 		key := records.ImagePrefix + s.Name + "/" + strconv.Itoa(s.ImagePart)
 		if replica.SameImages(rec, n.view.ImageRecords[key]) {
 			continue
--- a/internal/coordination/controller/life_test.go
+++ b/internal/coordination/controller/life_test.go
@@ -9,6 +9,7 @@
 	"testing/synctest"
 	"time"
 
+	"madderslip/internal/coordination/placement"
 	"madderslip/internal/coordination/quarantine"
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
@@ -30,9 +31,9 @@
 		n := fleetOf(t, 30)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.http = unreached{}
+		n.httpClient = unreached{}
 		m := n.view.Shards["n0"].Machines[0]
-		n.report(reportOf(m, 88))
+		n.respondToHeartbeat(reportOf(m, 88))
 		stray := protocol.TaskStatus{Task: "wk-77/0", Attempt: 1, Phase: protocol.TaskExited, Cause: protocol.CauseDone}
 		for _, c := range []struct {
 			seq   uint64
@@ -42,7 +43,7 @@
 			r := reportOf(m, c.seq)
 			r.Tasks = append(r.Tasks, stray)
 			var a protocol.HeartbeatResponse
-			if resp := n.report(r); resp.Status != 200 || json.Unmarshal(resp.Body, &a) != nil {
+			if resp := n.respondToHeartbeat(r); resp.Status != 200 || json.Unmarshal(resp.Body, &a) != nil {
 				t.Fatalf("report %d: %d", c.seq, resp.Status)
 			}
 			if len(a.Commands) != c.want || m.Detector.Probing != c.asked {
@@ -70,7 +71,7 @@
 		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: r, Log: slog.New(slog.DiscardHandler)})
 		n.view.Loaded = true
 		n.view.Apply(records.NodePrefix+"n0", &records.Node{StartedAtMs: 1}, 5)
-		go n.sessionLoop(ctx)
+		go n.membershipLoop(ctx)
 		time.Sleep(time.Second)
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -92,8 +93,8 @@
 			t.Error("suspected on one machine's word")
 		}
 		j.Evidence.RecordFailure("vm-2", time.Second, 0, now)
-		u := unit{j: j, spec: &protocol.Submission{Shape: shape, Tasks: 30}, trial: j.Evidence.Verdict(now) == quarantine.Suspect}
-		if got := u.waiting(); got != want {
+		u := placement.QueueEntry{Job: j, Spec: &protocol.Submission{Shape: shape, Tasks: 30}, OnProbation: j.Evidence.Verdict(now) == quarantine.Suspect}
+		if got := u.PlaceableTasks(); got != want {
 			t.Errorf("%s: %d tasks at a time, wanted %d", shape, got, want)
 		}
 	}
@@ -118,13 +119,13 @@
 			want  int
 		}{{40 * time.Second, 0}, {50 * time.Second, 3}} { // 30 s is usual, of eight on their way three are replaced
 			time.Sleep(time.Until(time.UnixMilli(h.RequestedAtMs).Add(c.after)))
-			if l := n.loadOf(s); len(l.ExcludedHosts) != c.want {
+			if l := n.shardLoad(s); len(l.ExcludedHosts) != c.want {
 				t.Errorf("after %v %v do not count", c.after, l.ExcludedHosts)
 			}
 		}
 		s.OwnedSince = time.Now()
 		time.Sleep(time.Second)
-		if l := n.loadOf(s); len(l.ExcludedHosts) != 0 {
+		if l := n.shardLoad(s); len(l.ExcludedHosts) != 0 {
 			t.Errorf("a new owner says that %v do not count", l.ExcludedHosts)
 		}
 	})
@@ -160,17 +161,17 @@
 		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: r, Log: slog.New(slog.DiscardHandler)})
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.leadership.isSelf, n.permit, n.leadership.version, n.view.Revision = true, 7, 1, 10
+		n.leadership.isSelf, n.membership.lease, n.leadership.version, n.view.Revision = true, 7, 1, 10
 		asked := protocol.ProvisionRequest{Name: "a", Type: "m8", Zone: "a", Count: 1}
 		n.view.ApplyProvision("a", &records.Provision{ProvisionRequest: asked, Allocations: []records.Allocation{{Shard: "n1", Count: 1}}}, 12)
-		n.hired(n.view.Provisions["a"], []string{"vm-9"})
+		n.recordProvisioned(n.view.Provisions["a"], []string{"vm-9"})
 		if r.txn != nil {
 			t.Fatalf("recorded before the cache is complete: %v", r.txn.Ops)
 		}
 		n.view.ApplyProvision("b", &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: "b"}, Allocations: []records.Allocation{{Shard: "n2", Count: 1}}, Hosts: []string{"vm-9"}}, 12)
 		n.view.Revision = 12
 		time.Sleep(time.Second)
-		n.retryHires(time.Now())
+		n.retryProvisions(time.Now())
 		if r.txn == nil || len(r.txn.Ops) != 1 || r.txn.Ops[0].Value != nil || r.txn.Ops[0].Key != records.ProvisionPrefix+"a" {
 			t.Errorf("%v, wanted the hire to be dropped", r.txn)
 		}
@@ -185,28 +186,28 @@
 		n := fleetOf(t, 30)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.cfg.Workers.LeaseDuration = 12 * time.Second
+		n.settings.Workers.LeaseDuration = 12 * time.Second
 		m := n.view.Shards["n0"].Machines[0]
-		n.report(reportOf(m, 88))
+		n.respondToHeartbeat(reportOf(m, 88))
 		seq := uint64(88)
 		answers := func(last time.Duration) {
 			for end := time.Now().Add(last); time.Now().Before(end); time.Sleep(time.Second) {
 				seq++
-				n.observe(m, reportOf(m, seq))
+				n.observeHeartbeat(m, reportOf(m, seq))
 			}
 		}
 		time.Sleep(time.Minute)
 		answers(3 * time.Second)
-		if n.mute(m, time.Now()) {
+		if n.cannotReport(m, time.Now()) {
 			t.Error("taken for mute as it is heard again")
 		}
 		answers(6 * time.Second)
-		if !n.mute(m, time.Now()) {
+		if !n.cannotReport(m, time.Now()) {
 			t.Error("not noticed")
 		}
 		seq++
-		n.report(reportOf(m, seq))
-		if n.mute(m, time.Now()) {
+		n.respondToHeartbeat(reportOf(m, seq))
+		if n.cannotReport(m, time.Now()) {
 			t.Error("taken for mute though it reports")
 		}
 	})
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -2,10 +2,10 @@
 
 import (
 	"maps"
-	"math"
 	"slices"
 	"time"
 
+	"madderslip/internal/coordination/placement"
 	"madderslip/internal/coordination/quota"
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
@@ -15,23 +15,23 @@
 
 // Package quota decides about teams' limits; here its decisions are carried out.
 
-// limited tells whether a job's team has a limit that its tasks count against.
-func (n *Controller) limited(s *protocol.Submission) bool {
+// isLimited tells whether a job's team has a limit that its tasks count against.
+func (n *Controller) isLimited(s *protocol.Submission) bool {
 	return n.view.Quota.IsLimited(s.Team, replica.TaskResources(s))
 }
 
-// reserveTeam makes the conditions, and where the limit is not allotted the change,
+// reserveTeamUse makes the conditions, and where the limit is not allotted the change,
 // by which a limited team's use of a shard goes along with a claim. Where it is
 // allotted the claim itself is the reservation: only the shard's owner starts there,
 // within the shard's allotment, which only that owner lowers. ok is false when it
 // can't be done now.
-func (n *Controller) reserveTeam(shard string, c *replica.Claim, next *records.Claim) (conds []kv.Compare, ops []kv.Op, t *replica.TeamUsage, ok bool) {
+func (n *Controller) reserveTeamUse(shard string, c *replica.Claim, next *records.Claim) (conds []kv.Compare, ops []kv.Op, t *replica.TeamUsage, ok bool) {
 	team, grows := c.Spec.Team, len(next.Placements) > c.PlacedCount()
 	if cond, has := n.view.Quota.ReservationCompare(team); has && grows {
 		conds = append(conds, cond)
 	}
 	conds = append(conds, n.view.Quota.LimitCompares(team)...)
-	if !n.limited(c.Spec) {
+	if !n.isLimited(c.Spec) {
 		return conds, nil, nil, true
 	}
 	if n.view.Quota.IsAllotted(team) {
@@ -49,7 +49,7 @@
 	if next.Shard == "" {
 		shard = "*" + c.JobID // several owners change it, so it has an entry of its own
 	}
-	use, most := n.teamAfter(t, shard, c, next)
+	use, most := n.teamUseAfter(t, shard, c, next)
 	key := records.TeamUsagePrefix + team
 	rec := &records.TeamUsage{ByShard: map[string]quota.Resources{shard: use}}
 	total := most
@@ -65,7 +65,7 @@
 	return append(conds, kv.Compare{Key: key, Version: t.Version}), []kv.Op{{Key: key, Value: rec}}, t, true
 }
 
-// teamAfter is what a team uses of a shard once a claim has its next version,
+// teamUseAfter is what a team uses of a shard once a claim has its next version,
 // as it goes into the record, and the most that it may be.
 //
 // The team's record and the claim are conditions of the transaction, so what
@@ -75,7 +75,7 @@
 // with it, and claims whose job is not known yet have no size. A team used twice
 // its limit that way. The sum still serves where the cache is complete up to the
 // record, to put right what a change of limits has left out.
-func (n *Controller) teamAfter(t *replica.TeamUsage, shard string, c *replica.Claim, next *records.Claim) (use, most quota.Resources) {
+func (n *Controller) teamUseAfter(t *replica.TeamUsage, shard string, c *replica.Claim, next *records.Claim) (use, most quota.Resources) {
 	perTask := replica.TaskResources(c.Spec)
 	was, is, had := perTask.Times(float64(c.PlacedCount())), perTask.Times(float64(len(next.Placements))), t.Record.ByShard[shard]
 	use = had.Difference(was).Plus(is).NonNegative()
@@ -93,22 +93,22 @@
 	return use, use.Max(sum)
 }
 
-// overLimit tells that a unit's team has no room under its limit anywhere. Such a
+// exceedsLimit tells that a unit's team has no room under its limit anywhere. Such a
 // unit neither reserves nor displaces: making room that it may not use threw away
 // work in a circle.
-func (n *Controller) overLimit(u *unit) bool {
-	if !n.limited(u.spec) {
+func (n *Controller) exceedsLimit(u *placement.QueueEntry) bool {
+	if !n.isLimited(u.Spec) {
 		return false
 	}
 	count := 1
-	if u.spec.Shape == protocol.ShapeGang {
-		count = u.waiting()
+	if u.Spec.Shape == protocol.ShapeGang {
+		count = u.PlaceableTasks()
 	}
-	return n.allowance(u.spec) < count
+	return n.allowance(u.Spec) < count
 }
 
-// overUsed tells that a job's team has more placed than its limit permits now.
-func (n *Controller) overUsed(spec *protocol.Submission) bool {
+// isOverLimit tells that a job's team has more placed than its limit permits now.
+func (n *Controller) isOverLimit(spec *protocol.Submission) bool {
 	limit, use := n.view.Quota.Limit(spec.Team), n.view.UseByTeam[spec.Team]
 	return (spec.CPUs > 0 && quota.Exceeds(quota.Resources{CPUs: use.CPUs}, limit)) || (spec.GPUs > 0 && quota.Exceeds(quota.Resources{GPUs: use.GPUs}, limit))
 }
@@ -119,8 +119,8 @@
 	return quota.TasksThatFit(limit.Difference(use), replica.TaskResources(spec), limit)
 }
 
-// allowanceIn is how many more a shard may start within its allotment.
-func (n *Controller) allowanceIn(holder string, spec *protocol.Submission) int {
+// allowanceOf is how many more a shard may start within its allotment.
+func (n *Controller) allowanceOf(holder string, spec *protocol.Submission) int {
 	if !n.view.Quota.IsAllotted(spec.Team) {
 		return n.allowance(spec)
 	}
@@ -130,50 +130,50 @@
 	return n.view.Quota.Allowance(spec.Team, holder, replica.TaskResources(spec))
 }
 
-// wishes is what the teams' limits keep a shard from starting in one pass.
-type wishes struct {
-	of      map[string]*quota.Demand
-	looked  map[string]int  // units of each team that were weighed
+// passDemands is what the teams' limits keep a shard from starting in one pass.
+type passDemands struct {
+	byTeam  map[string]*quota.Demand
+	weighed map[string]int  // units of each team that were weighed
 	started map[string]bool // teams of which something started
 }
 
-// mostWeighed is how many units of a team one pass weighs: those behind the first
+// maxWeighedPerTeam is how many units of a team one pass weighs: those behind the first
 // ones only tell how much more could start.
-const mostWeighed = 6
+const maxWeighedPerTeam = 6
 
-// heldUp tells whether its team's limit keeps a unit from starting here now, and
+// isHeldByLimit tells whether its team's limit keeps a unit from starting here now, and
 // notes what could start if the shard's allotment reached.
-func (n *Controller) heldUp(s *replica.Shard, u *unit, rooms []*room, w *wishes, now time.Time) bool {
-	if !n.limited(u.spec) {
+func (n *Controller) isHeldByLimit(s *replica.Shard, u *placement.QueueEntry, rooms []*placement.Capacity, w *passDemands, now time.Time) bool {
+	if !n.isLimited(u.Spec) {
 		return false
 	}
-	if !n.view.Quota.IsAllotted(u.spec.Team) {
-		return n.overLimit(u)
+	if !n.view.Quota.IsAllotted(u.Spec.Team) {
+		return n.exceedsLimit(u)
 	}
-	team, whole := u.spec.Team, u.spec.Shape == protocol.ShapeGang
-	need, waiting := 1, u.waiting()
+	team, whole := u.Spec.Team, u.Spec.Shape == protocol.ShapeGang
+	need, waiting := 1, u.PlaceableTasks()
 	if whole {
 		need = waiting
 	}
-	may := n.allowanceIn(s.Name, u.spec) + n.bookable(u.c)
-	yields := n.view.Quota.YieldsTo(team, u.spec.Priority(), u.j.Record.AcceptedAtMs, u.j.ID, now)
+	may := n.allowanceOf(s.Name, u.Spec) + n.unrecordedCompletions(u.Claim)
+	yields := n.view.Quota.YieldsTo(team, u.Spec.Priority(), u.Job.Record.AcceptedAtMs, u.Job.ID, now)
 	if may < waiting || yields {
-		n.wish(s, u, rooms, w, need, may)
+		n.addDemand(s, u, rooms, w, need, may)
 	}
 	return may < need || yields
 }
 
-// wish adds a unit to what a shard could start within the team's limit.
-func (n *Controller) wish(s *replica.Shard, u *unit, rooms []*room, w *wishes, need, may int) {
-	if w.looked[u.spec.Team]++; w.looked[u.spec.Team] > mostWeighed {
+// addDemand adds a unit to what a shard could start within the team's limit.
+func (n *Controller) addDemand(s *replica.Shard, u *placement.QueueEntry, rooms []*placement.Capacity, w *passDemands, need, may int) {
+	if w.weighed[u.Spec.Team]++; w.weighed[u.Spec.Team] > maxWeighedPerTeam {
 		return
 	}
-	unit := replica.TaskResources(u.spec)
-	could := min(u.waiting(), roomFor(u.spec, u.j.ID, rooms, u.waiting()))
+	unit := replica.TaskResources(u.Spec)
+	could := min(u.PlaceableTasks(), placement.TasksThatFit(u.Spec, u.Job.ID, rooms, u.PlaceableTasks()))
 	// What never ends is not waited for: a gang that needs the part of the limit that
 	// services use would keep all others from the rest for ever.
-	limit := n.view.Quota.Limit(u.spec.Team)
-	left := limit.Minus(n.view.ServiceUse[u.spec.Team])
+	limit := n.view.Quota.Limit(u.Spec.Team)
+	left := limit.Minus(n.view.ServiceUse[u.Spec.Team])
 	head := unit.Times(float64(need))
 	if (limit.CPUs > 0 && head.CPUs > left.CPUs+tolerance) || (limit.GPUs > 0 && head.GPUs > left.GPUs+tolerance) {
 		return
@@ -185,84 +185,68 @@
 	if could <= may {
 		return
 	}
-	switch x := w.of[u.spec.Team]; {
+	switch x := w.byTeam[u.Spec.Team]; {
 	case x == nil || (x.Anticipated && !ahead):
-		w.of[u.spec.Team] = &quota.Demand{Head: head, PerTask: unit, Total: unit.Times(float64(could)), Priority: u.spec.Priority(),
-			AcceptedAtMs: u.j.Record.AcceptedAtMs, JobID: u.j.ID, AllOrNothing: need > 1, Anticipated: ahead}
+		w.byTeam[u.Spec.Team] = &quota.Demand{Head: head, PerTask: unit, Total: unit.Times(float64(could)), Priority: u.Spec.Priority(),
+			AcceptedAtMs: u.Job.Record.AcceptedAtMs, JobID: u.Job.ID, AllOrNothing: need > 1, Anticipated: ahead}
 	case x.Anticipated == ahead:
 		x.Total = x.Total.Plus(unit.Times(float64(could)))
 	}
 }
 
-// roomFor counts the tasks of a job that the free room takes now, up to so many.
-func roomFor(spec *protocol.Submission, ref string, rooms []*room, most int) int {
-	z := newZoneRule(spec, nil)
-	count := 0
-	for _, r := range rooms {
-		if count >= most {
-			break
-		}
-		if !r.takes(spec, &z) || r.recentErrors[ref] || (r.reservedFor != "" && r.reservedFor != ref) {
-			continue
-		}
-		fit := math.MaxInt32
-		for _, part := range [...]struct{ free, perTask float64 }{{r.cpus, spec.CPUs}, {r.gpus, spec.GPUs}, {r.mem, spec.MemoryGB}} {
-			if part.perTask > 0 {
-				fit = min(fit, int((part.free+tolerance)/part.perTask))
-			}
-		}
-		count += max(0, fit)
-	}
-	return min(count, most)
-}
-
-// bookable counts the placements of a claim that its next version would free.
-func (n *Controller) bookable(c *replica.Claim) int {
+// unrecordedCompletions counts the placements of a claim that its next version would free.
+func (n *Controller) unrecordedCompletions(c *replica.Claim) int {
 	if c == nil || c.Record == nil || c.Pending != nil || c.Spec.Shape == protocol.ShapeGang {
 		return 0
 	}
 	next := c.Record.Clone()
-	n.bookDone(c, next)
+	n.recordCompletions(c, next)
 	return len(c.Record.Placements) - len(next.Placements)
 }
 
-// tellWishes hands a pass's wishes on.
-func (n *Controller) tellWishes(holder string, w *wishes, now time.Time) {
-	for team := range n.cfg.Teams {
+// publishDemands hands a pass's wishes on.
+func (n *Controller) publishDemands(holder string, w *passDemands, now time.Time) {
+	for team := range n.settings.Teams {
 		if n.view.Quota.IsAllotted(team) {
-			n.view.Quota.SetDemand(team, holder, w.of[team], w.started[team], now)
+			n.view.Quota.SetDemand(team, holder, w.byTeam[team], w.started[team], now)
 		}
 	}
 }
 
-// wantGap is how far apart controllers tell one another at once what they want; each
+// quotaSync is when the other controllers were last told what this one's shards could start.
+type quotaSync struct {
+	announced   bool // there was something to tell
+	announcedAt time.Time
+}
+
+// demandInterval is how far apart controllers tell one another at once what they want; each
 // second they do so anyway.
-const wantGap = 250 * time.Millisecond
+const demandInterval = 250 * time.Millisecond
 
-// share carries out the gifts that are due from this node's shards, and tells the
+// transferAllotments carries out the gifts that are due from this node's shards, and tells the
 // others what these want.
-func (n *Controller) share(now time.Time) {
+func (n *Controller) transferAllotments(now time.Time) {
 	wants := n.view.Quota.Demands(now)
-	if (len(wants) > 0 || n.wanted) && now.Sub(n.wantedAt) >= wantGap {
-		n.wanted, n.wantedAt = len(wants) > 0, now
-		n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true, Demands: wants, DemandsComplete: true})
+	if (len(wants) > 0 || n.quotaSync.announced) && now.Sub(n.quotaSync.announcedAt) >= demandInterval {
+		n.quotaSync.announced, n.quotaSync.announcedAt = len(wants) > 0, now
+		n.broadcast(n.ctx, protocol.PeerMessage{From: n.settings.NodeName, StateReachable: true, Demands: wants, DemandsComplete: true})
 	}
 	for _, m := range n.view.Quota.DueTransfers(n.decidesFor, now) {
 		n.log.Debug("allotment given", "team", m.Team, "from", m.From, "to", m.To, "cpus", m.Amount.CPUs, "cards", m.Amount.GPUs)
 		n.commit(kv.PriorityClaim, m.Compares, m.Ops, 0, func(err error) {
 			n.view.Quota.FinishTransfer(m)
 			if err == nil {
-				n.announceKey(m.Ops[0].Key, m.Ops[0].Value)
+				n.broadcastRecord(m.Ops[0].Key, m.Ops[0].Value)
 			}
 		})
 	}
-	for _, h := range n.view.Quota.WaitingTeams(heldTell, now) {
+	for _, h := range n.view.Quota.WaitingTeams(waitingLogInterval, now) {
 		n.log.Info("a team waits for its limit", "team", h.Team, "seconds", int(h.WaitedFor.Seconds()), "limit", h.Limit, "allotted", h.Grants, "used", h.Usage)
 	}
 }
 
-// heldTell is how often a team that waits for its limit is logged.
-const heldTell = 30 * time.Second
+// waitingLogInterval is how often a team that waits for its limit is logged.
+const waitingLogInterval = 30 * time.Second
 
 // decidesFor is the condition under which this node gives from a holder's allotment:
 // it owns the shard, or leads, and its cache holds all that was started there.
@@ -277,14 +261,14 @@
 	return kv.Compare{Key: records.ShardPrefix + holder, Version: s.FencingToken}, true
 }
 
-// tendLimits works off the difference between the limits that controllers were given
+// reconcileLimits works off the difference between the limits that controllers were given
 // and those on record, and how they are divided.
-func (n *Controller) tendLimits(now time.Time) {
+func (n *Controller) reconcileLimits(now time.Time) {
 	if n.view.Quota.HasNoLimits() {
 		return
 	}
 	sit := quota.ClusterState{Revision: n.view.Revision, Complete: len(n.view.OrphanClaims) == 0, IsLeader: n.isLeader(), LeaderCompare: kv.Compare{Key: records.LeaderKey, Version: n.leadership.version},
-		Holders: n.view.ShardNames(), TeamUsage: n.usesOf,
+		Holders: n.view.ShardNames(), TeamUsage: n.usageOf,
 		TeamUsageVersion: func(team string) uint64 { return n.view.Team(team).Version }}
 	for _, name := range n.view.LiveNodes() {
 		sit.Members = append(sit.Members, quota.Member{QuotaVersion: n.view.Nodes[name].QuotaVersion, TeamsHash: n.view.Nodes[name].TeamsHash})
@@ -304,11 +288,11 @@
 			}
 		})
 	}
-	n.tidyTeams(now)
+	n.reconcileTeamUse(now)
 }
 
-// usesOf is a team's use by the names that its one record has for it.
-func (n *Controller) usesOf(team string) map[string]quota.Resources {
+// usageOf is a team's use by the names that its one record has for it.
+func (n *Controller) usageOf(team string) map[string]quota.Resources {
 	out := make(map[string]quota.Resources)
 	for _, name := range n.view.ShardNames() {
 		out[name] = n.view.UsedBy(team, name)
@@ -321,9 +305,9 @@
 	return out
 }
 
-// tidyTeams puts right what a team's one record says of this node's shards: what was
+// reconcileTeamUse puts right what a team's one record says of this node's shards: what was
 // placed before there was a limit, or ended while the record was written.
-func (n *Controller) tidyTeams(now time.Time) {
+func (n *Controller) reconcileTeamUse(now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(n.view.Teams)) {
 		t := n.view.Teams[name]
 		if n.view.Quota.IsAllotted(name) || t.Writing || t.Version == 0 || n.view.Revision < t.Version || len(n.view.OrphanClaims) > 0 {
--- a/internal/coordination/controller/node.go
+++ b/internal/coordination/controller/node.go
@@ -11,7 +11,7 @@
 	"golang.org/x/time/rate"
 
 	"madderslip/internal/coordination/health"
-	"madderslip/internal/coordination/provisioning"
+	"madderslip/internal/coordination/placement"
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
@@ -46,73 +46,90 @@
 	Call(ctx context.Context, in, out any) error
 }
 
-// Controller is one controller. Its fields are guarded by mu; methods that do not
-// take the lock themselves expect it to be held by the caller.
+// Controller is one controller. Its fields are guarded by mu, but for the collaborators and
+// what is set once; methods that do not take the lock themselves expect it to be held by
+// the caller.
 type Controller struct {
-	cfg   protocol.Settings
-	pol   policy.Policy
-	led   StateStore
-	http  HTTPClient
-	peers map[string]PeerClient
-	log   *slog.Logger
-	rng   *rand.Rand
-	boot  time.Time
-	kick  chan struct{}
-	cloud *rate.Limiter
+	settings        protocol.Settings
+	policy          policy.Policy
+	store           StateStore
+	httpClient      HTTPClient
+	peerClients     map[string]PeerClient
+	log             *slog.Logger
+	random          *rand.Rand
+	startedAt       time.Time
+	wakeUp          chan struct{}
+	cloudLimiter    *rate.Limiter
+	waitWhilePaused func(context.Context)
 
-	mu         sync.Mutex
-	view       *replica.View
-	lookingUp  bool                // the jobs of some of them are being read
-	guarantees bool                // some team has one
-	bookings   map[string]*booking // by job
-	unbooking  bool
-	wanted     bool // the others were last told of wants
-	wantedAt   time.Time
-	leadership leadership
-	untold     []untold // answers that wait for the watch
-	unknown    map[string]unknownHost
-	repeatFrom string                        // of these, the one to be repeated next
-	plans      map[string]*plan              // by job: the room for which it has displaced others
-	planned    []string                      // claims for which room is being made, likewise
-	intents    []string                      // claims under way that the other controllers were not told of
-	outbox     map[*replica.Machine]struct{} // machines with commands to be sent
-	refreshes  int                           // of keys after a transaction failed, so far
+	mu              sync.Mutex
+	ctx             context.Context // of Run
+	view            *replica.View
+	membership      membership
+	leadership      leadership
+	shardLoads      shardLoads
+	preemptions     preemptions
+	provisioner     provisioner
+	dependencies    dependencies
+	quotaSync       quotaSync
+	pauses          health.PauseDetector
+	partitionSeenAt map[string]time.Time // by zone: when it last seemed partitioned
+	runtimeRatios   map[string]float64   // by job class: observed run time over the estimate
+	pendingReplies  []pendingReply
+	pendingCommands map[*replica.Machine]struct{} // machines with commands to be sent
+	claimIntents    []string                      // claims under way that the other controllers were not told of
+	nextRepeated    string                        // the cancelled job to be repeated to the others next
+	readingOrphans  bool                          // the jobs of claims without a job are being read
+	refreshCount    int                           // reads of keys after failed transactions, so far
+	gangsSearchedAt time.Time
+	scratch         capacityScratch
+}
+
+// membership is what the controllers know of one another beside the records.
+type membership struct {
+	lease            uint64                 // of this process; 0: none
+	lastContact      map[string]time.Time   // when each other controller last spoke
+	stateReachableAt map[string]time.Time   // when each last said that the state service serves it
+	backlogs         map[string]peerBacklog // changes that wait at each, as it last said
+}
 
-	permit    uint64
-	loads     map[string]replica.ReportedLoad // by shard
-	queuedNow map[string]float64              // CPUs this node queued at a shard since its last figure
-	stateOKAt map[string]time.Time
-	ratios    map[string]float64   // class: observed run time over the estimate
-	refused   map[string]time.Time // type/zone/kind: not to be asked for before
-	beat      health.PauseDetector
-	boots     provisioning.BootStats
-	scratch   struct { // of roomsBut
-		rooms []room
-		list  []*room
+func newMembership() membership {
+	return membership{
+		lastContact:      make(map[string]time.Time),
+		stateReachableAt: make(map[string]time.Time),
+		backlogs:         make(map[string]peerBacklog),
 	}
-	heardFrom  map[string]time.Time // when the other controllers last spoke
-	waits      map[string]waitsSeen // changes that wait there, as they last said
-	cutSeen    map[string]time.Time // zones that seemed cut off, and when last
-	fleet      fleetState
-	pipelines  pipelines // jobs that wait for others
-	soughtWide time.Time // when jobs wider than any shard were last sought
-	ctx        context.Context
-	stand      func(context.Context)
 }
 
-type waitsSeen struct {
+// shardLoads is how loaded each shard is, to choose where a job queues.
+type shardLoads struct {
+	reported    map[string]replica.ReportedLoad // by shard
+	queuedSince map[string]float64              // CPUs this node queued at a shard since its last report
+}
+
+func newShardLoads() shardLoads {
+	return shardLoads{reported: make(map[string]replica.ReportedLoad), queuedSince: make(map[string]float64)}
+}
+
+// capacityScratch is memory reused by each pass over a queue.
+type capacityScratch struct {
+	capacities []placement.Capacity
+	list       []*placement.Capacity
+}
+
+type peerBacklog struct {
 	changes int
 	at      time.Time
 }
 
-type unknownHost struct {
-	first time.Time
-	busy  bool // being recorded, in this shard
-	shard string
-	kind  replica.MachineKind
+type unrecordedHost struct {
+	firstSeen time.Time
+	recording bool // being recorded, in this shard
+	shard     string
+	kind      replica.MachineKind
 }
 
-func btoi(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
@@ -133,48 +150,55 @@
 	WaitWhilePaused func(context.Context)
 }
 
+// Until it is known who leads, the controllers share this part of the cloud's request rate
+// evenly.
+const initialCloudShare = 0.8
+
+const cloudBurst = 3
+
 // New makes a controller; Run starts its loops.
 func New(o Options) *Controller {
 	n := &Controller{
-		cfg: o.Settings, pol: o.Policy, led: o.Store, http: o.HTTP, peers: o.Peers, log: o.Log, rng: o.Rand,
-		boot: time.Now(), kick: make(chan struct{}, 1),
-		cloud:     rate.NewLimiter(rate.Limit(o.Settings.CloudLimits.RequestRate*0.8/float64(max(1, o.Settings.NodeCount))), 3),
-		unknown:   make(map[string]unknownHost),
-		loads:     make(map[string]replica.ReportedLoad),
-		queuedNow: make(map[string]float64), stateOKAt: make(map[string]time.Time),
-		ratios: make(map[string]float64), refused: make(map[string]time.Time),
-		heardFrom: make(map[string]time.Time), waits: make(map[string]waitsSeen), cutSeen: make(map[string]time.Time),
-		outbox: make(map[*replica.Machine]struct{}), plans: make(map[string]*plan), bookings: make(map[string]*booking),
-		pipelines: newPipelines(), ctx: context.Background(),
+		settings: o.Settings, policy: o.Policy, store: o.Store, httpClient: o.HTTP, peerClients: o.Peers, log: o.Log, random: o.Rand,
+		startedAt: time.Now(), wakeUp: make(chan struct{}, 1), ctx: context.Background(),
+		cloudLimiter:    rate.NewLimiter(rate.Limit(o.Settings.CloudLimits.RequestRate*initialCloudShare/float64(max(1, o.Settings.NodeCount))), cloudBurst),
+		membership:      newMembership(),
+		shardLoads:      newShardLoads(),
+		preemptions:     newPreemptions(),
+		provisioner:     newProvisioner(),
+		dependencies:    newDependencies(),
+		runtimeRatios:   make(map[string]float64),
+		partitionSeenAt: make(map[string]time.Time),
+		pendingCommands: make(map[*replica.Machine]struct{}),
 	}
 	n.view = replica.New(o.Settings.Teams, o.Policy.Allotments, o.Log, viewEvents{n})
 	for name := range o.Settings.Teams {
-		n.guarantees = n.guarantees || n.view.Quota.HasGuarantee(name)
+		n.preemptions.hasGuarantees = n.preemptions.hasGuarantees || n.view.Quota.HasGuarantee(name)
 	}
-	if n.stand = o.WaitWhilePaused; n.stand == nil {
-		n.stand = func(context.Context) {}
+	if n.waitWhilePaused = o.WaitWhilePaused; n.waitWhilePaused == nil {
+		n.waitWhilePaused = func(context.Context) {}
 	}
-	n.view.Shard(n.cfg.NodeName)
-	for _, p := range n.cfg.Peers {
-		n.view.Shard(p.Node)
+	n.view.Shard(n.settings.NodeName)
+	for _, peer := range n.settings.Peers {
+		n.view.Shard(peer.Node)
 	}
 	return n
 }
 
-// loopGap is how far apart the loops start: their periods are multiples of one
+// loopStagger is how far apart the loops start: their periods are multiples of one
 // another, and started together they would wait for the lock together for ever.
-const loopGap = 1370 * time.Microsecond
+const loopStagger = 1370 * time.Microsecond
 
 // Run starts the loops and returns when the context ends.
 func (n *Controller) Run(ctx context.Context) {
 	n.mu.Lock()
 	n.ctx = ctx
 	n.mu.Unlock()
-	loops := []func(context.Context){n.watchLoop, n.sessionLoop, n.shardLoop, n.workLoop, n.probeLoop, n.cloudLoop, n.fleetLoop, n.peerLoop}
+	loops := []func(context.Context){n.watchLoop, n.membershipLoop, n.shardLoop, n.workLoop, n.probeLoop, n.cloudLoop, n.fleetLoop, n.peerLoop}
 	var wg sync.WaitGroup
 	for i, loop := range loops {
 		wg.Go(func() {
-			if pause(ctx, time.Duration(i)*loopGap) {
+			if pause(ctx, time.Duration(i)*loopStagger) {
 				loop(ctx)
 			}
 		})
@@ -182,10 +206,10 @@
 	wg.Wait()
 }
 
-// poke asks for a pass over the work soon.
-func (n *Controller) poke() {
+// wake asks for a pass over the work soon.
+func (n *Controller) wake() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.wakeUp <- struct{}{}:
 	default:
 	}
 }
@@ -195,7 +219,7 @@
 	if !pause(ctx, d) {
 		return false
 	}
-	n.stand(ctx)
+	n.waitWhilePaused(ctx)
 	return ctx.Err() == nil
 }
 
@@ -217,7 +241,7 @@
 // watchLoop keeps the cache up to date.
 func (n *Controller) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		items, epoch, err := n.led.List(ctx)
+		items, epoch, err := n.store.List(ctx)
 		if err != nil {
 			n.log.Info("cannot read the state service", "err", err)
 			n.pause(ctx, 500*time.Millisecond)
@@ -228,7 +252,7 @@
 		n.mu.Unlock()
 		n.log.Info("records read", "records", len(items), "epoch", epoch)
 		for ctx.Err() == nil {
-			items, upTo, err := n.led.Watch(ctx, epoch, 10*time.Second)
+			items, upTo, err := n.store.Watch(ctx, epoch, 10*time.Second)
 			if errors.Is(err, kv.ErrCompacted) {
 				n.log.Info("watch fell behind, reading anew")
 				break
@@ -245,30 +269,30 @@
 			epoch = upTo
 			n.view.ReachRevision(epoch)
 			n.mu.Unlock()
-			n.poke()
+			n.wake()
 			n.pause(ctx, watchPause)
 		}
 	}
 }
 
-// sessionLoop keeps this node's lease and the record that shows it is alive.
-func (n *Controller) sessionLoop(ctx context.Context) {
-	ttl := n.pol.NodeLease
-	key := records.NodePrefix + n.cfg.NodeName
+// membershipLoop keeps this node's lease and the record that shows it is alive.
+func (n *Controller) membershipLoop(ctx context.Context) {
+	ttl := n.policy.NodeLease
+	key := records.NodePrefix + n.settings.NodeName
 	var permit uint64
-	rec := &records.Node{StartedAtMs: n.boot.UnixMilli(), DependencyVersion: understandsPipelines}
+	rec := &records.Node{StartedAtMs: n.startedAt.UnixMilli(), DependencyVersion: dependencyVersion}
 	rec.QuotaVersion, rec.TeamsHash = n.view.Quota.Advertised()
 	for ctx.Err() == nil {
 		n.mu.Lock()
-		loaded, live := n.view.Loaded, n.view.Nodes[n.cfg.NodeName]
-		mine := permit != 0 && live.Version != 0 && n.permit == permit
+		loaded, live := n.view.Loaded, n.view.Nodes[n.settings.NodeName]
+		mine := permit != 0 && live.Version != 0 && n.membership.lease == permit
 		n.mu.Unlock()
 		if !loaded {
 			n.pause(ctx, 50*time.Millisecond)
 			continue
 		}
 		if permit == 0 {
-			p, err := n.led.GrantLease(ctx, ttl)
+			p, err := n.store.GrantLease(ctx, ttl)
 			if err != nil {
 				n.log.Info("no lease", "err", err)
 				n.pause(ctx, 300*time.Millisecond)
@@ -282,10 +306,10 @@
 			// Conditional, like all else: a copy that an earlier process of this node had
 			// sent hung the record on that one's lease again, and this node seemed to have
 			// ended when that lease did.
-			n.commit(kv.PriorityLease, []kv.Compare{{Key: key, Version: n.view.Nodes[n.cfg.NodeName].Version}}, []kv.Op{{Key: key, Value: rec, Lease: permit}}, 2*time.Second,
+			n.commit(kv.PriorityLease, []kv.Compare{{Key: key, Version: n.view.Nodes[n.settings.NodeName].Version}}, []kv.Op{{Key: key, Value: rec, Lease: permit}}, 2*time.Second,
 				func(err error) {
 					if err == nil {
-						n.permit = permit
+						n.membership.lease = permit
 					}
 					wait <- err
 				})
@@ -306,7 +330,7 @@
 			}
 		}
 		n.pause(ctx, ttl/3)
-		if err := n.led.KeepAlive(ctx, permit); errors.Is(err, kv.ErrLeaseExpired) {
+		if err := n.store.KeepAlive(ctx, permit); errors.Is(err, kv.ErrLeaseExpired) {
 			n.log.Info("lease ended")
 			permit = 0
 		} else if err != nil {
--- a/internal/coordination/controller/recount.go
+++ b/internal/coordination/controller/recount.go
@@ -29,9 +29,9 @@
 	count("claims without a job", len(n.view.OrphanClaims))
 	count("wide claims", len(n.view.CrossShardClaims))
 	count("jobs with waiting tasks", len(n.view.Unplaced))
-	count("plans to displace", len(n.plans))
+	count("plans to displace", len(n.preemptions.plans))
 	count("cancellations ahead of the watch", len(n.view.EarlyCancellations))
-	count("answers that wait for the watch", len(n.untold))
+	count("answers that wait for the watch", len(n.pendingReplies))
 	count("hires without an answer", len(n.view.Provisions))
 	for _, s := range n.view.Shards {
 		count("claims to look at in "+s.Name, len(s.Dirty))
--- a/internal/coordination/controller/settle.go
+++ b/internal/coordination/controller/settle.go
@@ -15,89 +15,89 @@
 )
 
 const (
-	gatherNews = time.Millisecond + 29*time.Nanosecond // odd, as all pauses of loops: see loopGap
-	passEvery  = 500*time.Millisecond + 31*time.Nanosecond
-	resendGap  = 700 * time.Millisecond
-	retryClaim = time.Second
-	lookAgain  = 250 * time.Millisecond
-	sweepEvery = 5 * time.Second
+	batchDelay      = time.Millisecond + 29*time.Nanosecond // odd, as all pauses of loops: see loopStagger
+	passInterval    = 500*time.Millisecond + 31*time.Nanosecond
+	resendInterval  = 700 * time.Millisecond
+	claimRetryPause = time.Second
+	recheckDelay    = 250 * time.Millisecond
+	sweepInterval   = 5 * time.Second
 )
 
-// pace leaves most of the time to answers, however long passes take.
-var pace = admission.Throttle{MaxShare: 0.25, MinPause: 15 * time.Millisecond, IdlePause: 50 * time.Millisecond, MaxPause: 150 * time.Millisecond}
+// throttle leaves most of the time to answers, however long passes take.
+var throttle = admission.Throttle{MaxShare: 0.25, MinPause: 15 * time.Millisecond, IdlePause: 50 * time.Millisecond, MaxPause: 150 * time.Millisecond}
 
 // workLoop compares placements with reports and the queue with the room there
 // is, whenever something changed and a few times a second.
 func (n *Controller) workLoop(ctx context.Context) {
 	for {
-		tick := time.NewTimer(passEvery)
+		tick := time.NewTimer(passInterval)
 		select {
 		case <-ctx.Done():
 			tick.Stop()
 			return
-		case <-n.kick:
+		case <-n.wakeUp:
 			// What came together is looked at together.
-			n.pause(ctx, gatherNews)
+			n.pause(ctx, batchDelay)
 		case <-tick.C:
-			n.stand(ctx)
+			n.waitWhilePaused(ctx)
 		}
 		tick.Stop()
 		n.mu.Lock()
 		began := time.Now()
-		n.look(began)
+		n.observePause(began)
 		urgent := n.view.Urgent
 		if n.view.Loaded {
 			n.view.Urgent = false
 			n.pass(began)
 		}
 		n.mu.Unlock()
-		if !n.pause(ctx, pace.Pause(time.Since(began), urgent)) {
+		if !n.pause(ctx, throttle.Pause(time.Since(began), urgent)) {
 			return
 		}
 	}
 }
 
 func (n *Controller) pass(now time.Time) {
-	n.expirePlans(now)
-	n.passRanksOn(now)
+	n.expirePreemptions(now)
+	n.propagateUrgency(now)
 	for _, name := range n.view.ShardNames() {
 		s := n.view.Shards[name]
 		if !n.view.IsActive(s) {
 			continue
 		}
-		if now.Sub(s.SweptAt) > sweepEvery {
+		if now.Sub(s.SweptAt) > sweepInterval {
 			n.view.MarkAllDirty(s)
 		}
-		n.settle(s, now)
-		n.hold(s, now)
+		n.reconcileClaims(s, now)
+		n.holdForGangs(s, now)
 		// Nothing has changed: the queue would only find what it found before.
-		if s.Changed || now.Sub(s.ScheduledAt) >= passEvery {
+		if s.Changed || now.Sub(s.ScheduledAt) >= passInterval {
 			s.Changed, s.ScheduledAt = false, now
-			n.schedule(s, now)
+			n.scheduleShard(s, now)
 		}
 	}
 	if n.isLeader() {
-		n.gather(now)
+		n.reserveForGangs(now)
 	}
-	n.share(now)
-	n.tidyBookings(now)
-	if len(n.intents)+len(n.planned) > 0 {
-		n.broadcast(n.ctx, protocol.PeerMessage{From: n.cfg.NodeName, StateReachable: true, ClaimIntents: n.intents, PreemptionIntents: n.planned})
-		n.intents, n.planned = nil, nil
+	n.transferAllotments(now)
+	n.releaseReservations(now)
+	if len(n.claimIntents)+len(n.preemptions.intents) > 0 {
+		n.broadcast(n.ctx, protocol.PeerMessage{From: n.settings.NodeName, StateReachable: true, ClaimIntents: n.claimIntents, PreemptionIntents: n.preemptions.intents})
+		n.claimIntents, n.preemptions.intents = nil, nil
 	}
-	n.lookUps(now)
+	n.readOrphanJobs(now)
 }
 
-// lookUpsAtOnce bounds how many jobs are read in one go.
-const lookUpsAtOnce = 32
+// maxJobReads bounds how many jobs are read in one go.
+const maxJobReads = 32
 
-// lookUps reads the jobs of claims whose job this node has forgotten or not
+// readOrphanJobs reads the jobs of claims whose job this node has forgotten or not
 // seen: a cancelled job can be passed on ahead of its claim. One goroutine reads
 // at a time. When each had its own, some seven thousand waited for the request
 // budget on a bad day, until the process ended for memory, and the watch behind
 // them was so late that cancelled tasks ran on.
-func (n *Controller) lookUps(now time.Time) {
-	if n.lookingUp || len(n.view.OrphanClaims) == 0 {
+func (n *Controller) readOrphanJobs(now time.Time) {
+	if n.readingOrphans || len(n.view.OrphanClaims) == 0 {
 		return
 	}
 	var refs []string
@@ -106,36 +106,36 @@
 		for _, c := range n.view.OrphanClaims[ref] {
 			due = due && c.RetryAt.Before(now)
 		}
-		if due && len(refs) < lookUpsAtOnce {
+		if due && len(refs) < maxJobReads {
 			refs = append(refs, ref)
 		}
 	}
 	if len(refs) == 0 {
 		return
 	}
-	n.lookingUp = true
+	n.readingOrphans = true
 	ctx := n.ctx
 	go func() {
 		for _, ref := range refs {
-			ctx, cancel := context.WithTimeout(ctx, lookUpWithin)
-			it, err := n.led.Get(ctx, records.JobPrefix+ref)
+			ctx, cancel := context.WithTimeout(ctx, jobReadTimeout)
+			it, err := n.store.Get(ctx, records.JobPrefix+ref)
 			cancel()
 			n.mu.Lock()
-			n.lookedUp(ref, it, err)
+			n.applyOrphanJob(ref, it, err)
 			n.mu.Unlock()
 			if err != nil {
 				break // the others would wait as vainly
 			}
 		}
 		n.mu.Lock()
-		n.lookingUp = false
+		n.readingOrphans = false
 		n.mu.Unlock()
 	}()
 }
 
-const lookUpWithin = 2 * time.Second
+const jobReadTimeout = 2 * time.Second
 
-func (n *Controller) lookedUp(ref string, it kv.Item, err error) {
+func (n *Controller) applyOrphanJob(ref string, it kv.Item, err error) {
 	for _, c := range n.view.OrphanClaims[ref] {
 		c.RetryAt = time.Now().Add(time.Second)
 	}
@@ -147,32 +147,32 @@
 	n.view.ApplyItem(it)
 }
 
-// settle works through the claims of a shard: what has ended is booked, what
+// reconcileClaims works through the claims of a shard: what has ended is booked, what
 // should run is started, what should not is stopped.
-func (n *Controller) settle(s *replica.Shard, now time.Time) {
+func (n *Controller) reconcileClaims(s *replica.Shard, now time.Time) {
 	for _, c := range n.view.TakeDirtyClaims(s, now) {
 		j := n.view.Jobs[c.JobID]
 		if c.Record == nil || c.Pending != nil || j == nil || c.Spec == nil {
 			continue // marked again when that changes
 		}
-		n.settleClaim(s, j, c, now)
+		n.reconcileClaim(s, j, c, now)
 	}
 }
 
-// fate is what has become of a placement.
-type fate int
+// outcome is what has become of a placement.
+type outcome int
 
 const (
-	onMachine fate = iota // it is, or may be, on its machine
-	unsettled             // the same, and something is to be done about it
-	completed
-	gone
+	outcomeRunning outcome = iota // it is, or may be, on its machine
+	outcomePending                // the same, and something is to be done about it
+	outcomeCompleted
+	outcomeGone
 )
 
-func (n *Controller) settleClaim(s *replica.Shard, j *replica.Job, c *replica.Claim, now time.Time) {
+func (n *Controller) reconcileClaim(s *replica.Shard, j *replica.Job, c *replica.Claim, now time.Time) {
 	next := c.Record.Clone()
 	next.Placements = next.Placements[:0]
-	changed, pressing, uneasy := false, n.limited(c.Spec) && (!n.view.Quota.IsAllotted(c.Spec.Team) || n.view.Quota.IsDemanded(c.Spec.Team)), j.Record.IsFinal()
+	changed, pressing, uneasy := false, n.isLimited(c.Spec) && (!n.view.Quota.IsAllotted(c.Spec.Team) || n.view.Quota.IsDemanded(c.Spec.Team)), j.Record.IsFinal()
 	if c.Spec.Shape == protocol.ShapeGang && len(c.Record.Placements) > 0 && len(c.Record.Placements)+c.Record.CompletedCount() < c.Record.TaskCount {
 		c.HaltedAttempt = c.Record.LastAttempt // it was placed whole, so a task has been lost
 	}
@@ -182,12 +182,12 @@
 			next.Placements = append(next.Placements, *p) // its own shard's owner judges it
 			continue
 		}
-		switch n.judge(s, j, c, p, now) {
-		case completed:
+		switch n.classifyPlacement(s, j, c, p, now) {
+		case outcomeCompleted:
 			next.MarkCompleted(p.Task)
 			delete(c.Evictions, p.Task)
 			changed = true
-		case gone:
+		case outcomeGone:
 			if _, moved := c.Evictions[p.Task]; !moved && c.Spec.Shape == protocol.ShapeService && !j.Record.IsFinal() {
 				n.log.Info("replica lost", "task", protocol.TaskName(c.JobID, p.Task), "try", p.Attempt, "host", p.Host)
 			}
@@ -196,14 +196,14 @@
 			if c.Spec.Shape == protocol.ShapeGang && len(c.Record.Placements) > 1 {
 				c.HaltedAttempt = c.Record.LastAttempt
 			}
-		case unsettled:
+		case outcomePending:
 			uneasy = true
 			next.Placements = append(next.Placements, *p)
 		default:
 			next.Placements = append(next.Placements, *p)
 		}
 	}
-	n.flush(s)
+	n.sendPendingCommands(s)
 	if c.Spec.Shape == protocol.ShapeGang && next.CompletedCount() > 0 && !next.IsComplete() {
 		// A gang completes together: if one task is done, every one is.
 		for t := next.FirstTask; t < next.FirstTask+next.TaskCount; t++ {
@@ -229,24 +229,24 @@
 		// its worker goes on listing it, and its room counts as free already.
 		// One write for each of some hundred tasks a second is beyond the
 		// state service's budget.
-		if (pressing || now.Sub(c.CompletionSeenAt) >= n.pol.CompletionBatchDelay) && n.update(s, c, next, kv.PriorityCompletion, nil) {
+		if (pressing || now.Sub(c.CompletionSeenAt) >= n.policy.CompletionBatchDelay) && n.updateClaim(s, c, next, kv.PriorityCompletion, nil) {
 			return
 		}
 		uneasy = true
 	}
 	if uneasy {
-		c.CheckAt = now.Add(lookAgain)
+		c.CheckAt = now.Add(recheckDelay)
 		s.Dirty[c] = struct{}{}
 	}
 }
 
-// judge decides a placement's fate from proof alone: the worker's own account
+// classifyPlacement decides a placement's fate from proof alone: the worker's own account
 // under the current token with no command outstanding, or a machine that the
 // cloud has taken back. Silence proves nothing.
-func (n *Controller) judge(s *replica.Shard, j *replica.Job, c *replica.Claim, p *records.Placement, now time.Time) fate {
+func (n *Controller) classifyPlacement(s *replica.Shard, j *replica.Job, c *replica.Claim, p *records.Placement, now time.Time) outcome {
 	m := n.view.Machines[p.Host]
 	if m == nil {
-		return onMachine
+		return outcomeRunning
 	}
 	name := c.TaskName(p)
 	t := m.Agent.Tasks[name]
@@ -256,74 +256,74 @@
 		// another owner of the shard may have started it again there. Freed on such
 		// an account, a limited team's use was lowered while the task ran.
 		if !m.ShowsToken(s) && !m.Lifecycle.Gone && m.Record.State != records.MachineGone {
-			return unsettled
+			return outcomePending
 		}
-		n.learn(j, c.Spec, m, name, now)
-		return completed
+		n.recordCompletion(j, c.Spec, m, name, now)
+		return outcomeCompleted
 	}
 	if m.Lifecycle.Gone || m.Record.State == records.MachineGone {
-		return gone
+		return outcomeGone
 	}
 	if m.Agent.Heartbeat == nil {
-		return onMachine
+		return outcomeRunning
 	}
-	grace, stop := n.wantStop(c, p, now)
+	grace, stop := n.shouldStop(c, p, now)
 	switch {
 	case t != nil && t.Attempt == p.Attempt && t.Phase == protocol.TaskExited:
 		if !m.ShowsToken(s) {
-			return unsettled
+			return outcomePending
 		}
 		if m.HasUnconfirmedStart(name, p.Attempt) {
 			s.RequestNewToken(m)
-			return unsettled
+			return outcomePending
 		}
 		if t.Cause == protocol.CauseGangTimeout && !stop {
 			// It had waited too long for the others, whose images may take longer
 			// still. They go on waiting for it: once reaped it starts again, in the
 			// same attempt and on the same machine. To end the attempt instead threw
 			// away what the others had fetched.
-			return unsettled
+			return outcomePending
 		}
-		n.blame(j, m, t, now)
-		return gone
+		n.recordTaskEnd(j, m, t, now)
+		return outcomeGone
 	case t != nil && t.Attempt == p.Attempt:
 		if !stop {
-			return onMachine
+			return outcomeRunning
 		}
-		if now.Sub(m.Commands.StopSentAt[name]) > resendGap && (t.Phase != protocol.TaskCheckpointing || grace == 0) {
+		if now.Sub(m.Commands.StopSentAt[name]) > resendInterval && (t.Phase != protocol.TaskCheckpointing || grace == 0) {
 			m.Commands.StopSentAt[name] = now
-			n.order(s, m, protocol.StopCommand(name, p.Attempt, grace))
+			n.queueCommands(s, m, protocol.StopCommand(name, p.Attempt, grace))
 		}
-		return unsettled
+		return outcomePending
 	case t != nil: // another attempt of it is still there
-		return unsettled
+		return outcomePending
 	case !m.ShowsToken(s):
-		return unsettled
-	case stop, n.overUsed(c.Spec), m.Detector.Reachability.CannotReceive(), n.mute(m, now) && !n.stateDown(now):
+		return outcomePending
+	case stop, n.isOverLimit(c.Spec), m.Detector.Reachability.CannotReceive(), n.cannotReport(m, now) && !n.isStateDown(now):
 		// Also what a limit lowered since leaves no room for: what runs may go on, what is
 		// not there may not begin. A machine that does not hear would not begin it, and one
 		// that does not report would lose it with its lease, which is more than an outage
 		// lets begin elsewhere.
 		if m.HasUnconfirmedStart(name, p.Attempt) {
 			s.RequestNewToken(m)
-			return unsettled
+			return outcomePending
 		}
-		return gone // it never started, and now never will
+		return outcomeGone // it never started, and now never will
 	}
 	// Committed but not there: started by no one, or lost with the worker's
 	// session. The same attempt may start again, for nothing else can hold it, unless
 	// its job may have been cancelled where this node can't hear of it.
-	if !n.hearsNobody(now) && !slices.ContainsFunc(m.Commands.Pending, isStart(name)) && !slices.ContainsFunc(m.Commands.InFlight, isStart(name)) &&
-		now.Sub(m.Commands.StartSentAt[name]) > resendGap && m.Record.State == "" {
+	if !n.hearsNobody(now) && !slices.ContainsFunc(m.Commands.Pending, isStartOf(name)) && !slices.ContainsFunc(m.Commands.InFlight, isStartOf(name)) &&
+		now.Sub(m.Commands.StartSentAt[name]) > resendInterval && m.Record.State == "" {
 		m.Commands.StartSentAt[name] = now
-		n.order(s, m, protocol.StartCommand(name, p.Attempt))
+		n.queueCommands(s, m, protocol.StartCommand(name, p.Attempt))
 	}
-	return unsettled
+	return outcomePending
 }
 
-// bookDone takes completions that are not booked yet into a version of a claim
+// recordCompletions takes completions that are not booked yet into a version of a claim
 // that is about to be committed anyway.
-func (n *Controller) bookDone(c *replica.Claim, next *records.Claim) {
+func (n *Controller) recordCompletions(c *replica.Claim, next *records.Claim) {
 	next.Placements = slices.DeleteFunc(next.Placements, func(p records.Placement) bool {
 		m := n.view.Machines[p.Host]
 		if m == nil || c.Spec.Shape == protocol.ShapeGang || !m.ShowsToken(n.view.Shards[m.Record.Shard]) {
@@ -338,12 +338,12 @@
 	})
 }
 
-func isStart(name string) func(protocol.Command) bool {
+func isStartOf(name string) func(protocol.Command) bool {
 	return func(c protocol.Command) bool { return c.Verb == "start" && c.Task == name }
 }
 
-// wantStop tells whether a placement should end, and with what grace.
-func (n *Controller) wantStop(c *replica.Claim, p *records.Placement, now time.Time) (time.Duration, bool) {
+// shouldStop tells whether a placement should end, and with what grace.
+func (n *Controller) shouldStop(c *replica.Claim, p *records.Placement, now time.Time) (time.Duration, bool) {
 	j := n.view.Jobs[c.JobID]
 	if j == nil || j.Record == nil || c.Spec == nil {
 		return 0, false
@@ -368,23 +368,23 @@
 	return grace, true
 }
 
-// estimate is a task's expected run time, the image fetch left out.
-func (n *Controller) estimate(s *protocol.Submission) time.Duration {
+// estimateRuntime is a task's expected run time, the image fetch left out.
+func (n *Controller) estimateRuntime(s *protocol.Submission) time.Duration {
 	ratio := 1.0
-	if r, ok := n.ratios[s.Class]; ok {
+	if r, ok := n.runtimeRatios[s.Class]; ok {
 		ratio = r
 	}
 	return time.Duration(float64(s.RunEstimate()) * ratio)
 }
 
-// update commits a new version of a claim that this shard holds.
-func (n *Controller) update(s *replica.Shard, c *replica.Claim, next *records.Claim, prio int, then func(error)) bool {
-	if next.MaxEncodedSize() > n.led.MaxValueBytes() {
+// updateClaim commits a new version of a claim that this shard holds.
+func (n *Controller) updateClaim(s *replica.Shard, c *replica.Claim, next *records.Claim, prio int, then func(error)) bool {
+	if next.MaxEncodedSize() > n.store.MaxValueBytes() {
 		// Written before the state service lowered its limits. Each task that ends makes
 		// it smaller; until it fits, its workers go on listing what has ended.
 		return false
 	}
-	conds, ops, t, ok := n.reserveTeam(s.Name, c, next)
+	conds, ops, t, ok := n.reserveTeamUse(s.Name, c, next)
 	if !ok {
 		return false
 	}
@@ -430,7 +430,7 @@
 	// Two dozen of them did not fit a transaction of a state service with lower limits.
 	conds = append(conds, kv.Compare{Key: c.Key, Version: c.Version})
 	done := &records.Job{State: protocol.JobDone, Tasks: j.Record.Spec.Tasks}
-	tconds, ops, t, ok := n.reserveTeam(s.Name, c, next)
+	tconds, ops, t, ok := n.reserveTeamUse(s.Name, c, next)
 	if !ok {
 		return false
 	}
@@ -458,8 +458,8 @@
 			c.RetryAt = time.Now().Add(150 * time.Millisecond)
 			return
 		}
-		n.announceFinal(j.ID)
-		n.releaseAfter(j.ID, time.Now())
+		n.broadcastFinal(j.ID)
+		n.releaseDependents(j.ID, time.Now())
 	})
 	return true
 }
@@ -468,7 +468,7 @@
 func (n *Controller) dropClaim(s *replica.Shard, c *replica.Claim) {
 	empty := c.Record.Clone()
 	empty.Placements = nil
-	conds, ops, t, ok := n.reserveTeam(s.Name, c, empty)
+	conds, ops, t, ok := n.reserveTeamUse(s.Name, c, empty)
 	if !ok {
 		return
 	}
@@ -493,7 +493,7 @@
 // when another shard won it, the copy is dropped.
 func (n *Controller) finishClaim(s *replica.Shard, c *replica.Claim, err error) {
 	n.view.SetPending(c, nil)
-	if t := n.view.Teams[c.Spec.Team]; t != nil && n.limited(c.Spec) {
+	if t := n.view.Teams[c.Spec.Team]; t != nil && n.isLimited(c.Spec) {
 		t.Writing = false
 	}
 	if err != nil {
@@ -501,7 +501,7 @@
 			n.view.DropClaim(c)
 		}
 		if j := n.view.Jobs[c.JobID]; j != nil {
-			j.LeftUntil[c.Chunk] = time.Now().Add(retryClaim)
+			j.LeftUntil[c.Chunk] = time.Now().Add(claimRetryPause)
 		}
 		if !errors.Is(err, kv.ErrCompareFailed) {
 			n.log.Debug("claim not made", "claim", c.Key, "err", err)
@@ -515,5 +515,5 @@
 	if j.Claims[c.Chunk] == nil {
 		n.view.Attach(j, c)
 	}
-	n.settleClaim(s, j, c, time.Now())
+	n.reconcileClaim(s, j, c, time.Now())
 }
--- a/internal/coordination/controller/shards.go
+++ b/internal/coordination/controller/shards.go
@@ -14,9 +14,9 @@
 func (n *Controller) applyShard(name string, r *records.Shard, stamp uint64) {
 	s := n.view.Shard(name)
 	s.Record, s.Version, s.NewOwner = r, stamp, ""
-	n.voidOrders(s)
+	n.dropPendingCommands(s)
 	switch {
-	case r == nil || r.Owner != n.cfg.NodeName:
+	case r == nil || r.Owner != n.settings.NodeName:
 		if s.FencingToken != 0 {
 			n.log.Info("shard lost", "shard", name)
 		}
@@ -35,41 +35,41 @@
 		s.FencingToken, s.NeedsNewToken = stamp, false
 		n.view.MarkAllDirty(s)
 		n.log.Info("shard acquired", "shard", name, "token", stamp)
-		n.pushToken(s)
+		n.publishToken(s)
 	}
 }
 
-// ousted takes another controller's word that it has acquired a shard which this
+// yieldToNewOwner takes another controller's word that it has acquired a shard which this
 // one takes for its own. A node that the state service refuses alone reads of it
 // nowhere: it went on answering the shard's workers with its old token, they
 // stayed, and the new owner owned machines that never came. The word is advice and
 // costs nothing when wrong: to command less breaks no rule, and the next version
 // of the record clears it.
-func (n *Controller) ousted(s *replica.Shard, by string, token uint64) {
-	if by == n.cfg.NodeName || token <= max(s.FencingToken, s.NewOwnerToken) || (s.FencingToken == 0 && s.NewOwner == "") {
+func (n *Controller) yieldToNewOwner(s *replica.Shard, by string, token uint64) {
+	if by == n.settings.NodeName || token <= max(s.FencingToken, s.NewOwnerToken) || (s.FencingToken == 0 && s.NewOwner == "") {
 		return
 	}
 	n.log.Info("shard lost, its new owner says so", "shard", s.Name, "to", by, "token", token)
 	s.FencingToken, s.NewOwner, s.NewOwnerToken = 0, by, token
-	n.voidOrders(s)
+	n.dropPendingCommands(s)
 }
 
-// voidOrders drops the commands that were ordered under an earlier token and are not
+// dropPendingCommands drops the commands that were ordered under an earlier token and are not
 // sent yet: another owner may have acted since. Kept, they went out under the next
 // token and started again what had ended and was booked.
-func (n *Controller) voidOrders(s *replica.Shard) {
+func (n *Controller) dropPendingCommands(s *replica.Shard) {
 	for _, m := range s.Machines {
 		m.Commands.Pending = nil
-		delete(n.outbox, m)
+		delete(n.pendingCommands, m)
 	}
 }
 
-// pushToken shows a new token to the shard's machines at once, rather than
+// publishToken shows a new token to the shard's machines at once, rather than
 // with their next reports.
-func (n *Controller) pushToken(s *replica.Shard) {
+func (n *Controller) publishToken(s *replica.Shard) {
 	for _, m := range s.Machines {
 		if m.Agent.Heartbeat != nil && m.Address() != "" {
-			n.send(s, m)
+			n.sendCommands(s, m)
 		}
 	}
 }
@@ -80,24 +80,24 @@
 	for n.pause(ctx, 200*time.Millisecond) {
 		n.mu.Lock()
 		now := time.Now()
-		n.look(now)
-		n.tellUntold(now)
-		if n.view.Loaded && n.permit != 0 {
+		n.observePause(now)
+		n.sendPendingReplies(now)
+		if n.view.Loaded && n.membership.lease != 0 {
 			for _, name := range n.view.ShardNames() {
 				if s := n.view.Shards[name]; !s.Writing {
-					n.tendShard(s, now)
+					n.reconcileShard(s, now)
 				}
 			}
-			n.tendLead()
-			n.tendLimits(now)
-			n.tendPipelines(now)
+			n.campaign()
+			n.reconcileLimits(now)
+			n.reconcileDependencies(now)
 		}
 		n.mu.Unlock()
 	}
 }
 
-func (n *Controller) tendShard(s *replica.Shard, now time.Time) {
-	me := n.cfg.NodeName
+func (n *Controller) reconcileShard(s *replica.Shard, now time.Time) {
+	me := n.settings.NodeName
 	self, alive := n.view.Nodes[me]
 	if !alive {
 		return
@@ -108,7 +108,7 @@
 		// Another has it; the record of that has yet to come.
 	case s.Record == nil:
 		// Never owned. Its home takes it; another only if the home stays away.
-		if s.Name == me || (!homeLive && now.Sub(self.Since) > 2*n.pol.NodeLease) {
+		if s.Name == me || (!homeLive && now.Sub(self.Since) > 2*n.policy.NodeLease) {
 			n.writeShard(s, me, nil)
 		}
 	case s.Record.Owner == me && s.FencingToken == 0:
@@ -117,11 +117,11 @@
 		s.TokenRaisedAt = now
 		n.log.Info("raising the token", "shard", s.Name)
 		n.writeShard(s, me, nil)
-	case s.Record.Owner == me && s.Name != me && homeLive && now.UnixMilli() > s.Record.AwayUntilMs && now.Sub(home.Since) > n.pol.HandbackDelay && now.Sub(s.OwnedSince) > 2*time.Second:
+	case s.Record.Owner == me && s.Name != me && homeLive && now.UnixMilli() > s.Record.AwayUntilMs && now.Sub(home.Since) > n.policy.HandbackDelay && now.Sub(s.OwnedSince) > 2*time.Second:
 		n.log.Info("handing the shard back", "shard", s.Name)
 		n.writeShard(s, s.Name, []kv.Compare{{Key: records.NodePrefix + s.Name, Version: home.Version}})
-	case s.Record.Owner == me && n.cutOff(s, now):
-		if to := n.otherLive(); to != "" {
+	case s.Record.Owner == me && n.isCutOff(s, now):
+		if to := n.leastLoadedPeer(); to != "" {
 			n.log.Info("most machines are silent here, giving the shard away", "shard", s.Name, "to", to)
 			n.giveAway(s, to, now)
 		}
@@ -132,7 +132,7 @@
 			if s.OwnerlessSince.IsZero() {
 				s.OwnerlessSince = now
 			}
-			if s.Name != me && (now.Sub(s.OwnerlessSince) < n.turn() || now.Sub(self.Since) < failover.StartupGrace) {
+			if s.Name != me && (now.Sub(s.OwnerlessSince) < n.takeoverDelay() || now.Sub(self.Since) < failover.StartupGrace) {
 				return
 			}
 			// The home node, if it lives, has the first turn.
@@ -151,22 +151,22 @@
 	if s.Record != nil {
 		next.Changes, next.AwayUntilMs = s.Record.Changes+1, s.Record.AwayUntilMs
 	}
-	n.putShard(s, next, extra)
+	n.commitShard(s, next, extra)
 }
 
 // giveAway hands a shard to a node that may reach its machines, for a while.
 func (n *Controller) giveAway(s *replica.Shard, to string, now time.Time) {
 	next := &records.Shard{Owner: to, Changes: s.Record.Changes + 1, AwayUntilMs: s.Record.AwayUntilMs}
-	if s.Name == n.cfg.NodeName {
+	if s.Name == n.settings.NodeName {
 		next.AwayUntilMs = now.Add(time.Minute).UnixMilli() // its home is what is in trouble
 	}
-	n.putShard(s, next, []kv.Compare{{Key: records.NodePrefix + to, Version: n.view.Nodes[to].Version}})
+	n.commitShard(s, next, []kv.Compare{{Key: records.NodePrefix + to, Version: n.view.Nodes[to].Version}})
 }
 
-func (n *Controller) putShard(s *replica.Shard, next *records.Shard, extra []kv.Compare) {
+func (n *Controller) commitShard(s *replica.Shard, next *records.Shard, extra []kv.Compare) {
 	conds := append([]kv.Compare{{Key: records.ShardPrefix + s.Name, Version: s.Version}}, extra...)
 	s.Writing = true
-	if next.Owner != n.cfg.NodeName {
+	if next.Owner != n.settings.NodeName {
 		s.FencingToken = 0 // stop commanding before another may begin
 	}
 	n.commit(kv.PriorityLease, conds, []kv.Op{{Key: records.ShardPrefix + s.Name, Value: next}}, 3*time.Second, func(err error) {
@@ -177,9 +177,9 @@
 	})
 }
 
-// otherLive is the live controller beside this one that answers for the fewest
+// leastLoadedPeer is the live controller beside this one that answers for the fewest
 // machines; empty: none.
-func (n *Controller) otherLive() string {
+func (n *Controller) leastLoadedPeer() string {
 	machines := make(map[string]int)
 	for _, s := range n.view.Shards {
 		if s.Record != nil {
@@ -188,38 +188,38 @@
 	}
 	best := ""
 	for _, name := range n.view.LiveNodes() {
-		if name != n.cfg.NodeName && (best == "" || machines[name] < machines[best]) {
+		if name != n.settings.NodeName && (best == "" || machines[name] < machines[best]) {
 			best = name
 		}
 	}
 	return best
 }
 
-// cutOff tells that nearly all of a shard's machines went silent together and the
+// isCutOff tells that nearly all of a shard's machines went silent together and the
 // fault seems to be this node's own links. Giving the shard to a node that may reach
 // them keeps their leases alive.
-func (n *Controller) cutOff(s *replica.Shard, now time.Time) bool {
-	if s.Name == n.cfg.NodeName && now.Sub(s.OwnedSince) < 3*n.pol.FenceAfter {
+func (n *Controller) isCutOff(s *replica.Shard, now time.Time) bool {
+	if s.Name == n.settings.NodeName && now.Sub(s.OwnedSince) < 3*n.policy.FenceAfter {
 		return false // they may be on their way here
 	}
-	return n.otherLive() != "" && n.alone(s, n.pol.SuspectAfter, now)
+	return n.leastLoadedPeer() != "" && n.isSelfIsolated(s, n.policy.SuspectAfter, now)
 }
 
-// alone tells that the silence of a shard's machines for so long is this node's own.
-func (n *Controller) alone(s *replica.Shard, than time.Duration, now time.Time) bool {
+// isSelfIsolated tells that the silence of a shard's machines for so long is this node's own.
+func (n *Controller) isSelfIsolated(s *replica.Shard, than time.Duration, now time.Time) bool {
 	var this health.ShardSilence
 	var all []health.ShardSilence
 	for _, other := range n.view.Shards {
 		if !n.view.IsActive(other) {
 			continue
 		}
-		h := health.ShardSilence{Home: other.Name == n.cfg.NodeName}
+		h := health.ShardSilence{Home: other.Name == n.settings.NodeName}
 		for _, m := range other.Machines {
 			if m.Agent.Heartbeat == nil {
 				continue
 			}
 			h.Reporting++
-			if n.silence(m, now) > than {
+			if n.silenceOf(m, now) > than {
 				h.Silent++
 				if m.Agent.LastContact.After(other.OwnedSince) {
 					h.Lost++
@@ -242,15 +242,15 @@
 	campaigning bool   // a commit to become leader is under way
 }
 
-// tendLead seeks the lead when nobody has it. The record hangs on the node's
+// campaign seeks the lead when nobody has it. The record hangs on the node's
 // lease, so it goes when its holder does.
-func (n *Controller) tendLead() {
+func (n *Controller) campaign() {
 	if n.leadership.version != 0 || n.leadership.campaigning {
 		return
 	}
 	n.leadership.campaigning = true
 	n.commit(kv.PriorityBackground, []kv.Compare{{Key: records.LeaderKey, Version: 0}},
-		[]kv.Op{{Key: records.LeaderKey, Value: &records.Leader{Node: n.cfg.NodeName, StartedAtMs: n.boot.UnixMilli()}, Lease: n.permit}}, 2*time.Second,
+		[]kv.Op{{Key: records.LeaderKey, Value: &records.Leader{Node: n.settings.NodeName, StartedAtMs: n.startedAt.UnixMilli()}, Lease: n.membership.lease}}, 2*time.Second,
 		func(error) { n.leadership.campaigning = false })
 }
 
@@ -264,7 +264,7 @@
 		return
 	}
 	n.leadership.node, n.leadership.version = r.Node, stamp
-	if n.leadership.isSelf = r.Node == n.cfg.NodeName && r.StartedAtMs == n.boot.UnixMilli(); n.leadership.isSelf {
+	if n.leadership.isSelf = r.Node == n.settings.NodeName && r.StartedAtMs == n.startedAt.UnixMilli(); n.leadership.isSelf {
 		n.log.Info("leading")
 	}
 }
@@ -272,5 +272,5 @@
 // isLeader tells whether this process leads, and knows all that earlier leaders
 // recorded.
 func (n *Controller) isLeader() bool {
-	return n.leadership.isSelf && n.permit != 0 && n.view.Revision >= n.leadership.version
+	return n.leadership.isSelf && n.membership.lease != 0 && n.view.Revision >= n.leadership.version
 }
--- a/internal/coordination/controller/users.go
+++ b/internal/coordination/controller/users.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"madderslip/internal/coordination/admission"
+	"madderslip/internal/coordination/placement"
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
@@ -16,8 +17,8 @@
 
 // Users wait 5 s for submissions and 2 s for polls; answers come before that.
 const (
-	submitWithin = 4 * time.Second
-	pollWithin   = 1700 * time.Millisecond
+	submitTimeout = 4 * time.Second
+	queryTimeout  = 1700 * time.Millisecond
 )
 
 // Handle answers a request of the public address.
@@ -29,9 +30,9 @@
 	case protocol.RouteQuery:
 		n.handleQuery(id, reply)
 	case protocol.RouteCancel:
-		n.handleAbort(id, reply)
+		n.handleCancel(id, reply)
 	case protocol.RouteHeartbeat:
-		n.handleReport(body, reply)
+		n.handleHeartbeat(body, reply)
 	case protocol.RouteReady:
 		n.handleReady(reply)
 	case protocol.RouteWrongMethod:
@@ -51,7 +52,7 @@
 	return transport.Response{Status: status, Body: b}
 }
 
-var notFound = transport.Response{Status: 404, Body: []byte(`{"error":"no such job"}`)}
+var jobNotFound = transport.Response{Status: 404, Body: []byte(`{"error":"no such job"}`)}
 
 // handleReady: a node is ready once it has read the records. It turns unready
 // when it alone is refused by the state service, so that users go where they
@@ -62,15 +63,15 @@
 	defer n.mu.Unlock()
 	now := time.Now()
 	ok := n.view.Loaded && len(n.view.MachineTypes) > 0
-	if !ok || n.servedElsewhere(now) {
+	if !ok || n.isStateServingOthers(now) {
 		reply(unavailable(1))
 		return
 	}
 	reply(transport.Response{Status: 200, Body: []byte("{}")})
 }
 
-// answerOf is what the cache says of a job; known is false if it says nothing.
-func (n *Controller) answerOf(ref string) (a protocol.JobStatus, stamp uint64, final, known bool) {
+// jobStatus is what the cache says of a job; known is false if it says nothing.
+func (n *Controller) jobStatus(ref string) (a protocol.JobStatus, stamp uint64, final, known bool) {
 	a.JobID, a.Phase = ref, protocol.JobPending
 	if f, ok := n.view.FinalJobs[ref]; ok {
 		a.Phase = f.State
@@ -79,7 +80,7 @@
 		}
 		return a, f.Version, true, true
 	}
-	if held, stamp, final, waits := n.heldAnswer(ref); waits {
+	if held, stamp, final, waits := n.blockedStatus(ref); waits {
 		return held, stamp, final, true
 	}
 	j := n.view.Jobs[ref]
@@ -99,21 +100,21 @@
 	return a, j.Version, j.Record.IsFinal(), true
 }
 
-// untold is an answer that waits for the watch.
-type untold struct {
-	epoch uint64
-	until time.Time
-	tell  func(known bool)
+// pendingReply is an answer that waits for the watch.
+type pendingReply struct {
+	revision uint64
+	deadline time.Time
+	reply    func(known bool)
 }
 
-// tell answers with what the cache says of a job, which is known. That it is cancelled
+// replyStatus answers with what the cache says of a job, which is known. That it is cancelled
 // is told once the watch has come as far: nothing of it is placed after that revision, so
 // this node then knows every machine that may have a task of it, and can see to its end
 // when nobody else can. Told at once, a claim committed a moment before by an owner that
 // nobody reaches was known to nobody when an outage followed. Within the time given that
 // is known or the user asks again.
-func (n *Controller) tell(ref string, status int, within time.Duration, reply func(transport.Response)) {
-	a, stamp, final, _ := n.answerOf(ref)
+func (n *Controller) replyStatus(ref string, status int, within time.Duration, reply func(transport.Response)) {
+	a, stamp, final, _ := n.jobStatus(ref)
 	if status == 201 && !final {
 		a = protocol.JobStatus{JobID: ref, Phase: protocol.JobPending}
 	}
@@ -121,11 +122,11 @@
 		reply(jobResponse(status, a))
 		return
 	}
-	if now := time.Now(); n.stateDown(now) {
-		reply(n.later(kv.PriorityUser, now)) // the watch will not come in time
+	if now := time.Now(); n.isStateDown(now) {
+		reply(n.retryLater(kv.PriorityUser, now)) // the watch will not come in time
 		return
 	}
-	n.untold = append(n.untold, untold{stamp, time.Now().Add(within), func(known bool) {
+	n.pendingReplies = append(n.pendingReplies, pendingReply{stamp, time.Now().Add(within), func(known bool) {
 		if known {
 			reply(jobResponse(status, a))
 		} else {
@@ -134,27 +135,27 @@
 	}})
 }
 
-// tellUntold gives the answers for which the watch has come far enough, or which can't
+// sendPendingReplies gives the answers for which the watch has come far enough, or which can't
 // wait any longer.
-func (n *Controller) tellUntold(now time.Time) {
-	n.untold = slices.DeleteFunc(n.untold, func(u untold) bool {
-		known := n.view.Revision >= u.epoch
-		if known || now.After(u.until) {
-			u.tell(known)
+func (n *Controller) sendPendingReplies(now time.Time) {
+	n.pendingReplies = slices.DeleteFunc(n.pendingReplies, func(u pendingReply) bool {
+		known := n.view.Revision >= u.revision
+		if known || now.After(u.deadline) {
+			u.reply(known)
 			return true
 		}
 		return false
 	})
 }
 
-// confirm answers a question about a job. A final state never changes, so the
+// confirmStatus answers a question about a job. A final state never changes, so the
 // cache suffices; anything else is confirmed by the state service, since
 // another node may have told this user something newer. absent is the answer
 // for a job that was never accepted.
-func (n *Controller) confirm(ref string, within time.Duration, absent func(), reply func(transport.Response)) {
-	_, stamp, final, _ := n.answerOf(ref)
+func (n *Controller) confirmStatus(ref string, within time.Duration, absent func(), reply func(transport.Response)) {
+	_, stamp, final, _ := n.jobStatus(ref)
 	if final {
-		n.tell(ref, 200, within, reply)
+		n.replyStatus(ref, 200, within, reply)
 		return
 	}
 	now := time.Now()
@@ -163,51 +164,51 @@
 	case !n.view.Loaded:
 		reply(unavailable(1))
 		return
-	case n.stateDown(now):
-		reply(n.later(kv.PriorityUser, now))
+	case n.isStateDown(now):
+		reply(n.retryLater(kv.PriorityUser, now))
 		return
 	}
 	var asked admission.Backlog
-	if asked.Pending, asked.Rate = n.led.ReadBacklog(); asked.ShouldShed(within) {
-		reply(unavailable(int(asked.RetryAfter(n.rng.Float64()) / time.Second)))
+	if asked.Pending, asked.Rate = n.store.ReadBacklog(); asked.ShouldShed(within) {
+		reply(unavailable(int(asked.RetryAfter(n.random.Float64()) / time.Second)))
 		return
 	}
-	n.commitAt(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
+	n.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
 		switch {
-		case err == nil && n.undecided(ref):
-			n.tellWhenRead(ref, revision, until, reply)
+		case err == nil && n.isUndecided(ref):
+			n.replyWhenRead(ref, revision, until, reply)
 		case err == nil:
 			// The cache may have moved on meanwhile, and is at least as new.
-			if _, _, _, found := n.answerOf(ref); found {
-				n.tell(ref, 200, time.Until(until), reply)
+			if _, _, _, found := n.jobStatus(ref); found {
+				n.replyStatus(ref, 200, time.Until(until), reply)
 			} else {
 				absent()
 			}
 		case errors.Is(err, kv.ErrCompareFailed):
 			// The cache has been refreshed from the state service just now.
-			if _, newer, _, found := n.answerOf(ref); !found || newer == stamp {
+			if _, newer, _, found := n.jobStatus(ref); !found || newer == stamp {
 				reply(unavailable(1))
 				return
 			}
-			if n.undecided(ref) { // once: a held job's record is written once
-				n.confirm(ref, time.Until(until), absent, reply)
+			if n.isUndecided(ref) { // once: a held job's record is written once
+				n.confirmStatus(ref, time.Until(until), absent, reply)
 				return
 			}
-			n.tell(ref, 200, time.Until(until), reply)
+			n.replyStatus(ref, 200, time.Until(until), reply)
 		default:
-			reply(n.later(kv.PriorityUser, time.Now()))
+			reply(n.retryLater(kv.PriorityUser, time.Now()))
 		}
 	})
 }
 
 func (n *Controller) handleQuery(ref string, reply func(transport.Response)) {
 	if !protocol.ValidJobID(ref) {
-		reply(notFound)
+		reply(jobNotFound)
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.confirm(ref, pollWithin, func() { reply(notFound) }, reply)
+	n.confirmStatus(ref, queryTimeout, func() { reply(jobNotFound) }, reply)
 }
 
 func (n *Controller) handleSubmit(body []byte, reply func(transport.Response)) {
@@ -219,45 +220,45 @@
 	spec, err := protocol.ParseSubmission(body)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	_, _, _, known := n.answerOf(ref)
+	_, _, _, known := n.jobStatus(ref)
 	if known {
-		n.confirm(ref, submitWithin, func() { reply(unavailable(1)) }, reply)
+		n.confirmStatus(ref, submitTimeout, func() { reply(unavailable(1)) }, reply)
 		return
 	}
 	if err != nil {
 		// Unless another node accepted a job of this id.
-		n.confirm(ref, submitWithin, func() { reply(badRequest(err)) }, reply)
+		n.confirmStatus(ref, submitTimeout, func() { reply(badRequest(err)) }, reply)
 		return
 	}
 	if !n.view.Loaded || len(n.view.MachineTypes) == 0 {
 		reply(unavailable(1))
 		return
 	}
-	if reason := n.cannotRun(spec); reason != "" {
+	if reason := n.rejectionReason(spec); reason != "" {
 		b, _ := json.Marshal(map[string]string{"error": reason})
-		n.confirm(ref, submitWithin, func() { reply(transport.Response{Status: 422, Body: b}) }, reply)
+		n.confirmStatus(ref, submitTimeout, func() { reply(transport.Response{Status: 422, Body: b}) }, reply)
 		return
 	}
 	if len(spec.Dependencies) > 0 {
-		n.acceptWaiting(spec, time.Now().Add(submitWithin), reply)
+		n.acceptDependent(spec, time.Now().Add(submitTimeout), reply)
 		return
 	}
-	n.accept(spec, reply)
+	n.acceptJob(spec, reply)
 }
 
-// cannotRun tells why a job can never run, or "".
-func (n *Controller) cannotRun(s *protocol.Submission) string {
-	team, ok := n.cfg.Teams[s.Team]
+// rejectionReason tells why a job can never run, or "".
+func (n *Controller) rejectionReason(s *protocol.Submission) string {
+	team, ok := n.settings.Teams[s.Team]
 	if !ok {
 		return "unknown team"
 	}
 	fits := false
 	for _, t := range n.view.MachineTypes {
-		if !canEver(s, t) {
+		if !placement.FitsEmpty(s, t) {
 			continue
 		}
 		for _, zone := range t.Zones {
-			if allowed(s, t.Name, zone, false) {
+			if placement.Allowed(s, t.Name, zone, false) {
 				fits = true
 			}
 		}
@@ -275,101 +276,101 @@
 	return ""
 }
 
-// accept records a job. If this node owns one of the shards chosen for it and
+// acceptJob records a job. If this node owns one of the shards chosen for it and
 // there is room, the claim goes into the same transaction and the start
 // follows at once.
-func (n *Controller) accept(spec *protocol.Submission, reply func(transport.Response)) {
+func (n *Controller) acceptJob(spec *protocol.Submission, reply func(transport.Response)) {
 	now := time.Now()
-	if b := n.backlog(kv.PriorityUser, now); b.Unavailable || b.ShouldShed(submitWithin) {
+	if b := n.backlog(kv.PriorityUser, now); b.Unavailable || b.ShouldShed(submitTimeout) {
 		// It would be told so in the end; so it is told at once.
-		reply(n.later(kv.PriorityUser, now))
+		reply(n.retryLater(kv.PriorityUser, now))
 		return
 	}
 	at := n.chooseShards(spec, now)
 	rec := &records.Job{Spec: spec, Shards: at, AcceptedAtMs: now.UnixMilli(), ChunkSize: n.chunkSize(spec, at)}
-	first := n.claimAtOnce(spec, at, now)
+	first := n.claimImmediately(spec, at, now)
 	for _, name := range at {
-		n.queuedNow[name] += spec.CPUs * float64(spec.Tasks)
+		n.shardLoads.queuedSince[name] += spec.CPUs * float64(spec.Tasks)
 	}
-	n.record(spec.JobID, rec, first, reply)
+	n.recordJob(spec.JobID, rec, first, reply)
 }
 
-// record writes down that a job is accepted, with the claim on it if there is one.
-func (n *Controller) record(ref string, rec *records.Job, first newClaim, reply func(transport.Response)) {
-	until := time.Now().Add(submitWithin)
+// recordJob writes down that a job is accepted, with the claim on it if there is one.
+func (n *Controller) recordJob(ref string, rec *records.Job, first initialClaim, reply func(transport.Response)) {
+	until := time.Now().Add(submitTimeout)
 	key := records.JobPrefix + ref
 	conds := append([]kv.Compare{{Key: key, Version: 0}}, first.conds...)
 	ops := append([]kv.Op{{Key: key, Value: rec}}, first.ops()...)
-	n.commit(kv.PriorityUser, conds, ops, submitWithin, func(err error) {
+	n.commit(kv.PriorityUser, conds, ops, submitTimeout, func(err error) {
 		first.finish(n, err)
 		switch {
 		case err == nil:
 			n.log.Debug("job accepted", "job", ref, "at", rec.Shards, "needs", len(rec.Dependencies), "claimed", first.claim != nil)
-			n.tell(ref, 201, time.Until(until), reply)
-			n.announceNew(key, rec)
+			n.replyStatus(ref, 201, time.Until(until), reply)
+			n.broadcastAccepted(key, rec)
 		case errors.Is(err, kv.ErrTooLarge) && !errors.Is(err, kv.ErrOutcomeUnknown):
 			reply(badRequest(errors.New("the job's record is larger than the state service takes")))
 		case errors.Is(err, kv.ErrCompareFailed):
-			if _, _, final, known := n.answerOf(ref); known {
+			if _, _, final, known := n.jobStatus(ref); known {
 				if final {
-					n.tell(ref, 200, time.Until(until), reply)
+					n.replyStatus(ref, 200, time.Until(until), reply)
 				} else {
-					n.confirm(ref, submitWithin/2, func() { reply(unavailable(1)) }, reply)
+					n.confirmStatus(ref, submitTimeout/2, func() { reply(unavailable(1)) }, reply)
 				}
 				return
 			}
 			if first.claim != nil {
-				n.recordPlain(key, rec, reply) // only the claim failed
+				n.recordUnclaimed(key, rec, reply) // only the claim failed
 				return
 			}
-			reply(n.later(kv.PriorityUser, time.Now()))
+			reply(n.retryLater(kv.PriorityUser, time.Now()))
 		default:
-			reply(n.later(kv.PriorityUser, time.Now()))
+			reply(n.retryLater(kv.PriorityUser, time.Now()))
 		}
 	})
 }
 
-func (n *Controller) recordPlain(key string, rec *records.Job, reply func(transport.Response)) {
-	n.commit(kv.PriorityUser, []kv.Compare{{Key: key, Version: 0}}, []kv.Op{{Key: key, Value: rec}}, submitWithin/2, func(err error) {
+func (n *Controller) recordUnclaimed(key string, rec *records.Job, reply func(transport.Response)) {
+	n.commit(kv.PriorityUser, []kv.Compare{{Key: key, Version: 0}}, []kv.Op{{Key: key, Value: rec}}, submitTimeout/2, func(err error) {
 		if err != nil {
-			reply(n.later(kv.PriorityUser, time.Now()))
+			reply(n.retryLater(kv.PriorityUser, time.Now()))
 			return
 		}
-		n.tell(rec.Spec.JobID, 201, submitWithin/4, reply)
-		n.announce(key)
+		n.replyStatus(rec.Spec.JobID, 201, submitTimeout/4, reply)
+		n.broadcastJob(key)
 	})
 }
 
-// handleAbort commits a cancellation before it is told.
-func (n *Controller) handleAbort(ref string, reply func(transport.Response)) {
+// handleCancel commits a cancellation before it is told.
+func (n *Controller) handleCancel(ref string, reply func(transport.Response)) {
 	if !protocol.ValidJobID(ref) {
-		reply(notFound)
+		reply(jobNotFound)
 		return
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.abort(ref, time.Now().Add(submitWithin), reply)
+	n.cancelJob(ref, time.Now().Add(submitTimeout), reply)
 }
 
-func (n *Controller) abort(ref string, until time.Time, reply func(transport.Response)) {
-	_, stamp, final, known := n.answerOf(ref)
+func (n *Controller) cancelJob(ref string, until time.Time, reply func(transport.Response)) {
+	_, stamp, final, known := n.jobStatus(ref)
 	left := time.Until(until)
 	switch {
 	case final:
-		n.tell(ref, 200, left, reply)
+		n.replyStatus(ref, 200, left, reply)
 		return
 	case !n.view.Loaded || left < 200*time.Millisecond:
 		reply(unavailable(1))
 		return
-	case n.stateDown(time.Now()):
-		reply(n.later(kv.PriorityUser, time.Now()))
+	case n.isStateDown(time.Now()):
+		reply(n.retryLater(kv.PriorityUser, time.Now()))
 		return
 	case !known:
 		n.commit(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + ref, Version: 0}}, nil, left, func(err error) {
 			if err == nil {
-				reply(notFound)
-			} else if _, _, _, found := n.answerOf(ref); found {
-				n.abort(ref, until, reply)
+				reply(jobNotFound)
+			} else if _, _, _, found := n.jobStatus(ref); found {
+				n.cancelJob(ref, until, reply)
 			} else {
 				reply(unavailable(1))
 			}
@@ -381,11 +382,11 @@
 	n.commit(kv.PriorityUser, []kv.Compare{{Key: key, Version: stamp}}, []kv.Op{{Key: key, Value: rec}}, left, func(err error) {
 		switch {
 		case err == nil:
-			n.announce(key)
-			n.tell(ref, 200, time.Until(until), reply)
+			n.broadcastJob(key)
+			n.replyStatus(ref, 200, time.Until(until), reply)
 		case errors.Is(err, kv.ErrCompareFailed):
-			if _, newer, _, _ := n.answerOf(ref); newer != stamp {
-				n.abort(ref, until, reply)
+			if _, newer, _, _ := n.jobStatus(ref); newer != stamp {
+				n.cancelJob(ref, until, reply)
 				return
 			}
 			reply(unavailable(1))
@@ -421,14 +422,14 @@
 		if sh.Record == nil {
 			continue
 		}
-		l, ok := n.loads[name]
+		l, ok := n.shardLoads.reported[name]
 		if n.view.IsActive(sh) {
-			l, ok = replica.ReportedLoad{Load: n.loadOf(sh), At: now}, true
+			l, ok = replica.ReportedLoad{Load: n.shardLoad(sh), At: now}, true
 		}
 		score := 0.5 // unknown or stale: neither sought nor shunned
 		if ok && now.Sub(l.At) < 5*time.Second {
 			total := max(l.Load.CPUs, 1)
-			score = (l.Load.UsedCPUs + l.Load.QueuedCPUs + n.queuedNow[name]) / total
+			score = (l.Load.UsedCPUs + l.Load.QueuedCPUs + n.shardLoads.queuedSince[name]) / total
 			if l.Load.FreeCPUsByImage[s.Image]+tolerance >= s.CPUs {
 				score -= 1
 			}
@@ -451,7 +452,7 @@
 		return 0
 	})
 	var at []string
-	for _, x := range all[:min(len(all), n.pol.Copies)] {
+	for _, x := range all[:min(len(all), n.policy.Copies)] {
 		at = append(at, x.name)
 	}
 	return at
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -89,7 +89,7 @@
 		n.view.Loaded, n.view.Revision = true, 5
 		answer := func() *transport.Response {
 			r := &transport.Response{}
-			n.tell("wk-1", 201, time.Second, func(got transport.Response) { *r = got })
+			n.replyStatus("wk-1", 201, time.Second, func(got transport.Response) { *r = got })
 			return r
 		}
 		expect := func(what string, r *transport.Response, status int, phase string) {
@@ -107,15 +107,15 @@
 		time.Sleep(500 * time.Millisecond)
 		second := answer()
 		time.Sleep(600 * time.Millisecond)
-		n.tellUntold(time.Now())
+		n.sendPendingReplies(time.Now())
 		expect("its time is over", first, 503, "")
 		expect("it still has time", second, 0, "")
 		n.view.Revision = 8
-		n.tellUntold(time.Now())
+		n.sendPendingReplies(time.Now())
 		expect("the watch has come as far", second, 201, protocol.JobCancelled)
 		expect("and from then on", answer(), 201, protocol.JobCancelled)
-		if len(n.untold) != 0 {
-			t.Errorf("%d answers are kept", len(n.untold))
+		if len(n.pendingReplies) != 0 {
+			t.Errorf("%d answers are kept", len(n.pendingReplies))
 		}
 	})
 }
--- a/internal/coordination/controller/versions_test.go
+++ b/internal/coordination/controller/versions_test.go
@@ -97,15 +97,15 @@
 // TestNoPipelineBesideOlderVersions: while a live controller does not understand jobs that
 // wait, none is accepted.
 func TestNoPipelineBesideOlderVersions(t *testing.T) {
-	n := &Controller{view: &replica.View{Nodes: map[string]replica.NodeInfo{"n0": {DependencyVersion: understandsPipelines}, "n1": {}}}}
-	if n.allUnderstandPipelines() {
+	n := &Controller{view: &replica.View{Nodes: map[string]replica.NodeInfo{"n0": {DependencyVersion: dependencyVersion}, "n1": {}}}}
+	if n.allSupportDependencies() {
 		t.Error("accepted beside n1, which does not say that it understands them")
 	}
-	n.view.Nodes["n1"] = replica.NodeInfo{DependencyVersion: understandsPipelines}
-	if !n.allUnderstandPipelines() {
+	n.view.Nodes["n1"] = replica.NodeInfo{DependencyVersion: dependencyVersion}
+	if !n.allSupportDependencies() {
 		t.Error("refused though all understand them")
 	}
-	if (&Controller{view: &replica.View{}}).allUnderstandPipelines() {
+	if (&Controller{view: &replica.View{}}).allSupportDependencies() {
 		t.Error("accepted before any controller is known, this one included")
 	}
 }
--- a/internal/coordination/controller/viewevents.go
+++ b/internal/coordination/controller/viewevents.go
@@ -11,7 +11,7 @@
 type viewEvents struct{ controller *Controller }
 
 func (e viewEvents) VersionObserved(key string, version uint64, exists bool) {
-	e.controller.led.ObserveVersion(key, version, exists)
+	e.controller.store.ObserveVersion(key, version, exists)
 }
 
 func (e viewEvents) ShardChanged(shard string, record *records.Shard, version uint64) {
@@ -22,12 +22,12 @@
 	e.controller.applyLeader(record, version)
 }
 
-func (e viewEvents) NodesChanged() { e.controller.shareBudget(time.Now()) }
+func (e viewEvents) NodesChanged() { e.controller.shareStateBudget(time.Now()) }
 
-func (e viewEvents) MachineRecorded(host string) { delete(e.controller.unknown, host) }
+func (e viewEvents) MachineRecorded(host string) { delete(e.controller.provisioner.unrecorded, host) }
 
-func (e viewEvents) JobChanged(job *replica.Job) { e.controller.inherit(job) }
+func (e viewEvents) JobChanged(job *replica.Job) { e.controller.inheritUrgency(job) }
 
-func (e viewEvents) RevisionReached() { e.controller.tellUntold(time.Now()) }
+func (e viewEvents) RevisionReached() { e.controller.sendPendingReplies(time.Now()) }
 
-func (e viewEvents) RecordsChanged() { e.controller.poke() }
+func (e viewEvents) RecordsChanged() { e.controller.wake() }
--- a/internal/coordination/controller/workers.go
+++ b/internal/coordination/controller/workers.go
@@ -18,41 +18,41 @@
 	"madderslip/internal/transport"
 )
 
-// observe takes a worker's account, from a report or a direct answer. It
+// observeHeartbeat takes a worker's account, from a report or a direct answer. It
 // returns false when a newer one was seen before, or it may be of a former life.
-func (n *Controller) observe(m *replica.Machine, r *protocol.Heartbeat) bool {
+func (n *Controller) observeHeartbeat(m *replica.Machine, r *protocol.Heartbeat) bool {
 	if m.Agent.Heartbeat != nil && (!replica.IncarnationOf(r).Supersedes(replica.IncarnationOf(m.Agent.Heartbeat)) || !replica.IncarnationOf(r).Valid(m.Agent.MinToken)) {
 		return false
 	}
-	n.takeAccount(m, r)
+	n.recordHeartbeat(m, r)
 	return true
 }
 
-// beganAgain takes the first account of a machine's later life, an answer to a
+// recordRestart takes the first account of a machine's later life, an answer to a
 // direct question. Messages of the former life may still come and look newer: one
 // of them could show a task as ended that runs again. So a higher token is shown,
 // and until then nothing that the machine says counts.
-func (n *Controller) beganAgain(s *replica.Shard, m *replica.Machine, r *protocol.Heartbeat) {
+func (n *Controller) recordRestart(s *replica.Shard, m *replica.Machine, r *protocol.Heartbeat) {
 	n.log.Info("machine began again", "host", m.Host, "seq", r.Sequence, "was", m.Agent.Heartbeat.Sequence, "session", r.AgentEpoch)
 	m.Agent.MinToken = max(m.Agent.MinToken, m.Agent.Heartbeat.FencingToken, s.FencingToken)
 	s.NeedsNewToken = true
 	m.Commands.Pending, m.Agent.RunningSince = nil, make(map[string]time.Time)
 	m.Commands.StartSentAt, m.Commands.StopSentAt = make(map[string]time.Time), make(map[string]time.Time)
-	delete(n.outbox, m)
-	n.takeAccount(m, r)
+	delete(n.pendingCommands, m)
+	n.recordHeartbeat(m, r)
 }
 
-func (n *Controller) takeAccount(m *replica.Machine, r *protocol.Heartbeat) {
+func (n *Controller) recordHeartbeat(m *replica.Machine, r *protocol.Heartbeat) {
 	now := time.Now()
 	if m.Agent.Heartbeat == nil {
-		n.cameUp(m, now)
+		n.recordBoot(m, now)
 	}
 	if m.Agent.Heartbeat != nil && r.AgentEpoch > m.Agent.Heartbeat.AgentEpoch {
 		m.Detector.Reachability.RecordNewEpoch(now)
 	}
 	anew := m.Agent.Heartbeat == nil || m.Agent.Heartbeat.FencingToken != r.FencingToken || m.Agent.Heartbeat.AgentEpoch != r.AgentEpoch
 	before := m.Agent.Tasks
-	if n.silence(m, now) > n.pol.SuspectAfter {
+	if n.silenceOf(m, now) > n.policy.SuspectAfter {
 		m.Agent.HeardAgainAt = now // its reports may take a moment longer than its answers
 	}
 	m.Agent.Heartbeat, m.Agent.LastContact = r, now
@@ -97,32 +97,32 @@
 	if news {
 		m.Capacity.Stale, m.Capacity.DetailsStale = true, true
 		n.view.Shard(m.Record.Shard).Changed = true
-		n.poke()
+		n.wake()
 	}
 }
 
-// order queues commands for a machine until the next flush.
-func (n *Controller) order(s *replica.Shard, m *replica.Machine, cmds ...protocol.Command) {
+// queueCommands queues commands for a machine until the next flush.
+func (n *Controller) queueCommands(s *replica.Shard, m *replica.Machine, cmds ...protocol.Command) {
 	if m.Record.State != "" || s.FencingToken == 0 || m.Address() == "" {
 		return
 	}
 	m.Commands.Pending = append(m.Commands.Pending, cmds...)
-	n.outbox[m] = struct{}{}
+	n.pendingCommands[m] = struct{}{}
 }
 
-// flush sends what has been ordered: the commands for one machine go together.
-func (n *Controller) flush(s *replica.Shard) {
-	machines := slices.SortedFunc(maps.Keys(n.outbox), func(a, b *replica.Machine) int { return strings.Compare(a.Host, b.Host) })
-	clear(n.outbox)
+// sendPendingCommands sends what has been ordered: the commands for one machine go together.
+func (n *Controller) sendPendingCommands(s *replica.Shard) {
+	machines := slices.SortedFunc(maps.Keys(n.pendingCommands), func(a, b *replica.Machine) int { return strings.Compare(a.Host, b.Host) })
+	clear(n.pendingCommands)
 	for _, m := range machines {
-		n.send(s, m)
+		n.sendCommands(s, m)
 	}
 }
 
 const commandTimeout = 3 * time.Second
 
-// send delivers the queued commands, one call at a time for each machine.
-func (n *Controller) send(s *replica.Shard, m *replica.Machine) {
+// sendCommands delivers the queued commands, one call at a time for each machine.
+func (n *Controller) sendCommands(s *replica.Shard, m *replica.Machine) {
 	if m.Commands.Sending || m.Agent.Heartbeat == nil {
 		return
 	}
@@ -136,14 +136,14 @@
 	n.log.Debug("commands", "host", m.Host, "token", body.FencingToken, "orders", body.Commands)
 	go func() {
 		var r protocol.Heartbeat
-		status, err := n.call(ctx, addr, "POST", protocol.PathCommands, body, &r, commandTimeout)
+		status, err := n.callJSON(ctx, addr, "POST", protocol.PathCommands, body, &r, commandTimeout)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		n.sent(m, body, &r, status, err)
+		n.commandsSent(m, body, &r, status, err)
 	}()
 }
 
-func (n *Controller) sent(m *replica.Machine, body protocol.CommandRequest, r *protocol.Heartbeat, status int, err error) {
+func (n *Controller) commandsSent(m *replica.Machine, body protocol.CommandRequest, r *protocol.Heartbeat, status int, err error) {
 	m.Commands.Sending = false
 	m.Commands.InFlight = nil
 	switch {
@@ -157,18 +157,18 @@
 		}
 	case err == nil && r.Host == m.Host:
 		m.Detector.Reachability.RecordAnswer(time.Now())
-		n.observe(m, r)
+		n.observeHeartbeat(m, r)
 	}
 	if s := n.view.Shards[m.Record.Shard]; len(m.Commands.Pending) > 0 && s != nil && s.FencingToken != 0 && m.Record.State == "" {
-		n.send(s, m)
+		n.sendCommands(s, m)
 	}
-	n.poke()
+	n.wake()
 }
 
 var misdirected = transport.Response{Status: 421, Body: []byte("{}")}
 
-// steward sends a worker to another controller.
-func steward(node string) transport.Response {
+// redirectTo sends a worker to another controller.
+func redirectTo(node string) transport.Response {
 	b, _ := json.Marshal(protocol.Redirect{Node: node})
 	return transport.Response{Status: 421, Body: b}
 }
@@ -177,32 +177,32 @@
 	return transport.Response{Status: 503, Body: []byte(`{"error":"not now"}`), RetryAfter: after}
 }
 
-// handleReport answers a worker.
-func (n *Controller) handleReport(body []byte, reply func(transport.Response)) {
+// handleHeartbeat answers a worker.
+func (n *Controller) handleHeartbeat(body []byte, reply func(transport.Response)) {
 	r, err := protocol.ParseHeartbeat(body)
 	if err != nil {
 		reply(badRequest(err))
 		return
 	}
 	n.mu.Lock()
-	n.look(time.Now())
-	resp := n.report(r)
+	n.observePause(time.Now())
+	resp := n.respondToHeartbeat(r)
 	n.mu.Unlock()
 	reply(resp)
 }
 
-func (n *Controller) report(r *protocol.Heartbeat) transport.Response {
+func (n *Controller) respondToHeartbeat(r *protocol.Heartbeat) transport.Response {
 	if !n.view.Loaded {
-		if kept, ok := n.keepUnread(r, time.Now()); ok {
+		if kept, ok := n.extendLeaseUnread(r, time.Now()); ok {
 			return kept
 		}
 		return unavailable(1)
 	}
 	m := n.view.Machines[r.Host]
 	if m == nil {
-		n.adopt(r.Host, r.Type, r.Zone, r.Spot)
-		if _, live := n.view.Nodes[n.leadership.node]; live && n.leadership.node != n.cfg.NodeName {
-			return steward(n.leadership.node)
+		n.noteUnrecorded(r.Host, r.Type, r.Zone, r.Spot)
+		if _, live := n.view.Nodes[n.leadership.node]; live && n.leadership.node != n.settings.NodeName {
+			return redirectTo(n.leadership.node)
 		}
 		return unavailable(1)
 	}
@@ -211,15 +211,15 @@
 	}
 	s := n.view.Shards[m.Record.Shard]
 	if s != nil && s.NewOwner != "" {
-		return steward(s.NewOwner)
+		return redirectTo(s.NewOwner)
 	}
 	if s == nil || s.FencingToken == 0 {
-		if s != nil && s.Record != nil && s.Record.Owner != n.cfg.NodeName {
-			if kept, ok := n.keepLease(s, r, time.Now()); ok {
+		if s != nil && s.Record != nil && s.Record.Owner != n.settings.NodeName {
+			if kept, ok := n.extendLease(s, r, time.Now()); ok {
 				return kept
 			}
 			if _, live := n.view.Nodes[s.Record.Owner]; live {
-				return steward(s.Record.Owner)
+				return redirectTo(s.Record.Owner)
 			}
 		}
 		return unavailable(1)
@@ -231,16 +231,16 @@
 	}
 	doubtful := m.Agent.Heartbeat != nil && health.MayBeRestarted(replica.IncarnationOf(m.Agent.Heartbeat), replica.IncarnationOf(r))
 	if doubtful && !m.Detector.Probing {
-		n.probe(m)
+		n.probeMachine(m)
 	}
 	answer := protocol.HeartbeatResponse{FencingToken: s.FencingToken, Commands: []protocol.Command{}}
 	// What a message from who knows when says is no ground for orders, and what was
 	// said before it may be of a former life.
-	if !doubtful && n.observe(m, r) {
+	if !doubtful && n.observeHeartbeat(m, r) {
 		m.Agent.LastHeartbeat = time.Now()
 	}
 	if !doubtful && n.view.IsActive(s) {
-		answer.Commands = append(answer.Commands, n.housekeeping(s, m)...)
+		answer.Commands = append(answer.Commands, n.cleanupCommands(s, m)...)
 	}
 	b, err := protocol.Encode(answer)
 	if err != nil {
@@ -249,10 +249,10 @@
 	return transport.Response{Status: 200, Body: b}
 }
 
-// housekeeping is what a report's answer orders: an end to what should not
+// cleanupCommands is what a report's answer orders: an end to what should not
 // run, and the reaping of what has exited and is booked. Commands in answers
 // are never executed late, which is why reaps go nowhere else.
-func (n *Controller) housekeeping(s *replica.Shard, m *replica.Machine) []protocol.Command {
+func (n *Controller) cleanupCommands(s *replica.Shard, m *replica.Machine) []protocol.Command {
 	var out []protocol.Command
 	if !m.ShowsToken(s) && m.Agent.Heartbeat.FencingToken != 0 && m.Agent.Heartbeat.FencingToken < s.FencingToken {
 		// The worker has yet to show the token; wait for its next account.
@@ -263,7 +263,7 @@
 		t := &m.Agent.Heartbeat.Tasks[i]
 		c, p := n.view.PlacementOf(m, t.Task)
 		if p != nil && p.Attempt == t.Attempt {
-			if grace, stop := n.wantStop(c, p, now); stop && t.Phase != protocol.TaskExited && (t.Phase != protocol.TaskCheckpointing || grace == 0) {
+			if grace, stop := n.shouldStop(c, p, now); stop && t.Phase != protocol.TaskExited && (t.Phase != protocol.TaskCheckpointing || grace == 0) {
 				out = append(out, protocol.StopCommand(t.Task, t.Attempt, grace))
 			} else if !stop && t.Phase == protocol.TaskExited && t.Cause == protocol.CauseGangTimeout && !m.HasUnconfirmedStart(t.Task, t.Attempt) {
 				out = append(out, protocol.ReapCommand(t.Task, t.Attempt)) // to start again
@@ -283,45 +283,45 @@
 	return out
 }
 
-// adopt notes a machine that nobody expected. The leader alone records such
+// noteUnrecorded notes a machine that nobody expected. The leader alone records such
 // machines: several nodes that choose shards at once, each blind to the others,
 // would all put theirs into the same one.
-func (n *Controller) adopt(host, typ, zone string, loaner bool) {
-	if _, seen := n.unknown[host]; !seen && n.isLeader() {
-		n.unknown[host] = unknownHost{first: time.Now(), kind: replica.MachineKind{Type: typ, Zone: zone, Spot: loaner}}
+func (n *Controller) noteUnrecorded(host, typ, zone string, loaner bool) {
+	if _, seen := n.provisioner.unrecorded[host]; !seen && n.isLeader() {
+		n.provisioner.unrecorded[host] = unrecordedHost{firstSeen: time.Now(), kind: replica.MachineKind{Type: typ, Zone: zone, Spot: loaner}}
 	}
 }
 
-// adoptKnown records the machines noted, all of a kind together.
-func (n *Controller) adoptKnown(now time.Time) {
+// adoptMachines records the machines noted, all of a kind together.
+func (n *Controller) adoptMachines(now time.Time) {
 	hosts := make(map[replica.MachineKind][]string)
-	for host, u := range n.unknown {
+	for host, u := range n.provisioner.unrecorded {
 		// The answer to a hire may just be on its way; it knows better.
 		patience := time.Duration(0)
 		if len(n.view.Provisions) > 0 {
 			patience = 3 * time.Second
 		}
-		if !u.busy && now.Sub(u.first) >= patience && n.view.MachineTypes[u.kind.Type] != nil {
+		if !u.recording && now.Sub(u.firstSeen) >= patience && n.view.MachineTypes[u.kind.Type] != nil {
 			hosts[u.kind] = append(hosts[u.kind], host)
 		}
 	}
 	for _, kind := range slices.SortedFunc(maps.Keys(hosts), replica.MachineKind.Compare) {
 		list := hosts[kind]
 		slices.Sort(list)
-		for part := range slices.Chunk(list, maxHire) {
+		for part := range slices.Chunk(list, maxMachinesPerRequest) {
 			n.adoptGroup(kind, part, now)
 		}
 	}
 }
 
 func (n *Controller) adoptGroup(kind replica.MachineKind, hosts []string, now time.Time) {
-	n.fleet.counter++
-	name := fmt.Sprintf("%s-%d-%d", n.cfg.NodeName, n.boot.UnixMilli(), n.fleet.counter)
+	n.provisioner.requestCount++
+	name := fmt.Sprintf("%s-%d-%d", n.settings.NodeName, n.startedAt.UnixMilli(), n.provisioner.requestCount)
 	rec := &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: len(hosts)}, RequestedAtMs: now.UnixMilli()}
 	byShard := make(map[string][]string)
 	for _, host := range hosts {
 		shard := n.smallestShard(kind.Zone, kind.Type)
-		n.unknown[host] = unknownHost{busy: true, shard: shard, kind: kind}
+		n.provisioner.unrecorded[host] = unrecordedHost{recording: true, shard: shard, kind: kind}
 		byShard[shard] = append(byShard[shard], host)
 	}
 	for _, shard := range slices.Sorted(maps.Keys(byShard)) {
@@ -343,9 +343,9 @@
 			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + h.Name, Value: &again})
 		}
 	}
-	if len(ops) > n.cfg.RecordLimits().MaxTxnOps {
+	if len(ops) > n.settings.RecordLimits().MaxTxnOps {
 		for _, host := range hosts {
-			delete(n.unknown, host) // until fewer hires are without an answer
+			delete(n.provisioner.unrecorded, host) // until fewer hires are without an answer
 		}
 		return
 	}
@@ -354,7 +354,7 @@
 			n.log.Info("machines adopted", "hosts", len(hosts), "type", kind.Type, "zone", kind.Zone, "parts", rec.Allocations)
 		}
 		for _, host := range hosts {
-			delete(n.unknown, host)
+			delete(n.provisioner.unrecorded, host)
 		}
 	})
 }
@@ -379,8 +379,8 @@
 			}
 		}
 	}
-	for _, u := range n.unknown {
-		if u.busy {
+	for _, u := range n.provisioner.unrecorded {
+		if u.recording {
 			cpus[u.shard] += n.view.MachineType(u.kind.Type).CPUs
 			if u.kind.Zone == zone && u.kind.Type == typ {
 				like[u.shard]++
@@ -398,31 +398,31 @@
 	return best
 }
 
-// listensSince is from when on this process was there to hear a machine's reports.
-func (n *Controller) listensSince(m *replica.Machine) time.Time {
-	if woke := n.beat.ResumedAt(); woke.After(m.AdoptedAt) {
+// listeningSince is from when on this process was there to hear a machine's reports.
+func (n *Controller) listeningSince(m *replica.Machine) time.Time {
+	if woke := n.pauses.ResumedAt(); woke.After(m.AdoptedAt) {
 		return woke
 	}
 	return m.AdoptedAt
 }
 
-// hearsSince is from when on this process has heard a machine, by its answers at least.
-func (n *Controller) hearsSince(m *replica.Machine) time.Time {
-	if from := n.listensSince(m); from.After(m.Agent.HeardAgainAt) {
+// hearingSince is from when on this process has heard a machine, by its answers at least.
+func (n *Controller) hearingSince(m *replica.Machine) time.Time {
+	if from := n.listeningSince(m); from.After(m.Agent.HeardAgainAt) {
 		return from
 	}
 	return m.Agent.HeardAgainAt
 }
 
-// mute tells that a machine answers at best, and does not report.
-func (n *Controller) mute(m *replica.Machine, now time.Time) bool {
-	return health.CannotReport(m.Agent.LastHeartbeat, n.hearsSince(m), now, n.cfg.Workers.LeaseDuration)
+// cannotReport tells that a machine answers at best, and does not report.
+func (n *Controller) cannotReport(m *replica.Machine, now time.Time) bool {
+	return health.CannotReport(m.Agent.LastHeartbeat, n.hearingSince(m), now, n.settings.Workers.LeaseDuration)
 }
 
-// silence is how long a machine has given no sign of life to this owner.
-func (n *Controller) silence(m *replica.Machine, now time.Time) time.Duration {
+// silenceOf is how long a machine has given no sign of life to this owner.
+func (n *Controller) silenceOf(m *replica.Machine, now time.Time) time.Duration {
 	since := m.Agent.LastContact
-	if from := n.listensSince(m); from.After(since) {
+	if from := n.listeningSince(m); from.After(since) {
 		since = from // its silence while this process stood still is this process's own
 	}
 	return now.Sub(since)
@@ -433,83 +433,83 @@
 	for n.pause(ctx, 300*time.Millisecond) {
 		n.mu.Lock()
 		now := time.Now()
-		n.look(now)
-		n.weighZones(now)
+		n.observePause(now)
+		n.detectPartitions(now)
 		for _, name := range n.view.ShardNames() {
 			if s := n.view.Shards[name]; n.view.IsActive(s) {
 				for _, m := range s.Machines {
-					n.tendMachine(s, m, now)
-					n.weigh(m, now)
+					n.reconcileMachine(s, m, now)
+					n.updateQuarantine(m, now)
 				}
-				n.noteImages(s, now)
+				n.recordImages(s, now)
 			}
 		}
-		n.enforceCancels(now)
+		n.enforceCancellations(now)
 		n.mu.Unlock()
 	}
 }
 
-func (n *Controller) tendMachine(s *replica.Shard, m *replica.Machine, now time.Time) {
-	quiet := n.silence(m, now)
+func (n *Controller) reconcileMachine(s *replica.Shard, m *replica.Machine, now time.Time) {
+	quiet := n.silenceOf(m, now)
 	if m.Agent.Heartbeat == nil {
 		// Not heard by this process yet: it may be booting, or report elsewhere.
-		if m.ListedAddress != "" && quiet > n.pol.SuspectAfter && !m.Detector.Probing {
-			n.probe(m)
+		if m.ListedAddress != "" && quiet > n.policy.SuspectAfter && !m.Detector.Probing {
+			n.probeMachine(m)
 		}
-		if quiet > n.fenceAfter(m, 2*n.pol.FenceAfter, now) && len(m.Use.Slots) > 0 && !m.Lifecycle.Returning {
+		if quiet > n.fenceDelay(m, 2*n.policy.FenceAfter, now) && len(m.Use.Slots) > 0 && !m.Lifecycle.Returning {
 			n.log.Info("fencing a machine that does not come to its new owner", "host", m.Host)
 			n.returnMachine(s, m)
 		}
 		return
 	}
 	// A mute one tells only when asked that its lease has ended, with what it ran.
-	if (quiet > n.pol.ProbeAfter || m.Detector.Reachability.ShouldProbe(now, m.Agent.LastContact) || (quiet > n.cfg.Workers.HeartbeatInterval/2 && n.mute(m, now))) && !m.Detector.Probing {
-		n.probe(m)
+	if (quiet > n.policy.ProbeAfter || m.Detector.Reachability.ShouldProbe(now, m.Agent.LastContact) || (quiet > n.settings.Workers.HeartbeatInterval/2 && n.cannotReport(m, now))) && !m.Detector.Probing {
+		n.probeMachine(m)
 	}
 	s.RequestNewToken(m)
-	if health.Unreachable(m.Agent.LastHeartbeat, n.hearsSince(m), now, n.cfg.Workers.LeaseDuration) && quiet <= n.pol.SuspectAfter && !m.Lifecycle.Returning && !n.ownFault(s, now) && !n.stateDown(now) && m.RunsNothingPlaced() {
+	if health.Unreachable(m.Agent.LastHeartbeat, n.hearingSince(m), now, n.settings.Workers.LeaseDuration) && quiet <= n.policy.SuspectAfter && !m.Lifecycle.Returning && !n.isOwnFault(s, now) && !n.isStateDown(now) && m.RunsNothingPlaced() {
 		// It answers, but its lease ends again and again, with all that it is given.
 		n.log.Info("fencing a machine whose reports do not arrive", "host", m.Host)
 		n.returnMachine(s, m)
 		return
 	}
-	if m.Detector.Reachability.CannotReceive() && !m.ShowsToken(s) && !m.Lifecycle.Returning && len(m.Use.Slots) > 0 && !n.stateDown(now) && m.RunsNothingPlaced() {
+	if m.Detector.Reachability.CannotReceive() && !m.ShowsToken(s) && !m.Lifecycle.Returning && len(m.Use.Slots) > 0 && !n.isStateDown(now) && m.RunsNothingPlaced() {
 		// It can't be shown the token, so nothing it says proves anything, and what was
 		// placed there is not there any more: its lease has run out while it did not hear.
 		n.log.Info("fencing a machine that does not hear and has lost what it ran", "host", m.Host)
 		n.returnMachine(s, m)
 		return
 	}
-	fence := n.pol.FenceAfter
-	if quiet > n.pol.FenceReplicasAfter && m.RunsReplicas() {
-		fence = n.pol.FenceReplicasAfter
+	fence := n.policy.FenceAfter
+	if quiet > n.policy.FenceReplicasAfter && m.RunsReplicas() {
+		fence = n.policy.FenceReplicasAfter
 	}
 	if !m.Agent.PreemptionNoticeAt.IsZero() {
-		fence = n.pol.SuspectAfter // it was announced to go
+		fence = n.policy.SuspectAfter // it was announced to go
 	}
-	fence = n.fenceAfter(m, fence, now)
+	fence = n.fenceDelay(m, fence, now)
 	// A direct question must have failed since: reports alone may be held up.
 	if quiet <= fence || m.Lifecycle.Returning || !m.Detector.UnansweredAt.After(m.Agent.LastContact) {
 		return
 	}
-	if n.ownFault(s, now) && quiet < 3*fence {
-		return // cutOff deals with it
+	if n.isOwnFault(s, now) && quiet < 3*fence {
+		return // isCutOff deals with it
 	}
-	if n.stateDown(now) {
+	if n.isStateDown(now) {
 		return // nothing can be recorded now; it may be heard before that changes
 	}
 	n.log.Info("fencing a silent machine", "host", m.Host, "silent", quiet)
 	n.returnMachine(s, m)
 }
 
-// ownFault tells that nearly all of a shard's machines are silent together, which
+// isOwnFault tells that nearly all of a shard's machines are silent together, which
 // speaks for a fault of this node's own links. Machines that fell silent together
 // do not all look silent for as long: each has its own beat. More than a beat
 // without hearing from nearly all of them tells it, before the first is due for
 // fencing.
-func (n *Controller) ownFault(s *replica.Shard, now time.Time) bool {
+func (n *Controller) isOwnFault(s *replica.Shard, now time.Time) bool {
 	if !s.IsolationCheckedAt.Equal(now) { // once for all machines that one pass looks at
-		s.IsolationCheckedAt, s.SelfIsolated = now, n.otherLive() != "" && n.alone(s, n.reportBeat(), now)
+		s.IsolationCheckedAt, s.SelfIsolated = now, n.leastLoadedPeer() != "" && n.isSelfIsolated(s, n.maxHeartbeatGap(), now)
 	}
 	return s.SelfIsolated
 }
@@ -518,38 +518,38 @@
 // before or after the pass at the same instant would be left to chance.
 const probeTimeout = 1480 * time.Millisecond
 
-// probe asks a machine for its account. An answer proves it alive even when
+// probeMachine asks a machine for its account. An answer proves it alive even when
 // its reports do not arrive.
-func (n *Controller) probe(m *replica.Machine) {
+func (n *Controller) probeMachine(m *replica.Machine) {
 	m.Detector.Probing = true
 	addr, ctx, began, before := m.Address(), n.ctx, time.Now(), m.Agent.Heartbeat
 	go func() {
 		var r protocol.Heartbeat
-		status, err := n.call(ctx, addr, "GET", protocol.PathStatus, nil, &r, probeTimeout)
+		status, err := n.callJSON(ctx, addr, "GET", protocol.PathStatus, nil, &r, probeTimeout)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		m.Detector.Probing = false
 		if err == nil && status == 200 && r.Host == m.Host {
 			m.Detector.Reachability.RecordAnswer(time.Now())
 			if s := n.view.Shards[m.Record.Shard]; before != nil && m.Agent.Heartbeat != nil && m.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(&r)) {
-				n.beganAgain(s, m, &r)
+				n.recordRestart(s, m, &r)
 			} else {
-				n.observe(m, &r)
+				n.observeHeartbeat(m, &r)
 			}
 			// It answers and has yet to see the token: its worker may be held by an
 			// earlier owner, which the state service and the others do not reach. Once
 			// it has seen the token, no answer of that one counts any more.
 			s := n.view.Shards[m.Record.Shard]
 			if n.view.IsActive(s) && m.Record.State == "" && r.FencingToken < s.FencingToken {
-				n.send(s, m)
+				n.sendCommands(s, m)
 			}
 			if !n.view.IsActive(s) {
-				n.stopStrayed(m, &r)
+				n.stopCancelledTasks(m, &r)
 			}
 			return
 		}
-		n.look(time.Now())
-		if began.After(n.beat.ResumedAt()) {
+		n.observePause(time.Now())
+		if began.After(n.pauses.ResumedAt()) {
 			m.Detector.UnansweredAt = time.Now() // else nobody was there to hear the answer
 			m.Detector.Reachability.RecordFailure(m.Detector.UnansweredAt, m.Agent.LastContact)
 		}
--- a/internal/coordination/health/cancelled_tasks.go
+++ b/internal/coordination/health/cancelled_tasks.go
@@ -47,7 +47,7 @@
 }
 
 // ReturnUnrecorded reports whether the return of a machine that should be fenced must not
-// wait for its record any longer. stateDown tells that the state service accepts no record.
+// wait for its record any longer. isStateDown tells that the state service accepts no record.
 func (t CancelledTask) ReturnUnrecorded(limit time.Duration, stateDown bool) bool {
 	if stateDown {
 		return t.Age > outageRecordDeadline(limit)
--- a/internal/coordination/health/misplaced_tasks.go
+++ b/internal/coordination/health/misplaced_tasks.go
@@ -62,7 +62,7 @@
 
 // ShouldReturn reports whether the machine has to be returned without a record, which is
 // the last resort. A machine that does not answer is returned from half of the limit in an
-// outage of the state service (stateDown), and from the escalation age in any case. One
+// outage of the state service (isStateDown), and from the escalation age in any case. One
 // that answers is returned from the escalation age in an outage alone: while records can be
 // written, the present or next owner of the shard returns the machine with a record.
 func (t MisplacedTask) ShouldReturn(limit time.Duration, stateDown bool) bool {
--- /dev/null
+++ b/internal/coordination/placement/placement_test.go
@@ -0,0 +1,87 @@
+package placement
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"madderslip/internal/coordination/replica"
+	"madderslip/internal/protocol"
+)
+
+// lowerPriority lets a job preempt tasks of lower priority alone.
+type lowerPriority struct{ spec *protocol.Submission }
+
+func (lowerPriority) Reset()                            {}
+func (lowerPriority) RecordPreemption([]replica.Victim) {}
+func (p lowerPriority) MayPreempt(victim *protocol.Submission, _ []replica.Victim) bool {
+	return victim.Priority() < p.spec.Priority()
+}
+
+// capacitiesOf makes machines of a type with so many CPUs free, in zones a and b by turns.
+func capacitiesOf(t *protocol.MachineType, free ...float64) []*Capacity {
+	var capacities []*Capacity
+	for i, cpus := range free {
+		zone := []string{"a", "b"}[i%2]
+		capacities = append(capacities, &Capacity{Host: fmt.Sprint("vm-", i), TypeName: t.Name, Zone: zone, Type: t, Free: protocol.MachineResources{CPUs: cpus, MemoryGB: t.MemoryGB}, Usable: true, Detailed: true})
+	}
+	return capacities
+}
+
+// A gang's reservation covers all of its machines, in one zone if it must: one
+// machine held while arrays took the others never let it start.
+func TestReservationCoversWholeGang(t *testing.T) {
+	now := time.Now()
+	typ := &protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}
+	capacities := capacitiesOf(typ, 8, 0, 0, 8, 0, 0)
+	short := &protocol.Submission{CPUs: 8, Shape: protocol.ShapeArray}
+	for i, after := range []time.Duration{0, 9, 30, 0, 20, 10} {
+		if capacities[i].Free.CPUs == 0 {
+			capacities[i].Releases = []replica.Release{{At: now.Add(after * time.Second), Spec: short}}
+		}
+	}
+	gang := &protocol.Submission{Shape: protocol.ShapeGang, Tasks: 3, CPUs: 8, SameZone: true}
+	z := NewZoneConstraint(gang, nil)
+	held, start := Reserve(gang, "wk-1", capacities, &z, 3, now)
+	var hosts []string
+	for _, r := range held {
+		hosts = append(hosts, r.Host)
+	}
+	slices.Sort(hosts)
+	// Zone b has a free machine, one free in 9 s and one in 10 s; zone a needs 30.
+	if !slices.Equal(hosts, []string{"vm-1", "vm-3", "vm-5"}) || !start.Equal(now.Add(10*time.Second)) {
+		t.Fatalf("held %v from %v on", hosts, start.Sub(now))
+	}
+	if Select(short, "wk-2", capacities, &ZoneConstraint{}, 30*time.Second, now) != 0 {
+		t.Fatal("a long task must go beside the reservation")
+	}
+}
+
+// A plan to preempt is for all of a gang's tasks or for none.
+func TestGangPreemptionIsPlannedWhole(t *testing.T) {
+	now := time.Now()
+	typ := &protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}
+	array := &protocol.Submission{Shape: protocol.ShapeArray, CPUs: 8, PriorityClass: "normal"}
+	service := &protocol.Submission{Shape: protocol.ShapeService, CPUs: 8, PriorityClass: "critical"}
+	capacities := capacitiesOf(typ, 0, 0, 8)
+	for i, s := range []*protocol.Submission{array, service} {
+		capacities[i].Victims = []replica.Victim{{Claim: &replica.Claim{Spec: s, Key: fmt.Sprint(i)}, StartedAt: now.Add(-time.Minute)}}
+	}
+	plan := func(tasks int) []Eviction {
+		gang := &protocol.Submission{Shape: protocol.ShapeGang, Tasks: tasks, CPUs: 8, PriorityClass: "high"}
+		entry := &QueueEntry{Job: &replica.Job{ID: "wk-1", ChunkSize: tasks}, Spec: gang}
+		zones := NewZoneConstraint(gang, nil)
+		return PlanPreemption(entry, capacities, &zones, lowerPriority{gang}, now)
+	}
+	if evictions := plan(3); evictions != nil {
+		t.Fatalf("planned %v although a service is in the way", evictions)
+	}
+	evictions := plan(2)
+	if len(evictions) != 2 || len(evictions[0].Victims)+len(evictions[1].Victims) != 1 {
+		t.Fatalf("planned %v", evictions)
+	}
+	if capacities[0].Free.CPUs != 0 || len(capacities[0].Victims) != 1 || capacities[2].Free.CPUs != 8 {
+		t.Fatal("the plan changed the capacities")
+	}
+}
--- a/internal/coordination/replica/machine.go
+++ b/internal/coordination/replica/machine.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"madderslip/internal/coordination/health"
-	"madderslip/internal/coordination/provisioning"
 	"madderslip/internal/coordination/quarantine"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/records"
@@ -85,7 +84,7 @@
 // CapacityCache is what a machine has free and when more of it will be, kept until
 // something about its tasks changes.
 type CapacityCache struct {
-	Free  [3]float64 // CPUs, GPUs and GB of memory, unless Stale
+	Free  protocol.MachineResources // unless Stale
 	Stale bool
 	// Releases and Victims are in order, unless DetailsStale.
 	Releases     []Release
@@ -94,10 +93,6 @@
 	UnknownUse   bool // something of unknown size runs there
 }
 
-func (m *Machine) BootKind() provisioning.MachineKind {
-	return provisioning.MachineKind{Type: m.Record.Type, Zone: m.Record.Zone}
-}
-
 // Age is how long ago a machine was rented.
 func (m *Machine) Age(now time.Time) time.Duration {
 	return now.Sub(time.UnixMilli(m.Record.RentedAtMs))
@@ -213,3 +208,13 @@
 	}
 	return -1
 }
+
+// RunsTasks reports whether the agent shows any task that has not exited.
+func (m *Machine) RunsTasks() bool {
+	for _, task := range m.Agent.Tasks {
+		if task.Phase != protocol.TaskExited {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/coordination/replica/machines.go
+++ b/internal/coordination/replica/machines.go
@@ -12,36 +12,38 @@
 // Name names a placement that is to be stopped, as bookings record it.
 func (v *Victim) Name() string { return fmt.Sprintf("%s#%d@%s", v.Claim.Key, v.Task, v.Host) }
 
-// view.FreeCapacity is what a machine has left: everything that is or may be on it counts,
+// FreeCapacity is what a machine has left: everything that is or may be on it counts,
 // recorded or only reported. A task that its worker reports as exited takes no
 // room, even before its end is booked.
-func (v *View) FreeCapacity(m *Machine) (cpus, gpus, mem float64) {
+func (v *View) FreeCapacity(m *Machine) protocol.MachineResources {
 	if !m.Capacity.Stale {
-		return m.Capacity.Free[0], m.Capacity.Free[1], m.Capacity.Free[2]
+		return m.Capacity.Free
 	}
-	t := v.MachineType(m.Record.Type)
-	m.Capacity.Free = [3]float64{t.CPUs, t.GPUs, t.MemoryGB}
+	machineType := v.MachineType(m.Record.Type)
+	m.Capacity.Free = protocol.ResourcesOf(&machineType)
 	m.Capacity.Stale, m.Capacity.UnknownUse = false, false
-	take := func(s *protocol.Submission) {
-		if s == nil {
-			m.Capacity.UnknownUse = true // of unknown size
-			return
-		}
-		m.Capacity.Free[0], m.Capacity.Free[1], m.Capacity.Free[2] = m.Capacity.Free[0]-s.CPUs, m.Capacity.Free[1]-s.GPUs, m.Capacity.Free[2]-s.MemoryGB
-	}
-	for name, p := range m.Use.Slots {
-		if t := m.Agent.Tasks[name]; t != nil && t.Attempt == p.Attempt && t.Phase == protocol.TaskExited {
+	for name, slot := range m.Use.Slots {
+		if status := m.Agent.Tasks[name]; status != nil && status.Attempt == slot.Attempt && status.Phase == protocol.TaskExited {
 			continue
 		}
-		take(p.Claim.Spec)
+		m.allocate(slot.Claim.Spec)
 	}
-	for name, t := range m.Agent.Tasks {
-		if t.Phase != protocol.TaskExited && m.Use.Slots[name] == nil {
-			take(v.SpecOfTask(name)) // a stray; housekeeping is ending it
-			m.Capacity.Stale = true  // its job may be forgotten any moment, and its size with it
+	for name, status := range m.Agent.Tasks {
+		if status.Phase != protocol.TaskExited && m.Use.Slots[name] == nil {
+			m.allocate(v.SpecOfTask(name)) // orphaned, and about to be stopped
+			m.Capacity.Stale = true        // its job may be forgotten any moment, and its size with it
 		}
 	}
-	return m.Capacity.Free[0], m.Capacity.Free[1], m.Capacity.Free[2]
+	return m.Capacity.Free
+}
+
+// allocate takes a task's use from the free capacity. A nil spec is of unknown size.
+func (m *Machine) allocate(spec *protocol.Submission) {
+	if spec == nil {
+		m.Capacity.UnknownUse = true
+		return
+	}
+	m.Capacity.Free = m.Capacity.Free.Minus(spec, 1)
 }
 
 // Release is a running task with the time its room is expected back.
--- a/internal/protocol/resources.go
+++ b/internal/protocol/resources.go
@@ -127,3 +127,32 @@
 	r.CPUs, r.GPUs = list[0], list[1]
 	return nil
 }
+
+// MachineResources is an amount of what tasks use of one machine.
+type MachineResources struct{ CPUs, GPUs, MemoryGB float64 }
+
+// ResourcesOf returns what an empty machine of a type has.
+func ResourcesOf(machineType *MachineType) MachineResources {
+	return MachineResources{machineType.CPUs, machineType.GPUs, machineType.MemoryGB}
+}
+
+// Fits reports whether a task of a job fits into the amount.
+func (r MachineResources) Fits(spec *Submission) bool {
+	return r.CPUs+ResourceTolerance >= spec.CPUs && r.GPUs+ResourceTolerance >= spec.GPUs && r.MemoryGB+ResourceTolerance >= spec.MemoryGB
+}
+
+// Plus returns the amount with what one task of a job uses added.
+func (r MachineResources) Plus(spec *Submission) MachineResources {
+	return MachineResources{r.CPUs + spec.CPUs, r.GPUs + spec.GPUs, r.MemoryGB + spec.MemoryGB}
+}
+
+// Minus returns the amount without what so many tasks of a job use. It may be negative.
+func (r MachineResources) Minus(spec *Submission, tasks int) MachineResources {
+	count := float64(tasks)
+	return MachineResources{r.CPUs - count*spec.CPUs, r.GPUs - count*spec.GPUs, r.MemoryGB - count*spec.MemoryGB}
+}
+
+// Max returns the greater of both, part by part.
+func (r MachineResources) Max(other MachineResources) MachineResources {
+	return MachineResources{max(r.CPUs, other.CPUs), max(r.GPUs, other.GPUs), max(r.MemoryGB, other.MemoryGB)}
+}
--- a/internal/storage/kv/limiter.go
+++ b/internal/storage/kv/limiter.go
@@ -63,7 +63,7 @@
 	return untilTokens(1-tokens, l.requests.Limit())
 }
 
-// reservedFor is the budget that a transaction leaves to more urgent ones. None
+// Reservation.JobID is the budget that a transaction leaves to more urgent ones. None
 // waits for that for ever, since waiting makes it more urgent.
 func (l *limiter) reservedFor(t *Txn, now time.Time) float64 {
 	switch t.effectivePriority(now) {
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// makeRoom closes idle connections, the longest idle first: expired ones in any case,
+// preemptFor closes idle connections, the longest idle first: expired ones in any case,
 // others until one more may be opened. p.mu is held by the caller.
 func (p *connPool) makeRoom() {
 	for element := p.oldest.Front(); element != nil; element = p.oldest.Front() {
