--- a/internal/storage/kv/client.go
+++ b/internal/storage/kv/client.go
@@ -43,9 +43,9 @@
 }
 
 // New makes a client; Run must be called for transactions to be sent.
-func New(caller HTTPClient, addr string, lim protocol.StateLimits, log *slog.Logger) *Client {
+func New(caller HTTPClient, addr string, limits protocol.StateLimits, log *slog.Logger) *Client {
 	connection := &connection{http: caller, addr: addr}
-	limiter := newLimiter(lim)
+	limiter := newLimiter(limits)
 	queue := newQueue()
 	return &Client{
 		connection: connection,
@@ -64,7 +64,7 @@
 
 // SetBudgetShare sets this node's part of the budgets, from 0 to 1. A tenth stays unused for
 // lease renewals, which do not wait for the budget.
-func (c *Client) SetBudgetShare(part float64) { c.limiter.setShare(part) }
+func (c *Client) SetBudgetShare(share float64) { c.limiter.setShare(share) }
 
 // MaxValueBytes is how large a record may be, as far as is known.
 func (c *Client) MaxValueBytes() int { return c.limiter.limits.sizes().MaxValueBytes }
@@ -158,9 +158,9 @@
 }
 
 // KeepAlive renews a lease. ErrLeaseExpired says that it has ended for good.
-func (c *Client) KeepAlive(ctx context.Context, permit uint64) error {
-	lease := strconv.FormatUint(permit, 10)
-	return wrapError(opKeepAlive, lease, c.keepAlive(ctx, lease))
+func (c *Client) KeepAlive(ctx context.Context, lease uint64) error {
+	id := strconv.FormatUint(lease, 10)
+	return wrapError(opKeepAlive, id, c.keepAlive(ctx, id))
 }
 
 func (c *Client) keepAlive(ctx context.Context, lease string) error {
--- /dev/null
+++ b/internal/storage/kv/helpers_test.go
@@ -0,0 +1,68 @@
+package kv
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"madderslip/internal/protocol"
+)
+
+// scriptedService answers transactions by a function and keeps the requests.
+type scriptedService struct {
+	mu     sync.Mutex
+	bodies []string
+	answer func(n int, body string) (int, string, error)
+}
+
+func (s *scriptedService) Do(_ context.Context, _, _, _ string, body []byte) (int, []byte, error) {
+	s.mu.Lock()
+	s.bodies = append(s.bodies, string(body))
+	n := len(s.bodies)
+	s.mu.Unlock()
+	status, out, err := s.answer(n, string(body))
+	return status, []byte(out), err
+}
+
+// run has a client send what submit submits, for 20 s and until it has ended, and returns
+// the errors by name.
+func run(t *testing.T, s *scriptedService, submit func(c *Client, done func(name string) func(Result))) map[string]error {
+	results := make(map[string]error)
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		c := New(s, "x", protocol.StateLimits{RequestRate: 100, WriteRate: 100, MaxValueBytes: 64, MaxTxnOps: 4}, slog.New(slog.DiscardHandler))
+		go c.Run(ctx)
+		var mu sync.Mutex
+		submit(c, func(name string) func(Result) {
+			return func(r Result) { mu.Lock(); results[name] = r.Err; mu.Unlock() }
+		})
+		time.Sleep(20 * time.Second)
+		cancel()
+		time.Sleep(time.Second)
+	})
+	return results
+}
+
+// set is a transaction that sets a key which has a version.
+func set(key string, version uint64, done func(Result)) *Txn {
+	return &Txn{Compares: []Compare{{key, version}}, Ops: []Op{{Key: key, Value: 1}}, Priority: PriorityBackground, OnResult: done}
+}
+
+// commit submits a transaction and waits for its error.
+func commit(ctx context.Context, c *Client, transaction *Txn) error {
+	result := make(chan error, 1)
+	transaction.Priority, transaction.OnResult = PriorityUser, func(r Result) { result <- r.Err }
+	c.Submit(transaction)
+	select {
+	case err := <-result:
+		return err
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(10 * time.Second):
+		return errors.New("no result")
+	}
+}
--- a/internal/storage/kv/limiter.go
+++ b/internal/storage/kv/limiter.go
@@ -17,6 +17,13 @@
 	minWriteBurst   = 8 // the most that one transaction changes, with a margin
 )
 
+// Parts of the budgets that are left to what is more urgent.
+const (
+	usableShare       = 0.9  // of a node's share; the rest is for lease renewals, which do not wait
+	backgroundReserve = 0.5  // of the burst, that background changes leave
+	completionReserve = 0.25 // of the burst, that completions leave
+)
+
 // limiter holds this node's share of the budgets, requests and changes a second, and what
 // the state service takes. The rate limiters and the limits have their own locks; only
 // setShare changes the rates. Leases do not pass here.
@@ -37,13 +44,13 @@
 
 // setShare sets this node's part of the budgets, from 0 to 1, a tenth of which stays
 // unused.
-func (l *limiter) setShare(part float64) {
-	part *= 0.9
+func (l *limiter) setShare(share float64) {
+	share *= usableShare
 	requests, changes := l.limits.sizes().RequestRate, l.limits.writeRate(time.Now())
-	l.requests.SetLimit(rate.Limit(requests * part))
-	l.writes.SetLimit(rate.Limit(changes * part))
-	l.requests.SetBurst(max(minRequestBurst, int(requests*part/2)))
-	l.writes.SetBurst(max(minWriteBurst, int(changes*part)))
+	l.requests.SetLimit(rate.Limit(requests * share))
+	l.writes.SetLimit(rate.Limit(changes * share))
+	l.requests.SetBurst(max(minRequestBurst, int(requests*share/2)))
+	l.writes.SetBurst(max(minWriteBurst, int(changes*share)))
 }
 
 // waitForRequest waits until the budget allows a request, and takes it.
@@ -68,9 +75,9 @@
 func (l *limiter) reservedFor(t *Txn, now time.Time) float64 {
 	switch t.effectivePriority(now) {
 	case PriorityBackground:
-		return float64(l.writes.Burst()) * 0.5
+		return float64(l.writes.Burst()) * backgroundReserve
 	case PriorityCompletion:
-		return float64(l.writes.Burst()) * 0.25
+		return float64(l.writes.Burst()) * completionReserve
 	}
 	return 0
 }
--- /dev/null
+++ b/internal/storage/kv/outcome_test.go
@@ -0,0 +1,113 @@
+package kv
+
+import (
+	"errors"
+	"strings"
+	"testing"
+
+	"madderslip/internal/protocol"
+)
+
+// A failed condition must not sink its neighbours in the same request.
+func TestFailedCompareSparesNeighbours(t *testing.T) {
+	s := &scriptedService{answer: func(n int, body string) (int, string, error) {
+		if strings.Contains(body, keyPrefix+"b") {
+			return 409, `{"failed":["` + keyPrefix + `b"],"epoch":5}`, nil
+		}
+		return 200, `{"epoch":6}`, nil
+	}}
+	got := run(t, s, func(c *Client, done func(string) func(Result)) {
+		for _, key := range []string{"a", "b", "c"} {
+			c.Submit(set(key, 0, done(key)))
+		}
+	})
+	if got["a"] != nil || got["c"] != nil || !errors.Is(got["b"], ErrCompareFailed) || len(s.bodies) != 2 {
+		t.Fatalf("%v after %d requests", got, len(s.bodies))
+	}
+}
+
+// Without an answer a transaction is sent again under the same conditions: if
+// the first was applied after all, the second conflicts and changes nothing.
+func TestUnknownOutcomeIsResolvedByCompares(t *testing.T) {
+	s := &scriptedService{answer: func(n int, body string) (int, string, error) {
+		if n == 1 {
+			return 0, "", errors.New("timeout")
+		}
+		return 409, `{"failed":["` + keyPrefix + `a"],"epoch":5}`, nil
+	}}
+	got := run(t, s, func(c *Client, done func(string) func(Result)) { c.Submit(set("a", 0, done("a"))) })
+	if !errors.Is(got["a"], ErrCompareFailed) || len(s.bodies) != 2 || s.bodies[0] != s.bodies[1] {
+		t.Fatalf("%v, requests %v", got, s.bodies)
+	}
+}
+
+// A lease that has ended is no fault of the transactions beside it, which still go
+// together, nor is the transaction that names it malformed.
+func TestExpiredLeaseSparesNeighbours(t *testing.T) {
+	s := &scriptedService{answer: func(n int, body string) (int, string, error) {
+		if strings.Contains(body, `"permit":7`) {
+			return 400, `{"error":"no such lease"}`, nil
+		}
+		return 200, `{"epoch":6}`, nil
+	}}
+	got := run(t, s, func(c *Client, done func(string) func(Result)) {
+		c.Submit(set("a", 1, done("a")))
+		leased := set("b", 1, done("b"))
+		leased.Ops[0].Lease = 7
+		c.Submit(leased)
+		c.Submit(set("c", 1, done("c")))
+	})
+	if got["a"] != nil || !errors.Is(got["b"], ErrLeaseExpired) || got["c"] != nil || len(s.bodies) != 2 {
+		t.Fatalf("%v in %d requests: %v", got, len(s.bodies), s.bodies)
+	}
+}
+
+// A transaction whose first sending got no answer may have been carried out before the
+// limits fell: that it is refused now does not make its outcome known.
+func TestRefusalAfterNoAnswerLeavesOutcomeUnknown(t *testing.T) {
+	s := &scriptedService{answer: func(n int, _ string) (int, string, error) {
+		if n == 1 {
+			return 0, "", errors.New("timeout")
+		}
+		return 400, `{"error":"the value is too large"}`, nil
+	}}
+	got := run(t, s, func(c *Client, done func(string) func(Result)) {
+		c.AnnounceLimits(protocol.StateLimits{MaxValueBytes: 32})
+		big := set("big", 0, done("big"))
+		big.Ops[0].Value = strings.Repeat("x", 40)
+		c.Submit(big)
+	})
+	if !errors.Is(got["big"], ErrTooLarge) || !errors.Is(got["big"], ErrOutcomeUnknown) {
+		t.Error(got)
+	}
+}
+
+// TestClassify: the status tells the outcome of a call, with the error when there was no
+// answer, and with the reason when a lease has ended.
+func TestClassify(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		status int
+		reason string
+		err    error
+		want   outcomeKind
+	}{
+		{"no answer", 0, "", ErrOutcomeUnknown, noAnswer},
+		{"carried out", 200, "", nil, committed},
+		{"carried out, message not understood", 200, "", errors.New("decode"), committed},
+		{"a condition failed", 409, "", nil, compareFailed},
+		{"a lease has ended", 400, reasonLeaseExpired, nil, leaseExpired},
+		{"malformed", 400, "malformed", nil, refused},
+		{"malformed, no reason", 400, "", nil, refused},
+		{"too many", 429, "", nil, rateLimited},
+		{"down", 503, "", nil, unavailable},
+		{"reason of a lease beside another status", 503, reasonLeaseExpired, nil, unavailable},
+		{"no status and no error", 0, "", nil, unavailable},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := classify(test.status, wireTxnAnswer{Error: test.reason}, test.err); got.kind != test.want {
+				t.Errorf("outcome %d, want %d", got.kind, test.want)
+			}
+		})
+	}
+}
--- a/internal/storage/kv/send.go
+++ b/internal/storage/kv/send.go
@@ -13,9 +13,9 @@
 // apart from other timers.
 const txnTimeout = 2*time.Second + 47*time.Nanosecond
 
-// Submit queues a transaction. OnResult is called once, from another goroutine; it
-// must not wait, since others are told after it. A transaction that is refused here, or comes
-// after the end of Run, is answered on a goroutine that nobody waits for.
+// Submit queues a transaction. OnResult is called once, from another goroutine; it must not
+// wait, since others are told after it. A transaction that is refused here, or comes after
+// the end of Run, is answered on a goroutine that nobody waits for.
 func (c *Client) Submit(t *Txn) {
 	if key, err := t.encode(); err != nil {
 		c.log.Error("record cannot be written", "key", key, "err", err)
@@ -35,9 +35,9 @@
 	c.queue.wake()
 }
 
-// Run sends queued transactions until the context ends. Those that still wait
-// then get their result, as do all that are submitted later. It returns once the calls under
-// way have ended, which they do with the context, and the results are delivered.
+// Run sends queued transactions until the context ends. Those that still wait then get
+// their result, as do all that are submitted later. It returns once the calls under way
+// have ended, which they do with the context, and the results are delivered.
 func (c *Client) Run(ctx context.Context) {
 	var sends sync.WaitGroup
 	defer func() {
@@ -103,15 +103,15 @@
 }
 
 // HasPending counts the transactions of a priority that wait for the budget.
-func (c *Client) HasPending(prio int) int {
-	return c.queue.count(func(t *Txn) bool { return t.Priority == prio })
+func (c *Client) HasPending(priority int) int {
+	return c.queue.count(func(t *Txn) bool { return t.Priority == priority })
 }
 
 // Backlog is how many changes wait that go before a new transaction of a
 // priority, and how many a second the budget allows. Comparisons count as a
 // change for as many as go together in a request.
-func (c *Client) Backlog(prio int) (changes int, rate float64) {
-	changes, reads := c.queue.ahead(prio)
+func (c *Client) Backlog(priority int) (changes int, rate float64) {
+	changes, reads := c.queue.ahead(priority)
 	return changes + reads/max(1, c.limiter.limits.sizes().MaxTxnOps), float64(c.limiter.writes.Limit())
 }
 
@@ -124,6 +124,6 @@
 // ObserveVersion tells of a version of a key seen elsewhere. Transactions that wait and
 // depend on an older one have failed already; sending them would only spend
 // the budget, which failing changes take from as much as others.
-func (c *Client) ObserveVersion(key string, stamp uint64, exists bool) {
-	c.queue.observeVersion(key, stamp, exists)
+func (c *Client) ObserveVersion(key string, version uint64, exists bool) {
+	c.queue.observeVersion(key, version, exists)
 }
--- /dev/null
+++ b/internal/storage/kv/send_test.go
@@ -0,0 +1,80 @@
+package kv
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"madderslip/internal/protocol"
+)
+
+// What is larger than the service takes is not sent; what waits past its deadline is not
+// sent again.
+func TestTooLargeAndLateAreAnswered(t *testing.T) {
+	s := &scriptedService{answer: func(int, string) (int, string, error) { return 503, "", nil }}
+	got := run(t, s, func(c *Client, done func(string) func(Result)) {
+		big := set("big", 0, done("big"))
+		big.Ops[0].Value = strings.Repeat("x", 100)
+		c.Submit(big)
+		late := set("late", 0, done("late"))
+		late.Deadline = time.Now().Add(time.Second)
+		c.Submit(late)
+	})
+	if !errors.Is(got["big"], ErrInvalid) || !errors.Is(got["late"], ErrNotExecuted) {
+		t.Fatal(got)
+	}
+}
+
+// TestRunWaitsForWhatItStarted: once Run has returned each transaction submitted before has
+// its result, also one that was under way, and no call goes on.
+func TestRunWaitsForWhatItStarted(t *testing.T) {
+	const count = 60 // more than are sent at once
+	for _, test := range []struct {
+		name                  string
+		callEnds, resultTakes time.Duration
+	}{
+		{"connections take long to end", time.Second, 0},
+		{"results take long to deliver", 0, time.Second},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				ctx, cancel := context.WithCancel(context.Background())
+				var answered, calls atomic.Int64
+				s := &scriptedService{answer: func(int, string) (int, string, error) {
+					calls.Add(1)
+					defer calls.Add(-1)
+					<-ctx.Done()
+					time.Sleep(test.callEnds)
+					return 0, "", ctx.Err()
+				}}
+				c := New(s, "x", protocol.StateLimits{RequestRate: 100, WriteRate: 100, MaxValueBytes: 64, MaxTxnOps: 4}, slog.New(slog.DiscardHandler))
+				ended := make(chan struct{})
+				go func() {
+					c.Run(ctx)
+					close(ended)
+				}()
+				for i := range count {
+					c.Submit(set(fmt.Sprint("k", i), 1, func(Result) {
+						time.Sleep(test.resultTakes)
+						answered.Add(1)
+					}))
+				}
+				time.Sleep(time.Second)
+				if calls.Load() == 0 {
+					t.Error("no call is under way")
+				}
+				cancel()
+				<-ended
+				if answered.Load() != count || calls.Load() != 0 {
+					t.Errorf("%d of %d answered, %d calls under way", answered.Load(), count, calls.Load())
+				}
+			})
+		})
+	}
+}
