--- a/internal/loadtest/config_test.go
+++ b/internal/loadtest/config_test.go
@@ -45,7 +45,7 @@
 		return c, file, err
 	}
 	c, _, err := load(good)
-	if err != nil || c.Workers != 100 || len(c.Troubles) != 1 || c.Load.ArrayTasks != 20 {
+	if err != nil || c.Workers != 100 || len(c.Faults) != 1 || c.Load.ArrayTasks != 20 {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for _, f := range [][3]string{
--- /dev/null
+++ b/internal/loadtest/counters.go
@@ -0,0 +1,130 @@
+package loadtest
+
+import (
+	"fmt"
+	"math"
+	"time"
+
+	"madderslip/internal/emulator"
+)
+
+// counters are all that is counted, as it stood at one time.
+type counters struct {
+	at               time.Time
+	starts           int64 // tasks
+	submitted        int64 // jobs
+	accepted         int64 // jobs
+	changes, refused int   // transactions of the state service
+	state            traffic
+	heartbeats       traffic
+	commands         traffic
+	processes        []usage // by controller
+}
+
+// traffic is what went over an interface: in to the emulated side, out from it. Workers
+// send heartbeats, so these go out.
+type traffic struct{ requests, inBytes, outBytes int64 }
+
+// trafficOf reads the counters of an interface.
+func trafficOf(t *emulator.Traffic) traffic {
+	return traffic{t.Requests.Load(), t.In.Load(), t.Out.Load()}
+}
+
+// since is what was added since an earlier time.
+func (t traffic) since(earlier traffic) traffic {
+	return traffic{t.requests - earlier.requests, t.inBytes - earlier.inBytes, t.outBytes - earlier.outBytes}
+}
+
+// count reads all counters.
+func (m *measurement) count() counters {
+	state := m.world.State.Counts()
+	now := counters{
+		at:         time.Now(),
+		starts:     m.starts.Load(),
+		submitted:  m.submitted.Load(),
+		accepted:   m.accepted.Load(),
+		changes:    state.Changes,
+		refused:    state.Refused,
+		state:      trafficOf(&m.loopback.State),
+		heartbeats: trafficOf(&m.loopback.Reports),
+		commands:   trafficOf(&m.loopback.Commands),
+	}
+	for _, c := range m.controllers {
+		now.processes = append(now.processes, c.usage())
+	}
+	return now
+}
+
+// minReached is the part of what was asked for that counts as reached.
+const minReached = 0.95
+
+// result is what lies between two counts.
+func (m *measurement) result(from, to counters) *Result {
+	seconds := to.at.Sub(from.at).Seconds()
+	workers := float64(m.cfg.Workers)
+	perSecond := func(count int64) float64 { return round(float64(count) / seconds) }
+	kbPerSecond := func(bytes int64) float64 { return round(float64(bytes) / 1024 / seconds) }
+	kbPerWorker := func(bytes int64) float64 { return round(float64(bytes) / 1024 / seconds / workers) }
+
+	starts, changes := to.starts-from.starts, to.changes-from.changes
+	state, heartbeats, commands := to.state.since(from.state), to.heartbeats.since(from.heartbeats), to.commands.since(from.commands)
+	result := &Result{
+		Workers:     m.cfg.Workers,
+		Controllers: m.cfg.Controllers,
+		Seconds:     round(seconds),
+		UpWorkers:   m.world.Up(),
+		Running:     m.world.Tasks(),
+		Starts:      perSecond(starts),
+		Wanted:      m.cfg.Load.StartsPerS + m.cfg.Load.UrgentPerS,
+		Changes:     perSecond(int64(changes)),
+		Requests:    perSecond(state.requests),
+		StateInKB:   kbPerSecond(state.inBytes),
+		StateOutKB:  kbPerSecond(state.outBytes),
+		Refused:     perSecond(int64(to.refused - from.refused)),
+		WorkerOutKB: kbPerWorker(heartbeats.outBytes + commands.outBytes),
+		WorkerInKB:  kbPerWorker(heartbeats.inBytes + commands.inBytes),
+		Reports:     perSecond(heartbeats.requests),
+		Commands:    perSecond(commands.requests),
+		Submitted:   to.submitted - from.submitted,
+		Accepted:    to.accepted - from.accepted,
+	}
+	if starts > 0 {
+		result.ChangesPerStart = round(float64(changes) / float64(starts))
+	}
+	result.addProcesses(from.processes, to.processes, seconds)
+	m.addUrgent(result)
+	result.addNotReached()
+	return result
+}
+
+// addProcesses adds what each controller used in so many seconds, and holds at their end.
+func (r *Result) addProcesses(from, to []usage, seconds float64) {
+	for i := range to {
+		r.CPU = append(r.CPU, round((to[i].CPU-from[i].CPU).Seconds()/seconds))
+		r.RSSMB = append(r.RSSMB, round(float64(to[i].RSS)/(1<<20)))
+		r.Sockets = append(r.Sockets, to[i].Sockets)
+	}
+}
+
+// addUrgent adds how long urgent jobs waited, those of the warm-up included.
+func (m *measurement) addUrgent(r *Result) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	quantile := func(percent float64) float64 { return float64(m.urgentWaits.ValueAtQuantile(percent)) / 1000 }
+	r.Urgent, r.UrgentBegun = len(m.urgentJobs), int(m.urgentWaits.TotalCount())
+	r.UrgentP50, r.UrgentP95 = quantile(50), quantile(95)
+	r.UrgentMax = float64(m.urgentWaits.Max()) / 1000
+}
+
+// addNotReached names what falls short of the configuration.
+func (r *Result) addNotReached() {
+	if r.Starts < minReached*r.Wanted {
+		r.NotReached = append(r.NotReached, fmt.Sprintf("%.0f of %.0f starts a second", r.Starts, r.Wanted))
+	}
+	if float64(r.UpWorkers) < minReached*float64(r.Workers) {
+		r.NotReached = append(r.NotReached, fmt.Sprintf("%d of %d workers are served", r.UpWorkers, r.Workers))
+	}
+}
+
+// round rounds to three decimals.
+func round(v float64) float64 { return math.Round(v*1000) / 1000 }
--- /dev/null
+++ b/internal/loadtest/fault.go
@@ -0,0 +1,44 @@
+package loadtest
+
+import (
+	"context"
+	"fmt"
+	"os"
+
+	"madderslip/internal/protocol"
+)
+
+// runFault waits for a fault's time, has it happen, and ends it.
+func (m *measurement) runFault(ctx context.Context, fault Fault) {
+	if !pause(ctx, protocol.Seconds(fault.AtS)) {
+		return
+	}
+	fmt.Fprintf(m.progress, "trouble: %s\n", fault.Kind)
+	switch fault.Kind {
+	case faultSlow:
+		m.world.SetFault("slow", true)
+		pause(ctx, protocol.Seconds(fault.ForS))
+		m.world.SetFault("slow", false)
+	case faultReboot:
+		hosts := m.world.Hosts(false)
+		for _, host := range hosts[:int(fault.Part*float64(len(hosts)))] {
+			m.world.Set(host, "reboot")
+		}
+	case faultCrash:
+		m.crash(ctx, fault)
+	}
+}
+
+// crash kills a controller at random and starts it again some time later.
+func (m *measurement) crash(ctx context.Context, fault Fault) {
+	m.mu.Lock()
+	victim := m.controllers[m.random.IntN(len(m.controllers))]
+	m.mu.Unlock()
+	victim.kill()
+	if !pause(ctx, protocol.Seconds(fault.ForS)) {
+		return
+	}
+	if err := victim.start(ctx, m.cfg.Program); err != nil {
+		fmt.Fprintln(os.Stderr, "restart of", victim.name+":", err)
+	}
+}
--- /dev/null
+++ b/internal/loadtest/measurement.go
@@ -0,0 +1,214 @@
+package loadtest
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"madderslip/internal/emulator"
+	"madderslip/internal/protocol"
+)
+
+// Periods of a measurement.
+const (
+	readyPollInterval = 200 * time.Millisecond
+	warmUpReport      = 5 * time.Second  // between lines of progress
+	measureReport     = 10 * time.Second // between lines of progress
+	forgetInterval    = 10 * time.Second
+)
+
+// The workers are added in batches: a start of all at once would measure itself.
+const (
+	workerBatch      = 100
+	workerBatchPause = 20 * time.Millisecond
+)
+
+// machineTypeName is the one kind of machine.
+const machineTypeName = "m"
+
+// maxUrgentWaitMs is the longest wait that the histogram tells apart.
+const maxUrgentWaitMs = 600_000
+
+// measurement is one configuration being measured. The goroutines that it starts end with
+// the context of Measure, which waits for them.
+type measurement struct {
+	cfg         *Config
+	dir         string // of the controllers' files
+	progress    io.Writer
+	world       *emulator.World
+	loopback    *emulator.Loopback
+	controllers []*controller
+	background  sync.WaitGroup
+
+	lastJobID           atomic.Int64
+	starts              atomic.Int64 // tasks
+	submitted, accepted atomic.Int64 // jobs
+
+	mu          sync.Mutex              // guards all below; taken under the world's lock, never around it
+	random      *rand.Rand              // chooses what crashes
+	urgentWaits *hdrhistogram.Histogram // milliseconds from the acceptance to the start
+	urgentJobs  map[string]bool         // by id: whether it has started
+}
+
+// Measure runs one measurement, and ends early with the context's error. Lines of
+// progress go to progress, settings and logs of the controllers to dir.
+func Measure(ctx context.Context, cfg *Config, dir string, progress io.Writer) (*Result, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	m := &measurement{
+		cfg:         cfg,
+		dir:         dir,
+		progress:    progress,
+		random:      rand.New(rand.NewPCG(cfg.Seed, 1)),
+		urgentWaits: hdrhistogram.New(1, maxUrgentWaitMs, 3),
+		urgentJobs:  make(map[string]bool),
+	}
+	defer m.close()
+	defer m.background.Wait()
+	defer cancel()
+	if err := m.open(ctx); err != nil {
+		return nil, err
+	}
+	if err := m.warmUp(ctx); err != nil {
+		return nil, err
+	}
+	return m.measure(ctx)
+}
+
+// open makes the emulated world and starts the controllers.
+func (m *measurement) open(ctx context.Context) error {
+	m.world = m.newWorld(ctx)
+	var err error
+	if m.loopback, err = emulator.NewLoopback(ctx, m.world); err != nil {
+		return err
+	}
+	if m.controllers, err = newControllers(m.cfg.Controllers); err != nil {
+		return err
+	}
+	for _, c := range m.controllers {
+		if err := c.writeSettings(m.dir, m.cfg, m.controllers, m.loopback); err != nil {
+			return err
+		}
+		if err := c.start(ctx, m.cfg.Program); err != nil {
+			return err
+		}
+		m.world.SetZone(c.name, "")
+		m.loopback.AddNode(c.name, c.publicAddr)
+	}
+	return nil
+}
+
+// newWorld makes the emulated state service, cloud and workers.
+func (m *measurement) newWorld(ctx context.Context) *emulator.World {
+	teams := map[string]protocol.Team{team: {Name: team}}
+	world := emulator.NewWorld(ctx, m.cfg.Seed, workerSettings(m.cfg), teams)
+	world.RecordStartsOnly = true
+	world.OnStart(m.recordStart)
+	world.ListLag = cloudListLag
+	world.Types = []protocol.MachineType{{
+		Name:          machineTypeName,
+		CPUs:          float64(m.cfg.Load.TasksPerWorker),
+		MemoryGB:      float64(4 * m.cfg.Load.TasksPerWorker),
+		ImageCacheGB:  50,
+		ImagePullGBps: 1,
+		Price:         1,
+		SpotPrice:     0.4,
+		BootS:         10,
+		Zones:         zones,
+	}}
+	world.State.SetRateLimits(m.cfg.State.RPS, m.cfg.State.WriteRPS)
+	world.State.SetSizeLimits(emulator.SizeLimits{
+		ValueBytes: int(m.cfg.State.ValueKB * 1024),
+		Changes:    m.cfg.State.TxnOps,
+	})
+	return world
+}
+
+// close ends the controllers and the world's addresses, as far as they were opened.
+func (m *measurement) close() {
+	for _, c := range m.controllers {
+		c.kill()
+	}
+	if m.loopback != nil {
+		m.loopback.Close()
+	}
+}
+
+// warmUp waits until the controllers are ready, adds the workers, and starts the load.
+func (m *measurement) warmUp(ctx context.Context) error {
+	deadline := time.Now().Add(protocol.Seconds(m.cfg.WarmupS))
+	for _, c := range m.controllers {
+		for !c.isReady() {
+			if time.Now().After(deadline) || ctx.Err() != nil {
+				return fmt.Errorf("controller %s is not ready within %g s, see %s", c.name, m.cfg.WarmupS, c.settingsFile)
+			}
+			pause(ctx, readyPollInterval)
+		}
+	}
+	for left := m.cfg.Workers; left > 0 && ctx.Err() == nil; left -= workerBatch {
+		zone := zones[left/workerBatch%len(zones)]
+		m.world.AddKind(min(left, workerBatch), machineTypeName, zone, false)
+		pause(ctx, workerBatchPause)
+	}
+	m.startLoad(ctx)
+	m.background.Go(func() { m.forgetFinished(ctx) })
+	return m.reportUntil(ctx, deadline, "warming up", warmUpReport)
+}
+
+// measure counts over the measured time, with the faults in it.
+func (m *measurement) measure(ctx context.Context) (*Result, error) {
+	before := m.count()
+	for _, fault := range m.cfg.Faults {
+		m.background.Go(func() { m.runFault(ctx, fault) })
+	}
+	end := time.Now().Add(protocol.Seconds(m.cfg.MeasureS))
+	if err := m.reportUntil(ctx, end, "measuring", measureReport); err != nil {
+		return nil, err
+	}
+	return m.result(before, m.count()), nil
+}
+
+// reportUntil writes a line of progress now and then until a time, or the context, ends.
+func (m *measurement) reportUntil(ctx context.Context, end time.Time, phase string, interval time.Duration) error {
+	for time.Now().Before(end) && ctx.Err() == nil {
+		fmt.Fprintf(m.progress, "%s: %d tasks begun, %d running, %d changes of state, %d of %d jobs accepted\n",
+			phase, m.starts.Load(), m.world.Tasks(), m.world.State.Counts().Changes, m.accepted.Load(), m.submitted.Load())
+		pause(ctx, min(interval, time.Until(end)))
+	}
+	return ctx.Err()
+}
+
+// recordStart is called for each task that starts, under the world's lock.
+func (m *measurement) recordStart(jobID string, sinceAccepted time.Duration) {
+	m.starts.Add(1)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if started, urgent := m.urgentJobs[jobID]; urgent && !started {
+		m.urgentJobs[jobID] = true
+		_ = m.urgentWaits.RecordValue(max(1, sinceAccepted.Milliseconds()))
+	}
+}
+
+// forgetFinished keeps the world's memory bounded.
+func (m *measurement) forgetFinished(ctx context.Context) {
+	for pause(ctx, forgetInterval) {
+		m.world.Forget()
+	}
+}
+
+// pause waits, and reports whether the context still holds.
+func pause(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
--- /dev/null
+++ b/internal/loadtest/result_test.go
@@ -0,0 +1,61 @@
+package loadtest
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+const measurements = "../../docs/measurements/scale"
+
+// Results that were measured earlier are read and written again to the byte, so that they
+// can be compared with later ones.
+func TestEarlierResultsAreWrittenAlike(t *testing.T) {
+	files, err := filepath.Glob(filepath.Join(measurements, "*.json"))
+	if err != nil || len(files) == 0 {
+		t.Fatal(files, err)
+	}
+	for _, file := range files {
+		t.Run(filepath.Base(file), func(t *testing.T) {
+			want, result := readResult(t, file)
+			var got bytes.Buffer
+			if err := result.WriteJSON(&got); err != nil || got.String() != string(want) {
+				t.Errorf("%v, written again\n%s", err, got.String())
+			}
+		})
+	}
+}
+
+func TestCSVOfEarlierResults(t *testing.T) {
+	table, err := os.ReadFile(filepath.Join(measurements, "results.csv"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, result := readResult(t, filepath.Join(measurements, "500.json"))
+	var got bytes.Buffer
+	if err := WriteCSV(&got, []*Result{result}); err != nil {
+		t.Fatal(err)
+	}
+	lines := strings.Split(string(table), "\n")
+	if want := lines[0] + "\n" + lines[1] + "\n"; got.String() != want {
+		t.Errorf("wrote\n%swanted\n%s", got.String(), want)
+	}
+}
+
+func readResult(t *testing.T, file string) ([]byte, *Result) {
+	t.Helper()
+	raw, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var result Result
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&result); err != nil {
+		t.Fatal(err)
+	}
+	return raw, &result
+}
