--- a/internal/loadtest/doc.go
+++ b/internal/loadtest/doc.go
@@ -3,7 +3,7 @@
 // counts of site files for simulated measurements.
 //
 // It guarantees that a measurement ends by itself, within the bounds of its configuration
-// and with its context, and leaves no process or goroutine behind. Figures of the machine
+// and with its context, and that its processes and goroutines have ended then. Figures of the machine
 // (processor time, memory, sockets) are read from /proc, so that they need Linux. It
 // imports emulator and protocol, never a controller's own packages: it measures the program.
 package loadtest
--- /dev/null
+++ b/internal/testreport/known.go
@@ -0,0 +1,87 @@
+package testreport
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+	"regexp"
+	"slices"
+	"strings"
+)
+
+// MaxKnown is how many tests may be known to fail at a time.
+const MaxKnown = 3
+
+// KnownFailure is a test that fails for a real fault which is not mended yet.
+type KnownFailure struct {
+	Test  string // the package below the module, a point, and the test's name
+	Cause string
+	Issue string
+}
+
+func (k KnownFailure) String() string { return k.Test + " | " + k.Cause + " | " + k.Issue }
+
+// testName matches KnownFailure.Test; a part of a test has slashes behind the test's name.
+var testName = regexp.MustCompile(`^([a-z0-9_./-]+\.)?Test[^ .|][^ |]*$`)
+
+// ListError is a fault of the list of known failures.
+type ListError struct {
+	Line   int // from 1
+	Reason string
+}
+
+func (e *ListError) Error() string {
+	return fmt.Sprintf("list of known failures: line %d %s", e.Line, e.Reason)
+}
+
+// ReadKnownFile reads the list from a file; without the file no test is known to fail.
+func ReadKnownFile(name string) ([]KnownFailure, error) {
+	file, err := os.Open(name)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, fmt.Errorf("list of known failures: %w", err)
+	}
+	defer func() { _ = file.Close() }()
+	return ReadKnown(file)
+}
+
+// ReadKnown reads the list: a line "test | cause | issue" each, MaxKnown at most. A fault
+// of a line is a *ListError.
+func ReadKnown(in io.Reader) ([]KnownFailure, error) {
+	var known []KnownFailure
+	lines := bufio.NewScanner(in)
+	for number := 1; lines.Scan(); number++ {
+		text := strings.TrimSpace(lines.Text())
+		if text == "" {
+			continue
+		}
+		failure, ok := parseKnown(text)
+		switch {
+		case !ok:
+			return nil, &ListError{number, fmt.Sprintf("is not \"package.Test | cause | issue\": %q", text)}
+		case len(known) == MaxKnown:
+			return nil, &ListError{number, fmt.Sprintf("is one more than the %d that may be known", MaxKnown)}
+		case slices.ContainsFunc(known, func(k KnownFailure) bool { return k.Test == failure.Test }):
+			return nil, &ListError{number, fmt.Sprintf("names %s again", failure.Test)}
+		}
+		known = append(known, failure)
+	}
+	return known, lines.Err()
+}
+
+// parseKnown reads a line of the list, and reports whether it has its form.
+func parseKnown(text string) (KnownFailure, bool) {
+	fields := strings.Split(text, "|")
+	for i := range fields {
+		fields[i] = strings.TrimSpace(fields[i])
+	}
+	if len(fields) != 3 || slices.Contains(fields, "") || !testName.MatchString(fields[0]) {
+		return KnownFailure{}, false
+	}
+	return KnownFailure{Test: fields[0], Cause: fields[1], Issue: fields[2]}, true
+}
--- a/internal/testreport/verdict_test.go
+++ b/internal/testreport/report_test.go
@@ -1,6 +1,9 @@
 package testreport
 
 import (
+	"errors"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 )
@@ -93,3 +96,42 @@
 		}
 	}
 }
+
+// A fault of the list names its line, for people and for errors.As; a list that is not
+// there is empty.
+func TestReadKnownFile(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "list")
+	if known, err := ReadKnownFile(file); known != nil || err != nil {
+		t.Errorf("no file: %v, %v", known, err)
+	}
+	if err := os.WriteFile(file, []byte("\nTestA\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	_, err := ReadKnownFile(file)
+	var fault *ListError
+	if !errors.As(err, &fault) || fault.Line != 2 {
+		t.Errorf("%v", err)
+	}
+}
+
+// A run fails for a reason of its own, or for a status that no test explains.
+func TestReportErr(t *testing.T) {
+	for _, c := range []struct {
+		name, status string
+		report       Report
+		want         string // empty: none
+	}{
+		{"all pass", "0", Report{Passed: 1}, ""},
+		{"a status without a failure", "2", Report{Passed: 1}, "go test ended with status 2, and no test failed"},
+		{"a known failure explains the status", "1", Report{Passed: 1, Failed: 1}, ""},
+		{"reasons", "1", Report{Failed: 1, Reasons: []string{"a fails", "b fails"}}, "a fails; b fails"},
+		{"a reason without a status", "0", Report{Reasons: []string{"no test ran"}}, "no test ran"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			err := c.report.Err(c.status)
+			if (err == nil) != (c.want == "") || (err != nil && err.Error() != c.want) {
+				t.Errorf("%v, wanted %q", err, c.want)
+			}
+		})
+	}
+}
