--- /dev/null
+++ b/internal/coordination/quota/limits.go
@@ -0,0 +1,223 @@
+package quota
+
+import (
+	"maps"
+	"slices"
+
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
+)
+
+// Member is what a live controller's Node record says.
+type Member struct {
+	QuotaVersion int
+	TeamsHash    uint64
+}
+
+// ClusterState is what changes of limits are decided on.
+type ClusterState struct {
+	Revision         uint64                                 // up to which the caller has seen every record
+	Complete         bool                                   // the size of every claim is known
+	IsLeader         bool                                   // this controller leads
+	LeaderCompare    kv.Compare                             // the condition that it does
+	Members          []Member                               // all live controllers, this one included
+	Holders          []string                               // the shards
+	InitialShare     Resources                              // what a shard is given at first if there is enough: one machine
+	TeamUsageVersion func(team string) uint64               // version of the team's TeamUsage record
+	TeamUsage        func(team string) map[string]Resources // what it uses, by the TeamUsage record's names
+}
+
+// hasSeen reports whether everything that was committed before a version is known, so that
+// what a team uses can be counted.
+func (s *ClusterState) hasSeen(version uint64) bool { return s.Revision >= version && s.Complete }
+
+// LimitChange is one step of changing a limit's record, as a transaction. The caller
+// commits it and calls FinishChange, whatever the outcome.
+type LimitChange struct {
+	Team        string
+	Description string // what the step does, for the log
+	Compares    []kv.Compare
+	Ops         []kv.Op
+	team        *teamState
+}
+
+// FinishChange ends a change, whatever its outcome; the records show it.
+func (m *Manager) FinishChange(c LimitChange) { c.team.limitChanges = false }
+
+// LimitChanges returns the steps that are due, at most one for each team.
+//
+// A limit begins and changes in two steps. The first voids all starts that are being
+// committed and allows none; the second divides the limit anew once everything committed
+// before the first is known. So no start exceeds a limit from the revision of its record
+// on, whoever decided the start and when. A limit below what is in use is divided once
+// enough has ended; nothing is stopped for it.
+func (m *Manager) LimitChanges(s ClusterState) []LimitChange {
+	var changes []LimitChange
+	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
+		team := m.teams[name]
+		if team.limitChanges {
+			continue
+		}
+		if change, due := m.nextLimitChange(team, s); due {
+			change.Team, change.team, team.limitChanges = name, team, true
+			change.Compares = append(change.Compares, kv.Compare{Key: records.TeamLimitPrefix + name, Version: team.limitVersion})
+			changes = append(changes, change)
+		}
+	}
+	return changes
+}
+
+// nextLimitChange chooses a team's next step, if one is due.
+func (m *Manager) nextLimitChange(t *teamState, s ClusterState) (change LimitChange, due bool) {
+	capable, agreed := m.compareMembers(s.Members)
+	switch {
+	case !t.isAllotted():
+		if !s.IsLeader || !capable || !agreed || t.configured.IsZero() {
+			return LimitChange{}, false
+		}
+		return t.beginAllotting(s), true
+	case t.lowersLimit():
+		return t.lowerLimit(), true
+	case !s.IsLeader:
+		return LimitChange{}, false
+	case t.limit.Closing:
+		return t.finishClosing(s)
+	case !capable || (agreed && t.configured.IsZero()):
+		return t.beginClosing(s), true
+	case agreed && t.configured != t.limit.Max:
+		return t.raiseLimit(s), true
+	case t.limit.Base == nil:
+		return m.divideLimit(t, s)
+	}
+	return LimitChange{}, false
+}
+
+// compareMembers reports whether all live controllers allot limits, and whether all have
+// the limits of this one's settings.
+func (m *Manager) compareMembers(members []Member) (capable, agreed bool) {
+	capable, agreed = m.allotmentsEnabled, true
+	for _, member := range members {
+		capable = capable && member.QuotaVersion >= ProtocolVersion
+		agreed = agreed && member.TeamsHash == m.configuredHash
+	}
+	return capable, agreed
+}
+
+// legacyBarrier is the name under which the TeamUsage record of an allotted team shows the
+// whole limit as used: versions that know no allotments start nothing then.
+const legacyBarrier = "*"
+
+// beginAllotting is the first step from the TeamUsage record to allotments.
+func (t *teamState) beginAllotting(s ClusterState) LimitChange {
+	change := t.writeLimit("to be divided", &records.TeamLimit{Max: t.configured}, s.LeaderCompare, t.usageCompare(s))
+	change.Ops = append(change.Ops, kv.Op{Key: records.TeamUsagePrefix + t.name, Value: &records.TeamUsage{ByShard: map[string]Resources{legacyBarrier: t.configured}}})
+	return change
+}
+
+// lowerLimit makes the record's limit the lower one of this controller's settings. Any
+// controller may do so: until the leader did, the others would start tasks up to the
+// higher one.
+func (t *teamState) lowerLimit() LimitChange {
+	return t.writeLimit("lowered", &records.TeamLimit{Max: lowerOf(t.limit.Max, t.configured), Closing: t.limit.Closing})
+}
+
+// raiseLimit makes the record's limit the one that all controllers' settings have. What
+// was divided is void until it is divided anew.
+func (t *teamState) raiseLimit(s ClusterState) LimitChange {
+	return t.writeLimit("raised", &records.TeamLimit{Max: t.configured}, s.LeaderCompare)
+}
+
+// beginClosing is the first step from allotments back to the TeamUsage record.
+func (t *teamState) beginClosing(s ClusterState) LimitChange {
+	return t.writeLimit("to be counted in one record again", &records.TeamLimit{Max: t.limit.Max, Closing: true}, s.LeaderCompare)
+}
+
+// finishClosing writes what the team uses into its TeamUsage record, once that is known.
+func (t *teamState) finishClosing(s ClusterState) (change LimitChange, due bool) {
+	if !s.hasSeen(t.limitVersion) {
+		return LimitChange{}, false
+	}
+	usage := &records.TeamUsage{ByShard: make(map[string]Resources)}
+	for holder, amount := range s.TeamUsage(t.name) {
+		if !amount.IsZero() {
+			usage.ByShard[holder] = amount
+		}
+	}
+	change = t.writeLimit("counted in one record again", &records.TeamLimit{Max: t.limit.Max, Closed: true}, s.LeaderCompare, t.usageCompare(s))
+	change.Ops = append(change.Ops, kv.Op{Key: records.TeamUsagePrefix + t.name, Value: usage})
+	return change, true
+}
+
+// divideLimit divides the limit among the holders, once what they use is known and fits.
+func (m *Manager) divideLimit(t *teamState, s ClusterState) (change LimitChange, due bool) {
+	if !s.hasSeen(t.limitVersion) {
+		return LimitChange{}, false
+	}
+	base, fits := Divide(t.limit.Max, s.Holders, func(holder string) Resources { return m.usage(t.name, holder) }, s.InitialShare)
+	if !fits {
+		return LimitChange{}, false
+	}
+	return t.writeLimit("divided", &records.TeamLimit{Max: t.limit.Max, Base: base}, s.LeaderCompare), true
+}
+
+// writeLimit returns the change to a limit's next generation under some conditions.
+func (t *teamState) writeLimit(description string, next *records.TeamLimit, compares ...kv.Compare) LimitChange {
+	next.Generation = t.limit.Generation + 1
+	return LimitChange{Description: description, Compares: compares, Ops: []kv.Op{{Key: records.TeamLimitPrefix + t.name, Value: next}}}
+}
+
+func (t *teamState) usageCompare(s ClusterState) kv.Compare {
+	return kv.Compare{Key: records.TeamUsagePrefix + t.name, Version: s.TeamUsageVersion(t.name)}
+}
+
+// lowersLimit reports whether this controller's settings have a lower limit than the
+// record.
+func (t *teamState) lowersLimit() bool {
+	return isLowerLimit(t.configured.CPUs, t.limit.Max.CPUs) || isLowerLimit(t.configured.GPUs, t.limit.Max.GPUs)
+}
+
+// isLowerLimit reports whether a configured limit is lower than the one on record; 0 is
+// no limit.
+func isLowerLimit(configured, recorded float64) bool {
+	return configured > 0 && (recorded == 0 || configured < recorded-tolerance)
+}
+
+// lowerOf returns the lower of two limits, part by part; 0 is no limit.
+func lowerOf(a, b Resources) Resources {
+	return Resources{CPUs: lowerPart(a.CPUs, b.CPUs), GPUs: lowerPart(a.GPUs, b.GPUs)}
+}
+
+func lowerPart(a, b float64) float64 {
+	if a == 0 || (b > 0 && b < a) {
+		return b
+	}
+	return a
+}
+
+// Divide splits a limit among CrossShard and the holders. Each gets what it uses; each
+// holder also gets an equal part of half of the rest, if that is at least initialShare;
+// CrossShard has what remains, and holders demand it from there. It reports false while
+// more is used than the limit.
+func Divide(limit Resources, holders []string, usage func(holder string) Resources, initialShare Resources) (map[string]Resources, bool) {
+	base := make(map[string]Resources)
+	left := limit
+	for _, holder := range append([]string{CrossShard}, holders...) {
+		used := limitedParts(usage(holder), limit)
+		if !used.Within(left) {
+			return nil, false
+		}
+		left = left.Minus(used)
+		base[holder] = used
+	}
+	share := left.Times(0.5 / float64(max(1, len(holders))))
+	if limitedParts(initialShare, limit).Within(share) {
+		for _, holder := range slices.Sorted(maps.Keys(base)) {
+			if holder != CrossShard {
+				base[holder] = base[holder].Plus(share)
+				left = left.Minus(share)
+			}
+		}
+	}
+	base[CrossShard] = base[CrossShard].Plus(left)
+	return base, true
+}
--- /dev/null
+++ b/internal/coordination/quota/waiting.go
@@ -0,0 +1,53 @@
+package quota
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// WaitingTeam is a team whose jobs wait for its limit, for people to read.
+type WaitingTeam struct {
+	Team      string
+	WaitedFor time.Duration
+	Limit     Resources
+	Grants    map[string]Resources // by holder: what it may use
+	Usage     map[string]Resources // by holder: what it uses
+}
+
+// WaitingTeams returns the teams whose jobs the limit has held up for at least interval at
+// this controller's holders, the longest first. It returns a team at most once in each
+// interval.
+func (m *Manager) WaitingTeams(interval time.Duration, now time.Time) []WaitingTeam {
+	var waiting []WaitingTeam
+	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
+		team := m.teams[name]
+		team.updateWaitingSince()
+		if team.waitingSince.IsZero() || now.Sub(team.waitingSince) < interval || now.Sub(team.reportedAt) < interval {
+			continue
+		}
+		team.reportedAt = now
+		grants, usage := maps.Clone(team.grants()), make(map[string]Resources)
+		for holder := range grants {
+			usage[holder] = m.usage(name, holder)
+		}
+		waiting = append(waiting, WaitingTeam{Team: name, WaitedFor: now.Sub(team.waitingSince), Limit: team.effectiveLimit(), Grants: grants, Usage: usage})
+	}
+	slices.SortFunc(waiting, func(a, b WaitingTeam) int { return cmp.Compare(b.WaitedFor, a.WaitedFor) })
+	return waiting
+}
+
+// updateWaitingSince keeps the earliest time since when a job has been held up, until no
+// job is.
+func (t *teamState) updateWaitingSince() {
+	var first time.Time
+	for _, demand := range t.demands {
+		if demand.isLocal() && !demand.Anticipated && (first.IsZero() || demand.since.Before(first)) {
+			first = demand.since
+		}
+	}
+	if first.IsZero() || t.waitingSince.IsZero() || first.Before(t.waitingSince) {
+		t.waitingSince = first
+	}
+}
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -70,20 +70,20 @@
 	{"claims of unknown size are not nothing", "coordination/replica/teams.go", `			if c.Record == nil || c.Record.Shard == holder || (c.Record.Shard == "" && holder == quota.CrossShard) {`, `			if false && c.Record == nil && holder == "" {`},
 	{"the larger of two versions counts", "coordination/replica/claim.go", `return max(c.PlacedCount(), len(c.Pending.Placements))`, `return c.PlacedCount()`},
 	{"what became of a start is found out", "coordination/controller/commit.go", `for err != nil && insist && life`, `for err != nil && false && insist && life`},
-	{"only who decides for a holder gives", "coordination/quota/wants.go", `Compares: []kv.Compare{own, {Key`, `Compares: []kv.Compare{{Key`},
-	{"gifts under way are given", "coordination/quota/keeper.go", `left := t.grants()[holder].Minus(t.transferring[holder]).Minus(`, `left := t.grants()[holder].Minus(`},
-	{"a limit is divided once all starts are known", "coordination/quota/divide.go", `	case t.limit.Base == nil:
-		if s.Revision < t.limitVersion || !s.Complete {`, `	case t.limit.Base == nil:
-		if false {`},
-	{"older sources find the limit used up", "coordination/quota/divide.go", `ByShard: map[string]Resources{legacyBarrier: t.configured}`, `ByShard: map[string]Resources{}`},
-	{"the lower limit counts", "coordination/quota/keeper.go", `	if t.lowersLimit() {
+	{"only who decides for a holder gives", "coordination/quota/transfers.go", `[]kv.Compare{own, {Key`, `[]kv.Compare{{Key`},
+	{"gifts under way are given", "coordination/quota/allotments.go", `left := team.grants()[holder].Minus(team.transferring[holder]).Minus(`, `left := team.grants()[holder].Minus(`},
+	{"a limit is divided once all starts are known", "coordination/quota/limits.go", `divideLimit(t *teamState, s ClusterState) (change LimitChange, due bool) {
+	if !s.hasSeen(t.limitVersion) {`, `divideLimit(t *teamState, s ClusterState) (change LimitChange, due bool) {
+	if false {`},
+	{"older sources find the limit used up", "coordination/quota/limits.go", `ByShard: map[string]Resources{legacyBarrier: t.configured}`, `ByShard: map[string]Resources{}`},
+	{"the lower limit counts", "coordination/quota/allotments.go", `	if team.lowersLimit() {
 		return Resources{}`, `	if false {
 		return Resources{}`},
 	{"a booking is carried out once all before it is known", "coordination/controller/guarantee.go", `b.version == 0 || n.view.Revision < b.version {`, `b.version == 0 {`},
 	{"a booking that does not hold any more goes", "coordination/controller/guarantee.go", `if due < b.tasks ||`, `if (due < 0) ||`},
-	{"bookings exclude one another", "coordination/quota/booking.go", `		conds = append(conds, kv.Compare{Key: key, Version: k.team(name).reservationsVersion})
+	{"bookings exclude one another", "coordination/quota/reservations.go", `		compares = append(compares, kv.Compare{Key: key, Version: m.team(name).reservationsVersion})
 `, ``},
-	{"a lender keeps its guarantee", "coordination/quota/due.go", `return t.taken[team]+main.of(beside)+main.of(task) <= t.StandingOf(team).Surplus(t.ClaimedTask)+tolerance`, `return true`},
+	{"a lender keeps its guarantee", "coordination/quota/guarantee.go", `return p.taken[team]+main.of(beside)+main.of(task) <= p.StandingOf(team).Surplus(p.ClaimedTask)+tolerance`, `return true`},
 	{"team use by the record", "coordination/controller/limits.go", `	return use, use.Max(sum)`, `	return sum, sum`},
 	{"404 is confirmed", "coordination/controller/users.go", `	n.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
 		switch {
