--- a/internal/coordination/controller/blame.go
+++ b/internal/coordination/controller/attribution.go
@@ -9,9 +9,6 @@
 	"madderslip/internal/protocol"
 )
 
-// Package evidence decides who is to blame when tasks fail. Here it is told what was
-// seen, and asked.
-
 // recordTaskEnd notes why a task ended.
 func (n *Controller) recordTaskEnd(j *replica.Job, m *replica.Machine, t *protocol.TaskStatus, now time.Time) {
 	n.log.Debug("task ended", "task", t.Task, "try", t.Attempt, "host", m.Host, "cause", t.Cause)
--- a/internal/coordination/controller/leftover.go
+++ b/internal/coordination/controller/besteffort.go
@@ -6,9 +6,6 @@
 	"madderslip/internal/protocol"
 )
 
-// Package leftover decides what work of the lowest rank may take; here it is told
-// what there is.
-
 // bestEffortCapacity is a shard's room as idle work sees it, but for whether others wait.
 func (n *Controller) bestEffortCapacity(s *replica.Shard, rooms []*placement.Capacity) placement.BestEffortCapacity {
 	var r placement.BestEffortCapacity
--- a/internal/coordination/controller/boots.go
+++ b/internal/coordination/controller/boots.go
@@ -7,10 +7,6 @@
 	"madderslip/internal/coordination/replica"
 )
 
-// Package boots decides what to expect of machines that are not up yet. The owner of
-// a shard sees them come up; the leader, who rents, is told of the late ones and of
-// kinds in trouble with the shard's load.
-
 // recordBoot notes a machine's first account. It tells how long the boot took only if the
 // shard was this process's all along.
 func (n *Controller) recordBoot(m *replica.Machine, now time.Time) {
--- a/internal/coordination/controller/cancel.go
+++ b/internal/coordination/controller/cancellations.go
@@ -12,21 +12,21 @@
 	"madderslip/internal/protocol"
 )
 
-// The rules allow no task beyond cancel_s after its user was told that the job
-// is cancelled, whatever holds the stop back. A machine that keeps one is fenced:
+// No task may outlive the cancellation of its job by more than the cancel deadline, whatever
+// holds its stop back. A machine that keeps one is fenced:
 //
-//   - at once if it has been silent and did not answer when asked, for its stop
-//     cannot arrive, and whatever else fails soon would keep it;
-//   - after two fifths of cancel_s, if it was heard or should have been (see
+//   - at once if it has been silent and did not answer when probed, for its stop cannot
+//     arrive, and whatever else fails soon would keep it;
+//   - after two fifths of the deadline, if it was heard or should have been (see
 //     health.CancelledTask);
 //   - after half of it without a record, if the state service does not take one.
 //
-// A controller that may not act for the machine's shard does not leave it at that: it
-// asks the machine itself and stops what it shows (see health.MisplacedTask).
+// A controller that may not act for the machine's shard does not leave it at that: it probes
+// the machine itself and stops what it shows (see health.MisplacedTask).
 //
-// The times count from the record of the cancellation, so they go on through
-// restarts. They do not wait for settling, which leaves a claim alone while a
-// version of it is being committed, and in an outage that is all along.
+// The times count from the record of the cancellation, so they go on through restarts. They
+// do not wait for reconciliation, which leaves a claim alone while a version of it is being
+// committed, and in an outage that is all along.
 
 // peerContactTime is the time in which whoever is there has spoken: peers do so every
 // second.
--- a/internal/coordination/controller/commit.go
+++ b/internal/coordination/controller/commit.go
@@ -6,7 +6,6 @@
 	"slices"
 	"time"
 
-	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 )
 
@@ -116,26 +115,3 @@
 	refreshRetryPause = 300*time.Millisecond + 71*time.Nanosecond
 	maxRefreshes      = 1000 // that are told apart by their start
 )
-
-// callJSON makes an HTTP call with a JSON answer.
-func (n *Controller) callJSON(ctx context.Context, addr, method, target string, in, out any, timeout time.Duration) (int, error) {
-	var body []byte
-	if in != nil {
-		var err error
-		if body, err = protocol.Encode(in); err != nil {
-			return 0, err
-		}
-	}
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	defer cancel()
-	status, resp, err := n.httpClient.Do(ctx, addr, method, target, body)
-	if err != nil {
-		return 0, err
-	}
-	if out != nil && len(resp) > 0 && (status == 200 || status == 409) {
-		if err := protocol.Decode(resp, out); err != nil {
-			return status, err
-		}
-	}
-	return status, nil
-}
--- a/internal/coordination/controller/node.go
+++ b/internal/coordination/controller/controller.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"math/rand/v2"
 	"sync"
@@ -16,9 +15,31 @@
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
-	"madderslip/internal/storage/records"
 )
 
+// callJSON makes an HTTP call with a JSON answer.
+func (n *Controller) callJSON(ctx context.Context, addr, method, target string, in, out any, timeout time.Duration) (int, error) {
+	var body []byte
+	if in != nil {
+		var err error
+		if body, err = protocol.Encode(in); err != nil {
+			return 0, err
+		}
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	status, resp, err := n.httpClient.Do(ctx, addr, method, target, body)
+	if err != nil {
+		return 0, err
+	}
+	if out != nil && len(resp) > 0 && (status == 200 || status == 409) {
+		if err := protocol.Decode(resp, out); err != nil {
+			return status, err
+		}
+	}
+	return status, nil
+}
+
 // StateStore is the state service as this package uses it.
 type StateStore interface {
 	Get(ctx context.Context, key string) (kv.Item, error)
@@ -122,20 +143,6 @@
 	at      time.Time
 }
 
-type unrecordedHost struct {
-	firstSeen time.Time
-	recording bool // being recorded, in this shard
-	shard     string
-	kind      replica.MachineKind
-}
-
-func boolToInt(b bool) int {
-	if b {
-		return 1
-	}
-	return 0
-}
-
 // Options are a node's collaborators.
 type Options struct {
 	Settings protocol.Settings
@@ -233,108 +240,3 @@
 		return true
 	}
 }
-
-// watchPause spaces watches out: each costs a request of the budget, and
-// urgent news travels between the controllers anyway.
-const watchPause = 90 * time.Millisecond
-
-// watchLoop keeps the cache up to date.
-func (n *Controller) watchLoop(ctx context.Context) {
-	for ctx.Err() == nil {
-		items, epoch, err := n.store.List(ctx)
-		if err != nil {
-			n.log.Info("cannot read the state service", "err", err)
-			n.pause(ctx, 500*time.Millisecond)
-			continue
-		}
-		n.mu.Lock()
-		n.view.Relist(items, epoch)
-		n.mu.Unlock()
-		n.log.Info("records read", "records", len(items), "epoch", epoch)
-		for ctx.Err() == nil {
-			items, upTo, err := n.store.Watch(ctx, epoch, 10*time.Second)
-			if errors.Is(err, kv.ErrCompacted) {
-				n.log.Info("watch fell behind, reading anew")
-				break
-			}
-			if err != nil {
-				n.log.Debug("watch", "err", err)
-				n.pause(ctx, 300*time.Millisecond)
-				continue
-			}
-			n.mu.Lock()
-			for _, it := range items {
-				n.view.ApplyItem(it)
-			}
-			epoch = upTo
-			n.view.ReachRevision(epoch)
-			n.mu.Unlock()
-			n.wake()
-			n.pause(ctx, watchPause)
-		}
-	}
-}
-
-// membershipLoop keeps this node's lease and the record that shows it is alive.
-func (n *Controller) membershipLoop(ctx context.Context) {
-	ttl := n.policy.NodeLease
-	key := records.NodePrefix + n.settings.NodeName
-	var permit uint64
-	rec := &records.Node{StartedAtMs: n.startedAt.UnixMilli(), DependencyVersion: dependencyVersion}
-	rec.QuotaVersion, rec.TeamsHash = n.view.Quota.Advertised()
-	for ctx.Err() == nil {
-		n.mu.Lock()
-		loaded, live := n.view.Loaded, n.view.Nodes[n.settings.NodeName]
-		mine := permit != 0 && live.Version != 0 && n.membership.lease == permit
-		n.mu.Unlock()
-		if !loaded {
-			n.pause(ctx, 50*time.Millisecond)
-			continue
-		}
-		if permit == 0 {
-			p, err := n.store.GrantLease(ctx, ttl)
-			if err != nil {
-				n.log.Info("no lease", "err", err)
-				n.pause(ctx, 300*time.Millisecond)
-				continue
-			}
-			permit = p
-		}
-		if !mine {
-			wait := make(chan error, 1)
-			n.mu.Lock()
-			// Conditional, like all else: a copy that an earlier process of this node had
-			// sent hung the record on that one's lease again, and this node seemed to have
-			// ended when that lease did.
-			n.commit(kv.PriorityLease, []kv.Compare{{Key: key, Version: n.view.Nodes[n.settings.NodeName].Version}}, []kv.Op{{Key: key, Value: rec, Lease: permit}}, 2*time.Second,
-				func(err error) {
-					if err == nil {
-						n.membership.lease = permit
-					}
-					wait <- err
-				})
-			n.mu.Unlock()
-			var err error
-			select {
-			case err = <-wait:
-			case <-ctx.Done():
-				return // the ledger may have ended first
-			}
-			if err != nil {
-				n.log.Info("cannot register", "err", err)
-				if errors.Is(err, kv.ErrLeaseExpired) {
-					permit = 0 // the lease ended before it was used
-				}
-				n.pause(ctx, 200*time.Millisecond)
-				continue
-			}
-		}
-		n.pause(ctx, ttl/3)
-		if err := n.store.KeepAlive(ctx, permit); errors.Is(err, kv.ErrLeaseExpired) {
-			n.log.Info("lease ended")
-			permit = 0
-		} else if err != nil {
-			n.log.Debug("lease not extended", "err", err)
-		}
-	}
-}
--- a/internal/coordination/controller/guarantee.go
+++ b/internal/coordination/controller/guarantees.go
@@ -15,10 +15,6 @@
 	"madderslip/internal/storage/records"
 )
 
-// Work within a team's guarantee goes before others' of the same rank, and may have
-// stopped what another team runs beyond its own guarantee. Before anything is
-// stopped, the claim is booked; package quota says what may be.
-
 // usageView is what package quota weighs bookings against.
 type usageView struct{ n *Controller }
 
--- a/internal/coordination/controller/displace.go
+++ b/internal/coordination/controller/preemption.go
@@ -7,6 +7,7 @@
 
 	"madderslip/internal/coordination/placement"
 	"madderslip/internal/coordination/replica"
+	"madderslip/internal/protocol"
 	"madderslip/internal/storage/records"
 )
 
@@ -132,3 +133,58 @@
 		}
 	}
 }
+
+// evict has a placement stopped.
+func (n *Controller) evict(c *replica.Claim, task int, now time.Time) {
+	if c.Evictions == nil {
+		c.Evictions = make(map[int]time.Time)
+	}
+	c.Evictions[task] = now
+	for _, p := range c.SortedSlots() {
+		if p.Task == task {
+			p.Host.Invalidate()
+			n.stopEvicted(c, p, now)
+		}
+	}
+	n.view.MarkDirty(c)
+}
+
+// stopEvicted sends the stop at once: settling waits while a version of the
+// claim is being committed, and under load that took longer than the room made
+// could be held.
+func (n *Controller) stopEvicted(c *replica.Claim, p *replica.Slot, now time.Time) {
+	m := p.Host.Machine
+	if m == nil || !n.view.IsActive(n.view.Shards[m.Record.Shard]) {
+		return
+	}
+	s := n.view.Shards[m.Record.Shard]
+	t := m.Agent.Tasks[p.TaskName]
+	if t == nil || t.Attempt != p.Attempt || t.Phase == protocol.TaskExited || !m.ShowsToken(s) {
+		return
+	}
+	if grace, stop := n.shouldStop(c, &records.Placement{Task: p.Task, Attempt: p.Attempt, Host: m.Host}, now); stop {
+		m.Commands.StopSentAt[p.TaskName] = now
+		n.queueCommands(s, m, protocol.StopCommand(p.TaskName, p.Attempt, grace))
+	}
+}
+
+// preemptForImage makes room for a service or a gang of one on a machine that
+// holds its image, when all the free room is on machines that would fetch it
+// for longer than the job's start may take.
+func (n *Controller) preemptForImage(s *replica.Shard, u *placement.QueueEntry, rooms []*placement.Capacity, now time.Time) bool {
+	if u.Spec.Shape == protocol.ShapeArray || u.StartsTogether() {
+		return false
+	}
+	z := n.zoneConstraint(u)
+	i := placement.Select(u.Spec, u.Job.ID, rooms, &z, 0, now)
+	if i < 0 || rooms[i].HasImage(u.Spec.Image) {
+		return false
+	}
+	by := n.startBy(u, rooms, &z, now)
+	if !by.After(now) || !now.Add(rooms[i].ImagePullTime(u.Spec)).After(by) {
+		return false
+	}
+	n.detailCapacities(rooms, now)
+	at, victims := placement.SelectVictims(u.Spec, u.Job.ID, rooms, &z, n.priorityOnlyPolicy(u.Spec), now)
+	return len(victims) > 0 && rooms[at].HasImage(u.Spec.Image) && n.preemptFor(s, u, rooms, now)
+}
--- a/internal/coordination/controller/users.go
+++ b/internal/coordination/controller/users.go
@@ -3,12 +3,9 @@
 import (
 	"encoding/json"
 	"errors"
-	"slices"
 	"time"
 
-	"madderslip/internal/coordination/admission"
 	"madderslip/internal/coordination/placement"
-	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
@@ -100,107 +97,6 @@
 	return a, j.Version, j.Record.IsFinal(), true
 }
 
-// pendingReply is an answer that waits for the watch.
-type pendingReply struct {
-	revision uint64
-	deadline time.Time
-	reply    func(known bool)
-}
-
-// replyStatus answers with what the cache says of a job, which is known. That it is cancelled
-// is told once the watch has come as far: nothing of it is placed after that revision, so
-// this node then knows every machine that may have a task of it, and can see to its end
-// when nobody else can. Told at once, a claim committed a moment before by an owner that
-// nobody reaches was known to nobody when an outage followed. Within the time given that
-// is known or the user asks again.
-func (n *Controller) replyStatus(ref string, status int, within time.Duration, reply func(transport.Response)) {
-	a, stamp, final, _ := n.jobStatus(ref)
-	if status == 201 && !final {
-		a = protocol.JobStatus{JobID: ref, Phase: protocol.JobPending}
-	}
-	if a.Phase != protocol.JobCancelled || n.view.Revision >= stamp {
-		reply(jobResponse(status, a))
-		return
-	}
-	if now := time.Now(); n.isStateDown(now) {
-		reply(n.retryLater(kv.PriorityUser, now)) // the watch will not come in time
-		return
-	}
-	n.pendingReplies = append(n.pendingReplies, pendingReply{stamp, time.Now().Add(within), func(known bool) {
-		if known {
-			reply(jobResponse(status, a))
-		} else {
-			reply(unavailable(1))
-		}
-	}})
-}
-
-// sendPendingReplies gives the answers for which the watch has come far enough, or which can't
-// wait any longer.
-func (n *Controller) sendPendingReplies(now time.Time) {
-	n.pendingReplies = slices.DeleteFunc(n.pendingReplies, func(u pendingReply) bool {
-		known := n.view.Revision >= u.revision
-		if known || now.After(u.deadline) {
-			u.reply(known)
-			return true
-		}
-		return false
-	})
-}
-
-// confirmStatus answers a question about a job. A final state never changes, so the
-// cache suffices; anything else is confirmed by the state service, since
-// another node may have told this user something newer. absent is the answer
-// for a job that was never accepted.
-func (n *Controller) confirmStatus(ref string, within time.Duration, absent func(), reply func(transport.Response)) {
-	_, stamp, final, _ := n.jobStatus(ref)
-	if final {
-		n.replyStatus(ref, 200, within, reply)
-		return
-	}
-	now := time.Now()
-	until := now.Add(within)
-	switch {
-	case !n.view.Loaded:
-		reply(unavailable(1))
-		return
-	case n.isStateDown(now):
-		reply(n.retryLater(kv.PriorityUser, now))
-		return
-	}
-	var asked admission.Backlog
-	if asked.Pending, asked.Rate = n.store.ReadBacklog(); asked.ShouldShed(within) {
-		reply(unavailable(int(asked.RetryAfter(n.random.Float64()) / time.Second)))
-		return
-	}
-	n.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
-		switch {
-		case err == nil && n.isUndecided(ref):
-			n.replyWhenRead(ref, revision, until, reply)
-		case err == nil:
-			// The cache may have moved on meanwhile, and is at least as new.
-			if _, _, _, found := n.jobStatus(ref); found {
-				n.replyStatus(ref, 200, time.Until(until), reply)
-			} else {
-				absent()
-			}
-		case errors.Is(err, kv.ErrCompareFailed):
-			// The cache has been refreshed from the state service just now.
-			if _, newer, _, found := n.jobStatus(ref); !found || newer == stamp {
-				reply(unavailable(1))
-				return
-			}
-			if n.isUndecided(ref) { // once: a held job's record is written once
-				n.confirmStatus(ref, time.Until(until), absent, reply)
-				return
-			}
-			n.replyStatus(ref, 200, time.Until(until), reply)
-		default:
-			reply(n.retryLater(kv.PriorityUser, time.Now()))
-		}
-	})
-}
-
 func (n *Controller) handleQuery(ref string, reply func(transport.Response)) {
 	if !protocol.ValidJobID(ref) {
 		reply(jobNotFound)
@@ -407,53 +303,14 @@
 	return &rec
 }
 
-// chooseShards picks the K least-loaded shards for a job. A shard counts as
-// loaded by what runs, what waits there, and what this node has queued there
-// since the shard's latest figure, so that a burst spreads. A shard with room
-// on a machine that holds the image goes first, this node's own before others.
-func (n *Controller) chooseShards(s *protocol.Submission, now time.Time) []string {
-	type scored struct {
-		name  string
-		score float64
-	}
-	var all []scored
-	for _, name := range n.view.ShardNames() {
-		sh := n.view.Shards[name]
-		if sh.Record == nil {
-			continue
-		}
-		l, ok := n.shardLoads.reported[name]
-		if n.view.IsActive(sh) {
-			l, ok = replica.ReportedLoad{Load: n.shardLoad(sh), At: now}, true
-		}
-		score := 0.5 // unknown or stale: neither sought nor shunned
-		if ok && now.Sub(l.At) < 5*time.Second {
-			total := max(l.Load.CPUs, 1)
-			score = (l.Load.UsedCPUs + l.Load.QueuedCPUs + n.shardLoads.queuedSince[name]) / total
-			if l.Load.FreeCPUsByImage[s.Image]+tolerance >= s.CPUs {
-				score -= 1
-			}
-		}
-		if n.view.IsActive(sh) {
-			score -= 0.05
-		}
-		if _, live := n.view.Nodes[sh.Record.Owner]; !live {
-			score += 10
-		}
-		all = append(all, scored{name, score})
-	}
-	slices.SortStableFunc(all, func(a, b scored) int {
-		switch {
-		case a.score < b.score:
-			return -1
-		case a.score > b.score:
-			return 1
-		}
-		return 0
-	})
-	var at []string
-	for _, x := range all[:min(len(all), n.policy.Copies)] {
-		at = append(at, x.name)
-	}
-	return at
+var misdirected = transport.Response{Status: 421, Body: []byte("{}")}
+
+// redirectTo sends a worker to another controller.
+func redirectTo(node string) transport.Response {
+	b, _ := json.Marshal(protocol.Redirect{Node: node})
+	return transport.Response{Status: 421, Body: b}
+}
+
+func unavailable(after int) transport.Response {
+	return transport.Response{Status: 503, Body: []byte(`{"error":"not now"}`), RetryAfter: after}
 }
--- a/internal/coordination/replica/claims.go
+++ b/internal/coordination/replica/claims.go
@@ -8,7 +8,7 @@
 	"madderslip/internal/storage/records"
 )
 
-// view.TouchesShard tells whether a claim has placements on a shard's machines. One
+// TouchesShard tells whether a claim has placements on a shard's machines. One
 // without any is minded by the first shard, so that it is tidied up.
 func (v *View) TouchesShard(c *Claim, shard string) bool {
 	rec := c.Latest() // the first version may still be on its way; without this a pass crashed
@@ -31,7 +31,7 @@
 	return out
 }
 
-// view.ClaimOf is the claim of a job's chunk, one that is being made included.
+// ClaimOf is the claim of a job's chunk, one that is being made included.
 func (v *View) ClaimOf(j *Job, chunk int) *Claim {
 	if c := j.Claims[chunk]; c != nil {
 		return c
@@ -39,7 +39,7 @@
 	return v.Claims[j.ClaimKey(chunk)]
 }
 
-// view.ZonesOf lists the zones of a claim's placements, a zone for each.
+// ZonesOf lists the zones of a claim's placements, a zone for each.
 func (v *View) ZonesOf(c *Claim) []string {
 	var zones []string
 	if c.Record == nil {
@@ -53,7 +53,7 @@
 	return zones
 }
 
-// view.SetSpec gives a claim its job's description. The record of a job that is over may have
+// SetSpec gives a claim its job's description. The record of a job that is over may have
 // none: a try under way at a job that another shard has finished lost its own by that,
 // and the process ended when the try failed.
 func (v *View) SetSpec(c *Claim, spec *protocol.Submission) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// view.SetPending says which version of a claim is being committed, if any.
+// SetPending says which version of a claim is being committed, if any.
 func (v *View) SetPending(c *Claim, next *records.Claim) {
 	c.Pending = next
 	v.Reindex(c)
@@ -127,7 +127,7 @@
 	}
 }
 
-// view.PlacementOf finds the claim of a reported task and its placement on a host.
+// PlacementOf finds the claim of a reported task and its placement on a host.
 func (v *View) PlacementOf(m *Machine, task string) (*Claim, *records.Placement) {
 	host := m.Host
 	if p := m.Use.Slots[task]; p != nil && p.Claim.Pending == nil {
--- a/internal/coordination/replica/cluster.go
+++ b/internal/coordination/replica/cluster.go
@@ -35,7 +35,7 @@
 	v.observer.NodesChanged()
 }
 
-// view.LiveNodes are the controllers whose lease holds, in order.
+// LiveNodes are the controllers whose lease holds, in order.
 func (v *View) LiveNodes() []string {
 	names := make([]string, 0, len(v.Nodes))
 	for name := range v.Nodes {
--- a/internal/coordination/replica/images.go
+++ b/internal/coordination/replica/images.go
@@ -62,7 +62,7 @@
 	return true
 }
 
-// view.ApplyImages tells machines what they hold, unless this process knows better.
+// ApplyImages tells machines what they hold, unless this process knows better.
 func (v *View) ApplyImages(key string, r *records.ImageLocations) {
 	if r == nil {
 		return
@@ -75,7 +75,7 @@
 	}
 }
 
-// view.view.recallImages looks a machine's images up in the records.
+// recallImages looks a machine's images up in the records.
 func (v *View) recallImages(m *Machine) {
 	r := v.ImageRecords[records.ImagePrefix+m.Record.Shard+"/"+strconv.Itoa(imagePart(m.Host))]
 	if r == nil || m.Record.State != "" || v.Shard(m.Record.Shard).FencingToken != 0 {
--- a/internal/coordination/replica/index.go
+++ b/internal/coordination/replica/index.go
@@ -10,6 +10,10 @@
 	"madderslip/internal/storage/records"
 )
 
+// The indexes answer, without a walk over all claims, what is on a machine, what a shard's
+// claims are, and what a team uses. They are derived from the claims and kept up to date by
+// Reindex alone; Recount compares them with a count from scratch.
+
 // Slot is a task that is, or may be, on a machine: a placement of a claim,
 // committed or being committed.
 type Slot struct {
@@ -33,7 +37,7 @@
 	Host string
 }
 
-// view.HostUse is what claims place on a host. A claim may be read before the
+// HostUse is what claims place on a host. A claim may be read before the
 // machine it names, so this stands apart from the machine.
 type HostUse struct {
 	Name    string
@@ -69,7 +73,7 @@
 	Committed quota.Resources // what is placed in any case, however a commit under way ends
 }
 
-// view.Reindex brings the indexes in line with a claim. It is called after every
+// Reindex brings the indexes in line with a claim. It is called after every
 // change of the claim's record, of the version being committed, of its job's
 // description, and of whether the claim is there at all.
 func (v *View) Reindex(c *Claim) {
@@ -129,7 +133,7 @@
 	pl.generation = c.generation
 }
 
-// view.updateTally puts a claim's present share into the sums in place of its earlier.
+// updateTally puts a claim's present share into the sums in place of its earlier.
 func (v *View) updateTally(c *Claim, live bool) {
 	c.specChanged = false
 	if c.Tally.Counted {
@@ -182,7 +186,7 @@
 	}
 }
 
-// view.MarkDirty has a claim looked at in the next pass.
+// MarkDirty has a claim looked at in the next pass.
 func (v *View) MarkDirty(c *Claim) {
 	if c.Shard != "" {
 		s := v.Shard(c.Shard)
@@ -197,7 +201,7 @@
 	}
 }
 
-// view.MarkAllDirty has all of a shard's claims looked at.
+// MarkAllDirty has all of a shard's claims looked at.
 func (v *View) MarkAllDirty(s *Shard) {
 	for c := range s.Claims {
 		v.MarkDirty(c)
@@ -208,7 +212,7 @@
 	s.SweptAt, s.Changed = time.Now(), true
 }
 
-// view.TakeDirtyClaims takes the claims of a shard that are to be looked at now, in
+// TakeDirtyClaims takes the claims of a shard that are to be looked at now, in
 // the order of their keys. Those whose time has not come stay marked.
 func (v *View) TakeDirtyClaims(s *Shard, now time.Time) []*Claim {
 	var out []*Claim
--- a/internal/coordination/replica/jobs.go
+++ b/internal/coordination/replica/jobs.go
@@ -8,7 +8,7 @@
 	"madderslip/internal/storage/records"
 )
 
-// view.IsCancelled tells that a job's cancellation is committed.
+// IsCancelled tells that a job's cancellation is committed.
 func (v *View) IsCancelled(ref string) bool {
 	if j := v.Jobs[ref]; j != nil && j.Record != nil {
 		return j.Record.State == protocol.JobCancelled
@@ -16,7 +16,7 @@
 	return v.FinalJobs[ref].State == protocol.JobCancelled
 }
 
-// view.JobState is what the cache says of a job that does not wait for others.
+// JobState is what the cache says of a job that does not wait for others.
 func (v *View) JobState(ref string) dag.State {
 	if f, ok := v.FinalJobs[ref]; ok {
 		return dependencyState(f.State)
@@ -37,7 +37,7 @@
 	return dag.Unfinished
 }
 
-// view.ApplyBlockedJob takes a version of a job's record into the graph, and tells whether that is
+// ApplyBlockedJob takes a version of a job's record into the graph, and tells whether that is
 // all: a job that waits is nowhere else.
 func (v *View) ApplyBlockedJob(ref string, r *records.Job, stamp uint64) bool {
 	if r.State != records.JobBlocked {
@@ -116,7 +116,7 @@
 	v.SetSpec(c, j.Spec())
 }
 
-// view.rememberFinal keeps only a small entry of a final job.
+// rememberFinal keeps only a small entry of a final job.
 func (v *View) rememberFinal(ref string, r *records.Job, stamp uint64) {
 	if len(v.FinalJobs) >= maxFinalJobs {
 		for old := range v.FinalJobs {
@@ -138,7 +138,7 @@
 	Version uint64
 }
 
-// view.view.mayHaveClaims tells that a job's cancellation is known ahead of the watch, which may
+// mayHaveClaims tells that a job's cancellation is known ahead of the watch, which may
 // yet bring claims of it. Forgotten at once, the job had to be read again for them, which
 // nobody can in an outage, and they were minded by nobody.
 func (v *View) mayHaveClaims(r *records.Job, stamp uint64) bool {
--- a/internal/coordination/replica/provisions.go
+++ b/internal/coordination/replica/provisions.go
@@ -6,7 +6,7 @@
 	"madderslip/internal/storage/records"
 )
 
-// view.ApplyProvision takes a hire's record. Once it names the machines it is their
+// ApplyProvision takes a hire's record. Once it names the machines it is their
 // record, until one is returned and gets a record of its own.
 func (v *View) ApplyProvision(name string, r *records.Provision, stamp uint64) {
 	delete(v.Groups, name)
--- a/internal/coordination/replica/shard.go
+++ b/internal/coordination/replica/shard.go
@@ -75,7 +75,7 @@
 	return s
 }
 
-// view.IsActive tells whether this process may act for a shard: it owns it, and its
+// IsActive tells whether this process may act for a shard: it owns it, and its
 // cache holds everything that earlier owners committed.
 func (v *View) IsActive(s *Shard) bool {
 	return s != nil && s.FencingToken != 0 && v.Revision >= s.FencingToken
--- a/internal/coordination/replica/teams.go
+++ b/internal/coordination/replica/teams.go
@@ -9,7 +9,7 @@
 // TaskResources is what one task of a job takes of its team's limit and guarantee.
 func TaskResources(s *protocol.Submission) quota.Resources { return s.TaskResources() }
 
-// view.UsedBy is what a team has placed in a shard, or across shards.
+// UsedBy is what a team has placed in a shard, or across shards.
 func (v *View) UsedBy(team, holder string) quota.Resources {
 	if holder == quota.CrossShard {
 		holder = ""
@@ -17,7 +17,7 @@
 	return v.UseByShard[TeamShard{team, holder}]
 }
 
-// view.KnowsUse tells whether the size of all that a shard's claims place is known. A claim
+// KnowsUse tells whether the size of all that a shard's claims place is known. A claim
 // can be read before its job; until then nobody can say whose use it is.
 func (v *View) KnowsUse(holder string) bool {
 	for _, set := range v.OrphanClaims {
--- a/internal/coordination/replica/view.go
+++ b/internal/coordination/replica/view.go
@@ -124,7 +124,7 @@
 	return v
 }
 
-// view.Relist takes a complete reading. What it lacks was dropped meanwhile.
+// Relist takes a complete reading. What it lacks was dropped meanwhile.
 func (v *View) Relist(items []kv.Item, epoch uint64) {
 	have := make(map[string]bool, len(items))
 	for _, it := range items {
@@ -145,7 +145,7 @@
 	v.ReachRevision(epoch)
 }
 
-// view.Apply takes a record of the ledger into the cache. Older versions than the
+// Apply takes a record of the ledger into the cache. Older versions than the
 // cached one are ignored: watch, own commits and reads arrive in any order.
 func (v *View) Apply(key string, rec any, stamp uint64) {
 	if stamp <= v.Versions[key] {
@@ -202,7 +202,7 @@
 	v.observer.RecordsChanged()
 }
 
-// view.ApplyItem decodes an item of the ledger and stores it.
+// ApplyItem decodes an item of the ledger and stores it.
 func (v *View) ApplyItem(it kv.Item) {
 	if it.Version <= v.Versions[it.Key] {
 		return
@@ -255,7 +255,7 @@
 	return nil
 }
 
-// view.ReachRevision takes it that the watch is complete up to a revision.
+// ReachRevision takes it that the watch is complete up to a revision.
 func (v *View) ReachRevision(epoch uint64) {
 	v.Revision = max(v.Revision, epoch)
 	for _, ref := range slices.Sorted(maps.Keys(v.EarlyCancellations)) {
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -22,15 +22,15 @@
 
 // taken are the guards that docs/DESIGN.md names.
 var taken = []guard{
-	{"a claim must not exist yet", "coordination/controller/claim.go", `kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: 0})`, `kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken})`},
-	{"a claim must be the version decided on", "coordination/controller/settle.go", `kv.Compare{Key: c.Key, Version: c.Version})
+	{"a claim must not exist yet", "coordination/controller/claims.go", `kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: 0})`, `kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken})`},
+	{"a claim must be the version decided on", "coordination/controller/claims.go", `kv.Compare{Key: c.Key, Version: c.Version})
 	if j := n.view.Jobs`, `kv.Compare{Key: records.ShardPrefix + s.name, Version: s.FencingToken})
 	if j := n.view.Jobs`},
-	{"a placement needs the shard still owned", "coordination/controller/settle.go", `	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: c.Version})
+	{"a placement needs the shard still owned", "coordination/controller/claims.go", `	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: c.Version})
 	if j`, `	conds = append(conds, kv.Compare{Key: c.Key, Version: c.Version})
 	if j`},
-	{"a placement needs the job as it was", "coordination/controller/settle.go", `conds = append(conds, kv.Compare{Key: records.JobPrefix + c.JobID, Version: j.Version})`, `_ = j`},
-	{"write ahead", "coordination/controller/claim.go", `	n.commit(claimPriority(u.Spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })`, `	for _, p := range next.Placements {
+	{"a placement needs the job as it was", "coordination/controller/claims.go", `conds = append(conds, kv.Compare{Key: records.JobPrefix + c.JobID, Version: j.Version})`, `_ = j`},
+	{"write ahead", "coordination/controller/claims.go", `	n.commit(claimPriority(u.Spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })`, `	for _, p := range next.Placements {
 		if m := n.machines[p.Host]; m != nil {
 			n.order(s, m, protocol.Start(protocol.TaskName(c.ref, p.Task), p.Try))
 		}
@@ -39,7 +39,7 @@
 	n.commit(claimPriority(u.Spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })`},
 	{"a new process acquires its shard anew", "coordination/controller/shards.go", `case !n.view.Loaded:`, `case false:`},
 	{"a shard is acted for once its records are read", "coordination/replica/shard.go", `s.FencingToken != 0 && v.Revision >= s.FencingToken`, `s.FencingToken != 0`},
-	{"silence proves nothing", "coordination/controller/settle.go", `	if m.Agent.Heartbeat == nil {
+	{"silence proves nothing", "coordination/controller/reconcile.go", `	if m.Agent.Heartbeat == nil {
 		return outcomeRunning
 	}
 	grace`, `	if m.Agent.Heartbeat == nil {
@@ -51,16 +51,16 @@
 	grace`},
 	{"an account counts under the present token only", "coordination/replica/machine.go", `return m.Agent.Heartbeat != nil && s.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= s.FencingToken`, `return m.Agent.Heartbeat != nil && s.FencingToken != 0`},
 	{"commands of unknown fate", "coordination/replica/machine.go", `slices.ContainsFunc(m.Commands.Unknown, func(u UnknownStart) bool { return u.Task == task && u.Attempt == try })`, `false`},
-	{"a machine that keeps a cancelled task is fenced", "coordination/controller/workers.go", `		n.enforceCancellations(now)
+	{"a machine that keeps a cancelled task is fenced", "coordination/controller/probes.go", `		n.enforceCancellations(now)
 `, ``},
-	{"fenced without a record if need be", "coordination/controller/cancel.go", `return c.ReturnUnrecorded(limit, n.isStateDown(now)) && m.Record.State == "" && !n.isRefusedAlone(now)`, `return false`},
-	{"whoever knows stops cancelled tasks", "coordination/controller/workers.go", `n.stopCancelledTasks(m, &r)`, `_ = m`},
+	{"fenced without a record if need be", "coordination/controller/cancellations.go", `return c.ReturnUnrecorded(limit, n.isStateDown(now)) && m.Record.State == "" && !n.isRefusedAlone(now)`, `return false`},
+	{"whoever knows stops cancelled tasks", "coordination/controller/probes.go", `n.stopCancelledTasks(m, &r)`, `_ = m`},
 	{"and asks again", "coordination/health/misplaced_tasks.go", `t.SinceProbe >= interval`, `t.SinceProbe > 1000*interval`},
 	{"its owner may begin them again", "coordination/health/misplaced_tasks.go", `if t.Finding == Ended || t.Age > limit {`, `if t.Finding == Ended {
 		return false
 	}
 	if t.Age > limit {`},
-	{"who hears nobody begins nothing", "coordination/controller/settle.go", `if !n.hearsNobody(now) && `, `if `},
+	{"who hears nobody begins nothing", "coordination/controller/reconcile.go", `if !n.hearsNobody(now) && `, `if `},
 	{"all cancellations are repeated", "coordination/controller/peers.go", `n.nextRepeated = ref`, `n.nextRepeated = ""`},
 	{"the bound counts from the record", "coordination/replica/jobs.go", `r.CancelledAtMs != 0 && at.Before(j.FinalAt)`, `false && at.Before(j.FinalAt)`},
 	{"team limits are conditions", "coordination/controller/limits.go", `return append(conds, kv.Compare{Key: key, Version: t.Version}), []kv.Op`, `return conds, []kv.Op`},
@@ -79,76 +79,76 @@
 	{"the lower limit counts", "coordination/quota/allotments.go", `	if team.lowersLimit() {
 		return Resources{}`, `	if false {
 		return Resources{}`},
-	{"a booking is carried out once all before it is known", "coordination/controller/guarantee.go", `b.version == 0 || n.view.Revision < b.version {`, `b.version == 0 {`},
-	{"a booking that does not hold any more goes", "coordination/controller/guarantee.go", `if due < b.tasks ||`, `if (due < 0) ||`},
+	{"a booking is carried out once all before it is known", "coordination/controller/guarantees.go", `b.version == 0 || n.view.Revision < b.version {`, `b.version == 0 {`},
+	{"a booking that does not hold any more goes", "coordination/controller/guarantees.go", `if due < b.tasks ||`, `if (due < 0) ||`},
 	{"bookings exclude one another", "coordination/quota/reservations.go", `		compares = append(compares, kv.Compare{Key: key, Version: m.team(name).reservationsVersion})
 `, ``},
 	{"a lender keeps its guarantee", "coordination/quota/guarantee.go", `return p.taken[team]+main.of(beside)+main.of(task) <= p.StandingOf(team).Surplus(p.ClaimedTask)+tolerance`, `return true`},
 	{"team use by the record", "coordination/controller/limits.go", `	return use, use.Max(sum)`, `	return sum, sum`},
-	{"404 is confirmed", "coordination/controller/users.go", `	n.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
+	{"404 is confirmed", "coordination/controller/replies.go", `	n.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
 		switch {
 		case err == nil &&`, `	func(do func(error, uint64)) { do(nil, 0) }(func(err error, revision uint64) {
 		switch {
 		case err == nil &&`},
 	{"what could not be read anew is not answered", "coordination/controller/commit.go", `if !read && prio == kv.PriorityUser {`, `if false && !read {`},
-	{"a cancellation is told once its claims are known", "coordination/controller/users.go", `if a.Phase != protocol.JobCancelled || n.view.Revision >= stamp {`, `if true {`},
+	{"a cancellation is told once its claims are known", "coordination/controller/replies.go", `if a.Phase != protocol.JobCancelled || n.view.Revision >= stamp {`, `if true {`},
 	{"claims may come after their job's cancellation", "coordination/replica/jobs.go", `return v.Loaded && r.State == protocol.JobCancelled && stamp > v.Revision`, `return false`},
-	{"done needs all chunks", "coordination/controller/settle.go", `(o != c && !o.Record.IsComplete())`, `false`},
+	{"done needs all chunks", "coordination/controller/claims.go", `(o != c && !o.Record.IsComplete())`, `false`},
 	{"a job that waits is in no queue", "coordination/replica/jobs.go", `	if v.ApplyBlockedJob(ref, r, stamp) {
 		return
 	}
 `, ``},
 	{"a job is released once all that it needs is done", "coordination/dag/graph.go", `return len(b.unfinished) == 0 && !b.cancelled`, `return len(b.unfinished) <= 1 && !b.cancelled`},
-	{"a job is refused on proof that one it names is not there", "coordination/controller/pipeline.go", `		n.proveDependencies(spec, missing, until, reply)
+	{"a job is refused on proof that one it names is not there", "coordination/controller/dependencies.go", `		n.proveDependencies(spec, missing, until, reply)
 		return
 `, `		reply(transport.Response{Status: 422})
 		return
 `},
-	{"jobs that were never accepted are not waited for", "coordination/controller/pipeline.go", `if missing := n.unknownJobs(spec.Dependencies); len(missing) > 0 {`, `if missing := n.unknownJobs(spec.Dependencies); len(missing) > 1000 {`},
+	{"jobs that were never accepted are not waited for", "coordination/controller/dependencies.go", `if missing := n.unknownJobs(spec.Dependencies); len(missing) > 0 {`, `if missing := n.unknownJobs(spec.Dependencies); len(missing) > 1000 {`},
 	{"a cancellation goes down the graph", "coordination/dag/graph.go", `		for _, dependent := range g.dependents[job.ID] {
 			pending = append(pending, dependent)
 		}
 `, ``},
-	{"a job that waits is answered by what was read since", "coordination/controller/users.go", `case err == nil && n.isUndecided(ref):`, `case false:`},
+	{"a job that waits is answered by what was read since", "coordination/controller/replies.go", `case err == nil && n.isUndecided(ref):`, `case false:`},
 	{"what an urgent job needs is urgent", "coordination/dag/urgency.go", `urgency.Priority = max(urgency.Priority, inherited.Priority, dependent.Spec.Priority())`, `_ = inherited`},
 	{"a refused transaction proves lower limits", "storage/kv/limiter.go", `	l.lowered = true
 	return true
 `, `	return false
 `},
-	{"zones of what is placed already", "coordination/controller/queue.go", `return placement.NewZoneConstraint(u.Spec, n.view.ZonesOf(u.Claim))`, `return placement.NewZoneConstraint(u.Spec, nil)`},
-	{"a gang claimed meanwhile is not placed again", "coordination/controller/gather.go", `|| !canReserveAcrossShards(j) {
+	{"zones of what is placed already", "coordination/controller/schedule.go", `return placement.NewZoneConstraint(u.Spec, n.view.ZonesOf(u.Claim))`, `return placement.NewZoneConstraint(u.Spec, nil)`},
+	{"a gang claimed meanwhile is not placed again", "coordination/controller/gangs.go", `|| !canReserveAcrossShards(j) {
 			n.endGangReservation`, `|| false {
 			n.endGangReservation`},
-	{"a gang's old attempt has to be gone", "coordination/controller/queue.go", `	if whole && u.Claim != nil && len(u.Claim.Record.Placements) > 0 {
+	{"a gang's old attempt has to be gone", "coordination/controller/schedule.go", `	if whole && u.Claim != nil && len(u.Claim.Record.Placements) > 0 {
 		placement.ReleaseAssignments(u.Spec, picks, rooms)
 		return false, false // the old attempt has to be gone first
 	}
 `, ``},
-	{"done frees a placement under the present token only", "coordination/controller/settle.go", `if !m.ShowsToken(s) && !m.Lifecycle.Gone && m.Record.State != records.MachineGone {
+	{"done frees a placement under the present token only", "coordination/controller/reconcile.go", `if !m.ShowsToken(s) && !m.Lifecycle.Gone && m.Record.State != records.MachineGone {
 			return outcomePending`, `if false {
 			return outcomePending`},
 	{"orders of an earlier token are void", "coordination/controller/shards.go", `		m.Commands.Pending = nil
 		delete(n.pendingCommands, m)
 `, `		_ = m
 `},
-	{"adoption and a hire's answer exclude one another", "coordination/controller/workers.go", `			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + h.Name, Value: &again})
+	{"adoption and a hire's answer exclude one another", "coordination/controller/adoption.go", `			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + h.Name, Value: &again})
 `, `			_ = again
 `},
-	{"the lead is known by its record", "coordination/controller/shards.go", `n.leadership.isSelf = r.Node == n.settings.NodeName && r.StartedAtMs == n.startedAt.UnixMilli(); n.leadership.isSelf {`, `n.leadership.isSelf = r.NodeName == n.settings.NodeName && r.StartedAtMs == n.startedAt.UnixMilli() && !n.leadership.campaigning; n.leadership.isSelf {`},
+	{"the lead is known by its record", "coordination/controller/leadership.go", `n.leadership.isSelf = r.Node == n.settings.NodeName && r.StartedAtMs == n.startedAt.UnixMilli(); n.leadership.isSelf {`, `n.leadership.isSelf = r.NodeName == n.settings.NodeName && r.StartedAtMs == n.startedAt.UnixMilli() && !n.leadership.campaigning; n.leadership.isSelf {`},
 	{"no empty set of claims without a job", "coordination/replica/claims.go", `if delete(set, c.Key); len(set) == 0 {`, `if delete(set, c.Key); false {`},
-	{"leases are kept behind a cut", "coordination/controller/outlook.go", `	if r.FencingToken > s.Version || !failover.MayExtendLease`, `	if true || r.FencingToken > s.Version || !failover.MayExtendLease`},
-	{"a zone that seems cut off is not fenced", "coordination/controller/outlook.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
-	{"no lease is kept for a cancelled task", "coordination/controller/outlook.go", `r.Tasks[i].Phase != protocol.TaskExited && (`, `false && (`},
-	{"silence counts from waking", "coordination/controller/workers.go", `	if woke := n.pauses.ResumedAt(); woke.After(m.AdoptedAt) {`, `	if woke := n.pauses.ResumedAt(); false && woke.After(m.AdoptedAt) {`},
-	{"an answer tells that a machine began again", "coordination/controller/workers.go", `m.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(&r)) {`, `m.Record.State == "" && false {`},
+	{"leases are kept behind a cut", "coordination/controller/leases.go", `	if r.FencingToken > s.Version || !failover.MayExtendLease`, `	if true || r.FencingToken > s.Version || !failover.MayExtendLease`},
+	{"a zone that seems cut off is not fenced", "coordination/controller/failuredetection.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
+	{"no lease is kept for a cancelled task", "coordination/controller/leases.go", `r.Tasks[i].Phase != protocol.TaskExited && (`, `false && (`},
+	{"silence counts from waking", "coordination/controller/failuredetection.go", `	if woke := n.pauses.ResumedAt(); woke.After(m.AdoptedAt) {`, `	if woke := n.pauses.ResumedAt(); false && woke.After(m.AdoptedAt) {`},
+	{"an answer tells that a machine began again", "coordination/controller/probes.go", `m.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(&r)) {`, `m.Record.State == "" && false {`},
 	{"accounts of a former life do not count", "coordination/health/incarnation.go", `return floor == 0 || i.FencingToken > floor`, `return floor == 0 || i.FencingToken >= 0`},
-	{"a doubtful report brings no orders", "coordination/controller/workers.go", `	if !doubtful && n.view.IsActive(s) {`, `	if n.view.IsActive(s) {`},
-	{"registration is conditional", "coordination/controller/node.go", `[]kv.Compare{{Key: key, Version: n.view.Nodes[n.settings.NodeName].Version}}`, `nil`},
-	{"nothing begins under a limit lowered since", "coordination/controller/settle.go", `	case stop, n.isOverLimit(c.Spec), m.Detector.Reachability.CannotReceive(), n.cannotReport(m, now) && !n.isStateDown(now):`, `	case stop, m.Detector.Reachability.CannotReceive(), n.cannotReport(m, now) && !n.isStateDown(now):`},
-	{"what a mute machine has lost is not begun there again", "coordination/controller/settle.go", `m.Detector.Reachability.CannotReceive(), n.cannotReport(m, now) && !n.isStateDown(now):`, `m.Detector.Reachability.CannotReceive():`},
-	{"nothing new is placed on a mute machine", "coordination/controller/queue.go", ` && !n.cannotReport(m, now)`, ``},
+	{"a doubtful report brings no orders", "coordination/controller/agents.go", `	if !doubtful && n.view.IsActive(s) {`, `	if n.view.IsActive(s) {`},
+	{"registration is conditional", "coordination/controller/membership.go", `[]kv.Compare{{Key: key, Version: n.view.Nodes[n.settings.NodeName].Version}}`, `nil`},
+	{"nothing begins under a limit lowered since", "coordination/controller/reconcile.go", `	case stop, n.isOverLimit(c.Spec), m.Detector.Reachability.CannotReceive(), n.cannotReport(m, now) && !n.isStateDown(now):`, `	case stop, m.Detector.Reachability.CannotReceive(), n.cannotReport(m, now) && !n.isStateDown(now):`},
+	{"what a mute machine has lost is not begun there again", "coordination/controller/reconcile.go", `m.Detector.Reachability.CannotReceive(), n.cannotReport(m, now) && !n.isStateDown(now):`, `m.Detector.Reachability.CannotReceive():`},
+	{"nothing new is placed on a mute machine", "coordination/controller/capacities.go", ` && !n.cannotReport(m, now)`, ``},
 	{"a machine that stays mute is returned", "coordination/health/reachability.go", `return CannotReport(lastHeartbeat, actingSince, now.Add(-unreachableLeases*lease), lease)`, `return false`},
-	{"a machine that does not hear and lost its work is returned", "coordination/controller/workers.go", `m.Detector.Reachability.CannotReceive() && !m.ShowsToken(s) && !m.Lifecycle.Returning`, `false && !m.Lifecycle.Returning`},
+	{"a machine that does not hear and lost its work is returned", "coordination/controller/probes.go", `m.Detector.Reachability.CannotReceive() && !m.ShowsToken(s) && !m.Lifecycle.Returning`, `false && !m.Lifecycle.Returning`},
 	{"no token is raised for a machine that may not hear it", "coordination/replica/shard.go", `!m.Detector.Reachability.Suspect() && `, ``},
 	{"who stands in is told from machines that are silent", "coordination/health/isolation.go", `	if s.Home {
 		return true
@@ -178,13 +178,13 @@
 	{"idle work that has begun has its turn again", "coordination/placement/besteffort.go", `return anyStarted && unplacedFor < maxUnplaced`, `return anyStarted`},
 	{"an array is owed a machine kept for cards", "coordination/placement/gpumachines.go", `			capacity.KeptForGPUJobs, capacity.KeptFromBestEffort = false, false
 			return true`, `			return false`},
-	{"a hire's machines wait for the watch", "coordination/controller/fleet.go", `if n.view.Revision < h.Version {`, `if false {`},
+	{"a hire's machines wait for the watch", "coordination/controller/provisions.go", `if n.view.Revision < h.Version {`, `if false {`},
 	{"an array begins ahead of a burst", "coordination/placement/startahead.go", `return !started && waited >= maxWait`, `return false`},
 	{"little is rented for idle work", "coordination/placement/besteffort.go", `	bestEffortDemand = min(bestEffortDemand, bestEffortLimit)
 `, ``},
 	{"questions go by turns with changes", "storage/kv/batch.go", `	if readsDue && !b.lastWasRead {`, `	if readsDue {`},
 	{"questions leave requests under way to changes", "storage/kv/batch.go", `maxReadsInflight = maxInflight / 2`, `maxReadsInflight = maxInflight`},
-	{"every wait ends with the context", "coordination/controller/node.go", `			case <-ctx.Done():
+	{"every wait ends with the context", "coordination/controller/membership.go", `			case <-ctx.Done():
 				return // the ledger may have ended first
 `, ``},
 }
--- a/internal/storage/kv/limiter.go
+++ b/internal/storage/kv/limiter.go
@@ -70,7 +70,7 @@
 	return untilTokens(1-tokens, l.requests.Limit())
 }
 
-// Reservation.JobID is the budget that a transaction leaves to more urgent ones. None
+// reservedFor is the budget that a transaction leaves to more urgent ones. None
 // waits for that for ever, since waiting makes it more urgent.
 func (l *limiter) reservedFor(t *Txn, now time.Time) float64 {
 	switch t.effectivePriority(now) {
