--- a/internal/coordination/controller/admission.go
+++ b/internal/coordination/controller/admission.go
@@ -14,15 +14,15 @@
 
 // shareStateBudget takes this node's part of the state service's budgets: by need if all
 // live controllers have said theirs, else evenly.
-func (n *Controller) shareStateBudget(now time.Time) {
-	names := n.view.LiveNodes()
-	own := slices.Index(names, n.settings.NodeName)
+func (c *Controller) shareStateBudget(now time.Time) {
+	names := c.view.LiveNodes()
+	own := slices.Index(names, c.settings.NodeName)
 	waits := make([]int, max(1, len(names)))
 	known := own >= 0
 	for i, name := range names {
-		w := n.membership.backlogs[name]
+		w := c.membership.backlogs[name]
 		if i == own {
-			w.changes, _ = n.store.Backlog(kv.PriorityBackground)
+			w.changes, _ = c.store.Backlog(kv.PriorityBackground)
 			w.at = now
 		}
 		known = known && now.Sub(w.at) < peerStatusTTL
@@ -32,24 +32,24 @@
 		clear(waits)
 		own = 0
 	}
-	n.store.SetBudgetShare(admission.BudgetShare(waits, own))
+	c.store.SetBudgetShare(admission.BudgetShare(waits, own))
 }
 
 // backlog is what waits ahead of a transaction of a priority.
-func (n *Controller) backlog(prio int, now time.Time) admission.Backlog {
-	b := admission.Backlog{Unavailable: n.isStateDown(now)}
-	b.Pending, b.Rate = n.store.Backlog(prio)
+func (c *Controller) backlog(prio int, now time.Time) admission.Backlog {
+	b := admission.Backlog{Unavailable: c.isStateDown(now)}
+	b.Pending, b.Rate = c.store.Backlog(prio)
 	return b
 }
 
 // isStateServingOthers tells that the state service serves other controllers and not
 // this one. A node that refuses at once has the fewest open connections, so the
 // load balancer sends it the more users the longer it seems healthy.
-func (n *Controller) isStateServingOthers(now time.Time) bool {
-	if !n.isStateDown(now) {
+func (c *Controller) isStateServingOthers(now time.Time) bool {
+	if !c.isStateDown(now) {
 		return false
 	}
-	for _, at := range n.membership.stateReachableAt {
+	for _, at := range c.membership.stateReachableAt {
 		if now.Sub(at) < peerStatusTTL {
 			return true
 		}
@@ -58,9 +58,9 @@
 }
 
 // retryLater turns a user away, and says when to come back.
-func (n *Controller) retryLater(prio int, now time.Time) transport.Response {
-	if n.isStateServingOthers(now) {
+func (c *Controller) retryLater(prio int, now time.Time) transport.Response {
+	if c.isStateServingOthers(now) {
 		return unavailable(1) // at another node, most likely
 	}
-	return unavailable(int(n.backlog(prio, now).RetryAfter(n.random.Float64()) / time.Second))
+	return unavailable(int(c.backlog(prio, now).RetryAfter(c.random.Float64()) / time.Second))
 }
--- a/internal/coordination/controller/adoption.go
+++ b/internal/coordination/controller/adoption.go
@@ -22,22 +22,22 @@
 // noteUnrecorded notes a machine that nobody expected. The leader alone records such
 // machines: several nodes that choose shards at once, each blind to the others,
 // would all put theirs into the same one.
-func (n *Controller) noteUnrecorded(host, typ, zone string, loaner bool) {
-	if _, seen := n.provisioner.unrecorded[host]; !seen && n.isLeader() {
-		n.provisioner.unrecorded[host] = unrecordedHost{firstSeen: time.Now(), kind: replica.MachineKind{Type: typ, Zone: zone, Spot: loaner}}
+func (c *Controller) noteUnrecorded(host, typeName, zone string, loaner bool) {
+	if _, seen := c.provisioner.unrecorded[host]; !seen && c.isLeader() {
+		c.provisioner.unrecorded[host] = unrecordedHost{firstSeen: time.Now(), kind: replica.MachineKind{Type: typeName, Zone: zone, Spot: loaner}}
 	}
 }
 
 // adoptMachines records the machines noted, all of a kind together.
-func (n *Controller) adoptMachines(now time.Time) {
+func (c *Controller) adoptMachines(now time.Time) {
 	hosts := make(map[replica.MachineKind][]string)
-	for host, u := range n.provisioner.unrecorded {
+	for host, u := range c.provisioner.unrecorded {
 		// The answer to a hire may just be on its way; it knows better.
 		patience := time.Duration(0)
-		if len(n.view.Provisions) > 0 {
+		if len(c.view.Provisions) > 0 {
 			patience = 3 * time.Second
 		}
-		if !u.recording && now.Sub(u.firstSeen) >= patience && n.view.MachineTypes[u.kind.Type] != nil {
+		if !u.recording && now.Sub(u.firstSeen) >= patience && c.view.MachineTypes[u.kind.Type] != nil {
 			hosts[u.kind] = append(hosts[u.kind], host)
 		}
 	}
@@ -45,80 +45,80 @@
 		list := hosts[kind]
 		slices.Sort(list)
 		for part := range slices.Chunk(list, maxMachinesPerRequest) {
-			n.adoptGroup(kind, part, now)
+			c.adoptGroup(kind, part, now)
 		}
 	}
 }
 
-func (n *Controller) adoptGroup(kind replica.MachineKind, hosts []string, now time.Time) {
-	n.provisioner.requestCount++
-	name := fmt.Sprintf("%s-%d-%d", n.settings.NodeName, n.startedAt.UnixMilli(), n.provisioner.requestCount)
-	rec := &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: len(hosts)}, RequestedAtMs: now.UnixMilli()}
+func (c *Controller) adoptGroup(kind replica.MachineKind, hosts []string, now time.Time) {
+	c.provisioner.requestCount++
+	name := fmt.Sprintf("%s-%d-%d", c.settings.NodeName, c.startedAt.UnixMilli(), c.provisioner.requestCount)
+	record := &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: len(hosts)}, RequestedAtMs: now.UnixMilli()}
 	byShard := make(map[string][]string)
 	for _, host := range hosts {
-		shard := n.smallestShard(kind.Zone, kind.Type)
-		n.provisioner.unrecorded[host] = unrecordedHost{recording: true, shard: shard, kind: kind}
+		shard := c.smallestShard(kind.Zone, kind.Type)
+		c.provisioner.unrecorded[host] = unrecordedHost{recording: true, shard: shard, kind: kind}
 		byShard[shard] = append(byShard[shard], host)
 	}
 	for _, shard := range slices.Sorted(maps.Keys(byShard)) {
 		for _, host := range byShard[shard] {
-			rec.Allocate(shard)
-			rec.Hosts = append(rec.Hosts, host)
+			record.Allocate(shard)
+			record.Hosts = append(record.Hosts, host)
 		}
 	}
 	// A hire that is still without an answer may have rented these. If its answer
 	// is recorded first, this fails. If this comes first, the hire's record gets a
 	// new version, and an answer that was about to be recorded, or is recorded
 	// late, fails: else a machine is put into two shards, with two owners.
-	conds := []kv.Compare{{Key: records.LeaderKey, Version: n.leadership.version}, {Key: records.ProvisionPrefix + name, Version: 0}}
-	ops := []kv.Op{{Key: records.ProvisionPrefix + name, Value: rec}}
-	for _, name := range slices.Sorted(maps.Keys(n.view.Provisions)) {
-		if h := n.view.Provisions[name]; h.Version != 0 && h.Record.Type == kind.Type && h.Record.Zone == kind.Zone && h.Record.Spot == kind.Spot {
-			again := h.Record
-			conds = append(conds, kv.Compare{Key: records.ProvisionPrefix + h.Name, Version: h.Version})
-			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + h.Name, Value: &again})
+	compares := []kv.Compare{{Key: records.LeaderKey, Version: c.leadership.version}, {Key: records.ProvisionPrefix + name, Version: 0}}
+	ops := []kv.Op{{Key: records.ProvisionPrefix + name, Value: record}}
+	for _, name := range slices.Sorted(maps.Keys(c.view.Provisions)) {
+		if provision := c.view.Provisions[name]; provision.Version != 0 && provision.Record.Type == kind.Type && provision.Record.Zone == kind.Zone && provision.Record.Spot == kind.Spot {
+			again := provision.Record
+			compares = append(compares, kv.Compare{Key: records.ProvisionPrefix + provision.Name, Version: provision.Version})
+			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + provision.Name, Value: &again})
 		}
 	}
-	if len(ops) > n.settings.RecordLimits().MaxTxnOps {
+	if len(ops) > c.settings.RecordLimits().MaxTxnOps {
 		for _, host := range hosts {
-			delete(n.provisioner.unrecorded, host) // until fewer hires are without an answer
+			delete(c.provisioner.unrecorded, host) // until fewer hires are without an answer
 		}
 		return
 	}
-	n.commit(kv.PriorityLease, conds, ops, 5*time.Second, func(err error) {
+	c.commit(kv.PriorityLease, compares, ops, 5*time.Second, func(err error) {
 		if err == nil {
-			n.log.Info("machines adopted", "hosts", len(hosts), "type", kind.Type, "zone", kind.Zone, "parts", rec.Allocations)
+			c.log.Info("machines adopted", "hosts", len(hosts), "type", kind.Type, "zone", kind.Zone, "parts", record.Allocations)
 		}
 		for _, host := range hosts {
-			delete(n.provisioner.unrecorded, host)
+			delete(c.provisioner.unrecorded, host)
 		}
 	})
 }
 
 // smallestShard is the shard with the fewest machines of a zone and type, the
 // one with the least room among equals.
-func (n *Controller) smallestShard(zone, typ string) string {
+func (c *Controller) smallestShard(zone, typeName string) string {
 	cpus, like := make(map[string]float64), make(map[string]int)
-	for _, s := range n.view.Shards {
-		for k, count := range s.Kinds {
-			cpus[s.Name] += n.view.MachineType(k.Type).CPUs * float64(count)
-			if k.Zone == zone && k.Type == typ {
-				like[s.Name] += count
+	for _, shard := range c.view.Shards {
+		for k, count := range shard.Kinds {
+			cpus[shard.Name] += c.view.MachineType(k.Type).CPUs * float64(count)
+			if k.Zone == zone && k.Type == typeName {
+				like[shard.Name] += count
 			}
 		}
 	}
-	for _, h := range n.view.Provisions {
-		for _, p := range h.Record.Allocations {
-			cpus[p.Shard] += n.view.MachineType(h.Record.Type).CPUs * float64(p.Count)
-			if h.Record.Zone == zone && h.Record.Type == typ {
+	for _, provision := range c.view.Provisions {
+		for _, p := range provision.Record.Allocations {
+			cpus[p.Shard] += c.view.MachineType(provision.Record.Type).CPUs * float64(p.Count)
+			if provision.Record.Zone == zone && provision.Record.Type == typeName {
 				like[p.Shard] += p.Count
 			}
 		}
 	}
-	for _, u := range n.provisioner.unrecorded {
+	for _, u := range c.provisioner.unrecorded {
 		if u.recording {
-			cpus[u.shard] += n.view.MachineType(u.kind.Type).CPUs
-			if u.kind.Zone == zone && u.kind.Type == typ {
+			cpus[u.shard] += c.view.MachineType(u.kind.Type).CPUs
+			if u.kind.Zone == zone && u.kind.Type == typeName {
 				like[u.shard]++
 			}
 		}
@@ -126,7 +126,7 @@
 	best := ""
 	// Shards that nobody owns yet count as well: at the first start the first
 	// one to be acquired would otherwise get every machine.
-	for _, name := range n.view.ShardNames() {
+	for _, name := range c.view.ShardNames() {
 		if best == "" || like[name] < like[best] || (like[name] == like[best] && cpus[name] < cpus[best]) {
 			best = name
 		}
--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -12,11 +12,11 @@
 
 // observeHeartbeat takes a worker's account, from a report or a direct answer. It
 // returns false when a newer one was seen before, or it may be of a former life.
-func (n *Controller) observeHeartbeat(m *replica.Machine, r *protocol.Heartbeat) bool {
-	if m.Agent.Heartbeat != nil && (!replica.IncarnationOf(r).Supersedes(replica.IncarnationOf(m.Agent.Heartbeat)) || !replica.IncarnationOf(r).Valid(m.Agent.MinToken)) {
+func (c *Controller) observeHeartbeat(machine *replica.Machine, heartbeat *protocol.Heartbeat) bool {
+	if machine.Agent.Heartbeat != nil && (!replica.IncarnationOf(heartbeat).Supersedes(replica.IncarnationOf(machine.Agent.Heartbeat)) || !replica.IncarnationOf(heartbeat).Valid(machine.Agent.MinToken)) {
 		return false
 	}
-	n.recordHeartbeat(m, r)
+	c.recordHeartbeat(machine, heartbeat)
 	return true
 }
 
@@ -24,139 +24,139 @@
 // direct question. Messages of the former life may still come and look newer: one
 // of them could show a task as ended that runs again. So a higher token is shown,
 // and until then nothing that the machine says counts.
-func (n *Controller) recordRestart(s *replica.Shard, m *replica.Machine, r *protocol.Heartbeat) {
-	n.log.Info("machine began again", "host", m.Host, "seq", r.Sequence, "was", m.Agent.Heartbeat.Sequence, "session", r.AgentEpoch)
-	m.Agent.MinToken = max(m.Agent.MinToken, m.Agent.Heartbeat.FencingToken, s.FencingToken)
-	s.NeedsNewToken = true
-	m.Commands.Pending, m.Agent.RunningSince = nil, make(map[string]time.Time)
-	m.Commands.StartSentAt, m.Commands.StopSentAt = make(map[string]time.Time), make(map[string]time.Time)
-	delete(n.pendingCommands, m)
-	n.recordHeartbeat(m, r)
+func (c *Controller) recordRestart(shard *replica.Shard, machine *replica.Machine, heartbeat *protocol.Heartbeat) {
+	c.log.Info("machine began again", "host", machine.Host, "seq", heartbeat.Sequence, "was", machine.Agent.Heartbeat.Sequence, "session", heartbeat.AgentEpoch)
+	machine.Agent.MinToken = max(machine.Agent.MinToken, machine.Agent.Heartbeat.FencingToken, shard.FencingToken)
+	shard.NeedsNewToken = true
+	machine.Commands.Pending, machine.Agent.RunningSince = nil, make(map[string]time.Time)
+	machine.Commands.StartSentAt, machine.Commands.StopSentAt = make(map[string]time.Time), make(map[string]time.Time)
+	delete(c.pendingCommands, machine)
+	c.recordHeartbeat(machine, heartbeat)
 }
 
-func (n *Controller) recordHeartbeat(m *replica.Machine, r *protocol.Heartbeat) {
+func (c *Controller) recordHeartbeat(machine *replica.Machine, heartbeat *protocol.Heartbeat) {
 	now := time.Now()
-	if m.Agent.Heartbeat == nil {
-		n.recordBoot(m, now)
-	}
-	if m.Agent.Heartbeat != nil && r.AgentEpoch > m.Agent.Heartbeat.AgentEpoch {
-		m.Detector.Reachability.RecordNewEpoch(now)
-	}
-	anew := m.Agent.Heartbeat == nil || m.Agent.Heartbeat.FencingToken != r.FencingToken || m.Agent.Heartbeat.AgentEpoch != r.AgentEpoch
-	before := m.Agent.Tasks
-	if n.silenceOf(m, now) > n.policy.SuspectAfter {
-		m.Agent.HeardAgainAt = now // its reports may take a moment longer than its answers
-	}
-	m.Agent.Heartbeat, m.Agent.LastContact = r, now
-	m.Agent.Tasks = make(map[string]*protocol.TaskStatus, len(r.Tasks))
-	news := anew || len(before) != len(r.Tasks)
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		m.Agent.Tasks[t.Task] = t
-		if was := before[t.Task]; was == nil || was.Phase != t.Phase || was.Attempt != t.Attempt {
+	if machine.Agent.Heartbeat == nil {
+		c.recordBoot(machine, now)
+	}
+	if machine.Agent.Heartbeat != nil && heartbeat.AgentEpoch > machine.Agent.Heartbeat.AgentEpoch {
+		machine.Detector.Reachability.RecordNewEpoch(now)
+	}
+	anew := machine.Agent.Heartbeat == nil || machine.Agent.Heartbeat.FencingToken != heartbeat.FencingToken || machine.Agent.Heartbeat.AgentEpoch != heartbeat.AgentEpoch
+	before := machine.Agent.Tasks
+	if c.silenceOf(machine, now) > c.policy.SuspectAfter {
+		machine.Agent.HeardAgainAt = now // its reports may take a moment longer than its answers
+	}
+	machine.Agent.Heartbeat, machine.Agent.LastContact = heartbeat, now
+	machine.Agent.Tasks = make(map[string]*protocol.TaskStatus, len(heartbeat.Tasks))
+	news := anew || len(before) != len(heartbeat.Tasks)
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		machine.Agent.Tasks[status.Task] = status
+		if was := before[status.Task]; was == nil || was.Phase != status.Phase || was.Attempt != status.Attempt {
 			news = true
 		}
-		if t.Phase == protocol.TaskRunning || t.Phase == protocol.TaskWaitingForGang {
-			if _, ok := m.Agent.RunningSince[t.Task]; !ok {
-				m.Agent.RunningSince[t.Task] = now
-				n.log.Debug("task runs", "task", t.Task, "try", t.Attempt, "host", m.Host)
-				if spec := n.view.SpecOfTask(t.Task); spec != nil {
-					m.RecordImageUse(spec.Image, spec.ImageGB, n.view.MachineType(m.Record.Type).ImageCacheGB)
+		if status.Phase == protocol.TaskRunning || status.Phase == protocol.TaskWaitingForGang {
+			if _, ok := machine.Agent.RunningSince[status.Task]; !ok {
+				machine.Agent.RunningSince[status.Task] = now
+				c.log.Debug("task runs", "task", status.Task, "try", status.Attempt, "host", machine.Host)
+				if spec := c.view.SpecOfTask(status.Task); spec != nil {
+					machine.RecordImageUse(spec.Image, spec.ImageGB, c.view.MachineType(machine.Record.Type).ImageCacheGB)
 				}
 			}
 		}
 	}
-	for task := range m.Agent.RunningSince {
-		if _, ok := m.Agent.Tasks[task]; !ok {
-			delete(m.Agent.RunningSince, task)
+	for task := range machine.Agent.RunningSince {
+		if _, ok := machine.Agent.Tasks[task]; !ok {
+			delete(machine.Agent.RunningSince, task)
 		}
 	}
-	m.Commands.Unknown = slices.DeleteFunc(m.Commands.Unknown, func(u replica.UnknownStart) bool {
-		return r.FencingToken > u.FencingToken || r.AgentEpoch > u.AgentEpoch
+	machine.Commands.Unknown = slices.DeleteFunc(machine.Commands.Unknown, func(u replica.UnknownStart) bool {
+		return heartbeat.FencingToken > u.FencingToken || heartbeat.AgentEpoch > u.AgentEpoch
 	})
-	if r.PreemptionNoticeS != nil && m.Agent.PreemptionNoticeAt.IsZero() {
-		m.Agent.PreemptionNoticeAt = now
-		n.log.Info("spot notice", "host", m.Host, "seconds", *r.PreemptionNoticeS)
+	if heartbeat.PreemptionNoticeS != nil && machine.Agent.PreemptionNoticeAt.IsZero() {
+		machine.Agent.PreemptionNoticeAt = now
+		c.log.Info("spot notice", "host", machine.Host, "seconds", *heartbeat.PreemptionNoticeS)
 	}
 	// Only claims about which the report says something new are looked at, and
 	// those it does not mention.
-	for name, p := range m.Use.Slots {
-		was, is := before[name], m.Agent.Tasks[name]
+	for name, slot := range machine.Use.Slots {
+		was, is := before[name], machine.Agent.Tasks[name]
 		if anew || is == nil || was == nil || was.Phase != is.Phase || was.Attempt != is.Attempt {
-			n.view.MarkDirty(p.Claim)
+			c.view.MarkDirty(slot.Claim)
 		}
 	}
 	if news {
-		m.Capacity.Stale, m.Capacity.DetailsStale = true, true
-		n.view.Shard(m.Record.Shard).Changed = true
-		n.wake()
+		machine.Capacity.Stale, machine.Capacity.DetailsStale = true, true
+		c.view.Shard(machine.Record.Shard).Changed = true
+		c.wake()
 	}
 }
 
 // handleHeartbeat answers a worker.
-func (n *Controller) handleHeartbeat(body []byte, reply func(transport.Response)) {
-	r, err := protocol.ParseHeartbeat(body)
+func (c *Controller) handleHeartbeat(body []byte, reply func(transport.Response)) {
+	heartbeat, err := protocol.ParseHeartbeat(body)
 	if err != nil {
 		reply(badRequest(err))
 		return
 	}
-	n.mu.Lock()
-	n.observePause(time.Now())
-	resp := n.respondToHeartbeat(r)
-	n.mu.Unlock()
+	c.mu.Lock()
+	c.observePause(time.Now())
+	resp := c.respondToHeartbeat(heartbeat)
+	c.mu.Unlock()
 	reply(resp)
 }
 
-func (n *Controller) respondToHeartbeat(r *protocol.Heartbeat) transport.Response {
-	if !n.view.Loaded {
-		if kept, ok := n.extendLeaseUnread(r, time.Now()); ok {
+func (c *Controller) respondToHeartbeat(heartbeat *protocol.Heartbeat) transport.Response {
+	if !c.view.Loaded {
+		if kept, ok := c.extendLeaseUnread(heartbeat, time.Now()); ok {
 			return kept
 		}
 		return unavailable(1)
 	}
-	m := n.view.Machines[r.Host]
-	if m == nil {
-		n.noteUnrecorded(r.Host, r.Type, r.Zone, r.Spot)
-		if _, live := n.view.Nodes[n.leadership.node]; live && n.leadership.node != n.settings.NodeName {
-			return redirectTo(n.leadership.node)
+	machine := c.view.Machines[heartbeat.Host]
+	if machine == nil {
+		c.noteUnrecorded(heartbeat.Host, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
+		if _, live := c.view.Nodes[c.leadership.node]; live && c.leadership.node != c.settings.NodeName {
+			return redirectTo(c.leadership.node)
 		}
 		return unavailable(1)
 	}
-	if m.Record.State != "" {
+	if machine.Record.State != "" {
 		return misdirected
 	}
-	s := n.view.Shards[m.Record.Shard]
-	if s != nil && s.NewOwner != "" {
-		return redirectTo(s.NewOwner)
+	shard := c.view.Shards[machine.Record.Shard]
+	if shard != nil && shard.NewOwner != "" {
+		return redirectTo(shard.NewOwner)
 	}
-	if s == nil || s.FencingToken == 0 {
-		if s != nil && s.Record != nil && s.Record.Owner != n.settings.NodeName {
-			if kept, ok := n.extendLease(s, r, time.Now()); ok {
+	if shard == nil || shard.FencingToken == 0 {
+		if shard != nil && shard.Record != nil && shard.Record.Owner != c.settings.NodeName {
+			if kept, ok := c.extendLease(shard, heartbeat, time.Now()); ok {
 				return kept
 			}
-			if _, live := n.view.Nodes[s.Record.Owner]; live {
-				return redirectTo(s.Record.Owner)
+			if _, live := c.view.Nodes[shard.Record.Owner]; live {
+				return redirectTo(shard.Record.Owner)
 			}
 		}
 		return unavailable(1)
 	}
-	if r.FencingToken > s.FencingToken {
+	if heartbeat.FencingToken > shard.FencingToken {
 		// Someone else owns the shard by now. A 200 would hold the worker here
 		// while its lease runs out.
 		return misdirected
 	}
-	doubtful := m.Agent.Heartbeat != nil && health.MayBeRestarted(replica.IncarnationOf(m.Agent.Heartbeat), replica.IncarnationOf(r))
-	if doubtful && !m.Detector.Probing {
-		n.probeMachine(m)
+	doubtful := machine.Agent.Heartbeat != nil && health.MayBeRestarted(replica.IncarnationOf(machine.Agent.Heartbeat), replica.IncarnationOf(heartbeat))
+	if doubtful && !machine.Detector.Probing {
+		c.probeMachine(machine)
 	}
-	answer := protocol.HeartbeatResponse{FencingToken: s.FencingToken, Commands: []protocol.Command{}}
+	answer := protocol.HeartbeatResponse{FencingToken: shard.FencingToken, Commands: []protocol.Command{}}
 	// What a message from who knows when says is no ground for orders, and what was
 	// said before it may be of a former life.
-	if !doubtful && n.observeHeartbeat(m, r) {
-		m.Agent.LastHeartbeat = time.Now()
+	if !doubtful && c.observeHeartbeat(machine, heartbeat) {
+		machine.Agent.LastHeartbeat = time.Now()
 	}
-	if !doubtful && n.view.IsActive(s) {
-		answer.Commands = append(answer.Commands, n.cleanupCommands(s, m)...)
+	if !doubtful && c.view.IsActive(shard) {
+		answer.Commands = append(answer.Commands, c.cleanupCommands(shard, machine)...)
 	}
 	b, err := protocol.Encode(answer)
 	if err != nil {
@@ -168,33 +168,33 @@
 // cleanupCommands is what a report's answer orders: an end to what should not
 // run, and the reaping of what has exited and is booked. Commands in answers
 // are never executed late, which is why reaps go nowhere else.
-func (n *Controller) cleanupCommands(s *replica.Shard, m *replica.Machine) []protocol.Command {
+func (c *Controller) cleanupCommands(shard *replica.Shard, machine *replica.Machine) []protocol.Command {
 	var out []protocol.Command
-	if !m.ShowsToken(s) && m.Agent.Heartbeat.FencingToken != 0 && m.Agent.Heartbeat.FencingToken < s.FencingToken {
+	if !machine.ShowsToken(shard) && machine.Agent.Heartbeat.FencingToken != 0 && machine.Agent.Heartbeat.FencingToken < shard.FencingToken {
 		// The worker has yet to show the token; wait for its next account.
 		return nil
 	}
 	now := time.Now()
-	for i := range m.Agent.Heartbeat.Tasks {
-		t := &m.Agent.Heartbeat.Tasks[i]
-		c, p := n.view.PlacementOf(m, t.Task)
-		if p != nil && p.Attempt == t.Attempt {
-			if grace, stop := n.shouldStop(c, p, now); stop && t.Phase != protocol.TaskExited && (t.Phase != protocol.TaskCheckpointing || grace == 0) {
-				out = append(out, protocol.StopCommand(t.Task, t.Attempt, grace))
-			} else if !stop && t.Phase == protocol.TaskExited && t.Cause == protocol.CauseGangTimeout && !m.HasUnconfirmedStart(t.Task, t.Attempt) {
-				out = append(out, protocol.ReapCommand(t.Task, t.Attempt)) // to start again
+	for i := range machine.Agent.Heartbeat.Tasks {
+		status := &machine.Agent.Heartbeat.Tasks[i]
+		claim, placement := c.view.PlacementOf(machine, status.Task)
+		if placement != nil && placement.Attempt == status.Attempt {
+			if grace, stop := c.shouldStop(claim, placement, now); stop && status.Phase != protocol.TaskExited && (status.Phase != protocol.TaskCheckpointing || grace == 0) {
+				out = append(out, protocol.StopCommand(status.Task, status.Attempt, grace))
+			} else if !stop && status.Phase == protocol.TaskExited && status.Cause == protocol.CauseGangTimeout && !machine.HasUnconfirmedStart(status.Task, status.Attempt) {
+				out = append(out, protocol.ReapCommand(status.Task, status.Attempt)) // to start again
 			}
 			continue
 		}
-		if t.Phase != protocol.TaskExited {
-			out = append(out, protocol.StopCommand(t.Task, t.Attempt, 0))
+		if status.Phase != protocol.TaskExited {
+			out = append(out, protocol.StopCommand(status.Task, status.Attempt, 0))
 			continue
 		}
-		if m.HasUnconfirmedStart(t.Task, t.Attempt) {
-			s.RequestNewToken(m)
+		if machine.HasUnconfirmedStart(status.Task, status.Attempt) {
+			shard.RequestNewToken(machine)
 			continue
 		}
-		out = append(out, protocol.ReapCommand(t.Task, t.Attempt))
+		out = append(out, protocol.ReapCommand(status.Task, status.Attempt))
 	}
 	return out
 }
--- a/internal/coordination/controller/attribution.go
+++ b/internal/coordination/controller/attribution.go
@@ -10,46 +10,46 @@
 )
 
 // recordTaskEnd notes why a task ended.
-func (n *Controller) recordTaskEnd(j *replica.Job, m *replica.Machine, t *protocol.TaskStatus, now time.Time) {
-	n.log.Debug("task ended", "task", t.Task, "try", t.Attempt, "host", m.Host, "cause", t.Cause)
-	switch t.Cause {
+func (c *Controller) recordTaskEnd(job *replica.Job, machine *replica.Machine, status *protocol.TaskStatus, now time.Time) {
+	c.log.Debug("task ended", "task", status.Task, "try", status.Attempt, "host", machine.Host, "cause", status.Cause)
+	switch status.Cause {
 	case protocol.CauseNoCapacity, protocol.CauseBusy:
-		m.Quarantine.RejectingUntil = now.Add(2 * time.Second)
+		machine.Quarantine.RejectingUntil = now.Add(2 * time.Second)
 	case protocol.CauseUnknownJob:
-		j.NotBefore = now.Add(2 * time.Second)
+		job.NotBefore = now.Add(2 * time.Second)
 	case protocol.CauseError:
-		began, ok := m.Agent.RunningSince[t.Task]
+		began, ok := machine.Agent.RunningSince[status.Task]
 		if !ok {
 			began = now
 		}
-		was := j.Evidence.Verdict(now)
-		if !m.Quarantine.Active {
-			j.Evidence.RecordFailure(m.Host, now.Sub(began), n.random.Float64(), now)
+		was := job.Evidence.Verdict(now)
+		if !machine.Quarantine.Active {
+			job.Evidence.RecordFailure(machine.Host, now.Sub(began), c.random.Float64(), now)
 		}
-		m.Quarantine.Evidence.RecordFailure(j.ID, began, now)
-		n.corroborateJob(j, now)
-		if was != quarantine.Suspect && j.Evidence.Verdict(now) == quarantine.Suspect {
-			n.log.Info("job fails wherever it runs, its tasks are tried one at a time", "job", j.ID, "on", strings.Join(j.Evidence.FailedHosts(), ","))
+		machine.Quarantine.Evidence.RecordFailure(job.ID, began, now)
+		c.corroborateJob(job, now)
+		if was != quarantine.Suspect && job.Evidence.Verdict(now) == quarantine.Suspect {
+			c.log.Info("job fails wherever it runs, its tasks are tried one at a time", "job", job.ID, "on", strings.Join(job.Evidence.FailedHosts(), ","))
 		}
-		n.updateQuarantine(m, now)
+		c.updateQuarantine(machine, now)
 	}
 }
 
 // corroborateJob looks for tasks of a job that have failed elsewhere and run there
 // for long enough to speak for it.
-func (n *Controller) corroborateJob(j *replica.Job, now time.Time) {
-	if !j.Evidence.Failing(now) {
+func (c *Controller) corroborateJob(job *replica.Job, now time.Time) {
+	if !job.Evidence.Failing(now) {
 		return
 	}
-	for _, c := range j.Claims {
-		for _, p := range c.Slots {
-			m := p.Host.Machine
-			if m == nil || m.Quarantine.Active {
+	for _, claim := range job.Claims {
+		for _, slot := range claim.Slots {
+			machine := slot.Host.Machine
+			if machine == nil || machine.Quarantine.Active {
 				continue
 			}
-			t := m.Agent.Tasks[p.TaskName]
-			if began, ok := m.Agent.RunningSince[p.TaskName]; ok && t != nil && t.Phase == protocol.TaskRunning && j.Evidence.OutlastsFailures(now.Sub(began)) {
-				j.Evidence.Succeeded(now)
+			status := machine.Agent.Tasks[slot.TaskName]
+			if began, ok := machine.Agent.RunningSince[slot.TaskName]; ok && status != nil && status.Phase == protocol.TaskRunning && job.Evidence.OutlastsFailures(now.Sub(began)) {
+				job.Evidence.Succeeded(now)
 				return
 			}
 		}
@@ -57,31 +57,31 @@
 }
 
 // updateQuarantine condemns a machine or takes it back.
-func (n *Controller) updateQuarantine(m *replica.Machine, now time.Time) {
-	if !m.Quarantine.Evidence.Failing() && !m.Quarantine.Active {
+func (c *Controller) updateQuarantine(machine *replica.Machine, now time.Time) {
+	if !machine.Quarantine.Evidence.Failing() && !machine.Quarantine.Active {
 		return
 	}
-	on, sick := m.Quarantine.Evidence.Quarantine(func(ref string) quarantine.Verdict {
-		j := n.view.Jobs[ref]
-		if j == nil {
+	on, sick := machine.Quarantine.Evidence.Quarantine(func(jobID string) quarantine.Verdict {
+		job := c.view.Jobs[jobID]
+		if job == nil {
 			return quarantine.Unknown
 		}
-		n.corroborateJob(j, now)
-		return j.Evidence.Verdict(now)
+		c.corroborateJob(job, now)
+		return job.Evidence.Verdict(now)
 	}, now)
-	if sick == m.Quarantine.Active {
+	if sick == machine.Quarantine.Active {
 		return
 	}
-	m.Quarantine.Active, m.Quarantine.ChangedAt = sick, now
-	n.view.Shard(m.Record.Shard).Changed = true
+	machine.Quarantine.Active, machine.Quarantine.ChangedAt = sick, now
+	c.view.Shard(machine.Record.Shard).Changed = true
 	if !sick {
-		n.log.Info("machine is in use again, the jobs that failed there fail elsewhere too", "host", m.Host)
+		c.log.Info("machine is in use again, the jobs that failed there fail elsewhere too", "host", machine.Host)
 		return
 	}
-	n.log.Info("machine fails tasks of jobs that run elsewhere, taken out of use", "host", m.Host, "jobs", strings.Join(on, ","))
-	for _, ref := range on {
-		if j := n.view.Jobs[ref]; j != nil {
-			j.Evidence.Exonerate(m.Host)
+	c.log.Info("machine fails tasks of jobs that run elsewhere, taken out of use", "host", machine.Host, "jobs", strings.Join(on, ","))
+	for _, jobID := range on {
+		if job := c.view.Jobs[jobID]; job != nil {
+			job.Evidence.Exonerate(machine.Host)
 		}
 	}
 }
@@ -91,17 +91,17 @@
 const quarantineGrace = 5 * time.Second
 
 // recordCompletion takes what a completed task tells of its machine, its job and its class.
-func (n *Controller) recordCompletion(j *replica.Job, spec *protocol.Submission, m *replica.Machine, task string, now time.Time) {
-	j.Evidence.Succeeded(now)
-	began, ok := m.Agent.RunningSince[task]
+func (c *Controller) recordCompletion(job *replica.Job, spec *protocol.Submission, machine *replica.Machine, task string, now time.Time) {
+	job.Evidence.Succeeded(now)
+	began, ok := machine.Agent.RunningSince[task]
 	if !ok || spec.RunEstimateS <= 0 {
 		return
 	}
-	delete(m.Agent.RunningSince, task)
-	m.Quarantine.Evidence.Succeeded(began)
+	delete(machine.Agent.RunningSince, task)
+	machine.Quarantine.Evidence.Succeeded(began)
 	ratio := min(max(now.Sub(began).Seconds()/spec.RunEstimateS, 0.1), 10)
-	if old, ok := n.runtimeRatios[spec.Class]; ok {
+	if old, ok := c.runtimeRatios[spec.Class]; ok {
 		ratio = old*0.9 + ratio*0.1
 	}
-	n.runtimeRatios[spec.Class] = ratio
+	c.runtimeRatios[spec.Class] = ratio
 }
--- a/internal/coordination/controller/bench_test.go
+++ b/internal/coordination/controller/bench_test.go
@@ -43,10 +43,10 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	n := New(Options{Settings: s, Policy: pol, Store: idleStore{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Rand: rand.New(rand.NewPCG(1, 1))})
-	n.view.MachineTypes = map[string]*protocol.MachineType{"m16": {Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: s.Zones}}
-	n.view.Loaded, n.membership.lease, n.view.Revision = true, 1, 1_000_000
-	put := func(key string, rec any, stamp uint64) { n.view.Apply(key, rec, stamp) }
+	controller := New(Options{Settings: s, Policy: pol, Store: idleStore{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Rand: rand.New(rand.NewPCG(1, 1))})
+	controller.view.MachineTypes = map[string]*protocol.MachineType{"m16": {Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: s.Zones}}
+	controller.view.Loaded, controller.membership.lease, controller.view.Revision = true, 1, 1_000_000
+	put := func(key string, record any, version uint64) { controller.view.Apply(key, record, version) }
 	for i, name := range []string{"n0", "n1", "n2"} {
 		put(records.NodePrefix+name, &records.Node{StartedAtMs: 1}, uint64(i+1))
 		put(records.ShardPrefix+name, &records.Shard{Owner: name}, uint64(i+10))
@@ -61,9 +61,9 @@
 	shards := []string{"n0", "n1", "n2"}
 	for at := 0; at < machines; at += 4 { // a chunk of 32 tasks on four machines of one shard
 		chunk := at / 4
-		ref := fmt.Sprint("wk-", 1000+chunk/2)
+		jobID := fmt.Sprint("wk-", 1000+chunk/2)
 		if chunk%2 == 0 {
-			put(records.JobPrefix+ref, &records.Job{Spec: &protocol.Submission{JobID: ref, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
+			put(records.JobPrefix+jobID, &records.Job{Spec: &protocol.Submission{JobID: jobID, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
 				CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 1, RunEstimateS: 30}, Shards: []string{"n0", "n1"}, ChunkSize: 32}, 30)
 		}
 		c := &records.Claim{Shard: shards[chunk%3], FirstTask: chunk % 2 * 32, TaskCount: 32, LastAttempt: 1}
@@ -72,24 +72,24 @@
 			k := chunk/3*4 + t/8
 			c.Placements = append(c.Placements, records.Placement{Task: c.FirstTask + t, Attempt: 1, Host: hostName(k/10*30 + chunk%3*10 + k%10)})
 		}
-		put(records.ClaimKey(ref, chunk%2), c, 40)
+		put(records.ClaimKey(jobID, chunk%2), c, 40)
 	}
-	for _, m := range n.view.Shards["n0"].Machines {
-		n.respondToHeartbeat(reportOf(m, 1))
+	for _, machine := range controller.view.Shards["n0"].Machines {
+		controller.respondToHeartbeat(reportOf(machine, 1))
 	}
-	n.pass(time.Now())
-	return n
+	controller.pass(time.Now())
+	return controller
 }
 
 func hostName(i int) string { return fmt.Sprintf("vm-%06d", i) }
 
 // reportOf is a worker's account of all that is placed there.
-func reportOf(m *replica.Machine, tick uint64) *protocol.Heartbeat {
-	r := &protocol.Heartbeat{Host: m.Host, Address: "10.0.0.1:9000", Type: m.Record.Type, Zone: m.Record.Zone, AgentEpoch: 1, Sequence: tick, FencingToken: 10}
-	for name, p := range m.Use.Slots {
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: name, Attempt: p.Attempt, Phase: protocol.TaskRunning})
+func reportOf(machine *replica.Machine, tick uint64) *protocol.Heartbeat {
+	heartbeat := &protocol.Heartbeat{Host: machine.Host, Address: "10.0.0.1:9000", Type: machine.Record.Type, Zone: machine.Record.Zone, AgentEpoch: 1, Sequence: tick, FencingToken: 10}
+	for name, slot := range machine.Use.Slots {
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: name, Attempt: slot.Attempt, Phase: protocol.TaskRunning})
 	}
-	return r
+	return heartbeat
 }
 
 // The cost of one event must not grow with the fleet: a controller sees as many
@@ -97,59 +97,59 @@
 func BenchmarkFleet(b *testing.B) {
 	for _, machines := range []int{1200, 3600, 12000} {
 		b.Run(fmt.Sprintf("report/%d", machines), func(b *testing.B) {
-			n := fleetOf(b, machines)
-			own := n.view.Shards["n0"].Machines
+			controller := fleetOf(b, machines)
+			own := controller.view.Shards["n0"].Machines
 			bodies := make([][]byte, 64)
 			for i := range bodies {
 				bodies[i], _ = protocol.Encode(reportOf(own[i*len(own)/len(bodies)], 1<<40))
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				r, err := protocol.ParseHeartbeat(bodies[i%len(bodies)])
+				heartbeat, err := protocol.ParseHeartbeat(bodies[i%len(bodies)])
 				if err != nil {
 					b.Fatal(err)
 				}
-				r.Sequence = uint64(i + 2)
-				if got := n.respondToHeartbeat(r); got.Status != 200 {
+				heartbeat.Sequence = uint64(i + 2)
+				if got := controller.respondToHeartbeat(heartbeat); got.Status != 200 {
 					b.Fatal(got.Status)
 				}
 			}
 		})
 		b.Run(fmt.Sprintf("claim/%d", machines), func(b *testing.B) {
-			n := fleetOf(b, machines)
+			controller := fleetOf(b, machines)
 			key := records.ClaimKey("wk-1000", 1) // another controller's
-			raw, _ := protocol.Encode(n.view.Claims[key].Record)
+			raw, _ := protocol.Encode(controller.view.Claims[key].Record)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				n.view.ApplyItem(kv.Item{Key: key, Value: raw, Version: uint64(100 + i)})
+				controller.view.ApplyItem(kv.Item{Key: key, Value: raw, Version: uint64(100 + i)})
 			}
 		})
 		b.Run(fmt.Sprintf("completion/%d", machines), func(b *testing.B) {
-			n := fleetOf(b, machines)
-			c := n.view.Claims[records.ClaimKey("wk-1000", 0)]
-			m := n.view.Machines[c.Record.Placements[0].Host]
-			s, j := n.view.Shards["n0"], n.view.Jobs["wk-1000"]
+			controller := fleetOf(b, machines)
+			claim := controller.view.Claims[records.ClaimKey("wk-1000", 0)]
+			machine := controller.view.Machines[claim.Record.Placements[0].Host]
+			shard, job := controller.view.Shards["n0"], controller.view.Jobs["wk-1000"]
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				r := reportOf(m, uint64(i+2))
+				heartbeat := reportOf(machine, uint64(i+2))
 				if i%2 == 0 {
-					r.Tasks[0].Phase, r.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone
+					heartbeat.Tasks[0].Phase, heartbeat.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone
 				}
-				n.respondToHeartbeat(r)
-				n.reconcileClaim(s, j, c, time.Now())
+				controller.respondToHeartbeat(heartbeat)
+				controller.reconcileClaim(shard, job, claim, time.Now())
 			}
 		})
 		b.Run(fmt.Sprintf("pass/%d", machines), func(b *testing.B) {
-			n := fleetOf(b, machines)
-			s := n.view.Shards["n0"]
+			controller := fleetOf(b, machines)
+			shard := controller.view.Shards["n0"]
 			for i := range 50 { // arrays that find no room
-				ref := fmt.Sprint("wk-", 900_000+i)
-				n.view.Apply(records.JobPrefix+ref, &records.Job{Spec: &protocol.Submission{JobID: ref, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
+				jobID := fmt.Sprint("wk-", 900_000+i)
+				controller.view.Apply(records.JobPrefix+jobID, &records.Job{Spec: &protocol.Submission{JobID: jobID, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
 					CPUs: 2 + float64(i)/100, MemoryGB: 4, Image: "img", RunEstimateS: 30}, Shards: []string{"n0", "n1"}, ChunkSize: 32}, 50)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				n.scheduleShard(s, time.Now())
+				controller.scheduleShard(shard, time.Now())
 			}
 		})
 	}
--- a/internal/coordination/controller/besteffort.go
+++ b/internal/coordination/controller/besteffort.go
@@ -7,39 +7,39 @@
 )
 
 // bestEffortCapacity is a shard's room as idle work sees it, but for whether others wait.
-func (n *Controller) bestEffortCapacity(s *replica.Shard, rooms []*placement.Capacity) placement.BestEffortCapacity {
+func (c *Controller) bestEffortCapacity(shard *replica.Shard, capacities []*placement.Capacity) placement.BestEffortCapacity {
 	var r placement.BestEffortCapacity
-	for _, x := range rooms {
+	for _, x := range capacities {
 		r.Total += x.Type.CPUs
 		if x.Usable {
 			r.Free += max(0, x.Free.CPUs)
 		}
 	}
-	for c := range s.Claims {
-		if c.Spec == nil || c.Latest() == nil {
+	for claim := range shard.Claims {
+		if claim.Spec == nil || claim.Latest() == nil {
 			continue
 		}
-		cpus := c.Spec.CPUs * float64(len(c.Latest().Placements))
+		cpus := claim.Spec.CPUs * float64(len(claim.Latest().Placements))
 		switch {
-		case c.Spec.Shape == protocol.ShapeService:
+		case claim.Spec.Shape == protocol.ShapeService:
 			r.WarmReserve += cpus
-		case placement.IsBestEffort(c.Spec):
-			r.InUse += c.Spec.CPUs * float64(c.OccupyingCount())
+		case placement.IsBestEffort(claim.Spec):
+			r.InUse += claim.Spec.CPUs * float64(claim.OccupyingCount())
 		}
 	}
-	r.WarmReserve *= n.policy.WarmShare // once: a sum of rounded products depends on the order
+	r.WarmReserve *= c.policy.WarmShare // once: a sum of rounded products depends on the order
 	return r
 }
 
 // bestEffortRuns tells that idle work runs in the shard that holds a unit's claim, or in one
 // of this node's.
-func (n *Controller) bestEffortRuns(u *placement.QueueEntry) bool {
-	for _, s := range n.view.Shards {
-		if !n.view.IsActive(s) || (u.Claim != nil && u.Claim.Record != nil && u.Claim.Record.Shard != s.Name) {
+func (c *Controller) bestEffortRuns(entry *placement.QueueEntry) bool {
+	for _, shard := range c.view.Shards {
+		if !c.view.IsActive(shard) || (entry.Claim != nil && entry.Claim.Record != nil && entry.Claim.Record.Shard != shard.Name) {
 			continue
 		}
-		for c := range s.Claims {
-			if c.Spec != nil && c.Record != nil && placement.IsBestEffort(c.Spec) && len(c.Record.Placements) > 0 {
+		for claim := range shard.Claims {
+			if claim.Spec != nil && claim.Record != nil && placement.IsBestEffort(claim.Spec) && len(claim.Record.Placements) > 0 {
 				return true
 			}
 		}
--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -33,90 +33,90 @@
 const peerContactTime = 2500 * time.Millisecond
 
 // enforceCancellations looks at the machines that may keep tasks of cancelled jobs.
-func (n *Controller) enforceCancellations(now time.Time) {
+func (c *Controller) enforceCancellations(now time.Time) {
 	var bare []string // to be returned without a record
 	ask := make(map[*replica.Machine]bool)
 	// A process that has just begun, or gone on after standing still, knows the age of
 	// each alone, not what others have done about it meanwhile.
-	settled := n.pauses.Stable(now, peerContactTime) && now.Sub(n.startedAt) > peerContactTime
-	for _, ref := range slices.Sorted(maps.Keys(n.view.CancelledJobs)) {
-		j := n.view.CancelledJobs[ref]
-		for _, chunk := range slices.Sorted(maps.Keys(j.Claims)) {
-			c := j.Claims[chunk]
-			for _, p := range c.SortedSlots() {
-				m := p.Host.Machine
-				if m == nil || m.Lifecycle.Gone {
+	settled := c.pauses.Stable(now, peerContactTime) && now.Sub(c.startedAt) > peerContactTime
+	for _, jobID := range slices.Sorted(maps.Keys(c.view.CancelledJobs)) {
+		job := c.view.CancelledJobs[jobID]
+		for _, chunk := range slices.Sorted(maps.Keys(job.Claims)) {
+			claim := job.Claims[chunk]
+			for _, slot := range claim.SortedSlots() {
+				machine := slot.Host.Machine
+				if machine == nil || machine.Lifecycle.Gone {
 					continue
 				}
 				late := false
-				if n.view.IsActive(n.view.Shards[m.Record.Shard]) {
-					late = n.mayRunTask(m, p) && n.enforceCancellation(j, m, now)
-				} else if m.Record.State == "" {
-					stray := n.misplacedTask(j, m, p, now)
-					late = settled && stray.ShouldReturn(n.settings.Workers.CancelDeadline, n.isStateDown(now)) && !n.isRefusedAlone(now)
-					if settled && stray.ShouldProbe(n.settings.Workers.CancelDeadline) && !m.Detector.Probing && m.Address() != "" {
-						ask[m] = true
+				if c.view.IsActive(c.view.Shards[machine.Record.Shard]) {
+					late = c.mayRunTask(machine, slot) && c.enforceCancellation(job, machine, now)
+				} else if machine.Record.State == "" {
+					stray := c.misplacedTask(job, machine, slot, now)
+					late = settled && stray.ShouldReturn(c.settings.Workers.CancelDeadline, c.isStateDown(now)) && !c.isRefusedAlone(now)
+					if settled && stray.ShouldProbe(c.settings.Workers.CancelDeadline) && !machine.Detector.Probing && machine.Address() != "" {
+						ask[machine] = true
 					}
 				}
-				if late && !slices.Contains(bare, m.Host) {
-					bare = append(bare, m.Host)
+				if late && !slices.Contains(bare, machine.Host) {
+					bare = append(bare, machine.Host)
 				}
 			}
 		}
 	}
-	n.probeMisplaced(ask, now)
-	if len(bare) > 0 && !n.provisioner.returningUnrecorded {
+	c.probeMisplaced(ask, now)
+	if len(bare) > 0 && !c.provisioner.returningUnrecorded {
 		slices.Sort(bare)
 		bare = bare[:min(len(bare), maxReturnsPerCall)]
-		n.log.Info("returning machines without a record, the state service takes none", "hosts", bare)
-		n.provisioner.returningUnrecorded = true
-		go n.returnUnrecorded(n.ctx, bare)
+		c.log.Info("returning machines without a record, the state service takes none", "hosts", bare)
+		c.provisioner.returningUnrecorded = true
+		go c.returnUnrecorded(c.ctx, bare)
 	}
 }
 
 // mayRunTask tells whether a placement's task is, or may yet be, on its machine.
-func (n *Controller) mayRunTask(m *replica.Machine, p *replica.Slot) bool {
-	t := m.Agent.Tasks[p.TaskName]
-	if t != nil && t.Attempt == p.Attempt {
-		return t.Phase != protocol.TaskExited
+func (c *Controller) mayRunTask(machine *replica.Machine, slot *replica.Slot) bool {
+	status := machine.Agent.Tasks[slot.TaskName]
+	if status != nil && status.Attempt == slot.Attempt {
+		return status.Phase != protocol.TaskExited
 	}
-	return !m.ShowsToken(n.view.Shards[m.Record.Shard]) || m.HasUnconfirmedStart(p.TaskName, p.Attempt)
+	return !machine.ShowsToken(c.view.Shards[machine.Record.Shard]) || machine.HasUnconfirmedStart(slot.TaskName, slot.Attempt)
 }
 
 // enforceCancellation has a machine fenced if it is time, and tells whether that must
 // not wait for a record any longer.
-func (n *Controller) enforceCancellation(j *replica.Job, m *replica.Machine, now time.Time) bool {
-	limit, s := n.settings.Workers.CancelDeadline, n.view.Shards[m.Record.Shard]
-	c := health.CancelledTask{Age: now.Sub(j.FinalAt), Heard: m.ShowsToken(s), OwnedFor: now.Sub(s.OwnedSince)}
+func (c *Controller) enforceCancellation(job *replica.Job, machine *replica.Machine, now time.Time) bool {
+	limit, shard := c.settings.Workers.CancelDeadline, c.view.Shards[machine.Record.Shard]
+	cancelled := health.CancelledTask{Age: now.Sub(job.FinalAt), Heard: machine.ShowsToken(shard), OwnedFor: now.Sub(shard.OwnedSince)}
 	// Not when all of them are silent to this node: on a day with such troubles it
 	// fenced healthy machines for the one task that was cancelled on each.
-	c.Silent = m.Agent.Heartbeat != nil && n.silenceOf(m, now) > n.policy.SuspectAfter && m.Detector.UnansweredAt.After(m.Agent.LastContact) && !n.isOwnFault(s, now) && !n.isPartitioned(m.Record.Zone, now)
-	if !c.ShouldFence(limit, n.maxHeartbeatGap()) {
+	cancelled.Silent = machine.Agent.Heartbeat != nil && c.silenceOf(machine, now) > c.policy.SuspectAfter && machine.Detector.UnansweredAt.After(machine.Agent.LastContact) && !c.isOwnFault(shard, now) && !c.isPartitioned(machine.Record.Zone, now)
+	if !cancelled.ShouldFence(limit, c.maxHeartbeatGap()) {
 		return false
 	}
-	if m.Record.State == "" && !m.Lifecycle.Returning {
-		n.log.Info("fencing a machine that keeps a cancelled task", "host", m.Host, "job", j.ID, "after", c.Age, "silent", c.Silent)
-		n.returnMachine(s, m)
+	if machine.Record.State == "" && !machine.Lifecycle.Returning {
+		c.log.Info("fencing a machine that keeps a cancelled task", "host", machine.Host, "job", job.ID, "after", cancelled.Age, "silent", cancelled.Silent)
+		c.returnMachine(shard, machine)
 	}
 	// A process that has just gone on after standing still knows the age alone, not
 	// what others have done about it meanwhile.
-	return c.ReturnUnrecorded(limit, n.isStateDown(now)) && m.Record.State == "" && !n.isRefusedAlone(now) && n.pauses.Stable(now, peerContactTime)
+	return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == "" && !c.isRefusedAlone(now) && c.pauses.Stable(now, peerContactTime)
 }
 
 // misplacedTask is what this node knows of a cancelled task on a machine of a shard that it
 // may not act for.
-func (n *Controller) misplacedTask(j *replica.Job, m *replica.Machine, p *replica.Slot, now time.Time) health.MisplacedTask {
-	stray := health.MisplacedTask{Age: now.Sub(j.FinalAt), SinceProbe: now.Sub(m.Detector.CancelProbeAt), Unanswered: m.Detector.UnansweredAt.After(j.FinalAt) && m.Detector.UnansweredAt.After(m.Agent.LastContact)}
-	if s := n.view.Shards[m.Record.Shard]; s != nil && s.Record != nil {
-		stray.OwnerNotified = now.Sub(j.NotifiedAt[s.Record.Owner]) < notifiedTTL || now.Sub(n.membership.stateReachableAt[s.Record.Owner]) < peerStatusTTL
+func (c *Controller) misplacedTask(job *replica.Job, machine *replica.Machine, slot *replica.Slot, now time.Time) health.MisplacedTask {
+	stray := health.MisplacedTask{Age: now.Sub(job.FinalAt), SinceProbe: now.Sub(machine.Detector.CancelProbeAt), Unanswered: machine.Detector.UnansweredAt.After(job.FinalAt) && machine.Detector.UnansweredAt.After(machine.Agent.LastContact)}
+	if shard := c.view.Shards[machine.Record.Shard]; shard != nil && shard.Record != nil {
+		stray.OwnerNotified = now.Sub(job.NotifiedAt[shard.Record.Owner]) < notifiedTTL || now.Sub(c.membership.stateReachableAt[shard.Record.Owner]) < peerStatusTTL
 	}
-	if !m.Agent.LastContact.After(j.FinalAt) {
+	if !machine.Agent.LastContact.After(job.FinalAt) {
 		return stray
 	}
-	switch t := m.Agent.Tasks[p.TaskName]; {
-	case t != nil && t.Phase != protocol.TaskExited:
+	switch status := machine.Agent.Tasks[slot.TaskName]; {
+	case status != nil && status.Phase != protocol.TaskExited:
 		stray.Finding = health.Present
-	case t == nil, t.Attempt != p.Attempt, t.Cause == protocol.CauseGangTimeout: // the last its owner reaps, to begin it again
+	case status == nil, status.Attempt != slot.Attempt, status.Cause == protocol.CauseGangTimeout: // the last its owner reaps, to begin it again
 		stray.Finding = health.Absent
 	default:
 		stray.Finding = health.Ended
@@ -130,16 +130,16 @@
 
 // probeMisplaced asks machines, those first that were not asked for longest. Each
 // controller begins elsewhere in the list, so that together they come through sooner.
-func (n *Controller) probeMisplaced(due map[*replica.Machine]bool, now time.Time) {
+func (c *Controller) probeMisplaced(due map[*replica.Machine]bool, now time.Time) {
 	ask := slices.SortedFunc(maps.Keys(due), func(a, b *replica.Machine) int { return strings.Compare(a.Host, b.Host) })
-	names := append(slices.Collect(maps.Keys(n.peerClients)), n.settings.NodeName)
+	names := append(slices.Collect(maps.Keys(c.peerClients)), c.settings.NodeName)
 	slices.Sort(names)
-	from := slices.Index(names, n.settings.NodeName) * len(ask) / len(names)
+	from := slices.Index(names, c.settings.NodeName) * len(ask) / len(names)
 	ask = slices.Concat(ask[from:], ask[:from])
 	slices.SortStableFunc(ask, func(a, b *replica.Machine) int { return a.Detector.CancelProbeAt.Compare(b.Detector.CancelProbeAt) })
-	for _, m := range ask[:min(len(ask), maxCancelProbes)] {
-		m.Detector.CancelProbeAt = now
-		n.probeMachine(m)
+	for _, machine := range ask[:min(len(ask), maxCancelProbes)] {
+		machine.Detector.CancelProbeAt = now
+		c.probeMachine(machine)
 	}
 }
 
@@ -148,29 +148,29 @@
 // itself has shown: it raises nothing, and a machine that has seen a newer one refuses
 // it. Nothing may follow on a cancellation but the end of its tasks, and their names
 // are not used again; so it is right from whoever sends it, late or twice.
-func (n *Controller) stopCancelledTasks(m *replica.Machine, r *protocol.Heartbeat) {
-	if r.FencingToken == 0 || m.Record.State != "" {
+func (c *Controller) stopCancelledTasks(machine *replica.Machine, heartbeat *protocol.Heartbeat) {
+	if heartbeat.FencingToken == 0 || machine.Record.State != "" {
 		return
 	}
-	body := protocol.CommandRequest{FencingToken: r.FencingToken, AgentEpoch: r.AgentEpoch}
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		if ref, _, ok := protocol.ParseTaskName(t.Task); ok && t.Phase != protocol.TaskExited && n.view.IsCancelled(ref) {
+	body := protocol.CommandRequest{FencingToken: heartbeat.FencingToken, AgentEpoch: heartbeat.AgentEpoch}
+	for i := range heartbeat.Tasks {
+		t := &heartbeat.Tasks[i]
+		if jobID, _, ok := protocol.ParseTaskName(t.Task); ok && t.Phase != protocol.TaskExited && c.view.IsCancelled(jobID) {
 			body.Commands = append(body.Commands, protocol.StopCommand(t.Task, t.Attempt, 0))
 		}
 	}
 	if len(body.Commands) == 0 {
 		return
 	}
-	n.log.Info("stopping cancelled tasks on a machine of another's shard", "host", m.Host, "shard", m.Record.Shard, "tasks", len(body.Commands), "first", body.Commands[0].Task)
-	addr, ctx := m.Address(), n.ctx
+	c.log.Info("stopping cancelled tasks on a machine of another's shard", "host", machine.Host, "shard", machine.Record.Shard, "tasks", len(body.Commands), "first", body.Commands[0].Task)
+	addr, ctx := machine.Address(), c.ctx
 	go func() {
 		var after protocol.Heartbeat
-		status, err := n.callJSON(ctx, addr, "POST", protocol.PathCommands, body, &after, commandTimeout)
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		if err == nil && status == 200 && after.Host == m.Host {
-			n.observeHeartbeat(m, &after)
+		status, err := c.callJSON(ctx, addr, "POST", protocol.PathCommands, body, &after, commandTimeout)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if err == nil && status == 200 && after.Host == machine.Host {
+			c.observeHeartbeat(machine, &after)
 		}
 	}()
 }
@@ -178,8 +178,8 @@
 // isRefusedAlone tells that other controllers have just heard from the state
 // service and this one has not for a while: its shards' next owner does what is
 // needed, with a record.
-func (n *Controller) isRefusedAlone(now time.Time) bool {
-	return now.Sub(n.store.LastSuccess()) >= 4*time.Second && n.isStateServingOthers(now)
+func (c *Controller) isRefusedAlone(now time.Time) bool {
+	return now.Sub(c.store.LastSuccess()) >= 4*time.Second && c.isStateServingOthers(now)
 }
 
 // returnUnrecorded returns machines whose return could not be recorded. Their 200
@@ -188,15 +188,15 @@
 // machine that kept a cancelled task when it was sent, with whatever was placed
 // there since. To its owner that is a machine lost without notice, found and
 // proved as such; no task is taken for gone by it, and no name is used again.
-func (n *Controller) returnUnrecorded(ctx context.Context, hosts []string) {
-	status, err := n.callReturn(ctx, hosts)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.provisioner.returningUnrecorded = false
+func (c *Controller) returnUnrecorded(ctx context.Context, hosts []string) {
+	status, err := c.callReturn(ctx, hosts)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.provisioner.returningUnrecorded = false
 	if err == nil && status == 200 {
 		for _, host := range hosts {
-			n.markGone(n.view.Machines[host])
+			c.markGone(c.view.Machines[host])
 		}
 	}
-	n.log.Info("machines returned without a record", "hosts", hosts, "status", status, "err", err)
+	c.log.Info("machines returned without a record", "hosts", hosts, "status", status, "err", err)
 }
--- a/internal/coordination/controller/claims.go
+++ b/internal/coordination/controller/claims.go
@@ -13,28 +13,28 @@
 )
 
 // commitPlacements commits placements, with the claim itself when it is new.
-func (n *Controller) commitPlacements(s *replica.Shard, u *placement.QueueEntry, next *records.Claim) bool {
-	if u.Claim != nil {
-		c := u.Claim
-		return n.updateClaim(s, c, next, claimPriority(u.Spec), func(err error) {
-			if j := n.view.Jobs[c.JobID]; err == nil && j != nil && n.view.IsActive(s) && c.Record != nil {
-				n.reconcileClaim(s, j, c, time.Now())
+func (c *Controller) commitPlacements(shard *replica.Shard, entry *placement.QueueEntry, next *records.Claim) bool {
+	if entry.Claim != nil {
+		claim := entry.Claim
+		return c.updateClaim(shard, claim, next, claimPriority(entry.Spec), func(err error) {
+			if job := c.view.Jobs[claim.JobID]; err == nil && job != nil && c.view.IsActive(shard) && claim.Record != nil {
+				c.reconcileClaim(shard, job, claim, time.Now())
 			}
 		})
 	}
-	c := &replica.Claim{Key: records.ClaimKey(u.Job.ID, u.Chunk), JobID: u.Job.ID, Chunk: u.Chunk, Spec: u.Spec}
-	conds, ops, ok := n.prepareClaim(s, c, next)
+	claim := &replica.Claim{Key: records.ClaimKey(entry.Job.ID, entry.Chunk), JobID: entry.Job.ID, Chunk: entry.Chunk, Spec: entry.Spec}
+	compares, ops, ok := c.prepareClaim(shard, claim, next)
 	if !ok {
 		return false
 	}
-	conds = append(conds, kv.Compare{Key: records.JobPrefix + u.Job.ID, Version: u.Job.Version})
-	ops = append(ops, kv.Op{Key: c.Key, Value: next})
-	n.commit(claimPriority(u.Spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })
+	compares = append(compares, kv.Compare{Key: records.JobPrefix + entry.Job.ID, Version: entry.Job.Version})
+	ops = append(ops, kv.Op{Key: claim.Key, Value: next})
+	c.commit(claimPriority(entry.Spec), compares, ops, 0, func(err error) { c.finishClaim(shard, claim, err) })
 	return true
 }
 
-func claimPriority(s *protocol.Submission) int {
-	if s.Shape == protocol.ShapeArray {
+func claimPriority(spec *protocol.Submission) int {
+	if spec.Shape == protocol.ShapeArray {
 		return kv.PriorityArrayClaim
 	}
 	return kv.PriorityClaim
@@ -42,19 +42,19 @@
 
 // prepareClaim enters a new claim into the cache while its commit is under
 // way, so that its room is taken, and gives the conditions on which it depends.
-func (n *Controller) prepareClaim(s *replica.Shard, c *replica.Claim, next *records.Claim) ([]kv.Compare, []kv.Op, bool) {
-	conds, ops, t, ok := n.reserveTeamUse(s.Name, c, next)
+func (c *Controller) prepareClaim(shard *replica.Shard, claim *replica.Claim, next *records.Claim) ([]kv.Compare, []kv.Op, bool) {
+	compares, ops, usage, ok := c.reserveTeamUse(shard.Name, claim, next)
 	if !ok {
 		return nil, nil, false
 	}
-	if t != nil {
-		t.Writing = true
+	if usage != nil {
+		usage.Writing = true
 	}
-	n.view.Claims[c.Key] = c
-	n.view.SetPending(c, next)
-	n.claimIntents = append(n.claimIntents, c.Key)
-	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: 0})
-	return conds, ops, true
+	c.view.Claims[claim.Key] = claim
+	c.view.SetPending(claim, next)
+	c.claimIntents = append(c.claimIntents, claim.Key)
+	compares = append(compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: claim.Key, Version: 0})
+	return compares, ops, true
 }
 
 // initialClaim is the claim on a job that is just being let into the queues, made in the same
@@ -73,55 +73,55 @@
 }
 
 // finish ends the claim's commit.
-func (f initialClaim) finish(n *Controller, err error) {
+func (f initialClaim) finish(controller *Controller, err error) {
 	if f.claim != nil {
-		n.finishClaim(f.shard, f.claim, err)
+		controller.finishClaim(f.shard, f.claim, err)
 	}
 }
 
 // claimImmediately prepares the claim of a job that is just being accepted or released, if this
 // node owns one of its shards and that has room for all that must start
 // together.
-func (n *Controller) claimImmediately(spec *protocol.Submission, at []string, now time.Time) initialClaim {
-	size := n.chunkSize(spec, at)
-	if size < spec.Tasks || n.isLimited(spec) {
+func (c *Controller) claimImmediately(spec *protocol.Submission, at []string, now time.Time) initialClaim {
+	size := c.chunkSize(spec, at)
+	if size < spec.Tasks || c.isLimited(spec) {
 		return initialClaim{}
 	}
 	for _, name := range at {
-		s := n.view.Shards[name]
-		if !n.view.IsActive(s) || n.view.Claims[records.ClaimKey(spec.JobID, 0)] != nil {
+		shard := c.view.Shards[name]
+		if !c.view.IsActive(shard) || c.view.Claims[records.ClaimKey(spec.JobID, 0)] != nil {
 			continue
 		}
-		j := &replica.Job{ID: spec.JobID, Record: &records.Job{Spec: spec}, Chunks: 1, ChunkSize: size, SeenAt: now}
-		u := &placement.QueueEntry{Job: j, Spec: spec}
-		if n.hasEarlierWork(s, spec, now) {
+		job := &replica.Job{ID: spec.JobID, Record: &records.Job{Spec: spec}, Chunks: 1, ChunkSize: size, SeenAt: now}
+		entry := &placement.QueueEntry{Job: job, Spec: spec}
+		if c.hasEarlierWork(shard, spec, now) {
 			continue
 		}
-		rooms := n.capacities(s, now)
-		z := placement.NewZoneConstraint(spec, nil)
+		capacities := c.capacities(shard, now)
+		zones := placement.NewZoneConstraint(spec, nil)
 		next := &records.Claim{Shard: name, TaskCount: spec.Tasks, LastAttempt: 1}
-		picks := n.assignTasks(s.Name, u, next, rooms, &z, now)
-		if len(picks) < spec.Tasks {
+		assignments := c.assignTasks(shard.Name, entry, next, capacities, &zones, now)
+		if len(assignments) < spec.Tasks {
 			continue
 		}
-		for _, pk := range picks {
-			next.Placements = append(next.Placements, records.Placement{Task: pk.Task, Attempt: 1, Host: rooms[pk.Index].Host})
+		for _, assignment := range assignments {
+			next.Placements = append(next.Placements, records.Placement{Task: assignment.Task, Attempt: 1, Host: capacities[assignment.Index].Host})
 		}
-		c := &replica.Claim{Key: records.ClaimKey(spec.JobID, 0), JobID: spec.JobID, Spec: spec}
-		conds, _, ok := n.prepareClaim(s, c, next)
+		claim := &replica.Claim{Key: records.ClaimKey(spec.JobID, 0), JobID: spec.JobID, Spec: spec}
+		compares, _, ok := c.prepareClaim(shard, claim, next)
 		if !ok {
 			continue
 		}
-		return initialClaim{c, s, conds}
+		return initialClaim{claim, shard, compares}
 	}
 	return initialClaim{}
 }
 
 // hasEarlierWork tells whether others of at least this priority wait already:
 // a newcomer must not pass them.
-func (n *Controller) hasEarlierWork(s *replica.Shard, spec *protocol.Submission, now time.Time) bool {
-	for _, u := range n.queue(s, now) {
-		if u.Spec.Priority() >= spec.Priority() && u.Spec.GPUs >= spec.GPUs {
+func (c *Controller) hasEarlierWork(shard *replica.Shard, spec *protocol.Submission, now time.Time) bool {
+	for _, entry := range c.queue(shard, now) {
+		if entry.Spec.Priority() >= spec.Priority() && entry.Spec.GPUs >= spec.GPUs {
 			return true
 		}
 	}
@@ -130,49 +130,49 @@
 
 // recordCompletions takes completions that are not booked yet into a version of a claim
 // that is about to be committed anyway.
-func (n *Controller) recordCompletions(c *replica.Claim, next *records.Claim) {
-	next.Placements = slices.DeleteFunc(next.Placements, func(p records.Placement) bool {
-		m := n.view.Machines[p.Host]
-		if m == nil || c.Spec.Shape == protocol.ShapeGang || !m.ShowsToken(n.view.Shards[m.Record.Shard]) {
+func (c *Controller) recordCompletions(claim *replica.Claim, next *records.Claim) {
+	next.Placements = slices.DeleteFunc(next.Placements, func(placed records.Placement) bool {
+		machine := c.view.Machines[placed.Host]
+		if machine == nil || claim.Spec.Shape == protocol.ShapeGang || !machine.ShowsToken(c.view.Shards[machine.Record.Shard]) {
 			return false
 		}
-		t := m.Agent.Tasks[c.TaskName(&p)]
-		if t == nil || t.Attempt != p.Attempt || t.Phase != protocol.TaskExited || t.Cause != protocol.CauseDone {
+		status := machine.Agent.Tasks[claim.TaskName(&placed)]
+		if status == nil || status.Attempt != placed.Attempt || status.Phase != protocol.TaskExited || status.Cause != protocol.CauseDone {
 			return false
 		}
-		next.MarkCompleted(p.Task)
+		next.MarkCompleted(placed.Task)
 		return true
 	})
 }
 
 // updateClaim commits a new version of a claim that this shard holds.
-func (n *Controller) updateClaim(s *replica.Shard, c *replica.Claim, next *records.Claim, prio int, then func(error)) bool {
-	if next.MaxEncodedSize() > n.store.MaxValueBytes() {
+func (c *Controller) updateClaim(shard *replica.Shard, claim *replica.Claim, next *records.Claim, prio int, then func(error)) bool {
+	if next.MaxEncodedSize() > c.store.MaxValueBytes() {
 		// Written before the state service lowered its limits. Each task that ends makes
 		// it smaller; until it fits, its workers go on listing what has ended.
 		return false
 	}
-	conds, ops, t, ok := n.reserveTeamUse(s.Name, c, next)
+	compares, ops, usage, ok := c.reserveTeamUse(shard.Name, claim, next)
 	if !ok {
 		return false
 	}
-	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: c.Version})
-	if j := n.view.Jobs[c.JobID]; j != nil && len(next.Placements) > 0 && prio < kv.PriorityCompletion {
-		conds = append(conds, kv.Compare{Key: records.JobPrefix + c.JobID, Version: j.Version})
+	compares = append(compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: claim.Key, Version: claim.Version})
+	if job := c.view.Jobs[claim.JobID]; job != nil && len(next.Placements) > 0 && prio < kv.PriorityCompletion {
+		compares = append(compares, kv.Compare{Key: records.JobPrefix + claim.JobID, Version: job.Version})
 	}
-	ops = append(ops, kv.Op{Key: c.Key, Value: next})
-	n.view.SetPending(c, next)
-	if t != nil {
-		t.Writing = true
+	ops = append(ops, kv.Op{Key: claim.Key, Value: next})
+	c.view.SetPending(claim, next)
+	if usage != nil {
+		usage.Writing = true
 	}
-	n.commit(prio, conds, ops, 0, func(err error) {
-		if t != nil {
-			t.Writing = false
+	c.commit(prio, compares, ops, 0, func(err error) {
+		if usage != nil {
+			usage.Writing = false
 		}
-		n.view.SetPending(c, nil)
+		c.view.SetPending(claim, nil)
 		if err != nil {
-			c.RetryAt = time.Now().Add(150 * time.Millisecond)
-			n.log.Debug("claim not updated", "claim", c.Key, "err", err)
+			claim.RetryAt = time.Now().Add(150 * time.Millisecond)
+			c.log.Debug("claim not updated", "claim", claim.Key, "err", err)
 		}
 		if then != nil {
 			then(err)
@@ -182,106 +182,106 @@
 }
 
 // finishJob commits a job's end together with its last chunk's.
-func (n *Controller) finishJob(s *replica.Shard, j *replica.Job, c *replica.Claim, next *records.Claim) bool {
-	if len(j.Claims) != j.Chunks {
+func (c *Controller) finishJob(shard *replica.Shard, job *replica.Job, claim *replica.Claim, next *records.Claim) bool {
+	if len(job.Claims) != job.Chunks {
 		return false
 	}
-	conds := []kv.Compare{{Key: records.JobPrefix + j.ID, Version: j.Version}, {Key: records.ShardPrefix + s.Name, Version: s.FencingToken}}
-	for i := range j.Chunks {
-		o := j.Claims[i]
-		if o == nil || o.Record == nil || (o != c && !o.Record.IsComplete()) {
+	compares := []kv.Compare{{Key: records.JobPrefix + job.ID, Version: job.Version}, {Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}}
+	for i := range job.Chunks {
+		other := job.Claims[i]
+		if other == nil || other.Record == nil || (other != claim && !other.Record.IsComplete()) {
 			return false
 		}
 	}
 	// The other chunks are no conditions: what is recorded as done stays done, and a
 	// claim goes only once its job is over, which the job's own condition excludes.
 	// Two dozen of them did not fit a transaction of a state service with lower limits.
-	conds = append(conds, kv.Compare{Key: c.Key, Version: c.Version})
-	done := &records.Job{State: protocol.JobDone, Tasks: j.Record.Spec.Tasks}
-	tconds, ops, t, ok := n.reserveTeamUse(s.Name, c, next)
+	compares = append(compares, kv.Compare{Key: claim.Key, Version: claim.Version})
+	done := &records.Job{State: protocol.JobDone, Tasks: job.Record.Spec.Tasks}
+	teamCompares, ops, usage, ok := c.reserveTeamUse(shard.Name, claim, next)
 	if !ok {
 		return false
 	}
-	conds = append(conds, tconds...)
-	if len(next.Placements) > 0 || j.Chunks > 1 {
+	compares = append(compares, teamCompares...)
+	if len(next.Placements) > 0 || job.Chunks > 1 {
 		// The description is needed until the last placement is cleared.
-		done.Spec = j.Record.Spec
+		done.Spec = job.Record.Spec
 	}
-	ops = append(ops, kv.Op{Key: records.JobPrefix + j.ID, Value: done})
+	ops = append(ops, kv.Op{Key: records.JobPrefix + job.ID, Value: done})
 	if len(next.Placements) > 0 {
-		ops = append(ops, kv.Op{Key: c.Key, Value: next})
+		ops = append(ops, kv.Op{Key: claim.Key, Value: next})
 	} else {
-		ops = append(ops, kv.Op{Key: c.Key})
+		ops = append(ops, kv.Op{Key: claim.Key})
 	}
-	n.view.SetPending(c, next)
-	if t != nil {
-		t.Writing = true
+	c.view.SetPending(claim, next)
+	if usage != nil {
+		usage.Writing = true
 	}
-	n.commit(kv.PriorityClaim, conds, ops, 0, func(err error) {
-		n.view.SetPending(c, nil)
-		if t != nil {
-			t.Writing = false
+	c.commit(kv.PriorityClaim, compares, ops, 0, func(err error) {
+		c.view.SetPending(claim, nil)
+		if usage != nil {
+			usage.Writing = false
 		}
 		if err != nil {
-			c.RetryAt = time.Now().Add(150 * time.Millisecond)
+			claim.RetryAt = time.Now().Add(150 * time.Millisecond)
 			return
 		}
-		n.broadcastFinal(j.ID)
-		n.releaseDependents(j.ID, time.Now())
+		c.broadcastFinal(job.ID)
+		c.releaseDependents(job.ID, time.Now())
 	})
 	return true
 }
 
 // dropClaim removes the claim of a final job once nothing of it is left.
-func (n *Controller) dropClaim(s *replica.Shard, c *replica.Claim) {
-	empty := c.Record.Clone()
+func (c *Controller) dropClaim(shard *replica.Shard, claim *replica.Claim) {
+	empty := claim.Record.Clone()
 	empty.Placements = nil
-	conds, ops, t, ok := n.reserveTeamUse(s.Name, c, empty)
+	compares, ops, usage, ok := c.reserveTeamUse(shard.Name, claim, empty)
 	if !ok {
 		return
 	}
-	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: c.Version})
-	ops = append(ops, kv.Op{Key: c.Key})
-	n.view.SetPending(c, empty)
-	if t != nil {
-		t.Writing = true
+	compares = append(compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: claim.Key, Version: claim.Version})
+	ops = append(ops, kv.Op{Key: claim.Key})
+	c.view.SetPending(claim, empty)
+	if usage != nil {
+		usage.Writing = true
 	}
-	n.commit(kv.PriorityCompletion, conds, ops, 0, func(err error) {
-		n.view.SetPending(c, nil)
-		if t != nil {
-			t.Writing = false
+	c.commit(kv.PriorityCompletion, compares, ops, 0, func(err error) {
+		c.view.SetPending(claim, nil)
+		if usage != nil {
+			usage.Writing = false
 		}
 		if err != nil {
-			c.RetryAt = time.Now().Add(200 * time.Millisecond)
+			claim.RetryAt = time.Now().Add(200 * time.Millisecond)
 		}
 	})
 }
 
 // finishClaim ends the commit of a new claim: its tasks start at once, or,
 // when another shard won it, the copy is dropped.
-func (n *Controller) finishClaim(s *replica.Shard, c *replica.Claim, err error) {
-	n.view.SetPending(c, nil)
-	if t := n.view.Teams[c.Spec.Team]; t != nil && n.isLimited(c.Spec) {
-		t.Writing = false
+func (c *Controller) finishClaim(shard *replica.Shard, claim *replica.Claim, err error) {
+	c.view.SetPending(claim, nil)
+	if usage := c.view.Teams[claim.Spec.Team]; usage != nil && c.isLimited(claim.Spec) {
+		usage.Writing = false
 	}
 	if err != nil {
-		if c.Record == nil && n.view.Claims[c.Key] == c {
-			n.view.DropClaim(c)
+		if claim.Record == nil && c.view.Claims[claim.Key] == claim {
+			c.view.DropClaim(claim)
 		}
-		if j := n.view.Jobs[c.JobID]; j != nil {
-			j.LeftUntil[c.Chunk] = time.Now().Add(claimRetryPause)
+		if job := c.view.Jobs[claim.JobID]; job != nil {
+			job.LeftUntil[claim.Chunk] = time.Now().Add(claimRetryPause)
 		}
 		if !errors.Is(err, kv.ErrCompareFailed) {
-			n.log.Debug("claim not made", "claim", c.Key, "err", err)
+			c.log.Debug("claim not made", "claim", claim.Key, "err", err)
 		}
 		return
 	}
-	j := n.view.Jobs[c.JobID]
-	if j == nil || c.Record == nil || !n.view.IsActive(s) {
+	job := c.view.Jobs[claim.JobID]
+	if job == nil || claim.Record == nil || !c.view.IsActive(shard) {
 		return
 	}
-	if j.Claims[c.Chunk] == nil {
-		n.view.Attach(j, c)
+	if job.Claims[claim.Chunk] == nil {
+		c.view.Attach(job, claim)
 	}
-	n.reconcileClaim(s, j, c, time.Now())
+	c.reconcileClaim(shard, job, claim, time.Now())
 }
--- a/internal/coordination/controller/commands.go
+++ b/internal/coordination/controller/commands.go
@@ -13,65 +13,65 @@
 )
 
 // queueCommands queues commands for a machine until the next flush.
-func (n *Controller) queueCommands(s *replica.Shard, m *replica.Machine, cmds ...protocol.Command) {
-	if m.Record.State != "" || s.FencingToken == 0 || m.Address() == "" {
+func (c *Controller) queueCommands(shard *replica.Shard, machine *replica.Machine, commands ...protocol.Command) {
+	if machine.Record.State != "" || shard.FencingToken == 0 || machine.Address() == "" {
 		return
 	}
-	m.Commands.Pending = append(m.Commands.Pending, cmds...)
-	n.pendingCommands[m] = struct{}{}
+	machine.Commands.Pending = append(machine.Commands.Pending, commands...)
+	c.pendingCommands[machine] = struct{}{}
 }
 
 // sendPendingCommands sends what has been ordered: the commands for one machine go together.
-func (n *Controller) sendPendingCommands(s *replica.Shard) {
-	machines := slices.SortedFunc(maps.Keys(n.pendingCommands), func(a, b *replica.Machine) int { return strings.Compare(a.Host, b.Host) })
-	clear(n.pendingCommands)
-	for _, m := range machines {
-		n.sendCommands(s, m)
+func (c *Controller) sendPendingCommands(shard *replica.Shard) {
+	machines := slices.SortedFunc(maps.Keys(c.pendingCommands), func(a, b *replica.Machine) int { return strings.Compare(a.Host, b.Host) })
+	clear(c.pendingCommands)
+	for _, machine := range machines {
+		c.sendCommands(shard, machine)
 	}
 }
 
 const commandTimeout = 3 * time.Second
 
 // sendCommands delivers the queued commands, one call at a time for each machine.
-func (n *Controller) sendCommands(s *replica.Shard, m *replica.Machine) {
-	if m.Commands.Sending || m.Agent.Heartbeat == nil {
+func (c *Controller) sendCommands(shard *replica.Shard, machine *replica.Machine) {
+	if machine.Commands.Sending || machine.Agent.Heartbeat == nil {
 		return
 	}
-	m.Commands.Sending = true
-	m.Commands.InFlight, m.Commands.Pending = m.Commands.Pending, nil
-	body := protocol.CommandRequest{FencingToken: s.FencingToken, AgentEpoch: m.Agent.Heartbeat.AgentEpoch, Commands: m.Commands.InFlight}
+	machine.Commands.Sending = true
+	machine.Commands.InFlight, machine.Commands.Pending = machine.Commands.Pending, nil
+	body := protocol.CommandRequest{FencingToken: shard.FencingToken, AgentEpoch: machine.Agent.Heartbeat.AgentEpoch, Commands: machine.Commands.InFlight}
 	if body.Commands == nil {
 		body.Commands = []protocol.Command{}
 	}
-	addr, ctx := m.Address(), n.ctx
-	n.log.Debug("commands", "host", m.Host, "token", body.FencingToken, "orders", body.Commands)
+	addr, ctx := machine.Address(), c.ctx
+	c.log.Debug("commands", "host", machine.Host, "token", body.FencingToken, "orders", body.Commands)
 	go func() {
-		var r protocol.Heartbeat
-		status, err := n.callJSON(ctx, addr, "POST", protocol.PathCommands, body, &r, commandTimeout)
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		n.commandsSent(m, body, &r, status, err)
+		var heartbeat protocol.Heartbeat
+		status, err := c.callJSON(ctx, addr, "POST", protocol.PathCommands, body, &heartbeat, commandTimeout)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.commandsSent(machine, body, &heartbeat, status, err)
 	}()
 }
 
-func (n *Controller) commandsSent(m *replica.Machine, body protocol.CommandRequest, r *protocol.Heartbeat, status int, err error) {
-	m.Commands.Sending = false
-	m.Commands.InFlight = nil
+func (c *Controller) commandsSent(machine *replica.Machine, body protocol.CommandRequest, heartbeat *protocol.Heartbeat, status int, err error) {
+	machine.Commands.Sending = false
+	machine.Commands.InFlight = nil
 	switch {
 	case err != nil && !errors.Is(err, transport.ErrNotSent), err == nil && status != 200 && status != 409:
-		n.log.Debug("commands of unknown fate", "host", m.Host, "status", status, "err", err)
-		m.Detector.Reachability.RecordFailure(time.Now(), m.Agent.LastContact)
-		for _, c := range body.Commands {
-			if c.Verb == "start" {
-				m.Commands.Unknown = append(m.Commands.Unknown, replica.UnknownStart{Task: c.Task, Attempt: c.Attempt, FencingToken: body.FencingToken, AgentEpoch: body.AgentEpoch, SentAt: time.Now()})
+		c.log.Debug("commands of unknown fate", "host", machine.Host, "status", status, "err", err)
+		machine.Detector.Reachability.RecordFailure(time.Now(), machine.Agent.LastContact)
+		for _, command := range body.Commands {
+			if command.Verb == "start" {
+				machine.Commands.Unknown = append(machine.Commands.Unknown, replica.UnknownStart{Task: command.Task, Attempt: command.Attempt, FencingToken: body.FencingToken, AgentEpoch: body.AgentEpoch, SentAt: time.Now()})
 			}
 		}
-	case err == nil && r.Host == m.Host:
-		m.Detector.Reachability.RecordAnswer(time.Now())
-		n.observeHeartbeat(m, r)
+	case err == nil && heartbeat.Host == machine.Host:
+		machine.Detector.Reachability.RecordAnswer(time.Now())
+		c.observeHeartbeat(machine, heartbeat)
 	}
-	if s := n.view.Shards[m.Record.Shard]; len(m.Commands.Pending) > 0 && s != nil && s.FencingToken != 0 && m.Record.State == "" {
-		n.sendCommands(s, m)
+	if shard := c.view.Shards[machine.Record.Shard]; len(machine.Commands.Pending) > 0 && shard != nil && shard.FencingToken != 0 && machine.Record.State == "" {
+		c.sendCommands(shard, machine)
 	}
-	n.wake()
+	c.wake()
 }
--- a/internal/coordination/controller/commit.go
+++ b/internal/coordination/controller/commit.go
@@ -11,60 +11,60 @@
 
 // commit submits a transaction. done runs with the lock held, after the cache
 // shows the outcome: the written records, or what the failed keys hold now.
-func (n *Controller) commit(prio int, conds []kv.Compare, ops []kv.Op, within time.Duration, done func(error)) {
-	n.commitWithRevision(prio, conds, ops, within, func(err error, _ uint64) { done(err) })
+func (c *Controller) commit(prio int, compares []kv.Compare, ops []kv.Op, within time.Duration, done func(error)) {
+	c.commitWithRevision(prio, compares, ops, within, func(err error, _ uint64) { done(err) })
 }
 
 // commitWithRevision is commit, and tells done the state service's revision as it answered; 0 if
 // it did not.
-func (n *Controller) commitWithRevision(prio int, conds []kv.Compare, ops []kv.Op, within time.Duration, done func(error, uint64)) {
-	t := &kv.Txn{Compares: conds, Ops: ops, Priority: prio}
+func (c *Controller) commitWithRevision(prio int, compares []kv.Compare, ops []kv.Op, within time.Duration, done func(error, uint64)) {
+	txn := &kv.Txn{Compares: compares, Ops: ops, Priority: prio}
 	if within > 0 {
-		t.Deadline = time.Now().Add(within)
+		txn.Deadline = time.Now().Add(within)
 	}
-	t.OnResult = func(res kv.Result) {
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		if keys := n.keysToRefresh(res, t); len(keys) > 0 {
+	txn.OnResult = func(result kv.Result) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if keys := c.keysToRefresh(result, txn); len(keys) > 0 {
 			// One without a deadline reserves something: its caller may not go on before it
 			// is known what became of it.
-			n.refreshCount++
-			go n.refreshKeys(n.refreshCount, keys, res.Revision, t.Deadline.IsZero(), func(read bool) {
+			c.refreshCount++
+			go c.refreshKeys(c.refreshCount, keys, result.Revision, txn.Deadline.IsZero(), func(read bool) {
 				if !read && prio == kv.PriorityUser {
 					// The cache may be newer than the condition and still older than what
 					// another node has told users: nobody here knows.
 					done(kv.ErrOutcomeUnknown, 0)
 					return
 				}
-				done(res.Err, res.Revision)
+				done(result.Err, result.Revision)
 			})
 			return
 		}
-		if res.Err == nil {
+		if result.Err == nil {
 			for _, op := range ops {
-				n.view.Apply(op.Key, op.Value, res.Revision)
+				c.view.Apply(op.Key, op.Value, result.Revision)
 			}
 		}
-		done(res.Err, res.Revision)
-		n.wake()
+		done(result.Err, result.Revision)
+		c.wake()
 	}
-	n.store.Submit(t)
+	c.store.Submit(txn)
 }
 
 // keysToRefresh lists the keys to be read again after a transaction failed, since
 // deciding again from the same cache would only fail again.
-func (n *Controller) keysToRefresh(res kv.Result, t *kv.Txn) []string {
+func (c *Controller) keysToRefresh(result kv.Result, txn *kv.Txn) []string {
 	var keys []string
-	for _, c := range t.Compares {
+	for _, compare := range txn.Compares {
 		// What the watch has brought meanwhile need not be read, except for users:
 		// the cache may be newer than the condition and still older than what
 		// another node has told them.
-		if slices.Contains(res.FailedKeys, c.Key) && (t.Priority == kv.PriorityUser || n.view.Versions[c.Key] <= c.Version) {
-			keys = append(keys, c.Key)
+		if slices.Contains(result.FailedKeys, compare.Key) && (txn.Priority == kv.PriorityUser || c.view.Versions[compare.Key] <= compare.Version) {
+			keys = append(keys, compare.Key)
 		}
 	}
-	if errors.Is(res.Err, kv.ErrOutcomeUnknown) {
-		for _, op := range t.Ops {
+	if errors.Is(result.Err, kv.ErrOutcomeUnknown) {
+		for _, op := range txn.Ops {
 			keys = append(keys, op.Key)
 		}
 	}
@@ -78,37 +78,37 @@
 //
 // Those begun at one instant, after transactions that were sent together, start a
 // nanosecond apart in the order of their numbers: they compete for the same requests.
-func (n *Controller) refreshKeys(number int, keys []string, epoch uint64, insist bool, done func(read bool)) {
-	n.mu.Lock()
-	life := n.ctx
-	n.mu.Unlock()
+func (c *Controller) refreshKeys(number int, keys []string, epoch uint64, insist bool, done func(read bool)) {
+	c.mu.Lock()
+	life := c.ctx
+	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(life, 2*time.Second)
 	defer cancel()
 	pause(ctx, time.Duration(number%maxRefreshes+1)*time.Nanosecond)
 	read := true
 	for _, key := range keys {
-		it, err := n.store.Get(ctx, key)
+		item, err := c.store.Get(ctx, key)
 		for err != nil && insist && life.Err() == nil {
-			n.mu.Lock()
-			reached := epoch > 0 && n.view.Revision >= epoch
-			n.mu.Unlock()
-			if reached || !n.pause(life, refreshRetryPause) {
+			c.mu.Lock()
+			reached := epoch > 0 && c.view.Revision >= epoch
+			c.mu.Unlock()
+			if reached || !c.pause(life, refreshRetryPause) {
 				break
 			}
-			it, err = n.store.Get(life, key)
+			item, err = c.store.Get(life, key)
 		}
 		if err != nil {
 			read = false
 			continue
 		}
-		n.mu.Lock()
-		n.view.ApplyItem(it)
-		n.mu.Unlock()
+		c.mu.Lock()
+		c.view.ApplyItem(item)
+		c.mu.Unlock()
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	done(read)
-	n.wake()
+	c.wake()
 }
 
 const (
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -18,7 +18,7 @@
 )
 
 // callJSON makes an HTTP call with a JSON answer.
-func (n *Controller) callJSON(ctx context.Context, addr, method, target string, in, out any, timeout time.Duration) (int, error) {
+func (c *Controller) callJSON(ctx context.Context, addr, method, target string, in, out any, timeout time.Duration) (int, error) {
 	var body []byte
 	if in != nil {
 		var err error
@@ -28,7 +28,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	status, resp, err := n.httpClient.Do(ctx, addr, method, target, body)
+	status, resp, err := c.httpClient.Do(ctx, addr, method, target, body)
 	if err != nil {
 		return 0, err
 	}
@@ -165,7 +165,7 @@
 
 // New makes a controller; Run starts its loops.
 func New(o Options) *Controller {
-	n := &Controller{
+	controller := &Controller{
 		settings: o.Settings, policy: o.Policy, store: o.Store, httpClient: o.HTTP, peerClients: o.Peers, log: o.Log, random: o.Rand,
 		startedAt: time.Now(), wakeUp: make(chan struct{}, 1), ctx: context.Background(),
 		cloudLimiter:    rate.NewLimiter(rate.Limit(o.Settings.CloudLimits.RequestRate*initialCloudShare/float64(max(1, o.Settings.NodeCount))), cloudBurst),
@@ -178,18 +178,18 @@
 		partitionSeenAt: make(map[string]time.Time),
 		pendingCommands: make(map[*replica.Machine]struct{}),
 	}
-	n.view = replica.New(o.Settings.Teams, o.Policy.Allotments, o.Log, viewEvents{n})
+	controller.view = replica.New(o.Settings.Teams, o.Policy.Allotments, o.Log, viewEvents{controller})
 	for name := range o.Settings.Teams {
-		n.preemptions.hasGuarantees = n.preemptions.hasGuarantees || n.view.Quota.HasGuarantee(name)
+		controller.preemptions.hasGuarantees = controller.preemptions.hasGuarantees || controller.view.Quota.HasGuarantee(name)
 	}
-	if n.waitWhilePaused = o.WaitWhilePaused; n.waitWhilePaused == nil {
-		n.waitWhilePaused = func(context.Context) {}
+	if controller.waitWhilePaused = o.WaitWhilePaused; controller.waitWhilePaused == nil {
+		controller.waitWhilePaused = func(context.Context) {}
 	}
-	n.view.Shard(n.settings.NodeName)
-	for _, peer := range n.settings.Peers {
-		n.view.Shard(peer.Node)
+	controller.view.Shard(controller.settings.NodeName)
+	for _, peer := range controller.settings.Peers {
+		controller.view.Shard(peer.Node)
 	}
-	return n
+	return controller
 }
 
 // loopStagger is how far apart the loops start: their periods are multiples of one
@@ -197,11 +197,11 @@
 const loopStagger = 1370 * time.Microsecond
 
 // Run starts the loops and returns when the context ends.
-func (n *Controller) Run(ctx context.Context) {
-	n.mu.Lock()
-	n.ctx = ctx
-	n.mu.Unlock()
-	loops := []func(context.Context){n.watchLoop, n.membershipLoop, n.shardLoop, n.workLoop, n.probeLoop, n.cloudLoop, n.fleetLoop, n.peerLoop}
+func (c *Controller) Run(ctx context.Context) {
+	c.mu.Lock()
+	c.ctx = ctx
+	c.mu.Unlock()
+	loops := []func(context.Context){c.watchLoop, c.membershipLoop, c.shardLoop, c.workLoop, c.probeLoop, c.cloudLoop, c.fleetLoop, c.peerLoop}
 	var wg sync.WaitGroup
 	for i, loop := range loops {
 		wg.Go(func() {
@@ -214,19 +214,19 @@
 }
 
 // wake asks for a pass over the work soon.
-func (n *Controller) wake() {
+func (c *Controller) wake() {
 	select {
-	case n.wakeUp <- struct{}{}:
+	case c.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
 // pause waits between two turns of a loop.
-func (n *Controller) pause(ctx context.Context, d time.Duration) bool {
+func (c *Controller) pause(ctx context.Context, d time.Duration) bool {
 	if !pause(ctx, d) {
 		return false
 	}
-	n.waitWhilePaused(ctx)
+	c.waitWhilePaused(ctx)
 	return ctx.Err() == nil
 }
 
--- a/internal/coordination/controller/dependencies.go
+++ b/internal/coordination/controller/dependencies.go
@@ -47,85 +47,85 @@
 }
 
 // blockedStatus is what the cache says of a job that waits for others.
-func (n *Controller) blockedStatus(ref string) (a protocol.JobStatus, stamp uint64, final, held bool) {
-	w, held := n.view.Dependencies.Lookup(ref)
+func (c *Controller) blockedStatus(jobID string) (answer protocol.JobStatus, version uint64, final, held bool) {
+	blocked, held := c.view.Dependencies.Lookup(jobID)
 	if !held {
-		return a, 0, false, false
+		return answer, 0, false, false
 	}
-	a = protocol.JobStatus{JobID: ref, Phase: protocol.JobPending}
-	if n.view.Dependencies.IsCancelled(ref) {
-		a.Phase, final = protocol.JobCancelled, true
+	answer = protocol.JobStatus{JobID: jobID, Phase: protocol.JobPending}
+	if c.view.Dependencies.IsCancelled(jobID) {
+		answer.Phase, final = protocol.JobCancelled, true
 	}
-	return a, w.Revision, final, true
+	return answer, blocked.Revision, final, true
 }
 
 // isUndecided tells that a job waits, and that a cancellation this node has not read of
 // yet could have cancelled it: its own record does not show that.
-func (n *Controller) isUndecided(ref string) bool {
-	g := n.view.Dependencies
-	_, held := g.Lookup(ref)
-	return held && !g.IsReady(ref) && !g.IsCancelled(ref)
+func (c *Controller) isUndecided(jobID string) bool {
+	graph := c.view.Dependencies
+	_, held := graph.Lookup(jobID)
+	return held && !graph.IsReady(jobID) && !graph.IsCancelled(jobID)
 }
 
 // replyWhenRead answers once the watch has come to a revision that the state service had
 // after the question came in: a linearizable read of all the jobs before this one.
-func (n *Controller) replyWhenRead(ref string, revision uint64, until time.Time, reply func(transport.Response)) {
+func (c *Controller) replyWhenRead(jobID string, revision uint64, until time.Time, reply func(transport.Response)) {
 	if revision == 0 {
 		reply(unavailable(1))
 		return
 	}
-	n.pendingReplies = append(n.pendingReplies, pendingReply{revision, until, func(read bool) {
+	c.pendingReplies = append(c.pendingReplies, pendingReply{revision, until, func(read bool) {
 		if !read {
 			reply(unavailable(1))
 			return
 		}
-		n.replyStatus(ref, 200, time.Until(until), reply)
+		c.replyStatus(jobID, 200, time.Until(until), reply)
 	}})
-	n.sendPendingReplies(time.Now())
+	c.sendPendingReplies(time.Now())
 }
 
 // allSupportDependencies tells whether every live controller knows held jobs. One that
 // does not would start what it accepts at once.
-func (n *Controller) allSupportDependencies() bool {
-	for _, seen := range n.view.Nodes {
+func (c *Controller) allSupportDependencies() bool {
+	for _, seen := range c.view.Nodes {
 		if seen.DependencyVersion < dependencyVersion {
 			return false
 		}
 	}
-	return len(n.view.Nodes) > 0
+	return len(c.view.Nodes) > 0
 }
 
 // acceptDependent accepts a job that names others, once it is certain that each of those
 // was accepted.
-func (n *Controller) acceptDependent(spec *protocol.Submission, until time.Time, reply func(transport.Response)) {
-	if !n.allSupportDependencies() || time.Until(until) < 200*time.Millisecond {
+func (c *Controller) acceptDependent(spec *protocol.Submission, until time.Time, reply func(transport.Response)) {
+	if !c.allSupportDependencies() || time.Until(until) < 200*time.Millisecond {
 		reply(unavailable(1))
 		return
 	}
-	if missing := n.unknownJobs(spec.Dependencies); len(missing) > 0 {
-		n.proveDependencies(spec, missing, until, reply)
+	if missing := c.unknownJobs(spec.Dependencies); len(missing) > 0 {
+		c.proveDependencies(spec, missing, until, reply)
 		return
 	}
-	left, cancelled := n.view.Dependencies.Resolve(spec.Dependencies)
+	left, cancelled := c.view.Dependencies.Resolve(spec.Dependencies)
 	own := *spec
 	own.Dependencies = nil
 	now := time.Now()
 	switch {
 	case cancelled:
-		n.recordJob(own.JobID, &records.Job{State: protocol.JobCancelled, Tasks: own.Tasks, CancelledAtMs: now.UnixMilli()}, initialClaim{}, reply)
+		c.recordJob(own.JobID, &records.Job{State: protocol.JobCancelled, Tasks: own.Tasks, CancelledAtMs: now.UnixMilli()}, initialClaim{}, reply)
 	case len(left) > 0:
-		n.recordJob(own.JobID, &records.Job{State: records.JobBlocked, Spec: &own, Dependencies: left, AcceptedAtMs: now.UnixMilli()}, initialClaim{}, reply)
+		c.recordJob(own.JobID, &records.Job{State: records.JobBlocked, Spec: &own, Dependencies: left, AcceptedAtMs: now.UnixMilli()}, initialClaim{}, reply)
 	default:
-		n.acceptJob(&own, reply)
+		c.acceptJob(&own, reply)
 	}
 }
 
 // unknownJobs lists those jobs of which the cache has no record. A job's record is never
 // dropped, so a cached one proves for ever that the job was accepted.
-func (n *Controller) unknownJobs(refs []string) (missing []string) {
-	for _, ref := range refs {
-		if _, _, _, known := n.jobStatus(ref); !known {
-			missing = append(missing, ref)
+func (c *Controller) unknownJobs(jobIDs []string) (missing []string) {
+	for _, jobID := range jobIDs {
+		if _, _, _, known := c.jobStatus(jobID); !known {
+			missing = append(missing, jobID)
 		}
 	}
 	return missing
@@ -138,194 +138,194 @@
 // proveDependencies asks the state service whether jobs were accepted of which the cache has no
 // record. That none of them was, and the job itself neither, is a 422; those that were
 // are in the cache afterwards.
-func (n *Controller) proveDependencies(spec *protocol.Submission, missing []string, until time.Time, reply func(transport.Response)) {
+func (c *Controller) proveDependencies(spec *protocol.Submission, missing []string, until time.Time, reply func(transport.Response)) {
 	missing = missing[:min(len(missing), maxProvedJobs)]
-	conds := []kv.Compare{{Key: records.JobPrefix + spec.JobID, Version: 0}}
-	for _, ref := range missing {
-		conds = append(conds, kv.Compare{Key: records.JobPrefix + ref, Version: 0})
+	compares := []kv.Compare{{Key: records.JobPrefix + spec.JobID, Version: 0}}
+	for _, jobID := range missing {
+		compares = append(compares, kv.Compare{Key: records.JobPrefix + jobID, Version: 0})
 	}
-	n.commit(kv.PriorityUser, conds, nil, time.Until(until), func(err error) {
+	c.commit(kv.PriorityUser, compares, nil, time.Until(until), func(err error) {
 		switch {
 		case err == nil:
 			body, _ := json.Marshal(map[string]string{"error": "awaits names " + missing[0] + ", which was never accepted"})
 			reply(transport.Response{Status: 422, Body: body})
 		case !errors.Is(err, kv.ErrCompareFailed):
-			reply(n.retryLater(kv.PriorityUser, time.Now()))
+			reply(c.retryLater(kv.PriorityUser, time.Now()))
 		default:
-			if _, _, _, known := n.jobStatus(spec.JobID); known {
-				n.confirmStatus(spec.JobID, time.Until(until), func() { reply(unavailable(1)) }, reply)
+			if _, _, _, known := c.jobStatus(spec.JobID); known {
+				c.confirmStatus(spec.JobID, time.Until(until), func() { reply(unavailable(1)) }, reply)
 				return
 			}
-			n.acceptDependent(spec, until, reply)
+			c.acceptDependent(spec, until, reply)
 		}
 	})
 }
 
 // releaseDependents releases the jobs for which the end of one, just committed here, was the
 // last that they needed. Nobody else knows of it yet.
-func (n *Controller) releaseDependents(ref string, now time.Time) {
-	for _, w := range n.view.Dependencies.ReadyJobs() {
-		if w.LastDependency == ref {
-			n.releaseJob(w.Job, now)
+func (c *Controller) releaseDependents(jobID string, now time.Time) {
+	for _, resolved := range c.view.Dependencies.ReadyJobs() {
+		if resolved.LastDependency == jobID {
+			c.releaseJob(resolved.Job, now)
 		}
 	}
 }
 
 // reconcileDependencies works off the difference between what is decided of jobs that wait and
 // what is on record. Controllers do so by turns; the conditional write decides.
-func (n *Controller) reconcileDependencies(now time.Time) {
-	if n.view.Dependencies.Len() == 0 || n.isStateDown(now) {
+func (c *Controller) reconcileDependencies(now time.Time) {
+	if c.view.Dependencies.Len() == 0 || c.isStateDown(now) {
 		return
 	}
 	turn := time.Duration(0)
-	for _, name := range n.view.LiveNodes() {
-		if name == n.settings.NodeName {
+	for _, name := range c.view.LiveNodes() {
+		if name == c.settings.NodeName {
 			break
 		}
 		turn++
 	}
-	for _, w := range n.view.Dependencies.ReadyJobs() {
-		if now.Sub(w.Since) >= releaseDelay+turn*releaseStagger {
-			n.releaseJob(w.Job, now)
+	for _, resolved := range c.view.Dependencies.ReadyJobs() {
+		if now.Sub(resolved.Since) >= releaseDelay+turn*releaseStagger {
+			c.releaseJob(resolved.Job, now)
 		}
 	}
-	for _, w := range n.view.Dependencies.CancelledJobs() {
-		if now.Sub(w.Since) >= cancelRecordDelay+turn*cancelRecordStagger {
-			n.recordCancelled(w.Job, w.Since)
+	for _, resolved := range c.view.Dependencies.CancelledJobs() {
+		if now.Sub(resolved.Since) >= cancelRecordDelay+turn*cancelRecordStagger {
+			c.recordCancelled(resolved.Job, resolved.Since)
 		}
 	}
-	n.readDependencies()
+	c.readDependencies()
 }
 
 // releaseJob lets a job into the queues all of whose needed jobs are done. They are done in
 // the records, for ever, so the job's own revision is the only condition. The claim goes
 // with it if this node can make it at once.
-func (n *Controller) releaseJob(w dag.Job, now time.Time) {
-	if n.dependencies.releasing[w.ID] || len(n.dependencies.releasing) >= maxReleasing || len(n.view.MachineTypes) == 0 {
+func (c *Controller) releaseJob(blocked dag.Job, now time.Time) {
+	if c.dependencies.releasing[blocked.ID] || len(c.dependencies.releasing) >= maxReleasing || len(c.view.MachineTypes) == 0 {
 		return
 	}
-	at := n.chooseShards(w.Spec, now)
-	rec := &records.Job{Spec: w.Spec, Shards: at, AcceptedAtMs: w.AcceptedAt.UnixMilli(), ReleasedAtMs: now.UnixMilli(), ChunkSize: n.chunkSize(w.Spec, at)}
-	raised := dag.Inherit(w.Spec, n.view.Dependencies.Urgency(w.ID, n.estimateRuntime), 0)
-	n.dependencies.releasing[w.ID] = true
-	n.commitRelease(w, rec, n.claimImmediately(raised, at, now))
+	at := c.chooseShards(blocked.Spec, now)
+	record := &records.Job{Spec: blocked.Spec, Shards: at, AcceptedAtMs: blocked.AcceptedAt.UnixMilli(), ReleasedAtMs: now.UnixMilli(), ChunkSize: c.chunkSize(blocked.Spec, at)}
+	raised := dag.Inherit(blocked.Spec, c.view.Dependencies.Urgency(blocked.ID, c.estimateRuntime), 0)
+	c.dependencies.releasing[blocked.ID] = true
+	c.commitRelease(blocked, record, c.claimImmediately(raised, at, now))
 }
 
-func (n *Controller) commitRelease(w dag.Job, rec *records.Job, first initialClaim) {
-	key := records.JobPrefix + w.ID
-	conds := append([]kv.Compare{{Key: key, Version: w.Revision}}, first.conds...)
-	ops := append([]kv.Op{{Key: key, Value: rec}}, first.ops()...)
-	for _, name := range rec.Shards {
-		n.shardLoads.queuedSince[name] += w.Spec.CPUs * float64(w.Spec.Tasks)
+func (c *Controller) commitRelease(blocked dag.Job, record *records.Job, first initialClaim) {
+	key := records.JobPrefix + blocked.ID
+	compares := append([]kv.Compare{{Key: key, Version: blocked.Revision}}, first.conds...)
+	ops := append([]kv.Op{{Key: key, Value: record}}, first.ops()...)
+	for _, name := range record.Shards {
+		c.shardLoads.queuedSince[name] += blocked.Spec.CPUs * float64(blocked.Spec.Tasks)
 	}
-	n.commit(kv.PriorityClaim, conds, ops, submitTimeout, func(err error) {
-		first.finish(n, err)
+	c.commit(kv.PriorityClaim, compares, ops, submitTimeout, func(err error) {
+		first.finish(c, err)
 		if err == nil {
-			n.log.Debug("job released", "job", w.ID, "class", w.Spec.Class, "at", rec.Shards, "claimed", first.claim != nil)
-			n.broadcastJob(key)
+			c.log.Debug("job released", "job", blocked.ID, "class", blocked.Spec.Class, "at", record.Shards, "claimed", first.claim != nil)
+			c.broadcastJob(key)
 		} else if errors.Is(err, kv.ErrCompareFailed) && first.claim != nil {
-			if still, held := n.view.Dependencies.Lookup(w.ID); held && still.Revision == w.Revision {
-				n.commitRelease(w, rec, initialClaim{}) // only the claim failed
+			if still, held := c.view.Dependencies.Lookup(blocked.ID); held && still.Revision == blocked.Revision {
+				c.commitRelease(blocked, record, initialClaim{}) // only the claim failed
 				return
 			}
 		}
-		delete(n.dependencies.releasing, w.ID)
+		delete(c.dependencies.releasing, blocked.ID)
 	})
 }
 
 // recordCancelled writes down that a job is cancelled because one before it is. Its
 // users have been told so already.
-func (n *Controller) recordCancelled(w dag.Job, since time.Time) {
-	if n.dependencies.releasing[w.ID] || n.dependencies.recordingCancelled >= maxCancelRecords {
+func (c *Controller) recordCancelled(blocked dag.Job, since time.Time) {
+	if c.dependencies.releasing[blocked.ID] || c.dependencies.recordingCancelled >= maxCancelRecords {
 		return
 	}
-	n.dependencies.releasing[w.ID] = true
-	n.dependencies.recordingCancelled++
-	key := records.JobPrefix + w.ID
-	rec := &records.Job{State: protocol.JobCancelled, Tasks: w.Spec.Tasks, CancelledAtMs: since.UnixMilli()}
-	n.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: w.Revision}}, []kv.Op{{Key: key, Value: rec}}, 10*time.Second, func(error) {
-		delete(n.dependencies.releasing, w.ID)
-		n.dependencies.recordingCancelled--
+	c.dependencies.releasing[blocked.ID] = true
+	c.dependencies.recordingCancelled++
+	key := records.JobPrefix + blocked.ID
+	record := &records.Job{State: protocol.JobCancelled, Tasks: blocked.Spec.Tasks, CancelledAtMs: since.UnixMilli()}
+	c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: blocked.Revision}}, []kv.Op{{Key: key, Value: record}}, 10*time.Second, func(error) {
+		delete(c.dependencies.releasing, blocked.ID)
+		c.dependencies.recordingCancelled--
 	})
 }
 
 // readDependencies reads the records of needed jobs that this node has forgotten: it keeps a
 // bounded number of those that are over.
-func (n *Controller) readDependencies() {
-	refs := n.view.Dependencies.UnknownDependencies()
-	if len(refs) == 0 || n.dependencies.reading {
+func (c *Controller) readDependencies() {
+	jobIDs := c.view.Dependencies.UnknownDependencies()
+	if len(jobIDs) == 0 || c.dependencies.reading {
 		return
 	}
-	refs = refs[:min(len(refs), maxJobReads)]
-	n.dependencies.reading = true
-	life := n.ctx
+	jobIDs = jobIDs[:min(len(jobIDs), maxJobReads)]
+	c.dependencies.reading = true
+	life := c.ctx
 	go func() {
-		for _, ref := range refs {
+		for _, jobID := range jobIDs {
 			ctx, cancel := context.WithTimeout(life, jobReadTimeout)
-			it, err := n.store.Get(ctx, records.JobPrefix+ref)
+			item, err := c.store.Get(ctx, records.JobPrefix+jobID)
 			cancel()
 			if err != nil {
 				break
 			}
-			n.mu.Lock()
-			if n.view.JobState(ref) == dag.Unknown {
-				delete(n.view.Versions, it.Key)
-				n.view.ApplyItem(it)
+			c.mu.Lock()
+			if c.view.JobState(jobID) == dag.Unknown {
+				delete(c.view.Versions, item.Key)
+				c.view.ApplyItem(item)
 			}
-			n.mu.Unlock()
+			c.mu.Unlock()
 		}
-		n.mu.Lock()
-		n.dependencies.reading = false
-		n.mu.Unlock()
+		c.mu.Lock()
+		c.dependencies.reading = false
+		c.mu.Unlock()
 	}()
 }
 
 // propagateUrgency gives the jobs that others need the rank and the time of those, and takes
 // them back where nobody needs them any more.
-func (n *Controller) propagateUrgency(now time.Time) {
-	p := &n.dependencies
-	if p.appliedChanges == n.view.Dependencies.Changes() && (len(p.raisedJobs) == 0 || now.Sub(p.appliedAt) < urgencyInterval) {
+func (c *Controller) propagateUrgency(now time.Time) {
+	p := &c.dependencies
+	if p.appliedChanges == c.view.Dependencies.Changes() && (len(p.raisedJobs) == 0 || now.Sub(p.appliedAt) < urgencyInterval) {
 		return
 	}
-	p.appliedChanges, p.appliedAt = n.view.Dependencies.Changes(), now
-	n.view.Dependencies.InvalidateUrgency()
-	for _, ref := range n.view.Dependencies.DependencyIDs() {
-		if j := n.view.Jobs[ref]; j != nil && j.Record != nil {
-			p.raisedJobs[ref] = j
+	p.appliedChanges, p.appliedAt = c.view.Dependencies.Changes(), now
+	c.view.Dependencies.InvalidateUrgency()
+	for _, jobID := range c.view.Dependencies.DependencyIDs() {
+		if job := c.view.Jobs[jobID]; job != nil && job.Record != nil {
+			p.raisedJobs[jobID] = job
 		}
 	}
-	for ref, j := range p.raisedJobs {
-		n.inheritUrgency(j)
-		if n.view.Jobs[ref] != j || (j.Inherited == replica.Inheritance{}) {
-			delete(p.raisedJobs, ref)
+	for jobID, job := range p.raisedJobs {
+		c.inheritUrgency(job)
+		if c.view.Jobs[jobID] != job || (job.Inherited == replica.Inheritance{}) {
+			delete(p.raisedJobs, jobID)
 		}
 	}
 }
 
 // inheritUrgency works out what an open job has from those that need it.
-func (n *Controller) inheritUrgency(j *replica.Job) {
-	g := n.view.Dependencies
-	if j.Record.IsFinal() || j.Record.Spec == nil || (g.DependentCount(j.ID) == 0 && j.Inherited == replica.Inheritance{}) {
+func (c *Controller) inheritUrgency(job *replica.Job) {
+	graph := c.view.Dependencies
+	if job.Record.IsFinal() || job.Record.Spec == nil || (graph.DependentCount(job.ID) == 0 && job.Inherited == replica.Inheritance{}) {
 		return
 	}
-	before := j.Spec()
-	u := g.Urgency(j.ID, n.estimateRuntime)
-	j.Inherited.FinishBy = u.FinishBy
-	switch raised := dag.Inherit(j.Record.Spec, u, time.Since(j.SeenAt)); {
-	case raised == j.Record.Spec:
-		j.Inherited.From, j.Inherited.Spec = nil, nil
-	case j.Inherited.From == j.Record.Spec && j.Inherited.Spec.PriorityClass == raised.PriorityClass && j.Inherited.Spec.AllowSpot == raised.AllowSpot:
+	before := job.Spec()
+	u := graph.Urgency(job.ID, c.estimateRuntime)
+	job.Inherited.FinishBy = u.FinishBy
+	switch raised := dag.Inherit(job.Record.Spec, u, time.Since(job.SeenAt)); {
+	case raised == job.Record.Spec:
+		job.Inherited.From, job.Inherited.Spec = nil, nil
+	case job.Inherited.From == job.Record.Spec && job.Inherited.Spec.PriorityClass == raised.PriorityClass && job.Inherited.Spec.AllowSpot == raised.AllowSpot:
 		return
 	default:
-		j.Inherited.From, j.Inherited.Spec = j.Record.Spec, raised
+		job.Inherited.From, job.Inherited.Spec = job.Record.Spec, raised
 	}
-	if j.Spec() == before {
+	if job.Spec() == before {
 		return
 	}
-	n.log.Debug("rank inherited", "job", j.ID, "rank", j.Spec().PriorityClass)
-	for _, c := range j.Claims {
-		n.view.SetSpec(c, j.Spec())
-		n.view.MarkDirty(c)
+	c.log.Debug("rank inherited", "job", job.ID, "rank", job.Spec().PriorityClass)
+	for _, claim := range job.Claims {
+		c.view.SetSpec(claim, job.Spec())
+		c.view.MarkDirty(claim)
 	}
-	n.view.Unplaced[j.ID] = j
+	c.view.Unplaced[job.ID] = job
 }
--- a/internal/coordination/controller/fleet_test.go
+++ b/internal/coordination/controller/fleet_test.go
@@ -32,11 +32,11 @@
 		w.AddMachines(1, "a")
 		log := slog.New(slog.DiscardHandler)
 		link := emulator.Link{W: w, Node: "n0", Ctx: ctx}
-		n := New(Options{Settings: s, Policy: pol, Store: kv.New(link, "state", s.StateLimits, log), HTTP: link, Log: log})
-		n.view.Loaded, n.view.Revision = true, 1
-		n.view.Shards["n0"].FencingToken = 1
-		n.view.ApplyMachine("vm-000001", &records.Machine{Shard: "n0", State: records.MachineReturning}, 1)
-		go n.cloudLoop(ctx)
+		controller := New(Options{Settings: s, Policy: pol, Store: kv.New(link, "state", s.StateLimits, log), HTTP: link, Log: log})
+		controller.view.Loaded, controller.view.Revision = true, 1
+		controller.view.Shards["n0"].FencingToken = 1
+		controller.view.ApplyMachine("vm-000001", &records.Machine{Shard: "n0", State: records.MachineReturning}, 1)
+		go controller.cloudLoop(ctx)
 		time.Sleep(3 * time.Second)
 		returned := slices.DeleteFunc(w.Events(), func(line string) bool { return !strings.HasSuffix(line, " returned") })
 		if len(returned) != 1 {
--- a/internal/coordination/controller/gangs.go
+++ b/internal/coordination/controller/gangs.go
@@ -24,25 +24,25 @@
 // in the queue's order. One that was placed across shards and lost its attempt
 // stays among them, since no shard holds its claim: it was left waiting for ever
 // once a shard had grown large enough for it.
-func (n *Controller) crossShardGangs(now time.Time) []*replica.Job {
+func (c *Controller) crossShardGangs(now time.Time) []*replica.Job {
 	var out []*replica.Job
-	for _, j := range n.view.Jobs {
-		if j.Record == nil || j.Record.Spec == nil || j.Record.IsFinal() || j.Spec().Shape != protocol.ShapeGang || j.Spec().Tasks < 2 ||
-			now.Sub(j.SeenAt) < gangReservationDelay || now.Before(j.NotBefore) || j.OnProbation(now) {
+	for _, job := range c.view.Jobs {
+		if job.Record == nil || job.Record.Spec == nil || job.Record.IsFinal() || job.Spec().Shape != protocol.ShapeGang || job.Spec().Tasks < 2 ||
+			now.Sub(job.SeenAt) < gangReservationDelay || now.Before(job.NotBefore) || job.OnProbation(now) {
 			continue
 		}
-		if !canReserveAcrossShards(j) {
+		if !canReserveAcrossShards(job) {
 			continue
 		}
 		fits := make(map[[2]string]int) // by shard, and by zone if it must be one
-		for _, s := range n.view.Shards {
-			for k, count := range s.Kinds {
-				if t := n.view.MachineTypes[k.Type]; t != nil && placement.FitsEmpty(j.Spec(), t) && placement.Allowed(j.Spec(), k.Type, k.Zone, k.Spot) {
-					at := [2]string{s.Name}
-					if j.Spec().SameZone {
+		for _, shard := range c.view.Shards {
+			for k, count := range shard.Kinds {
+				if machineType := c.view.MachineTypes[k.Type]; machineType != nil && placement.FitsEmpty(job.Spec(), machineType) && placement.Allowed(job.Spec(), k.Type, k.Zone, k.Spot) {
+					at := [2]string{shard.Name}
+					if job.Spec().SameZone {
 						at[1] = k.Zone
 					}
-					fits[at] += placement.TasksPerMachine(j.Spec(), t) * count
+					fits[at] += placement.TasksPerMachine(job.Spec(), machineType) * count
 				}
 			}
 		}
@@ -50,8 +50,8 @@
 		for _, k := range fits {
 			largest = max(largest, k)
 		}
-		if largest < j.Spec().Tasks || j.Claims[0] != nil {
-			out = append(out, j)
+		if largest < job.Spec().Tasks || job.Claims[0] != nil {
+			out = append(out, job)
 		}
 	}
 	slices.SortFunc(out, func(a, b *replica.Job) int {
@@ -68,98 +68,98 @@
 
 // canReserveAcrossShards tells that a job may be placed across shards: no shard has claimed
 // it, and nothing of an earlier attempt is left.
-func canReserveAcrossShards(j *replica.Job) bool {
-	c := j.Claims[0]
-	return c == nil || (c.Record != nil && c.Pending == nil && c.Record.Shard == "" && len(c.Record.Placements) == 0)
+func canReserveAcrossShards(job *replica.Job) bool {
+	claim := job.Claims[0]
+	return claim == nil || (claim.Record != nil && claim.Pending == nil && claim.Record.Shard == "" && len(claim.Record.Placements) == 0)
 }
 
 // reserveForGangs is the leader's part: ask for room for one wide job at a time, and
 // place the job once the shards hold enough for all of it. Two jobs gathering
 // at once could each hold what the other needs.
-func (n *Controller) reserveForGangs(now time.Time) {
+func (c *Controller) reserveForGangs(now time.Time) {
 	var current *replica.Job
-	for _, ref := range slices.Sorted(maps.Keys(n.view.GangReservations)) {
-		g := n.view.GangReservations[ref]
-		if g.Version == 0 || g.Writing {
+	for _, jobID := range slices.Sorted(maps.Keys(c.view.GangReservations)) {
+		reservation := c.view.GangReservations[jobID]
+		if reservation.Version == 0 || reservation.Writing {
 			continue
 		}
 		// A shard may have claimed the job while room was being gathered. It was
 		// placed a second time beside what ran already (ran_twice).
-		j := n.view.Jobs[ref]
-		if j == nil || j.Record.IsFinal() || now.UnixMilli() > g.Record.ExpiresAtMs || !canReserveAcrossShards(j) {
-			n.endGangReservation(ref, g)
+		job := c.view.Jobs[jobID]
+		if job == nil || job.Record.IsFinal() || now.UnixMilli() > reservation.Record.ExpiresAtMs || !canReserveAcrossShards(job) {
+			c.endGangReservation(jobID, reservation)
 			continue
 		}
-		current = j
+		current = job
 	}
 	if current == nil {
-		if now.Sub(n.gangsSearchedAt) < gangSearchInterval {
+		if now.Sub(c.gangsSearchedAt) < gangSearchInterval {
 			return
 		}
-		n.gangsSearchedAt = now
-		for team := range n.settings.Teams {
-			n.view.Quota.SetDemand(team, quota.CrossShard, nil, false, now)
+		c.gangsSearchedAt = now
+		for team := range c.settings.Teams {
+			c.view.Quota.SetDemand(team, quota.CrossShard, nil, false, now)
 		}
-		for _, j := range n.crossShardGangs(now) {
-			if g := n.view.GangReservation(j.ID); !g.Writing && g.Version == 0 && now.After(g.RetryAt) {
-				n.beginGangReservation(j.ID, g, now)
+		for _, job := range c.crossShardGangs(now) {
+			if reservation := c.view.GangReservation(job.ID); !reservation.Writing && reservation.Version == 0 && now.After(reservation.RetryAt) {
+				c.beginGangReservation(job.ID, reservation, now)
 				return
 			}
 		}
 		return
 	}
-	n.placeGang(current, n.view.GangReservations[current.ID], now)
+	c.placeGang(current, c.view.GangReservations[current.ID], now)
 }
 
-func (n *Controller) beginGangReservation(ref string, g *replica.GangReservation, now time.Time) {
-	g.Writing = true
-	key := records.GangReservationPrefix + ref
-	n.log.Info("gathering room", "job", ref)
-	n.commit(kv.PriorityClaim, []kv.Compare{{Key: records.LeaderKey, Version: n.leadership.version}, {Key: key, Version: 0}},
-		[]kv.Op{{Key: key, Value: &records.GangReservation{ExpiresAtMs: now.Add(gangReservationTTL).UnixMilli()}, Lease: n.membership.lease}}, 5*time.Second,
-		func(error) { g.Writing = false })
+func (c *Controller) beginGangReservation(jobID string, reservation *replica.GangReservation, now time.Time) {
+	reservation.Writing = true
+	key := records.GangReservationPrefix + jobID
+	c.log.Info("gathering room", "job", jobID)
+	c.commit(kv.PriorityClaim, []kv.Compare{{Key: records.LeaderKey, Version: c.leadership.version}, {Key: key, Version: 0}},
+		[]kv.Op{{Key: key, Value: &records.GangReservation{ExpiresAtMs: now.Add(gangReservationTTL).UnixMilli()}, Lease: c.membership.lease}}, 5*time.Second,
+		func(error) { reservation.Writing = false })
 }
 
-func (n *Controller) endGangReservation(ref string, g *replica.GangReservation) {
-	g.Writing = true
-	key := records.GangReservationPrefix + ref
-	n.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: g.Version}}, []kv.Op{{Key: key}}, 5*time.Second, func(error) { g.Writing = false })
+func (c *Controller) endGangReservation(jobID string, reservation *replica.GangReservation) {
+	reservation.Writing = true
+	key := records.GangReservationPrefix + jobID
+	c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: reservation.Version}}, []kv.Op{{Key: key}}, 5*time.Second, func(error) { reservation.Writing = false })
 }
 
 // holdForGangs is an owner's part: hold the room that a shard has for the job being
 // gathered, and let go when the leader no longer asks.
-func (n *Controller) holdForGangs(s *replica.Shard, now time.Time) {
-	for _, ref := range slices.Sorted(maps.Keys(n.view.GangReservations)) {
-		g := n.view.GangReservations[ref]
-		h := g.Holds[s.Name]
-		if h == nil {
-			h = &replica.GangHold{}
-			g.Holds[s.Name] = h
+func (c *Controller) holdForGangs(shard *replica.Shard, now time.Time) {
+	for _, jobID := range slices.Sorted(maps.Keys(c.view.GangReservations)) {
+		reservation := c.view.GangReservations[jobID]
+		hold := reservation.Holds[shard.Name]
+		if hold == nil {
+			hold = &replica.GangHold{}
+			reservation.Holds[shard.Name] = hold
 		}
-		key := records.GangHoldPrefix + ref + "/" + s.Name
-		j := n.view.Jobs[ref]
+		key := records.GangHoldPrefix + jobID + "/" + shard.Name
+		job := c.view.Jobs[jobID]
 		switch {
-		case h.Writing:
-		case g.Version == 0 || j == nil || j.Record.Spec == nil:
-			if h.Version != 0 {
-				h.Writing = true
-				n.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: h.Version}}, []kv.Op{{Key: key}}, 5*time.Second, func(error) { h.Writing = false })
-			} else if g.Version == 0 && j == nil && !g.Writing {
-				delete(g.Holds, s.Name)
-				if len(g.Holds) == 0 {
-					delete(n.view.GangReservations, ref)
+		case hold.Writing:
+		case reservation.Version == 0 || job == nil || job.Record.Spec == nil:
+			if hold.Version != 0 {
+				hold.Writing = true
+				c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: hold.Version}}, []kv.Op{{Key: key}}, 5*time.Second, func(error) { hold.Writing = false })
+			} else if reservation.Version == 0 && job == nil && !reservation.Writing {
+				delete(reservation.Holds, shard.Name)
+				if len(reservation.Holds) == 0 {
+					delete(c.view.GangReservations, jobID)
 				}
 			}
 		default:
-			next := n.holdableTasks(s, ref, j.Spec(), now)
-			if len(next) == 0 || equalHolds(next, h.Record.TasksByHost) {
+			next := c.holdableTasks(shard, jobID, job.Spec(), now)
+			if len(next) == 0 || equalHolds(next, hold.Record.TasksByHost) {
 				continue
 			}
 			// Held from now on: while the record was on its way the queue gave the same
 			// room to others, and the job's tasks were refused for want of it.
-			h.Writing, h.Pending = true, next
-			n.commit(kv.PriorityClaim, []kv.Compare{{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, {Key: records.GangReservationPrefix + ref, Version: g.Version}, {Key: key, Version: h.Version}},
-				[]kv.Op{{Key: key, Value: &records.GangHold{TasksByHost: next}, Lease: n.membership.lease}}, 5*time.Second, func(error) { h.Writing, h.Pending = false, nil })
+			hold.Writing, hold.Pending = true, next
+			c.commit(kv.PriorityClaim, []kv.Compare{{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, {Key: records.GangReservationPrefix + jobID, Version: reservation.Version}, {Key: key, Version: hold.Version}},
+				[]kv.Op{{Key: key, Value: &records.GangHold{TasksByHost: next}, Lease: c.membership.lease}}, 5*time.Second, func(error) { hold.Writing, hold.Pending = false, nil })
 		}
 	}
 }
@@ -178,27 +178,27 @@
 
 // holdableTasks is how many of a job's tasks each of a shard's machines could take
 // now, what is held for the job already included.
-func (n *Controller) holdableTasks(s *replica.Shard, ref string, spec *protocol.Submission, now time.Time) map[string]int {
+func (c *Controller) holdableTasks(shard *replica.Shard, jobID string, spec *protocol.Submission, now time.Time) map[string]int {
 	out := make(map[string]int)
-	for _, r := range n.capacitiesFor(s, ref, now) {
-		for r.Usable && r.Fits(spec) && placement.Allowed(spec, r.TypeName, r.Zone, r.Spot) && out[r.Host] < spec.Tasks {
-			r.Allocate(spec)
-			out[r.Host]++
+	for _, capacity := range c.capacitiesFor(shard, jobID, now) {
+		for capacity.Usable && capacity.Fits(spec) && placement.Allowed(spec, capacity.TypeName, capacity.Zone, capacity.Spot) && out[capacity.Host] < spec.Tasks {
+			capacity.Allocate(spec)
+			out[capacity.Host]++
 		}
 	}
 	return out
 }
 
 // chargeGangHolds takes held room out of the free room, but for the job but.
-func (n *Controller) chargeGangHolds(s *replica.Shard, but string, byHost map[string]*placement.Capacity) {
-	for _, ref := range slices.Sorted(maps.Keys(n.view.GangReservations)) {
-		g := n.view.GangReservations[ref]
-		h, j := g.Holds[s.Name], n.view.Jobs[ref]
-		if ref == but || h == nil || j == nil || j.Record.Spec == nil {
+func (c *Controller) chargeGangHolds(shard *replica.Shard, but string, byHost map[string]*placement.Capacity) {
+	for _, jobID := range slices.Sorted(maps.Keys(c.view.GangReservations)) {
+		reservation := c.view.GangReservations[jobID]
+		hold, job := reservation.Holds[shard.Name], c.view.Jobs[jobID]
+		if jobID == but || hold == nil || job == nil || job.Record.Spec == nil {
 			continue
 		}
-		hosts := maps.Clone(h.Record.TasksByHost)
-		for host, k := range h.Pending {
+		hosts := maps.Clone(hold.Record.TasksByHost)
+		for host, k := range hold.Pending {
 			if hosts == nil {
 				hosts = make(map[string]int)
 			}
@@ -206,8 +206,8 @@
 		}
 		for host, k := range hosts {
 			for range k {
-				if r := byHost[host]; r != nil && r.Fits(j.Spec()) {
-					r.Allocate(j.Spec())
+				if capacity := byHost[host]; capacity != nil && capacity.Fits(job.Spec()) {
+					capacity.Allocate(job.Spec())
 				}
 			}
 		}
@@ -215,27 +215,27 @@
 }
 
 // placeGang places a gathered job whole, on condition of every hold it uses.
-func (n *Controller) placeGang(j *replica.Job, g *replica.GangReservation, now time.Time) {
-	spec := j.Spec()
-	if g.Writing {
+func (c *Controller) placeGang(job *replica.Job, reservation *replica.GangReservation, now time.Time) {
+	spec := job.Spec()
+	if reservation.Writing {
 		return
 	}
-	if n.isLimited(spec) && n.allowanceOf(quota.CrossShard, spec) < spec.Tasks {
-		if n.view.Quota.IsAllotted(spec.Team) {
+	if c.isLimited(spec) && c.allowanceOf(quota.CrossShard, spec) < spec.Tasks {
+		if c.view.Quota.IsAllotted(spec.Team) {
 			all := replica.TaskResources(spec).Times(float64(spec.Tasks))
-			n.view.Quota.SetDemand(spec.Team, quota.CrossShard, &quota.Demand{Head: all, PerTask: replica.TaskResources(spec), Total: all, Priority: spec.Priority(), AcceptedAtMs: j.Record.AcceptedAtMs, JobID: j.ID, AllOrNothing: true}, false, now)
+			c.view.Quota.SetDemand(spec.Team, quota.CrossShard, &quota.Demand{Head: all, PerTask: replica.TaskResources(spec), Total: all, Priority: spec.Priority(), AcceptedAtMs: job.Record.AcceptedAtMs, JobID: job.ID, AllOrNothing: true}, false, now)
 		}
 		return
 	}
-	n.view.Quota.SetDemand(spec.Team, quota.CrossShard, nil, false, now)
-	conds := []kv.Compare{{Key: records.LeaderKey, Version: n.leadership.version}, {Key: records.GangReservationPrefix + j.ID, Version: g.Version},
-		{Key: records.JobPrefix + j.ID, Version: j.Version}}
+	c.view.Quota.SetDemand(spec.Team, quota.CrossShard, nil, false, now)
+	compares := []kv.Compare{{Key: records.LeaderKey, Version: c.leadership.version}, {Key: records.GangReservationPrefix + job.ID, Version: reservation.Version},
+		{Key: records.JobPrefix + job.ID, Version: job.Version}}
 	var places []records.Placement
-	for _, only := range append([]string{""}, n.settings.Zones...) {
+	for _, only := range append([]string{""}, c.settings.Zones...) {
 		if (only == "") == spec.SameZone {
 			continue
 		}
-		places = n.assignHeld(spec, g, only)
+		places = c.assignHeld(spec, reservation, only)
 		if len(places) == spec.Tasks {
 			break
 		}
@@ -243,75 +243,75 @@
 	if len(places) < spec.Tasks {
 		return
 	}
-	c := n.view.ClaimOf(j, 0)
+	claim := c.view.ClaimOf(job, 0)
 	next := &records.Claim{TaskCount: spec.Tasks}
-	if c != nil && c.Pending != nil {
+	if claim != nil && claim.Pending != nil {
 		return // this node's own copy is being claimed: to decide at once for both left one of them out of the indexes
 	}
-	if c == nil {
-		c = &replica.Claim{Key: records.ClaimKey(j.ID, 0), JobID: j.ID, Spec: spec}
+	if claim == nil {
+		claim = &replica.Claim{Key: records.ClaimKey(job.ID, 0), JobID: job.ID, Spec: spec}
 	} else {
-		next = c.Record.Clone()
+		next = claim.Record.Clone()
 	}
 	next.LastAttempt++
 	used := make(map[string]bool)
-	for _, p := range places {
-		p.Attempt = next.LastAttempt
-		next.Placements = append(next.Placements, p)
-		used[n.view.Machines[p.Host].Record.Shard] = true
+	for _, placed := range places {
+		placed.Attempt = next.LastAttempt
+		next.Placements = append(next.Placements, placed)
+		used[c.view.Machines[placed.Host].Record.Shard] = true
 	}
 	for _, shard := range slices.Sorted(maps.Keys(used)) {
-		s := n.view.Shards[shard]
-		conds = append(conds, kv.Compare{Key: records.GangHoldPrefix + j.ID + "/" + shard, Version: g.Holds[shard].Version},
+		s := c.view.Shards[shard]
+		compares = append(compares, kv.Compare{Key: records.GangHoldPrefix + job.ID + "/" + shard, Version: reservation.Holds[shard].Version},
 			kv.Compare{Key: records.ShardPrefix + shard, Version: s.Version})
 	}
-	tconds, ops, t, ok := n.reserveTeamUse("", c, next)
+	teamCompares, ops, usage, ok := c.reserveTeamUse("", claim, next)
 	if !ok {
 		return
 	}
-	if t != nil {
-		t.Writing = true
+	if usage != nil {
+		usage.Writing = true
 	}
-	conds = append(append(conds, tconds...), kv.Compare{Key: c.Key, Version: c.Version})
-	ops = append(ops, kv.Op{Key: c.Key, Value: next}, kv.Op{Key: records.GangReservationPrefix + j.ID})
-	g.Writing = true
-	n.view.Claims[c.Key] = c
-	n.view.SetPending(c, next)
-	n.log.Info("placing a wide job", "job", j.ID, "tasks", spec.Tasks, "shards", len(used))
-	n.commit(kv.PriorityClaim, conds, ops, 0, func(err error) {
-		g.Writing = false
-		n.view.SetPending(c, nil)
-		if t != nil {
-			t.Writing = false
+	compares = append(append(compares, teamCompares...), kv.Compare{Key: claim.Key, Version: claim.Version})
+	ops = append(ops, kv.Op{Key: claim.Key, Value: next}, kv.Op{Key: records.GangReservationPrefix + job.ID})
+	reservation.Writing = true
+	c.view.Claims[claim.Key] = claim
+	c.view.SetPending(claim, next)
+	c.log.Info("placing a wide job", "job", job.ID, "tasks", spec.Tasks, "shards", len(used))
+	c.commit(kv.PriorityClaim, compares, ops, 0, func(err error) {
+		reservation.Writing = false
+		c.view.SetPending(claim, nil)
+		if usage != nil {
+			usage.Writing = false
 		}
-		if err != nil && c.Record == nil && n.view.Claims[c.Key] == c {
-			n.view.DropClaim(c)
+		if err != nil && claim.Record == nil && c.view.Claims[claim.Key] == claim {
+			c.view.DropClaim(claim)
 		}
 	})
 }
 
 // assignHeld chooses held room for all tasks, in one zone if only is set.
-func (n *Controller) assignHeld(spec *protocol.Submission, g *replica.GangReservation, only string) []records.Placement {
+func (c *Controller) assignHeld(spec *protocol.Submission, reservation *replica.GangReservation, only string) []records.Placement {
 	var places []records.Placement
 	zones := placement.NewZoneConstraint(spec, nil)
-	for _, shard := range n.view.ShardNames() {
-		h := g.Holds[shard]
-		if h == nil || h.Version == 0 {
+	for _, shard := range c.view.ShardNames() {
+		hold := reservation.Holds[shard]
+		if hold == nil || hold.Version == 0 {
 			continue
 		}
-		hosts := make([]string, 0, len(h.Record.TasksByHost))
-		for host := range h.Record.TasksByHost {
+		hosts := make([]string, 0, len(hold.Record.TasksByHost))
+		for host := range hold.Record.TasksByHost {
 			hosts = append(hosts, host)
 		}
 		slices.Sort(hosts)
 		for _, host := range hosts {
-			m := n.view.Machines[host]
-			if m == nil || m.Record.State != "" || (only != "" && m.Record.Zone != only) {
+			machine := c.view.Machines[host]
+			if machine == nil || machine.Record.State != "" || (only != "" && machine.Record.Zone != only) {
 				continue
 			}
-			for range h.Record.TasksByHost[host] {
-				if len(places) < spec.Tasks && zones.Permits(m.Record.Zone) {
-					zones.Add(spec, m.Record.Zone)
+			for range hold.Record.TasksByHost[host] {
+				if len(places) < spec.Tasks && zones.Permits(machine.Record.Zone) {
+					zones.Add(spec, machine.Record.Zone)
 					places = append(places, records.Placement{Task: len(places), Host: host})
 				}
 			}
--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -18,58 +18,58 @@
 // usageView is what package quota weighs bookings against.
 type usageView struct{ n *Controller }
 
-func (w usageView) InUse(team string) quota.Resources { return w.n.view.UseByTeam[team] }
+func (v usageView) InUse(team string) quota.Resources { return v.n.view.UseByTeam[team] }
 
-func (w usageView) Committed(team string) quota.Resources { return w.n.view.CommittedUse[team] }
+func (v usageView) Committed(team string) quota.Resources { return v.n.view.CommittedUse[team] }
 
-func (w usageView) PlacedBy(id string) quota.Resources {
-	if c := w.n.view.Claims[id]; c != nil && c.Tally.Counted {
-		return c.Tally.Use
+func (v usageView) PlacedBy(id string) quota.Resources {
+	if claim := v.n.view.Claims[id]; claim != nil && claim.Tally.Counted {
+		return claim.Tally.Use
 	}
 	return quota.Resources{}
 }
 
-func (w usageView) TaskUse(task string) quota.Resources {
-	if c, p := w.n.findVictim(task); p != nil && c.Spec != nil {
-		return replica.TaskResources(c.Spec)
+func (v usageView) TaskUse(task string) quota.Resources {
+	if claim, slot := v.n.findVictim(task); slot != nil && claim.Spec != nil {
+		return replica.TaskResources(claim.Spec)
 	}
 	return quota.Resources{}
 }
 
-func (w usageView) OwnerToken(shard string) uint64 {
-	if s := w.n.view.Shards[shard]; w.n.view.IsActive(s) {
+func (v usageView) OwnerToken(shard string) uint64 {
+	if s := v.n.view.Shards[shard]; v.n.view.IsActive(s) {
 		return s.FencingToken
 	}
 	return 0
 }
 
-func (w usageView) HoldsCapacity(id, shard string) bool {
-	ref, _, _ := records.ParseClaimKey(id)
-	j, p, b := w.n.view.Jobs[ref], w.n.preemptions.plans[ref], w.n.preemptions.reservations[id]
-	return j != nil && j.Record != nil && !j.Record.IsFinal() && ((p != nil && p.shard == shard) || (b != nil && b.shard == shard))
+func (v usageView) HoldsCapacity(id, shard string) bool {
+	jobID, _, _ := records.ParseClaimKey(id)
+	job, plan, reservation := v.n.view.Jobs[jobID], v.n.preemptions.plans[jobID], v.n.preemptions.reservations[id]
+	return job != nil && job.Record != nil && !job.Record.IsFinal() && ((plan != nil && plan.shard == shard) || (reservation != nil && reservation.shard == shard))
 }
 
 // findVictim finds what name names; the place is nil once it is gone.
-func (n *Controller) findVictim(name string) (*replica.Claim, *replica.Slot) {
+func (c *Controller) findVictim(name string) (*replica.Claim, *replica.Slot) {
 	key, rest, _ := strings.Cut(name, "#")
 	num, host, _ := strings.Cut(rest, "@")
-	c := n.view.Claims[key]
+	claim := c.view.Claims[key]
 	id, err := strconv.Atoi(num)
-	if err != nil || c == nil {
+	if err != nil || claim == nil {
 		return nil, nil
 	}
-	return c, c.Slots[replica.SlotKey{Task: id, Host: host}]
+	return claim, claim.Slots[replica.SlotKey{Task: id, Host: host}]
 }
 
 // entitledTasks counts the tasks of a unit that its team may claim on its guarantee now.
 // A gang claims all of them or none.
-func (n *Controller) entitledTasks(u *placement.QueueEntry) int {
-	if !n.view.Quota.HasGuarantee(u.Spec.Team) {
+func (c *Controller) entitledTasks(entry *placement.QueueEntry) int {
+	if !c.view.Quota.HasGuarantee(entry.Spec.Team) {
 		return 0
 	}
-	waiting := u.PlaceableTasks()
-	due := n.view.Quota.Standing(u.Spec.Team, u.ClaimKey(), usageView{n}).Entitled(replica.TaskResources(u.Spec))
-	if u.Spec.Shape == protocol.ShapeGang && due < waiting {
+	waiting := entry.PlaceableTasks()
+	due := c.view.Quota.Standing(entry.Spec.Team, entry.ClaimKey(), usageView{c}).Entitled(replica.TaskResources(entry.Spec))
+	if entry.Spec.Shape == protocol.ShapeGang && due < waiting {
 		return 0
 	}
 	return min(due, waiting)
@@ -77,34 +77,34 @@
 
 // prioritizeEntitled moves work within its team's guarantee ahead of others' of the same rank.
 // Behind a backlog of borrowers a team waited for its guarantee until they were done.
-func (n *Controller) prioritizeEntitled(q []*placement.QueueEntry) {
-	if !n.preemptions.hasGuarantees {
+func (c *Controller) prioritizeEntitled(queue []*placement.QueueEntry) {
+	if !c.preemptions.hasGuarantees {
 		return
 	}
 	at := make(map[string]quota.Standing)
-	for _, u := range q {
-		team := u.Spec.Team
-		if !n.view.Quota.HasGuarantee(team) {
+	for _, entry := range queue {
+		team := entry.Spec.Team
+		if !c.view.Quota.HasGuarantee(team) {
 			continue
 		}
-		if u.WithinGuarantee = n.view.Quota.HasReservation(team, u.ClaimKey()); u.WithinGuarantee {
+		if entry.WithinGuarantee = c.view.Quota.HasReservation(team, entry.ClaimKey()); entry.WithinGuarantee {
 			continue // counted as booked
 		}
 		st, seen := at[team]
 		if !seen {
-			st = n.view.Quota.Standing(team, "", usageView{n})
+			st = c.view.Quota.Standing(team, "", usageView{c})
 		}
-		need, waiting := 1, u.PlaceableTasks()
-		if u.Spec.Shape == protocol.ShapeGang {
+		need, waiting := 1, entry.PlaceableTasks()
+		if entry.Spec.Shape == protocol.ShapeGang {
 			need = waiting
 		}
-		if due := st.Entitled(replica.TaskResources(u.Spec)); due >= need && due > 0 {
-			u.WithinGuarantee = true
-			st.Reserved = st.Reserved.Plus(replica.TaskResources(u.Spec).Times(float64(min(due, waiting))))
+		if due := st.Entitled(replica.TaskResources(entry.Spec)); due >= need && due > 0 {
+			entry.WithinGuarantee = true
+			st.Reserved = st.Reserved.Plus(replica.TaskResources(entry.Spec).Times(float64(min(due, waiting))))
 		}
 		at[team] = st
 	}
-	slices.SortStableFunc(q, func(a, b *placement.QueueEntry) int {
+	slices.SortStableFunc(queue, func(a, b *placement.QueueEntry) int {
 		return cmp.Or(cmp.Compare(b.Spec.Priority(), a.Spec.Priority()), cmp.Compare(boolToInt(b.WithinGuarantee), boolToInt(a.WithinGuarantee)))
 	})
 }
@@ -120,61 +120,61 @@
 	controller *Controller
 }
 
-func (n *Controller) preemptionPolicyFor(u *placement.QueueEntry) *preemptionPolicy {
-	k := &preemptionPolicy{spec: u.Spec, entitled: n.entitledTasks(u), controller: n, standings: make(map[string]quota.Standing)}
-	k.Reset()
-	return k
+func (c *Controller) preemptionPolicyFor(entry *placement.QueueEntry) *preemptionPolicy {
+	policy := &preemptionPolicy{spec: entry.Spec, entitled: c.entitledTasks(entry), controller: c, standings: make(map[string]quota.Standing)}
+	policy.Reset()
+	return policy
 }
 
 // priorityOnlyPolicy consents to the displacement of lower ranks alone.
-func (n *Controller) priorityOnlyPolicy(spec *protocol.Submission) *preemptionPolicy {
-	return &preemptionPolicy{spec: spec, controller: n}
+func (c *Controller) priorityOnlyPolicy(spec *protocol.Submission) *preemptionPolicy {
+	return &preemptionPolicy{spec: spec, controller: c}
 }
 
-func (k *preemptionPolicy) Reset() {
-	k.preemptor = &quota.Preemptor{ClaimedTask: replica.TaskResources(k.spec), StandingOf: func(team string) quota.Standing {
-		st, ok := k.standings[team]
+func (p *preemptionPolicy) Reset() {
+	p.preemptor = &quota.Preemptor{ClaimedTask: replica.TaskResources(p.spec), StandingOf: func(team string) quota.Standing {
+		st, ok := p.standings[team]
 		if !ok {
-			st = k.controller.view.Quota.Standing(team, "", usageView{k.controller})
-			k.standings[team] = st
+			st = p.controller.view.Quota.Standing(team, "", usageView{p.controller})
+			p.standings[team] = st
 		}
 		return st
 	}}
 }
 
 // MayPreempt tells whether one more task may be stopped, beside those chosen so far.
-func (k *preemptionPolicy) MayPreempt(v *protocol.Submission, chosen []replica.Victim) bool {
-	if v.Priority() < k.spec.Priority() {
+func (p *preemptionPolicy) MayPreempt(v *protocol.Submission, chosen []replica.Victim) bool {
+	if v.Priority() < p.spec.Priority() {
 		return true
 	}
-	if k.entitled == 0 || v.Team == k.spec.Team {
+	if p.entitled == 0 || v.Team == p.spec.Team {
 		return false
 	}
 	beside := quota.Resources{}
 	for i := range chosen {
-		if s := chosen[i].Claim.Spec; s.Team == v.Team && k.isBorrowed(&chosen[i]) {
+		if s := chosen[i].Claim.Spec; s.Team == v.Team && p.isBorrowed(&chosen[i]) {
 			beside = beside.Plus(replica.TaskResources(s))
 		}
 	}
-	return k.preemptor.MayPreempt(v.Team, replica.TaskResources(v), beside)
+	return p.preemptor.MayPreempt(v.Team, replica.TaskResources(v), beside)
 }
 
 // isBorrowed tells that a victim is taken for the guarantee, not for its rank.
-func (k *preemptionPolicy) isBorrowed(v *replica.Victim) bool {
-	return v.Claim.Spec.Priority() >= k.spec.Priority()
+func (p *preemptionPolicy) isBorrowed(victim *replica.Victim) bool {
+	return victim.Claim.Spec.Priority() >= p.spec.Priority()
 }
 
 // RecordPreemption notes what was chosen for one task.
-func (k *preemptionPolicy) RecordPreemption(list []replica.Victim) {
+func (p *preemptionPolicy) RecordPreemption(list []replica.Victim) {
 	claims := false
 	for i := range list {
-		if k.isBorrowed(&list[i]) {
-			k.preemptor.RecordPreemption(list[i].Claim.Spec.Team, replica.TaskResources(list[i].Claim.Spec))
+		if p.isBorrowed(&list[i]) {
+			p.preemptor.RecordPreemption(list[i].Claim.Spec.Team, replica.TaskResources(list[i].Claim.Spec))
 			claims = true
 		}
 	}
-	if claims && k.entitled > 0 {
-		k.entitled--
+	if claims && p.entitled > 0 {
+		p.entitled--
 	}
 }
 
@@ -195,40 +195,40 @@
 }
 
 // reserveGuarantee has a displacement booked, if it takes what is borrowed.
-func (n *Controller) reserveGuarantee(s *replica.Shard, u *placement.QueueEntry, plan []placement.Eviction, k *preemptionPolicy, now time.Time) {
-	if plan = limitLenders(plan, k, n.settings.RecordLimits().MaxTxnOps-1, u.StartsTogether()); len(plan) == 0 {
+func (c *Controller) reserveGuarantee(s *replica.Shard, entry *placement.QueueEntry, plan []placement.Eviction, policy *preemptionPolicy, now time.Time) {
+	if plan = limitLenders(plan, policy, c.settings.RecordLimits().MaxTxnOps-1, entry.StartsTogether()); len(plan) == 0 {
 		return
 	}
-	id := u.ClaimKey()
-	b := &guaranteeReservation{shard: s.Name, team: u.Spec.Team, until: now.Add(preemptionHold)}
+	id := entry.ClaimKey()
+	reservation := &guaranteeReservation{shard: s.Name, team: entry.Spec.Team, until: now.Add(preemptionHold)}
 	victims := make(map[string][]string)
 	tasks := 0
-	for _, e := range plan {
-		b.planned = append(b.planned, reservedCapacity{e.Capacity.Host, e.Victims})
+	for _, eviction := range plan {
+		reservation.planned = append(reservation.planned, reservedCapacity{eviction.Capacity.Host, eviction.Victims})
 		claims := false
-		for i := range e.Victims {
-			if v := &e.Victims[i]; k.isBorrowed(v) {
-				victims[v.Claim.Spec.Team] = append(victims[v.Claim.Spec.Team], v.Name())
+		for i := range eviction.Victims {
+			if victim := &eviction.Victims[i]; policy.isBorrowed(victim) {
+				victims[victim.Claim.Spec.Team] = append(victims[victim.Claim.Spec.Team], victim.Name())
 				claims = true
 			}
 		}
-		if claims || u.StartsTogether() {
+		if claims || entry.StartsTogether() {
 			tasks++ // where lower ranks give way alone the guarantee is not asked
 		}
 	}
-	n.preemptions.reservations[id], b.tasks = b, tasks
-	use := replica.TaskResources(u.Spec).Times(float64(tasks)).Plus(usageView{n}.PlacedBy(id))
-	conds, ops := n.view.Quota.Reserve(quota.ReservationRequest{Team: b.team, ClaimKey: id, Shard: s.Name, FencingToken: s.FencingToken, Use: use, Victims: victims})
-	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: records.JobPrefix + u.Job.ID, Version: u.Job.Version})
-	n.commit(kv.PriorityClaim, conds, ops, 0, func(err error) {
+	c.preemptions.reservations[id], reservation.tasks = reservation, tasks
+	use := replica.TaskResources(entry.Spec).Times(float64(tasks)).Plus(usageView{c}.PlacedBy(id))
+	compares, ops := c.view.Quota.Reserve(quota.ReservationRequest{Team: reservation.team, ClaimKey: id, Shard: s.Name, FencingToken: s.FencingToken, Use: use, Victims: victims})
+	compares = append(compares, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: records.JobPrefix + entry.Job.ID, Version: entry.Job.Version})
+	c.commit(kv.PriorityClaim, compares, ops, 0, func(err error) {
 		if err != nil {
-			n.log.Debug("guarantee not booked", "claim", id, "team", b.team, "err", err)
-			if n.preemptions.reservations[id] == b {
-				delete(n.preemptions.reservations, id)
+			c.log.Debug("guarantee not booked", "claim", id, "team", reservation.team, "err", err)
+			if c.preemptions.reservations[id] == reservation {
+				delete(c.preemptions.reservations, id)
 			}
 			return
 		}
-		b.version = n.view.Versions[records.ReservationPrefix+b.team]
+		reservation.version = c.view.Versions[records.ReservationPrefix+reservation.team]
 		s.Changed = true
 	})
 }
@@ -236,12 +236,12 @@
 // limitLenders leaves as many evictions of a plan as take from so many teams: each has a
 // record that the booking's one transaction changes. A plan that only serves whole goes
 // altogether.
-func limitLenders(plan []placement.Eviction, k *preemptionPolicy, most int, whole bool) []placement.Eviction {
-	lenders := map[string]bool{k.spec.Team: true}
-	for i, e := range plan {
-		for j := range e.Victims {
-			if v := &e.Victims[j]; k.isBorrowed(v) {
-				lenders[v.Claim.Spec.Team] = true
+func limitLenders(plan []placement.Eviction, policy *preemptionPolicy, most int, whole bool) []placement.Eviction {
+	lenders := map[string]bool{policy.spec.Team: true}
+	for i, eviction := range plan {
+		for j := range eviction.Victims {
+			if victim := &eviction.Victims[j]; policy.isBorrowed(victim) {
+				lenders[victim.Claim.Spec.Team] = true
 			}
 		}
 		if len(lenders) <= most+1 {
@@ -258,66 +258,66 @@
 // executeReservation stops what a booking names, once all that was placed before it is
 // known and it still holds. Where it does not the booking goes, and nothing is
 // stopped.
-func (n *Controller) executeReservation(s *replica.Shard, u *placement.QueueEntry, b *guaranteeReservation, rooms []*placement.Capacity, now time.Time) bool {
-	if b.shard != s.Name || b.version == 0 || n.view.Revision < b.version {
+func (c *Controller) executeReservation(shard *replica.Shard, entry *placement.QueueEntry, reservation *guaranteeReservation, capacities []*placement.Capacity, now time.Time) bool {
+	if reservation.shard != shard.Name || reservation.version == 0 || c.view.Revision < reservation.version {
 		return false
 	}
-	delete(n.preemptions.reservations, u.ClaimKey())
-	byHost := make(map[string]*placement.Capacity, len(rooms))
-	for _, r := range rooms {
-		byHost[r.Host] = r
+	delete(c.preemptions.reservations, entry.ClaimKey())
+	byHost := make(map[string]*placement.Capacity, len(capacities))
+	for _, capacity := range capacities {
+		byHost[capacity.Host] = capacity
 	}
-	k := n.preemptionPolicyFor(u)
-	due := k.entitled
+	policy := c.preemptionPolicyFor(entry)
+	due := policy.entitled
 	// What is on record for this very job is leaving in its own name.
-	k.preemptor.StandingOf = func(team string) quota.Standing {
-		return n.view.Quota.StandingExcludingPreemptionsFor(team, u.ClaimKey(), usageView{n})
+	policy.preemptor.StandingOf = func(team string) quota.Standing {
+		return c.view.Quota.StandingExcludingPreemptionsFor(team, entry.ClaimKey(), usageView{c})
 	}
 	var plan []placement.Eviction
-	for _, br := range b.planned {
-		r := byHost[br.host]
-		if r == nil || !r.Usable {
+	for _, br := range reservation.planned {
+		capacity := byHost[br.host]
+		if capacity == nil || !capacity.Usable {
 			continue
 		}
-		e := placement.Eviction{Capacity: r}
-		for _, v := range br.victims {
-			if _, going := v.Claim.Evictions[v.Task]; v.Claim.Slots[replica.SlotKey{Task: v.Task, Host: br.host}] == nil || going || !k.MayPreempt(v.Claim.Spec, e.Victims) {
+		eviction := placement.Eviction{Capacity: capacity}
+		for _, victim := range br.victims {
+			if _, going := victim.Claim.Evictions[victim.Task]; victim.Claim.Slots[replica.SlotKey{Task: victim.Task, Host: br.host}] == nil || going || !policy.MayPreempt(victim.Claim.Spec, eviction.Victims) {
 				continue
 			}
-			e.Victims = append(e.Victims, v)
+			eviction.Victims = append(eviction.Victims, victim)
 		}
-		if len(e.Victims) > 0 {
-			k.RecordPreemption(e.Victims)
-			plan = append(plan, e)
+		if len(eviction.Victims) > 0 {
+			policy.RecordPreemption(eviction.Victims)
+			plan = append(plan, eviction)
 		}
 	}
-	if due < b.tasks || (u.StartsTogether() && len(plan) < len(b.planned)) {
+	if due < reservation.tasks || (entry.StartsTogether() && len(plan) < len(reservation.planned)) {
 		// It goes as a whole and is made anew: what is on record is what is taken.
-		n.log.Debug("a booking does not hold any more", "claim", u.ClaimKey(), "team", b.team)
+		c.log.Debug("a booking does not hold any more", "claim", entry.ClaimKey(), "team", reservation.team)
 		return false
 	}
-	for _, e := range plan {
-		for i := range e.Victims {
-			if v := &e.Victims[i]; k.isBorrowed(v) {
-				if v.Claim.PreemptedFor == nil {
-					v.Claim.PreemptedFor = make(map[replica.SlotKey]string)
+	for _, eviction := range plan {
+		for i := range eviction.Victims {
+			if victim := &eviction.Victims[i]; policy.isBorrowed(victim) {
+				if victim.Claim.PreemptedFor == nil {
+					victim.Claim.PreemptedFor = make(map[replica.SlotKey]string)
 				}
-				v.Claim.PreemptedFor[replica.SlotKey{Task: v.Task, Host: v.Host}] = u.ClaimKey()
+				victim.Claim.PreemptedFor[replica.SlotKey{Task: victim.Task, Host: victim.Host}] = entry.ClaimKey()
 			}
 		}
-		n.executeEviction(s, u, e, now)
+		c.executeEviction(shard, entry, eviction, now)
 	}
 	return len(plan) > 0
 }
 
 // PreemptedFor tells for which chunk's claim on a guarantee this node has a task stopped;
 // empty: for none, whatever else it may be stopped for.
-func (n *Controller) PreemptedFor(ref string, task int, host string) string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if j := n.view.Jobs[ref]; j != nil && j.ChunkSize > 0 {
-		if c := j.Claims[task/j.ChunkSize]; c != nil && c.Slots[replica.SlotKey{Task: task, Host: host}] != nil {
-			return c.PreemptedFor[replica.SlotKey{Task: task, Host: host}]
+func (c *Controller) PreemptedFor(jobID string, task int, host string) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if job := c.view.Jobs[jobID]; job != nil && job.ChunkSize > 0 {
+		if claim := job.Claims[task/job.ChunkSize]; claim != nil && claim.Slots[replica.SlotKey{Task: task, Host: host}] != nil {
+			return claim.PreemptedFor[replica.SlotKey{Task: task, Host: host}]
 		}
 	}
 	return ""
@@ -325,22 +325,22 @@
 
 // releaseReservations frees what jobs have booked and do not use any more, and withdraws
 // the stops for them that were not sent yet.
-func (n *Controller) releaseReservations(now time.Time) {
-	for id, b := range n.preemptions.reservations {
-		ref, _, _ := records.ParseClaimKey(id)
-		if j := n.view.Jobs[ref]; (now.After(b.until) && b.version != 0) || j == nil || j.Record.IsFinal() || !n.view.IsActive(n.view.Shards[b.shard]) {
-			delete(n.preemptions.reservations, id)
+func (c *Controller) releaseReservations(now time.Time) {
+	for id, reservation := range c.preemptions.reservations {
+		jobID, _, _ := records.ParseClaimKey(id)
+		if job := c.view.Jobs[jobID]; (now.After(reservation.until) && reservation.version != 0) || job == nil || job.Record.IsFinal() || !c.view.IsActive(c.view.Shards[reservation.shard]) {
+			delete(c.preemptions.reservations, id)
 		}
 	}
-	if n.preemptions.releasing {
+	if c.preemptions.releasing {
 		return
 	}
-	ids := slices.DeleteFunc(n.view.Quota.ExpiredReservations(usageView{n}), func(id string) bool {
+	ids := slices.DeleteFunc(c.view.Quota.ExpiredReservations(usageView{c}), func(id string) bool {
 		// What is still on its way down counts at its team until it is gone. Taken off
 		// the record before, it was lent a second time.
 		going := false
-		for _, task := range n.view.Quota.PreemptedFor(id) {
-			going = !n.withdrawEviction(task) || going
+		for _, task := range c.view.Quota.PreemptedFor(id) {
+			going = !c.withdrawEviction(task) || going
 		}
 		return going
 	})
@@ -348,27 +348,27 @@
 		return
 	}
 	ids = ids[:min(len(ids), 4)]
-	n.preemptions.releasing = true
-	conds, ops := n.view.Quota.Release(ids)
-	n.commit(kv.PriorityClaim, conds, ops, 0, func(error) { n.preemptions.releasing = false })
+	c.preemptions.releasing = true
+	compares, ops := c.view.Quota.Release(ids)
+	c.commit(kv.PriorityClaim, compares, ops, 0, func(error) { c.preemptions.releasing = false })
 }
 
 // withdrawEviction takes a stop back that was not sent yet, and tells whether nothing is being
 // stopped there any more.
-func (n *Controller) withdrawEviction(task string) bool {
-	c, p := n.findVictim(task)
-	if p == nil || p.Host.Machine == nil {
+func (c *Controller) withdrawEviction(task string) bool {
+	claim, slot := c.findVictim(task)
+	if slot == nil || slot.Host.Machine == nil {
 		return true
 	}
-	since, going := c.Evictions[p.Task]
+	since, going := claim.Evictions[slot.Task]
 	if !going {
 		return true
 	}
-	if at := p.Host.Machine.Commands.StopSentAt[p.TaskName]; !at.Before(since) {
+	if at := slot.Host.Machine.Commands.StopSentAt[slot.TaskName]; !at.Before(since) {
 		return false
 	}
-	delete(c.Evictions, p.Task)
-	p.Host.Invalidate()
-	n.view.MarkDirty(c)
+	delete(claim.Evictions, slot.Task)
+	slot.Host.Invalidate()
+	c.view.MarkDirty(claim)
 	return true
 }
--- a/internal/coordination/controller/images.go
+++ b/internal/coordination/controller/images.go
@@ -18,21 +18,21 @@
 
 // recordImages records the images of the next part of a shard's machines, if
 // they have changed.
-func (n *Controller) recordImages(s *replica.Shard, now time.Time) {
-	if s.RecordingImages || now.Sub(s.ImagesRecordedAt) < imageRecordInterval {
+func (c *Controller) recordImages(shard *replica.Shard, now time.Time) {
+	if shard.RecordingImages || now.Sub(shard.ImagesRecordedAt) < imageRecordInterval {
 		return
 	}
-	s.ImagesRecordedAt = now
+	shard.ImagesRecordedAt = now
 	for range replica.ImageParts {
-		s.ImagePart = (s.ImagePart + 1) % replica.ImageParts
-		rec := replica.ImagesOfPart(s, s.ImagePart, n.settings.RecordLimits().MaxValueBytes)
-		key := records.ImagePrefix + s.Name + "/" + strconv.Itoa(s.ImagePart)
-		if replica.SameImages(rec, n.view.ImageRecords[key]) {
+		shard.ImagePart = (shard.ImagePart + 1) % replica.ImageParts
+		record := replica.ImagesOfPart(shard, shard.ImagePart, c.settings.RecordLimits().MaxValueBytes)
+		key := records.ImagePrefix + shard.Name + "/" + strconv.Itoa(shard.ImagePart)
+		if replica.SameImages(record, c.view.ImageRecords[key]) {
 			continue
 		}
-		s.RecordingImages = true
-		n.commit(kv.PriorityBackground, []kv.Compare{{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, {Key: key, Version: n.view.Versions[key]}},
-			[]kv.Op{{Key: key, Value: rec}}, 5*time.Second, func(error) { s.RecordingImages = false })
+		shard.RecordingImages = true
+		c.commit(kv.PriorityBackground, []kv.Compare{{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, {Key: key, Version: c.view.Versions[key]}},
+			[]kv.Op{{Key: key, Value: record}}, 5*time.Second, func(error) { shard.RecordingImages = false })
 		return
 	}
 }
--- a/internal/coordination/controller/index_test.go
+++ b/internal/coordination/controller/index_test.go
@@ -13,20 +13,20 @@
 // the same task on the same machine. As the first ended it took the other's place out of
 // the index, and the machine's room was given away twice.
 func TestTwoTriesOfOneClaim(t *testing.T) {
-	n := fleetOf(t, 30)
-	n.mu.Lock()
+	controller := fleetOf(t, 30)
+	controller.mu.Lock()
 	spec := &protocol.Submission{JobID: "wk-5", Team: "t", Shape: protocol.ShapeGang, Tasks: 1, CPUs: 2, MemoryGB: 2}
-	rec := &records.Claim{Shard: "n0", TaskCount: 1, LastAttempt: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: n.view.Shards["n0"].Machines[0].Host}}}
+	record := &records.Claim{Shard: "n0", TaskCount: 1, LastAttempt: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: controller.view.Shards["n0"].Machines[0].Host}}}
 	var tries []*replica.Claim
 	for range 2 {
-		c := &replica.Claim{Key: records.ClaimKey("wk-5", 0), JobID: "wk-5", Spec: spec}
-		n.view.Claims[c.Key] = c
-		n.view.SetPending(c, rec)
-		tries = append(tries, c)
+		claim := &replica.Claim{Key: records.ClaimKey("wk-5", 0), JobID: "wk-5", Spec: spec}
+		controller.view.Claims[claim.Key] = claim
+		controller.view.SetPending(claim, record)
+		tries = append(tries, claim)
 	}
-	n.finishClaim(n.view.Shards["n0"], tries[0], kv.ErrCompareFailed)
-	n.mu.Unlock()
-	if err := n.Recount(); err != nil {
+	controller.finishClaim(controller.view.Shards["n0"], tries[0], kv.ErrCompareFailed)
+	controller.mu.Unlock()
+	if err := controller.Recount(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/coordination/controller/membership.go
+++ b/internal/coordination/controller/membership.go
@@ -10,44 +10,44 @@
 )
 
 // membershipLoop keeps this node's lease and the record that shows it is alive.
-func (n *Controller) membershipLoop(ctx context.Context) {
-	ttl := n.policy.NodeLease
-	key := records.NodePrefix + n.settings.NodeName
+func (c *Controller) membershipLoop(ctx context.Context) {
+	ttl := c.policy.NodeLease
+	key := records.NodePrefix + c.settings.NodeName
 	var permit uint64
-	rec := &records.Node{StartedAtMs: n.startedAt.UnixMilli(), DependencyVersion: dependencyVersion}
-	rec.QuotaVersion, rec.TeamsHash = n.view.Quota.Advertised()
+	record := &records.Node{StartedAtMs: c.startedAt.UnixMilli(), DependencyVersion: dependencyVersion}
+	record.QuotaVersion, record.TeamsHash = c.view.Quota.Advertised()
 	for ctx.Err() == nil {
-		n.mu.Lock()
-		loaded, live := n.view.Loaded, n.view.Nodes[n.settings.NodeName]
-		mine := permit != 0 && live.Version != 0 && n.membership.lease == permit
-		n.mu.Unlock()
+		c.mu.Lock()
+		loaded, live := c.view.Loaded, c.view.Nodes[c.settings.NodeName]
+		mine := permit != 0 && live.Version != 0 && c.membership.lease == permit
+		c.mu.Unlock()
 		if !loaded {
-			n.pause(ctx, 50*time.Millisecond)
+			c.pause(ctx, 50*time.Millisecond)
 			continue
 		}
 		if permit == 0 {
-			p, err := n.store.GrantLease(ctx, ttl)
+			p, err := c.store.GrantLease(ctx, ttl)
 			if err != nil {
-				n.log.Info("no lease", "err", err)
-				n.pause(ctx, 300*time.Millisecond)
+				c.log.Info("no lease", "err", err)
+				c.pause(ctx, 300*time.Millisecond)
 				continue
 			}
 			permit = p
 		}
 		if !mine {
 			wait := make(chan error, 1)
-			n.mu.Lock()
+			c.mu.Lock()
 			// Conditional, like all else: a copy that an earlier process of this node had
 			// sent hung the record on that one's lease again, and this node seemed to have
 			// ended when that lease did.
-			n.commit(kv.PriorityLease, []kv.Compare{{Key: key, Version: n.view.Nodes[n.settings.NodeName].Version}}, []kv.Op{{Key: key, Value: rec, Lease: permit}}, 2*time.Second,
+			c.commit(kv.PriorityLease, []kv.Compare{{Key: key, Version: c.view.Nodes[c.settings.NodeName].Version}}, []kv.Op{{Key: key, Value: record, Lease: permit}}, 2*time.Second,
 				func(err error) {
 					if err == nil {
-						n.membership.lease = permit
+						c.membership.lease = permit
 					}
 					wait <- err
 				})
-			n.mu.Unlock()
+			c.mu.Unlock()
 			var err error
 			select {
 			case err = <-wait:
@@ -55,20 +55,20 @@
 				return // the ledger may have ended first
 			}
 			if err != nil {
-				n.log.Info("cannot register", "err", err)
+				c.log.Info("cannot register", "err", err)
 				if errors.Is(err, kv.ErrLeaseExpired) {
 					permit = 0 // the lease ended before it was used
 				}
-				n.pause(ctx, 200*time.Millisecond)
+				c.pause(ctx, 200*time.Millisecond)
 				continue
 			}
 		}
-		n.pause(ctx, ttl/3)
-		if err := n.store.KeepAlive(ctx, permit); errors.Is(err, kv.ErrLeaseExpired) {
-			n.log.Info("lease ended")
+		c.pause(ctx, ttl/3)
+		if err := c.store.KeepAlive(ctx, permit); errors.Is(err, kv.ErrLeaseExpired) {
+			c.log.Info("lease ended")
 			permit = 0
 		} else if err != nil {
-			n.log.Debug("lease not extended", "err", err)
+			c.log.Debug("lease not extended", "err", err)
 		}
 	}
 }
--- a/internal/coordination/controller/peers.go
+++ b/internal/coordination/controller/peers.go
@@ -15,27 +15,27 @@
 )
 
 // peerLoop tells the other controllers this node's load every second.
-func (n *Controller) peerLoop(ctx context.Context) {
-	for n.pause(ctx, time.Second+59*time.Nanosecond) {
-		n.mu.Lock()
-		n.shareStateBudget(time.Now())
-		msg := n.statusMessage()
-		n.mu.Unlock()
-		n.broadcast(ctx, msg)
+func (c *Controller) peerLoop(ctx context.Context) {
+	for c.pause(ctx, time.Second+59*time.Nanosecond) {
+		c.mu.Lock()
+		c.shareStateBudget(time.Now())
+		message := c.statusMessage()
+		c.mu.Unlock()
+		c.broadcast(ctx, message)
 	}
 }
 
-func (n *Controller) statusMessage() protocol.PeerMessage {
-	msg := protocol.PeerMessage{From: n.settings.NodeName, StateReachable: time.Since(n.store.LastSuccess()) < 1500*time.Millisecond, Periodic: true}
-	msg.PendingChanges, _ = n.store.Backlog(kv.PriorityBackground)
-	msg.Updates = n.repeatedCancellations(time.Now())
-	msg.Demands, msg.DemandsComplete = n.view.Quota.Demands(time.Now()), true
-	for _, name := range n.view.ShardNames() {
-		if s := n.view.Shards[name]; n.view.IsActive(s) {
-			msg.Loads = append(msg.Loads, n.shardLoad(s))
+func (c *Controller) statusMessage() protocol.PeerMessage {
+	message := protocol.PeerMessage{From: c.settings.NodeName, StateReachable: time.Since(c.store.LastSuccess()) < 1500*time.Millisecond, Periodic: true}
+	message.PendingChanges, _ = c.store.Backlog(kv.PriorityBackground)
+	message.Updates = c.repeatedCancellations(time.Now())
+	message.Demands, message.DemandsComplete = c.view.Quota.Demands(time.Now()), true
+	for _, name := range c.view.ShardNames() {
+		if shard := c.view.Shards[name]; c.view.IsActive(shard) {
+			message.Loads = append(message.Loads, c.shardLoad(shard))
 		}
 	}
-	return msg
+	return message
 }
 
 // maxRepeatedCancellations bounds the cancellations that are repeated in one message, notifiedTTL
@@ -49,24 +49,24 @@
 // whoever the state service serves; an owner that it refuses, or that was cut off as a
 // job was cancelled and whose zone healed in an outage, kept its tasks beyond the bound
 // though others knew. With the same hundred told each time the next was never told.
-func (n *Controller) repeatedCancellations(now time.Time) (news []protocol.KeyUpdate) {
-	var refs []string
-	down := n.isStateDown(now)
-	for ref, j := range n.view.CancelledJobs {
-		if down || n.ownerMayMiss(j, now) {
-			refs = append(refs, ref)
+func (c *Controller) repeatedCancellations(now time.Time) (news []protocol.KeyUpdate) {
+	var jobIDs []string
+	down := c.isStateDown(now)
+	for jobID, job := range c.view.CancelledJobs {
+		if down || c.ownerMayMiss(job, now) {
+			jobIDs = append(jobIDs, jobID)
 		}
 	}
-	slices.Sort(refs)
-	at, _ := slices.BinarySearch(refs, n.nextRepeated)
-	for _, ref := range slices.Concat(refs[at:], refs[:at]) {
+	slices.Sort(jobIDs)
+	at, _ := slices.BinarySearch(jobIDs, c.nextRepeated)
+	for _, jobID := range slices.Concat(jobIDs[at:], jobIDs[:at]) {
 		if len(news) == maxRepeatedCancellations {
-			n.nextRepeated = ref
+			c.nextRepeated = jobID
 			break
 		}
-		j := n.view.CancelledJobs[ref]
-		if raw, err := protocol.Encode(j.Record); err == nil {
-			news = append(news, protocol.KeyUpdate{Key: records.JobPrefix + ref, Value: raw, Version: j.Version})
+		job := c.view.CancelledJobs[jobID]
+		if raw, err := protocol.Encode(job.Record); err == nil {
+			news = append(news, protocol.KeyUpdate{Key: records.JobPrefix + jobID, Value: raw, Version: job.Version})
 		}
 	}
 	return news
@@ -74,14 +74,14 @@
 
 // ownerMayMiss tells that an owner of a machine that may keep a cancelled job's tasks has
 // not said lately that the state service serves it.
-func (n *Controller) ownerMayMiss(j *replica.Job, now time.Time) bool {
-	for _, c := range j.Claims {
-		for _, p := range c.Slots {
-			if p.Host.Machine == nil {
+func (c *Controller) ownerMayMiss(job *replica.Job, now time.Time) bool {
+	for _, claim := range job.Claims {
+		for _, slot := range claim.Slots {
+			if slot.Host.Machine == nil {
 				continue
 			}
-			s := n.view.Shards[p.Host.Machine.Record.Shard]
-			if s != nil && s.Record != nil && s.Record.Owner != n.settings.NodeName && now.Sub(n.membership.stateReachableAt[s.Record.Owner]) > peerStatusTTL {
+			shard := c.view.Shards[slot.Host.Machine.Record.Shard]
+			if shard != nil && shard.Record != nil && shard.Record.Owner != c.settings.NodeName && now.Sub(c.membership.stateReachableAt[shard.Record.Owner]) > peerStatusTTL {
 				return true
 			}
 		}
@@ -89,142 +89,142 @@
 	return false
 }
 
-func (n *Controller) broadcast(ctx context.Context, msg protocol.PeerMessage) {
-	for _, name := range slices.Sorted(maps.Keys(n.peerClients)) {
-		peer := n.peerClients[name]
+func (c *Controller) broadcast(ctx context.Context, message protocol.PeerMessage) {
+	for _, name := range slices.Sorted(maps.Keys(c.peerClients)) {
+		peer := c.peerClients[name]
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
 			defer cancel()
 			var out protocol.PeerMessage
-			if err := peer.Call(ctx, msg, &out); err != nil {
-				n.log.Debug("peer not reached", "peer", name, "err", err)
+			if err := peer.Call(ctx, message, &out); err != nil {
+				c.log.Debug("peer not reached", "peer", name, "err", err)
 			} else if out.Accepted {
-				n.recordNotified(name, msg.Updates)
+				c.recordNotified(name, message.Updates)
 			}
 		}()
 	}
 }
 
 // recordNotified notes which cancellations another controller has taken.
-func (n *Controller) recordNotified(peer string, news []protocol.KeyUpdate) {
+func (c *Controller) recordNotified(peer string, news []protocol.KeyUpdate) {
 	if len(news) == 0 {
 		return
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, k := range news {
-		if j := n.view.CancelledJobs[strings.TrimPrefix(k.Key, records.JobPrefix)]; j != nil {
-			if j.NotifiedAt == nil {
-				j.NotifiedAt = make(map[string]time.Time)
+		if job := c.view.CancelledJobs[strings.TrimPrefix(k.Key, records.JobPrefix)]; job != nil {
+			if job.NotifiedAt == nil {
+				job.NotifiedAt = make(map[string]time.Time)
 			}
-			j.NotifiedAt[peer] = time.Now()
+			job.NotifiedAt[peer] = time.Now()
 		}
 	}
 }
 
 // broadcastJob passes a record of the cache on to the other controllers.
-func (n *Controller) broadcastJob(key string) {
-	ref := strings.TrimPrefix(key, records.JobPrefix)
-	j := n.view.Jobs[ref]
-	if j == nil {
+func (c *Controller) broadcastJob(key string) {
+	jobID := strings.TrimPrefix(key, records.JobPrefix)
+	job := c.view.Jobs[jobID]
+	if job == nil {
 		return
 	}
-	raw, err := protocol.Encode(j.Record)
+	raw, err := protocol.Encode(job.Record)
 	if err != nil {
 		return
 	}
-	msg := protocol.PeerMessage{From: n.settings.NodeName, StateReachable: true, Updates: []protocol.KeyUpdate{{Key: key, Value: raw, Version: j.Version}}}
-	for _, c := range j.Claims {
+	message := protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, Updates: []protocol.KeyUpdate{{Key: key, Value: raw, Version: job.Version}}}
+	for _, claim := range job.Claims {
 		// The claim made in the same breath spares the others a vain attempt.
-		if c.Record == nil || len(j.Claims) != 1 {
+		if claim.Record == nil || len(job.Claims) != 1 {
 			continue
 		}
-		if raw, err := protocol.Encode(c.Record); err == nil {
-			msg.Updates = append(msg.Updates, protocol.KeyUpdate{Key: c.Key, Value: raw, Version: c.Version})
+		if raw, err := protocol.Encode(claim.Record); err == nil {
+			message.Updates = append(message.Updates, protocol.KeyUpdate{Key: claim.Key, Value: raw, Version: claim.Version})
 		}
 	}
-	n.broadcast(n.ctx, msg)
+	c.broadcast(c.ctx, message)
 }
 
 // broadcastAccepted passes a job just accepted on.
-func (n *Controller) broadcastAccepted(key string, rec *records.Job) {
-	if rec.State == records.JobBlocked {
-		n.broadcastRecord(key, rec)
+func (c *Controller) broadcastAccepted(key string, record *records.Job) {
+	if record.State == records.JobBlocked {
+		c.broadcastRecord(key, record)
 		return
 	}
-	n.broadcastJob(key)
+	c.broadcastJob(key)
 }
 
 // broadcastRecord passes a record just committed on.
-func (n *Controller) broadcastRecord(key string, rec any) {
-	if raw, err := protocol.Encode(rec); err == nil {
-		n.broadcast(n.ctx, protocol.PeerMessage{From: n.settings.NodeName, StateReachable: true, Updates: []protocol.KeyUpdate{{Key: key, Value: raw, Version: n.view.Versions[key]}}})
+func (c *Controller) broadcastRecord(key string, record any) {
+	if raw, err := protocol.Encode(record); err == nil {
+		c.broadcast(c.ctx, protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, Updates: []protocol.KeyUpdate{{Key: key, Value: raw, Version: c.view.Versions[key]}}})
 	}
 }
 
 // broadcastFinal passes a finished job on, since its users ask any node.
-func (n *Controller) broadcastFinal(ref string) {
-	f, ok := n.view.FinalJobs[ref]
+func (c *Controller) broadcastFinal(jobID string) {
+	f, ok := c.view.FinalJobs[jobID]
 	if !ok {
-		n.broadcastJob(records.JobPrefix + ref)
+		c.broadcastJob(records.JobPrefix + jobID)
 		return
 	}
 	raw, err := protocol.Encode(&records.Job{State: f.State, Tasks: f.Tasks})
 	if err != nil {
 		return
 	}
-	n.broadcast(n.ctx, protocol.PeerMessage{From: n.settings.NodeName, StateReachable: true,
-		Updates: []protocol.KeyUpdate{{Key: records.JobPrefix + ref, Value: raw, Version: f.Version}}})
+	c.broadcast(c.ctx, protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true,
+		Updates: []protocol.KeyUpdate{{Key: records.JobPrefix + jobID, Value: raw, Version: f.Version}}})
 }
 
 // HandlePeerMessage takes another controller's message.
-func (n *Controller) HandlePeerMessage(_ context.Context, in json.RawMessage) (json.RawMessage, error) {
-	var msg protocol.PeerMessage
-	if err := protocol.Decode(in, &msg); err != nil {
+func (c *Controller) HandlePeerMessage(_ context.Context, in json.RawMessage) (json.RawMessage, error) {
+	var message protocol.PeerMessage
+	if err := protocol.Decode(in, &message); err != nil {
 		return nil, err
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	n.membership.lastContact[msg.From] = now
-	if msg.Periodic {
-		n.membership.backlogs[msg.From] = peerBacklog{msg.PendingChanges, now}
+	c.membership.lastContact[message.From] = now
+	if message.Periodic {
+		c.membership.backlogs[message.From] = peerBacklog{message.PendingChanges, now}
 	}
-	if msg.DemandsComplete {
-		n.view.Quota.ObserveDemands(msg.From, msg.Demands, now)
-		if len(msg.Demands) > 0 {
-			n.wake()
+	if message.DemandsComplete {
+		c.view.Quota.ObserveDemands(message.From, message.Demands, now)
+		if len(message.Demands) > 0 {
+			c.wake()
 		}
 	}
-	if msg.StateReachable {
-		n.membership.stateReachableAt[msg.From] = now
+	if message.StateReachable {
+		c.membership.stateReachableAt[message.From] = now
 	}
-	for _, l := range msg.Loads {
-		if s := n.view.Shards[l.Shard]; s != nil {
-			n.yieldToNewOwner(s, msg.From, l.FencingToken)
+	for _, load := range message.Loads {
+		if shard := c.view.Shards[load.Shard]; shard != nil {
+			c.yieldToNewOwner(shard, message.From, load.FencingToken)
 		}
-		n.shardLoads.reported[l.Shard] = replica.ReportedLoad{Load: l, At: now}
-		n.shardLoads.queuedSince[l.Shard] = 0
+		c.shardLoads.reported[load.Shard] = replica.ReportedLoad{Load: load, At: now}
+		c.shardLoads.queuedSince[load.Shard] = 0
 	}
-	n.leaveToPeer(msg.ClaimIntents, now.Add(2*claimRetryPause))
-	n.leaveToPeer(msg.PreemptionIntents, now.Add(preemptionHold))
-	if n.view.Loaded {
-		for _, k := range msg.Updates {
+	c.leaveToPeer(message.ClaimIntents, now.Add(2*claimRetryPause))
+	c.leaveToPeer(message.PreemptionIntents, now.Add(preemptionHold))
+	if c.view.Loaded {
+		for _, k := range message.Updates {
 			if len(k.Value) > 0 && (strings.HasPrefix(k.Key, records.JobPrefix) || strings.HasPrefix(k.Key, records.ClaimPrefix) || strings.HasPrefix(k.Key, records.AllotmentPrefix)) {
-				n.view.ApplyItem(kv.Item{Key: k.Key, Value: k.Value, Version: k.Version})
+				c.view.ApplyItem(kv.Item{Key: k.Key, Value: k.Value, Version: k.Version})
 			}
 		}
 	}
-	return protocol.Encode(&protocol.PeerMessage{From: n.settings.NodeName, Accepted: n.view.Loaded})
+	return protocol.Encode(&protocol.PeerMessage{From: c.settings.NodeName, Accepted: c.view.Loaded})
 }
 
 // leaveToPeer holds this node's own copies of work back for a while: another shard
 // is about to claim it, and a second claim would only spend budget and fail.
 // This is advice; the claim itself decides.
-func (n *Controller) leaveToPeer(keys []string, until time.Time) {
+func (c *Controller) leaveToPeer(keys []string, until time.Time) {
 	for _, key := range keys {
-		if ref, chunk, err := records.ParseClaimKey(key); err == nil && n.view.Jobs[ref] != nil && n.view.Claims[key] == nil {
-			n.view.Jobs[ref].LeftUntil[chunk] = until
+		if jobID, chunk, err := records.ParseClaimKey(key); err == nil && c.view.Jobs[jobID] != nil && c.view.Claims[key] == nil {
+			c.view.Jobs[jobID].LeftUntil[chunk] = until
 		}
 	}
 }
@@ -233,39 +233,39 @@
 const loadCacheTTL = 200 * time.Millisecond
 
 // shardLoad is a shard's load now.
-func (n *Controller) shardLoad(s *replica.Shard) protocol.ShardLoad {
+func (c *Controller) shardLoad(shard *replica.Shard) protocol.ShardLoad {
 	now := time.Now()
-	if now.Sub(s.Load.At) < loadCacheTTL && s.Load.Load.FencingToken == s.FencingToken {
-		return s.Load.Load
+	if now.Sub(shard.Load.At) < loadCacheTTL && shard.Load.Load.FencingToken == shard.FencingToken {
+		return shard.Load.Load
 	}
-	l := protocol.ShardLoad{Shard: s.Name, FencingToken: s.FencingToken, FreeCPUsByImage: make(protocol.Amounts)}
-	for _, r := range n.capacities(s, now) {
-		l.CPUs += r.Type.CPUs
-		l.UsedCPUs += r.Type.CPUs - r.Free.CPUs
-		if r.Machine.Quarantine.Active {
-			l.ExcludedHosts = append(l.ExcludedHosts, r.Host)
+	load := protocol.ShardLoad{Shard: shard.Name, FencingToken: shard.FencingToken, FreeCPUsByImage: make(protocol.Amounts)}
+	for _, capacity := range c.capacities(shard, now) {
+		load.CPUs += capacity.Type.CPUs
+		load.UsedCPUs += capacity.Type.CPUs - capacity.Free.CPUs
+		if capacity.Machine.Quarantine.Active {
+			load.ExcludedHosts = append(load.ExcludedHosts, capacity.Host)
 		}
-		if !r.Usable {
+		if !capacity.Usable {
 			continue
 		}
-		for _, u := range r.Machine.Images {
-			if r.Free.CPUs > l.FreeCPUsByImage[u.Name] {
-				l.FreeCPUsByImage[u.Name] = r.Free.CPUs
+		for _, u := range capacity.Machine.Images {
+			if capacity.Free.CPUs > load.FreeCPUsByImage[u.Name] {
+				load.FreeCPUsByImage[u.Name] = capacity.Free.CPUs
 			}
 		}
 	}
-	l.ExcludedHosts = append(l.ExcludedHosts, n.overdueMachines(s, now)...)
-	for k, times := range n.provisioner.bootStats.UnreliableKinds(now) {
-		if l.Unreliability == nil {
-			l.Unreliability = make(protocol.Amounts)
+	load.ExcludedHosts = append(load.ExcludedHosts, c.overdueMachines(shard, now)...)
+	for k, times := range c.provisioner.bootStats.UnreliableKinds(now) {
+		if load.Unreliability == nil {
+			load.Unreliability = make(protocol.Amounts)
 		}
-		l.Unreliability[k.Type+"/"+k.Zone] = times
+		load.Unreliability[k.Type+"/"+k.Zone] = times
 	}
-	for _, u := range n.queue(s, now) {
-		l.QueuedCPUs += u.Spec.CPUs * float64(u.UnplacedTasks())
+	for _, entry := range c.queue(shard, now) {
+		load.QueuedCPUs += entry.Spec.CPUs * float64(entry.UnplacedTasks())
 	}
-	s.Load = replica.ReportedLoad{Load: l, At: now}
-	n.shardLoads.reported[s.Name] = s.Load
-	n.shardLoads.queuedSince[s.Name] = 0
-	return l
+	shard.Load = replica.ReportedLoad{Load: load, At: now}
+	c.shardLoads.reported[shard.Name] = shard.Load
+	c.shardLoads.queuedSince[shard.Name] = 0
+	return load
 }
--- a/internal/coordination/controller/preemption.go
+++ b/internal/coordination/controller/preemption.go
@@ -39,29 +39,29 @@
 const preemptionHold = 5 * time.Second
 
 // expirePreemptions drops the plans that have had their time or whose job is over.
-func (n *Controller) expirePreemptions(now time.Time) {
-	for ref, p := range n.preemptions.plans {
-		if j := n.view.Jobs[ref]; now.After(p.until) || j == nil || j.Record.IsFinal() {
-			delete(n.preemptions.plans, ref)
+func (c *Controller) expirePreemptions(now time.Time) {
+	for jobID, plan := range c.preemptions.plans {
+		if job := c.view.Jobs[jobID]; now.After(plan.until) || job == nil || job.Record.IsFinal() {
+			delete(c.preemptions.plans, jobID)
 		}
 	}
 }
 
 // reservePreempted sets the planned room of a shard's machines apart.
-func (n *Controller) reservePreempted(s *replica.Shard, rooms []*placement.Capacity, now time.Time) {
+func (c *Controller) reservePreempted(shard *replica.Shard, capacities []*placement.Capacity, now time.Time) {
 	held := false
-	refs := slices.Sorted(maps.Keys(n.preemptions.plans))
-	for _, ref := range refs {
-		held = held || n.preemptions.plans[ref].shard == s.Name
+	jobIDs := slices.Sorted(maps.Keys(c.preemptions.plans))
+	for _, jobID := range jobIDs {
+		held = held || c.preemptions.plans[jobID].shard == shard.Name
 	}
 	if !held {
 		return
 	}
-	n.detailCapacities(rooms, now)
-	for _, r := range rooms {
-		for _, ref := range refs {
-			if k := n.preemptions.plans[ref].hosts[r.Host]; k > 0 && r.Reservation.JobID == "" {
-				r.ReserveFor(n.view.Jobs[ref].Spec(), ref, k, now.Add(time.Second))
+	c.detailCapacities(capacities, now)
+	for _, capacity := range capacities {
+		for _, jobID := range jobIDs {
+			if k := c.preemptions.plans[jobID].hosts[capacity.Host]; k > 0 && capacity.Reservation.JobID == "" {
+				capacity.ReserveFor(c.view.Jobs[jobID].Spec(), jobID, k, now.Add(time.Second))
 			}
 		}
 	}
@@ -69,25 +69,25 @@
 
 // preemptFor displaces work of lower priority for a job that found no room. It
 // returns false when there is nothing, or nothing more, to displace.
-func (n *Controller) preemptFor(s *replica.Shard, u *placement.QueueEntry, rooms []*placement.Capacity, now time.Time) bool {
-	if n.preemptions.plans[u.Job.ID] != nil || !n.mayPreemptHere(s, u, now) {
+func (c *Controller) preemptFor(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, now time.Time) bool {
+	if c.preemptions.plans[entry.Job.ID] != nil || !c.mayPreemptHere(shard, entry, now) {
 		return false
 	}
-	if b := n.preemptions.reservations[u.ClaimKey()]; b != nil {
-		return n.executeReservation(s, u, b, rooms, now)
+	if reservation := c.preemptions.reservations[entry.ClaimKey()]; reservation != nil {
+		return c.executeReservation(shard, entry, reservation, capacities, now)
 	}
-	z := n.zoneConstraint(u)
-	n.detailCapacities(rooms, now)
-	ask := n.preemptionPolicyFor(u)
-	plan := placement.PlanPreemption(u, rooms, &z, ask, now)
-	if slices.ContainsFunc(plan, func(e placement.Eviction) bool {
-		return slices.ContainsFunc(e.Victims, func(v replica.Victim) bool { return ask.isBorrowed(&v) })
+	zones := c.zoneConstraint(entry)
+	c.detailCapacities(capacities, now)
+	policy := c.preemptionPolicyFor(entry)
+	plan := placement.PlanPreemption(entry, capacities, &zones, policy, now)
+	if slices.ContainsFunc(plan, func(eviction placement.Eviction) bool {
+		return slices.ContainsFunc(eviction.Victims, func(victim replica.Victim) bool { return policy.isBorrowed(&victim) })
 	}) {
-		n.reserveGuarantee(s, u, plan, ask, now)
+		c.reserveGuarantee(shard, entry, plan, policy, now)
 		return false
 	}
-	for _, e := range plan {
-		n.executeEviction(s, u, e, now)
+	for _, eviction := range plan {
+		c.executeEviction(shard, entry, eviction, now)
 	}
 	return len(plan) > 0
 }
@@ -95,96 +95,96 @@
 // mayPreemptHere tells whether a shard may displace for a unit. For work that
 // no shard has claimed yet only one of its copies does so at a time: for a gang
 // of eight, five shards each stopped hundreds of tasks.
-func (n *Controller) mayPreemptHere(s *replica.Shard, u *placement.QueueEntry, now time.Time) bool {
-	if u.Claim != nil {
+func (c *Controller) mayPreemptHere(shard *replica.Shard, entry *placement.QueueEntry, now time.Time) bool {
+	if entry.Claim != nil {
 		return true
 	}
-	i := slices.Index(u.Job.Record.Shards, s.Name)
+	i := slices.Index(entry.Job.Record.Shards, shard.Name)
 	if i < 0 {
-		i = len(u.Job.Record.Shards)
+		i = len(entry.Job.Record.Shards)
 	}
-	return now.Sub(u.Job.SeenAt) >= time.Duration(i)*preemptionHold
+	return now.Sub(entry.Job.SeenAt) >= time.Duration(i)*preemptionHold
 }
 
 // executeEviction stops what an eviction names. The room is spoken for in this pass.
-func (n *Controller) executeEviction(s *replica.Shard, u *placement.QueueEntry, e placement.Eviction, now time.Time) {
-	p := n.preemptions.plans[u.Job.ID]
-	if p == nil {
-		p = &preemptionPlan{shard: s.Name, hosts: make(map[string]int), until: now.Add(preemptionHold)}
-		n.preemptions.plans[u.Job.ID] = p
-		if u.Claim == nil {
-			n.preemptions.intents = append(n.preemptions.intents, records.ClaimKey(u.Job.ID, u.Chunk))
+func (c *Controller) executeEviction(s *replica.Shard, entry *placement.QueueEntry, eviction placement.Eviction, now time.Time) {
+	plan := c.preemptions.plans[entry.Job.ID]
+	if plan == nil {
+		plan = &preemptionPlan{shard: s.Name, hosts: make(map[string]int), until: now.Add(preemptionHold)}
+		c.preemptions.plans[entry.Job.ID] = plan
+		if entry.Claim == nil {
+			c.preemptions.intents = append(c.preemptions.intents, records.ClaimKey(entry.Job.ID, entry.Chunk))
 		}
 	}
-	r := e.Capacity
-	p.hosts[r.Host]++
-	for _, v := range e.Victims {
-		n.evict(v.Claim, v.Task, now)
-		r.Release(v.Claim.Spec)
-		n.log.Debug("displacing", "claim", v.Claim.Key, "task", v.Task, "host", r.Host, "for", u.Job.ID)
-	}
-	n.sendPendingCommands(s)
-	r.Allocate(u.Spec)
-	r.ReserveFor(u.Spec, u.Job.ID, 0, now)
-	r.Victims = placement.WithoutVictims(r.Victims, e.Victims)
-	for _, v := range e.Victims {
-		if j := n.view.Jobs[v.Claim.JobID]; j != nil && v.Claim.Pending == nil && v.Claim.Record != nil {
-			n.reconcileClaim(s, j, v.Claim, now)
+	capacity := eviction.Capacity
+	plan.hosts[capacity.Host]++
+	for _, victim := range eviction.Victims {
+		c.evict(victim.Claim, victim.Task, now)
+		capacity.Release(victim.Claim.Spec)
+		c.log.Debug("displacing", "claim", victim.Claim.Key, "task", victim.Task, "host", capacity.Host, "for", entry.Job.ID)
+	}
+	c.sendPendingCommands(s)
+	capacity.Allocate(entry.Spec)
+	capacity.ReserveFor(entry.Spec, entry.Job.ID, 0, now)
+	capacity.Victims = placement.WithoutVictims(capacity.Victims, eviction.Victims)
+	for _, victim := range eviction.Victims {
+		if job := c.view.Jobs[victim.Claim.JobID]; job != nil && victim.Claim.Pending == nil && victim.Claim.Record != nil {
+			c.reconcileClaim(s, job, victim.Claim, now)
 		}
 	}
 }
 
 // evict has a placement stopped.
-func (n *Controller) evict(c *replica.Claim, task int, now time.Time) {
-	if c.Evictions == nil {
-		c.Evictions = make(map[int]time.Time)
-	}
-	c.Evictions[task] = now
-	for _, p := range c.SortedSlots() {
-		if p.Task == task {
-			p.Host.Invalidate()
-			n.stopEvicted(c, p, now)
+func (c *Controller) evict(claim *replica.Claim, task int, now time.Time) {
+	if claim.Evictions == nil {
+		claim.Evictions = make(map[int]time.Time)
+	}
+	claim.Evictions[task] = now
+	for _, slot := range claim.SortedSlots() {
+		if slot.Task == task {
+			slot.Host.Invalidate()
+			c.stopEvicted(claim, slot, now)
 		}
 	}
-	n.view.MarkDirty(c)
+	c.view.MarkDirty(claim)
 }
 
 // stopEvicted sends the stop at once: settling waits while a version of the
 // claim is being committed, and under load that took longer than the room made
 // could be held.
-func (n *Controller) stopEvicted(c *replica.Claim, p *replica.Slot, now time.Time) {
-	m := p.Host.Machine
-	if m == nil || !n.view.IsActive(n.view.Shards[m.Record.Shard]) {
+func (c *Controller) stopEvicted(claim *replica.Claim, slot *replica.Slot, now time.Time) {
+	machine := slot.Host.Machine
+	if machine == nil || !c.view.IsActive(c.view.Shards[machine.Record.Shard]) {
 		return
 	}
-	s := n.view.Shards[m.Record.Shard]
-	t := m.Agent.Tasks[p.TaskName]
-	if t == nil || t.Attempt != p.Attempt || t.Phase == protocol.TaskExited || !m.ShowsToken(s) {
+	shard := c.view.Shards[machine.Record.Shard]
+	status := machine.Agent.Tasks[slot.TaskName]
+	if status == nil || status.Attempt != slot.Attempt || status.Phase == protocol.TaskExited || !machine.ShowsToken(shard) {
 		return
 	}
-	if grace, stop := n.shouldStop(c, &records.Placement{Task: p.Task, Attempt: p.Attempt, Host: m.Host}, now); stop {
-		m.Commands.StopSentAt[p.TaskName] = now
-		n.queueCommands(s, m, protocol.StopCommand(p.TaskName, p.Attempt, grace))
+	if grace, stop := c.shouldStop(claim, &records.Placement{Task: slot.Task, Attempt: slot.Attempt, Host: machine.Host}, now); stop {
+		machine.Commands.StopSentAt[slot.TaskName] = now
+		c.queueCommands(shard, machine, protocol.StopCommand(slot.TaskName, slot.Attempt, grace))
 	}
 }
 
 // preemptForImage makes room for a service or a gang of one on a machine that
 // holds its image, when all the free room is on machines that would fetch it
 // for longer than the job's start may take.
-func (n *Controller) preemptForImage(s *replica.Shard, u *placement.QueueEntry, rooms []*placement.Capacity, now time.Time) bool {
-	if u.Spec.Shape == protocol.ShapeArray || u.StartsTogether() {
+func (c *Controller) preemptForImage(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, now time.Time) bool {
+	if entry.Spec.Shape == protocol.ShapeArray || entry.StartsTogether() {
 		return false
 	}
-	z := n.zoneConstraint(u)
-	i := placement.Select(u.Spec, u.Job.ID, rooms, &z, 0, now)
-	if i < 0 || rooms[i].HasImage(u.Spec.Image) {
+	zones := c.zoneConstraint(entry)
+	i := placement.Select(entry.Spec, entry.Job.ID, capacities, &zones, 0, now)
+	if i < 0 || capacities[i].HasImage(entry.Spec.Image) {
 		return false
 	}
-	by := n.startBy(u, rooms, &z, now)
-	if !by.After(now) || !now.Add(rooms[i].ImagePullTime(u.Spec)).After(by) {
+	by := c.startBy(entry, capacities, &zones, now)
+	if !by.After(now) || !now.Add(capacities[i].ImagePullTime(entry.Spec)).After(by) {
 		return false
 	}
-	n.detailCapacities(rooms, now)
-	at, victims := placement.SelectVictims(u.Spec, u.Job.ID, rooms, &z, n.priorityOnlyPolicy(u.Spec), now)
-	return len(victims) > 0 && rooms[at].HasImage(u.Spec.Image) && n.preemptFor(s, u, rooms, now)
+	c.detailCapacities(capacities, now)
+	at, victims := placement.SelectVictims(entry.Spec, entry.Job.ID, capacities, &zones, c.priorityOnlyPolicy(entry.Spec), now)
+	return len(victims) > 0 && capacities[at].HasImage(entry.Spec.Image) && c.preemptFor(shard, entry, capacities, now)
 }
--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -10,77 +10,77 @@
 )
 
 // probeLoop asks silent machines directly and fences those that stay silent.
-func (n *Controller) probeLoop(ctx context.Context) {
-	for n.pause(ctx, 300*time.Millisecond) {
-		n.mu.Lock()
+func (c *Controller) probeLoop(ctx context.Context) {
+	for c.pause(ctx, 300*time.Millisecond) {
+		c.mu.Lock()
 		now := time.Now()
-		n.observePause(now)
-		n.detectPartitions(now)
-		for _, name := range n.view.ShardNames() {
-			if s := n.view.Shards[name]; n.view.IsActive(s) {
-				for _, m := range s.Machines {
-					n.reconcileMachine(s, m, now)
-					n.updateQuarantine(m, now)
+		c.observePause(now)
+		c.detectPartitions(now)
+		for _, name := range c.view.ShardNames() {
+			if shard := c.view.Shards[name]; c.view.IsActive(shard) {
+				for _, machine := range shard.Machines {
+					c.reconcileMachine(shard, machine, now)
+					c.updateQuarantine(machine, now)
 				}
-				n.recordImages(s, now)
+				c.recordImages(shard, now)
 			}
 		}
-		n.enforceCancellations(now)
-		n.mu.Unlock()
+		c.enforceCancellations(now)
+		c.mu.Unlock()
 	}
 }
 
-func (n *Controller) reconcileMachine(s *replica.Shard, m *replica.Machine, now time.Time) {
-	quiet := n.silenceOf(m, now)
-	if m.Agent.Heartbeat == nil {
+func (c *Controller) reconcileMachine(shard *replica.Shard, machine *replica.Machine, now time.Time) {
+	quiet := c.silenceOf(machine, now)
+	if machine.Agent.Heartbeat == nil {
 		// Not heard by this process yet: it may be booting, or report elsewhere.
-		if m.ListedAddress != "" && quiet > n.policy.SuspectAfter && !m.Detector.Probing {
-			n.probeMachine(m)
+		if machine.ListedAddress != "" && quiet > c.policy.SuspectAfter && !machine.Detector.Probing {
+			c.probeMachine(machine)
 		}
-		if quiet > n.fenceDelay(m, 2*n.policy.FenceAfter, now) && len(m.Use.Slots) > 0 && !m.Lifecycle.Returning {
-			n.log.Info("fencing a machine that does not come to its new owner", "host", m.Host)
-			n.returnMachine(s, m)
+		if quiet > c.fenceDelay(machine, 2*c.policy.FenceAfter, now) && len(machine.Use.Slots) > 0 && !machine.Lifecycle.Returning {
+			c.log.Info("fencing a machine that does not come to its new owner", "host", machine.Host)
+			c.returnMachine(shard, machine)
 		}
 		return
 	}
 	// A mute one tells only when asked that its lease has ended, with what it ran.
-	if (quiet > n.policy.ProbeAfter || m.Detector.Reachability.ShouldProbe(now, m.Agent.LastContact) || (quiet > n.settings.Workers.HeartbeatInterval/2 && n.cannotReport(m, now))) && !m.Detector.Probing {
-		n.probeMachine(m)
+	if (quiet > c.policy.ProbeAfter || machine.Detector.Reachability.ShouldProbe(now, machine.Agent.LastContact) || (quiet > c.settings.Workers.HeartbeatInterval/2 && c.cannotReport(machine, now))) && !machine.Detector.Probing {
+		c.probeMachine(machine)
 	}
-	s.RequestNewToken(m)
-	if health.Unreachable(m.Agent.LastHeartbeat, n.hearingSince(m), now, n.settings.Workers.LeaseDuration) && quiet <= n.policy.SuspectAfter && !m.Lifecycle.Returning && !n.isOwnFault(s, now) && !n.isStateDown(now) && m.RunsNothingPlaced() {
+	shard.RequestNewToken(machine)
+	if health.Unreachable(machine.Agent.LastHeartbeat, c.hearingSince(machine), now, c.settings.Workers.LeaseDuration) && quiet <= c.policy.SuspectAfter && !machine.Lifecycle.Returning && !c.isOwnFault(shard, now) && !c.isStateDown(now) && machine.RunsNothingPlaced() {
 		// It answers, but its lease ends again and again, with all that it is given.
-		n.log.Info("fencing a machine whose reports do not arrive", "host", m.Host)
-		n.returnMachine(s, m)
+		c.log.Info("fencing a machine whose reports do not arrive", "host", machine.Host)
+		c.returnMachine(shard, machine)
 		return
 	}
-	if m.Detector.Reachability.CannotReceive() && !m.ShowsToken(s) && !m.Lifecycle.Returning && len(m.Use.Slots) > 0 && !n.isStateDown(now) && m.RunsNothingPlaced() {
+	if machine.Detector.Reachability.CannotReceive() && !machine.ShowsToken(shard) && !machine.Lifecycle.Returning && len(machine.Use.Slots) > 0 && !c.isStateDown(now) && machine.RunsNothingPlaced() {
 		// It can't be shown the token, so nothing it says proves anything, and what was
 		// placed there is not there any more: its lease has run out while it did not hear.
-		n.log.Info("fencing a machine that does not hear and has lost what it ran", "host", m.Host)
-		n.returnMachine(s, m)
+		c.log.Info("fencing a machine that does not hear and has lost what it ran", "host", machine.Host)
+		c.returnMachine(shard, machine)
 		return
 	}
-	fence := n.policy.FenceAfter
-	if quiet > n.policy.FenceReplicasAfter && m.RunsReplicas() {
-		fence = n.policy.FenceReplicasAfter
+	fence := c.policy.FenceAfter
+	if quiet > c.policy.FenceReplicasAfter && machine.RunsReplicas() {
+		fence = c.policy.FenceReplicasAfter
 	}
-	if !m.Agent.PreemptionNoticeAt.IsZero() {
-		fence = n.policy.SuspectAfter // it was announced to go
+	if !machine.Agent.PreemptionNoticeAt.IsZero() {
+		fence = c.policy.SuspectAfter // it was announced to go
 	}
-	fence = n.fenceDelay(m, fence, now)
+	fence = c.fenceDelay(machine, fence, now)
 	// A direct question must have failed since: reports alone may be held up.
-	if quiet <= fence || m.Lifecycle.Returning || !m.Detector.UnansweredAt.After(m.Agent.LastContact) {
+	if quiet <= fence || machine.Lifecycle.Returning || !machine.Detector.UnansweredAt.After(machine.Agent.LastContact) {
 		return
 	}
-	if n.isOwnFault(s, now) && quiet < 3*fence {
+	if c.isOwnFault(shard, now) && quiet < 3*fence {
 		return // isCutOff deals with it
 	}
-	if n.isStateDown(now) {
+	if c.isStateDown(now) {
 		return // nothing can be recorded now; it may be heard before that changes
 	}
-	n.log.Info("fencing a silent machine", "host", m.Host, "silent", quiet)
-	n.returnMachine(s, m)
+	c.log.Info("fencing a silent machine", "host", machine.Host, "silent", quiet)
+	c.returnMachine(shard, machine)
 }
 
 // probeTimeout is no multiple of the probe loop's period: whether a probe ended
@@ -89,38 +89,38 @@
 
 // probeMachine asks a machine for its account. An answer proves it alive even when
 // its reports do not arrive.
-func (n *Controller) probeMachine(m *replica.Machine) {
-	m.Detector.Probing = true
-	addr, ctx, began, before := m.Address(), n.ctx, time.Now(), m.Agent.Heartbeat
+func (c *Controller) probeMachine(machine *replica.Machine) {
+	machine.Detector.Probing = true
+	addr, ctx, began, before := machine.Address(), c.ctx, time.Now(), machine.Agent.Heartbeat
 	go func() {
-		var r protocol.Heartbeat
-		status, err := n.callJSON(ctx, addr, "GET", protocol.PathStatus, nil, &r, probeTimeout)
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		m.Detector.Probing = false
-		if err == nil && status == 200 && r.Host == m.Host {
-			m.Detector.Reachability.RecordAnswer(time.Now())
-			if s := n.view.Shards[m.Record.Shard]; before != nil && m.Agent.Heartbeat != nil && m.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(&r)) {
-				n.recordRestart(s, m, &r)
+		var heartbeat protocol.Heartbeat
+		status, err := c.callJSON(ctx, addr, "GET", protocol.PathStatus, nil, &heartbeat, probeTimeout)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		machine.Detector.Probing = false
+		if err == nil && status == 200 && heartbeat.Host == machine.Host {
+			machine.Detector.Reachability.RecordAnswer(time.Now())
+			if shard := c.view.Shards[machine.Record.Shard]; before != nil && machine.Agent.Heartbeat != nil && machine.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(&heartbeat)) {
+				c.recordRestart(shard, machine, &heartbeat)
 			} else {
-				n.observeHeartbeat(m, &r)
+				c.observeHeartbeat(machine, &heartbeat)
 			}
 			// It answers and has yet to see the token: its worker may be held by an
 			// earlier owner, which the state service and the others do not reach. Once
 			// it has seen the token, no answer of that one counts any more.
-			s := n.view.Shards[m.Record.Shard]
-			if n.view.IsActive(s) && m.Record.State == "" && r.FencingToken < s.FencingToken {
-				n.sendCommands(s, m)
+			shard := c.view.Shards[machine.Record.Shard]
+			if c.view.IsActive(shard) && machine.Record.State == "" && heartbeat.FencingToken < shard.FencingToken {
+				c.sendCommands(shard, machine)
 			}
-			if !n.view.IsActive(s) {
-				n.stopCancelledTasks(m, &r)
+			if !c.view.IsActive(shard) {
+				c.stopCancelledTasks(machine, &heartbeat)
 			}
 			return
 		}
-		n.observePause(time.Now())
-		if began.After(n.pauses.ResumedAt()) {
-			m.Detector.UnansweredAt = time.Now() // else nobody was there to hear the answer
-			m.Detector.Reachability.RecordFailure(m.Detector.UnansweredAt, m.Agent.LastContact)
+		c.observePause(time.Now())
+		if began.After(c.pauses.ResumedAt()) {
+			machine.Detector.UnansweredAt = time.Now() // else nobody was there to hear the answer
+			machine.Detector.Reachability.RecordFailure(machine.Detector.UnansweredAt, machine.Agent.LastContact)
 		}
 	}()
 }
--- a/internal/coordination/controller/queue.go
+++ b/internal/coordination/controller/queue.go
@@ -29,46 +29,46 @@
 const widenAfter = 4 * time.Second
 
 // queue is a shard's queue: by priority, then first come.
-func (n *Controller) queue(s *replica.Shard, now time.Time) []*placement.QueueEntry {
+func (c *Controller) queue(shard *replica.Shard, now time.Time) []*placement.QueueEntry {
 	var q []*placement.QueueEntry
-	for ref, j := range n.view.Unplaced {
-		if n.view.Jobs[ref] != j || j.Record == nil || j.Record.Spec == nil || j.Record.IsFinal() {
-			delete(n.view.Unplaced, ref)
+	for jobID, job := range c.view.Unplaced {
+		if c.view.Jobs[jobID] != job || job.Record == nil || job.Record.Spec == nil || job.Record.IsFinal() {
+			delete(c.view.Unplaced, jobID)
 			continue
 		}
-		trial := j.OnProbation(now)
-		if now.Before(j.NotBefore) || j.Evidence.InBackoff(now) || (trial && j.ProbationRunning()) {
+		trial := job.OnProbation(now)
+		if now.Before(job.NotBefore) || job.Evidence.InBackoff(now) || (trial && job.ProbationRunning()) {
 			continue
 		}
-		queued := slices.Contains(j.Record.Shards, s.Name) || now.Sub(j.SeenAt) > widenAfter
+		queued := slices.Contains(job.Record.Shards, shard.Name) || now.Sub(job.SeenAt) > widenAfter
 		fed := true
-		for i := range j.Chunks {
-			c := j.Claims[i]
-			if c == nil && !queued {
+		for i := range job.Chunks {
+			claim := job.Claims[i]
+			if claim == nil && !queued {
 				fed = false
 				continue
 			}
-			if c == nil {
-				c = n.view.ClaimOf(j, i)
+			if claim == nil {
+				claim = c.view.ClaimOf(job, i)
 			}
-			if c == nil {
+			if claim == nil {
 				fed = false
-				if now.After(j.LeftUntil[i]) {
-					q = append(q, &placement.QueueEntry{Job: j, Chunk: i, Spec: j.Spec(), OnProbation: trial})
+				if now.After(job.LeftUntil[i]) {
+					q = append(q, &placement.QueueEntry{Job: job, Chunk: i, Spec: job.Spec(), OnProbation: trial})
 				}
 				continue
 			}
-			u := &placement.QueueEntry{Job: j, Claim: c, Chunk: i, Spec: j.Spec(), OnProbation: trial}
-			if c.Pending == nil && u.PlaceableTasks() == 0 {
+			entry := &placement.QueueEntry{Job: job, Claim: claim, Chunk: i, Spec: job.Spec(), OnProbation: trial}
+			if claim.Pending == nil && entry.PlaceableTasks() == 0 {
 				continue
 			}
 			fed = false
-			if c.Record != nil && c.Record.Shard == s.Name && c.Pending == nil && !now.Before(c.RetryAt) && (!c.Halted() || len(c.Record.Placements) == 0) {
-				q = append(q, u)
+			if claim.Record != nil && claim.Record.Shard == shard.Name && claim.Pending == nil && !now.Before(claim.RetryAt) && (!claim.Halted() || len(claim.Record.Placements) == 0) {
+				q = append(q, entry)
 			}
 		}
 		if fed {
-			delete(n.view.Unplaced, ref) // until a claim of it changes
+			delete(c.view.Unplaced, jobID) // until a claim of it changes
 		}
 	}
 	slices.SortFunc(q, func(a, b *placement.QueueEntry) int {
@@ -86,23 +86,23 @@
 		}
 		return a.Chunk - b.Chunk
 	})
-	n.prioritizeEntitled(q)
-	n.moveAheadOfTurn(q, now)
+	c.prioritizeEntitled(q)
+	c.moveAheadOfTurn(q, now)
 	return q
 }
 
 // moveAheadOfTurn moves the arrays whose beginning can't wait for its turn to the front of
 // their rank, behind what is within a guarantee. Those of the lowest rank have a share
 // of their own (package leftover).
-func (n *Controller) moveAheadOfTurn(q []*placement.QueueEntry, now time.Time) {
+func (c *Controller) moveAheadOfTurn(queue []*placement.QueueEntry, now time.Time) {
 	some := false
-	for _, u := range q {
-		u.StartsAhead = u.Spec.Shape == protocol.ShapeArray && !placement.IsBestEffort(u.Spec) && u.Chunk == 0 && !u.OnProbation &&
-			placement.StartsAhead(now.Sub(u.Job.QueuedAt()), n.policy.StartAheadAfter, len(u.Job.Claims) > 0)
-		some = some || u.StartsAhead
+	for _, entry := range queue {
+		entry.StartsAhead = entry.Spec.Shape == protocol.ShapeArray && !placement.IsBestEffort(entry.Spec) && entry.Chunk == 0 && !entry.OnProbation &&
+			placement.StartsAhead(now.Sub(entry.Job.QueuedAt()), c.policy.StartAheadAfter, len(entry.Job.Claims) > 0)
+		some = some || entry.StartsAhead
 	}
 	if some {
-		slices.SortStableFunc(q, func(a, b *placement.QueueEntry) int {
+		slices.SortStableFunc(queue, func(a, b *placement.QueueEntry) int {
 			return cmp.Or(cmp.Compare(b.Spec.Priority(), a.Spec.Priority()), cmp.Compare(boolToInt(b.WithinGuarantee), boolToInt(a.WithinGuarantee)), cmp.Compare(boolToInt(b.StartsAhead), boolToInt(a.StartsAhead)))
 		})
 	}
@@ -112,33 +112,33 @@
 // loaded by what runs, what waits there, and what this node has queued there
 // since the shard's latest figure, so that a burst spreads. A shard with room
 // on a machine that holds the image goes first, this node's own before others.
-func (n *Controller) chooseShards(s *protocol.Submission, now time.Time) []string {
+func (c *Controller) chooseShards(spec *protocol.Submission, now time.Time) []string {
 	type scored struct {
 		name  string
 		score float64
 	}
 	var all []scored
-	for _, name := range n.view.ShardNames() {
-		sh := n.view.Shards[name]
-		if sh.Record == nil {
+	for _, name := range c.view.ShardNames() {
+		shard := c.view.Shards[name]
+		if shard.Record == nil {
 			continue
 		}
-		l, ok := n.shardLoads.reported[name]
-		if n.view.IsActive(sh) {
-			l, ok = replica.ReportedLoad{Load: n.shardLoad(sh), At: now}, true
+		reported, ok := c.shardLoads.reported[name]
+		if c.view.IsActive(shard) {
+			reported, ok = replica.ReportedLoad{Load: c.shardLoad(shard), At: now}, true
 		}
 		score := 0.5 // unknown or stale: neither sought nor shunned
-		if ok && now.Sub(l.At) < 5*time.Second {
-			total := max(l.Load.CPUs, 1)
-			score = (l.Load.UsedCPUs + l.Load.QueuedCPUs + n.shardLoads.queuedSince[name]) / total
-			if l.Load.FreeCPUsByImage[s.Image]+tolerance >= s.CPUs {
+		if ok && now.Sub(reported.At) < 5*time.Second {
+			total := max(reported.Load.CPUs, 1)
+			score = (reported.Load.UsedCPUs + reported.Load.QueuedCPUs + c.shardLoads.queuedSince[name]) / total
+			if reported.Load.FreeCPUsByImage[spec.Image]+tolerance >= spec.CPUs {
 				score -= 1
 			}
 		}
-		if n.view.IsActive(sh) {
+		if c.view.IsActive(shard) {
 			score -= 0.05
 		}
-		if _, live := n.view.Nodes[sh.Record.Owner]; !live {
+		if _, live := c.view.Nodes[shard.Record.Owner]; !live {
 			score += 10
 		}
 		all = append(all, scored{name, score})
@@ -153,7 +153,7 @@
 		return 0
 	})
 	var at []string
-	for _, x := range all[:min(len(all), n.policy.Copies)] {
+	for _, x := range all[:min(len(all), c.policy.Copies)] {
 		at = append(at, x.name)
 	}
 	return at
@@ -167,8 +167,8 @@
 )
 
 // placementWaves is how often the placements of a chunk of a job may fill a value.
-func (n *Controller) placementWaves(s *protocol.Submission) int {
-	return max(1, min(maxWaves, int(maxWavesTime/max(n.estimateRuntime(s), time.Second))))
+func (c *Controller) placementWaves(spec *protocol.Submission) int {
+	return max(1, min(maxWaves, int(maxWavesTime/max(c.estimateRuntime(spec), time.Second))))
 }
 
 // chunkSize is how many tasks of a job are claimed together. Gangs, services
@@ -177,22 +177,22 @@
 // chunks as they well can, since each costs its own writes: as many as they have
 // copies, or fewer where a chunk is small beside the shards that may claim it.
 // On small shards a whole array in one of them waited while others had room.
-func (n *Controller) chunkSize(s *protocol.Submission, at []string) int {
+func (c *Controller) chunkSize(spec *protocol.Submission, at []string) int {
 	const maxChunks = 24 // finishing a job compares them all
-	if s.Shape != protocol.ShapeArray || s.SameZone || s.SpreadZones {
-		return s.Tasks
+	if spec.Shape != protocol.ShapeArray || spec.SameZone || spec.SpreadZones {
+		return spec.Tasks
 	}
 	cpus := math.Inf(1)
 	for _, name := range at {
-		cpus = min(cpus, n.shardLoads.reported[name].Load.CPUs)
+		cpus = min(cpus, c.shardLoads.reported[name].Load.CPUs)
 	}
-	small := n.settings.RecordLimits().MaxPlacements()
-	if s.CPUs > 0 {
-		small = int(min(float64(small), cpus/4/s.CPUs))
+	small := c.settings.RecordLimits().MaxPlacements()
+	if spec.CPUs > 0 {
+		small = int(min(float64(small), cpus/4/spec.CPUs))
 	}
 	// A chunk has no more placements at a time than fit a value: 25,000 tasks of 4 s in
 	// two chunks took longer than 400 s beside free room, and where values are small an
 	// array of 350 tasks of 25 s ran 138 of them at a time.
-	parts := min(max(1, n.policy.Copies, (s.Tasks-1)/(n.placementWaves(s)*n.settings.RecordLimits().MaxPlacements())+1), maxChunks)
-	return min(s.Tasks, max(n.policy.TasksPerChunk, (s.Tasks+parts-1)/parts, small))
+	parts := min(max(1, c.policy.Copies, (spec.Tasks-1)/(c.placementWaves(spec)*c.settings.RecordLimits().MaxPlacements())+1), maxChunks)
+	return min(spec.Tasks, max(c.policy.TasksPerChunk, (spec.Tasks+parts-1)/parts, small))
 }
