--- a/internal/coordination/controller/refresh_test.go
+++ b/internal/coordination/controller/refresh_test.go
@@ -22,7 +22,7 @@
 	item       kv.Item
 }
 
-func (l *lossy) Submit(t *kv.Txn)                    { l.txn = t }
+func (l *lossy) Submit(txn *kv.Txn)                  { l.txn = txn }
 func (l *lossy) ObserveVersion(string, uint64, bool) {}
 func (l *lossy) Get(context.Context, string) (kv.Item, error) {
 	if l.unread--; l.unread >= 0 {
@@ -39,29 +39,29 @@
 		synctest.Test(t, func(t *testing.T) {
 			key := records.ClaimKey("wk-1", 0)
 			led := &lossy{unread: 20, item: kv.Item{Key: key, Version: 9, Value: []byte(`{"h":"n0","n":1,"o":[[0,1,"vm-1"]],"a":1}`)}}
-			n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: led, Log: slog.New(slog.DiscardHandler)})
-			c := &replica.Claim{Key: key, JobID: "wk-1", Spec: &protocol.Submission{JobID: "wk-1", Team: "t", CPUs: 2, Shape: protocol.ShapeArray}}
-			n.mu.Lock()
-			n.view.Claims[key] = c
-			n.view.SetPending(c, &records.Claim{Shard: "n0", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}})
+			controller := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: led, Log: slog.New(slog.DiscardHandler)})
+			claim := &replica.Claim{Key: key, JobID: "wk-1", Spec: &protocol.Submission{JobID: "wk-1", Team: "t", CPUs: 2, Shape: protocol.ShapeArray}}
+			controller.mu.Lock()
+			controller.view.Claims[key] = claim
+			controller.view.SetPending(claim, &records.Claim{Shard: "n0", TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: "vm-1"}}})
 			done := time.Time{}
-			n.commit(kv.PriorityArrayClaim, []kv.Compare{{Key: key}}, []kv.Op{{Key: key, Value: c.Pending}}, within, func(error) {
-				n.view.SetPending(c, nil)
+			controller.commit(kv.PriorityArrayClaim, []kv.Compare{{Key: key}}, []kv.Op{{Key: key, Value: claim.Pending}}, within, func(error) {
+				controller.view.SetPending(claim, nil)
 				done = time.Now()
 			})
-			n.mu.Unlock()
+			controller.mu.Unlock()
 			began := time.Now()
 			led.txn.OnResult(kv.Result{Err: kv.ErrCompareFailed, FailedKeys: []string{key}, Revision: 9})
 			time.Sleep(time.Second)
-			n.mu.Lock()
-			if use := n.view.UsedBy("t", "n0"); within == 0 && (use.CPUs != 2 || !done.IsZero()) {
+			controller.mu.Lock()
+			if use := controller.view.UsedBy("t", "n0"); within == 0 && (use.CPUs != 2 || !done.IsZero()) {
 				t.Errorf("uses %v before anybody knows", use)
 			}
-			n.mu.Unlock()
+			controller.mu.Unlock()
 			time.Sleep(time.Minute)
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			if use := n.view.UsedBy("t", "n0"); within == 0 && (use.CPUs != 2 || c.Record == nil) {
+			controller.mu.Lock()
+			defer controller.mu.Unlock()
+			if use := controller.view.UsedBy("t", "n0"); within == 0 && (use.CPUs != 2 || claim.Record == nil) {
 				t.Errorf("uses %v though it was carried out", use)
 			}
 			if within > 0 && done.Sub(began) > 2*time.Second {
--- a/internal/coordination/controller/replies.go
+++ b/internal/coordination/controller/replies.go
@@ -25,22 +25,22 @@
 // when nobody else can. Told at once, a claim committed a moment before by an owner that
 // nobody reaches was known to nobody when an outage followed. Within the time given that
 // is known or the user asks again.
-func (n *Controller) replyStatus(ref string, status int, within time.Duration, reply func(transport.Response)) {
-	a, stamp, final, _ := n.jobStatus(ref)
+func (c *Controller) replyStatus(jobID string, status int, within time.Duration, reply func(transport.Response)) {
+	answer, version, final, _ := c.jobStatus(jobID)
 	if status == 201 && !final {
-		a = protocol.JobStatus{JobID: ref, Phase: protocol.JobPending}
+		answer = protocol.JobStatus{JobID: jobID, Phase: protocol.JobPending}
 	}
-	if a.Phase != protocol.JobCancelled || n.view.Revision >= stamp {
-		reply(jobResponse(status, a))
+	if answer.Phase != protocol.JobCancelled || c.view.Revision >= version {
+		reply(jobResponse(status, answer))
 		return
 	}
-	if now := time.Now(); n.isStateDown(now) {
-		reply(n.retryLater(kv.PriorityUser, now)) // the watch will not come in time
+	if now := time.Now(); c.isStateDown(now) {
+		reply(c.retryLater(kv.PriorityUser, now)) // the watch will not come in time
 		return
 	}
-	n.pendingReplies = append(n.pendingReplies, pendingReply{stamp, time.Now().Add(within), func(known bool) {
+	c.pendingReplies = append(c.pendingReplies, pendingReply{version, time.Now().Add(within), func(known bool) {
 		if known {
-			reply(jobResponse(status, a))
+			reply(jobResponse(status, answer))
 		} else {
 			reply(unavailable(1))
 		}
@@ -49,9 +49,9 @@
 
 // sendPendingReplies gives the answers for which the watch has come far enough, or which can't
 // wait any longer.
-func (n *Controller) sendPendingReplies(now time.Time) {
-	n.pendingReplies = slices.DeleteFunc(n.pendingReplies, func(u pendingReply) bool {
-		known := n.view.Revision >= u.revision
+func (c *Controller) sendPendingReplies(now time.Time) {
+	c.pendingReplies = slices.DeleteFunc(c.pendingReplies, func(u pendingReply) bool {
+		known := c.view.Revision >= u.revision
 		if known || now.After(u.deadline) {
 			u.reply(known)
 			return true
@@ -64,51 +64,51 @@
 // cache suffices; anything else is confirmed by the state service, since
 // another node may have told this user something newer. absent is the answer
 // for a job that was never accepted.
-func (n *Controller) confirmStatus(ref string, within time.Duration, absent func(), reply func(transport.Response)) {
-	_, stamp, final, _ := n.jobStatus(ref)
+func (c *Controller) confirmStatus(jobID string, within time.Duration, absent func(), reply func(transport.Response)) {
+	_, version, final, _ := c.jobStatus(jobID)
 	if final {
-		n.replyStatus(ref, 200, within, reply)
+		c.replyStatus(jobID, 200, within, reply)
 		return
 	}
 	now := time.Now()
 	until := now.Add(within)
 	switch {
-	case !n.view.Loaded:
+	case !c.view.Loaded:
 		reply(unavailable(1))
 		return
-	case n.isStateDown(now):
-		reply(n.retryLater(kv.PriorityUser, now))
+	case c.isStateDown(now):
+		reply(c.retryLater(kv.PriorityUser, now))
 		return
 	}
 	var asked admission.Backlog
-	if asked.Pending, asked.Rate = n.store.ReadBacklog(); asked.ShouldShed(within) {
-		reply(unavailable(int(asked.RetryAfter(n.random.Float64()) / time.Second)))
+	if asked.Pending, asked.Rate = c.store.ReadBacklog(); asked.ShouldShed(within) {
+		reply(unavailable(int(asked.RetryAfter(c.random.Float64()) / time.Second)))
 		return
 	}
-	n.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
+	c.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + jobID, Version: version}}, nil, within, func(err error, revision uint64) {
 		switch {
-		case err == nil && n.isUndecided(ref):
-			n.replyWhenRead(ref, revision, until, reply)
+		case err == nil && c.isUndecided(jobID):
+			c.replyWhenRead(jobID, revision, until, reply)
 		case err == nil:
 			// The cache may have moved on meanwhile, and is at least as new.
-			if _, _, _, found := n.jobStatus(ref); found {
-				n.replyStatus(ref, 200, time.Until(until), reply)
+			if _, _, _, found := c.jobStatus(jobID); found {
+				c.replyStatus(jobID, 200, time.Until(until), reply)
 			} else {
 				absent()
 			}
 		case errors.Is(err, kv.ErrCompareFailed):
 			// The cache has been refreshed from the state service just now.
-			if _, newer, _, found := n.jobStatus(ref); !found || newer == stamp {
+			if _, newer, _, found := c.jobStatus(jobID); !found || newer == version {
 				reply(unavailable(1))
 				return
 			}
-			if n.isUndecided(ref) { // once: a held job's record is written once
-				n.confirmStatus(ref, time.Until(until), absent, reply)
+			if c.isUndecided(jobID) { // once: a held job's record is written once
+				c.confirmStatus(jobID, time.Until(until), absent, reply)
 				return
 			}
-			n.replyStatus(ref, 200, time.Until(until), reply)
+			c.replyStatus(jobID, 200, time.Until(until), reply)
 		default:
-			reply(n.retryLater(kv.PriorityUser, time.Now()))
+			reply(c.retryLater(kv.PriorityUser, time.Now()))
 		}
 	})
 }
--- a/internal/coordination/controller/scalein.go
+++ b/internal/coordination/controller/scalein.go
@@ -12,103 +12,103 @@
 
 // fleetLoop works off the difference between the machines there should be and
 // those there are: owners return what is idle, the leader hires.
-func (n *Controller) fleetLoop(ctx context.Context) {
-	for n.pause(ctx, 700*time.Millisecond+41*time.Nanosecond) {
-		n.mu.Lock()
-		if n.view.Loaded && len(n.view.MachineTypes) > 0 {
+func (c *Controller) fleetLoop(ctx context.Context) {
+	for c.pause(ctx, 700*time.Millisecond+41*time.Nanosecond) {
+		c.mu.Lock()
+		if c.view.Loaded && len(c.view.MachineTypes) > 0 {
 			now := time.Now()
-			for _, name := range n.view.ShardNames() {
-				if s := n.view.Shards[name]; n.view.IsActive(s) {
-					n.scaleIn(s, now)
-					n.consolidate(s, now)
+			for _, name := range c.view.ShardNames() {
+				if shard := c.view.Shards[name]; c.view.IsActive(shard) {
+					c.scaleIn(shard, now)
+					c.consolidate(shard, now)
 				}
 			}
-			if n.isLeader() {
-				n.adoptMachines(now)
-				n.retryProvisions(now)
-				n.scaleOut(now)
-				n.dropGoneGroups()
+			if c.isLeader() {
+				c.adoptMachines(now)
+				c.retryProvisions(now)
+				c.scaleOut(now)
+				c.dropGoneGroups()
 			}
 		}
-		n.mu.Unlock()
+		c.mu.Unlock()
 	}
 }
 
 // scaleIn gives back machines that have had nothing to do for a while and
 // are not part of the warm room, those that never came up, and sick ones.
-func (n *Controller) scaleIn(s *replica.Shard, now time.Time) {
+func (c *Controller) scaleIn(shard *replica.Shard, now time.Time) {
 	held := make(map[string]bool)
 	services := 0.0
-	for c := range s.Claims {
-		if c.Record != nil && c.Spec != nil && c.Spec.Shape == protocol.ShapeService {
-			services += c.Spec.CPUs * float64(len(c.Record.Placements))
+	for claim := range shard.Claims {
+		if claim.Record != nil && claim.Spec != nil && claim.Spec.Shape == protocol.ShapeService {
+			services += claim.Spec.CPUs * float64(len(claim.Record.Placements))
 		}
 	}
-	for _, g := range n.view.GangReservations {
-		if h := g.Holds[s.Name]; h != nil && h.Version != 0 && g.Version != 0 {
-			for host := range h.Record.TasksByHost {
+	for _, reservation := range c.view.GangReservations {
+		if hold := reservation.Holds[shard.Name]; hold != nil && hold.Version != 0 && reservation.Version != 0 {
+			for host := range hold.Record.TasksByHost {
 				held[host] = true // held for a wide job about to start
 			}
 		}
 	}
-	wanted := n.kindsInDemand(s, now)
+	wanted := c.kindsInDemand(shard, now)
 	spare := 0.0
-	rooms := n.capacities(s, now)
-	for _, r := range rooms {
-		if r.Usable && !r.Spot && r.Type.GPUs == 0 {
-			spare += r.Free.CPUs
+	capacities := c.capacities(shard, now)
+	for _, capacity := range capacities {
+		if capacity.Usable && !capacity.Spot && capacity.Type.GPUs == 0 {
+			spare += capacity.Free.CPUs
 		}
 	}
-	keep := services * n.policy.WarmShare
-	for _, m := range s.Machines {
-		if m.Lifecycle.Returning {
+	keep := services * c.policy.WarmShare
+	for _, machine := range shard.Machines {
+		if machine.Lifecycle.Returning {
 			continue
 		}
-		t := n.view.MachineType(m.Record.Type)
-		if m.Agent.Heartbeat == nil {
-			age := m.Age(now)
-			if age > n.provisioner.bootStats.Expired(bootKindOf(m), t.BootTime(), now) && now.Sub(m.AdoptedAt) > t.BootTime()+n.settings.Workers.LeaseDuration {
-				n.log.Info("machine never came up, returned", "host", m.Host, "type", m.Record.Type, "zone", m.Record.Zone, "age", age.Round(time.Second))
-				n.returnMachine(s, m)
+		machineType := c.view.MachineType(machine.Record.Type)
+		if machine.Agent.Heartbeat == nil {
+			age := machine.Age(now)
+			if age > c.provisioner.bootStats.Expired(bootKindOf(machine), machineType.BootTime(), now) && now.Sub(machine.AdoptedAt) > machineType.BootTime()+c.settings.Workers.LeaseDuration {
+				c.log.Info("machine never came up, returned", "host", machine.Host, "type", machine.Record.Type, "zone", machine.Record.Zone, "age", age.Round(time.Second))
+				c.returnMachine(shard, machine)
 			}
 			continue
 		}
-		inDemand := wanted[replica.MachineKind{Type: m.Record.Type, Zone: m.Record.Zone, Spot: m.Record.Spot}] && !m.Quarantine.Active && m.Lifecycle.DrainingSince.IsZero()
-		if len(m.Use.Slots) > 0 || inDemand || held[m.Host] || m.RunsTasks() || now.Sub(m.AdoptedAt) < n.policy.IdleMachineTTL {
-			m.Lifecycle.IdleSince = time.Time{}
+		inDemand := wanted[replica.MachineKind{Type: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot}] && !machine.Quarantine.Active && machine.Lifecycle.DrainingSince.IsZero()
+		if len(machine.Use.Slots) > 0 || inDemand || held[machine.Host] || machine.RunsTasks() || now.Sub(machine.AdoptedAt) < c.policy.IdleMachineTTL {
+			machine.Lifecycle.IdleSince = time.Time{}
 			continue
 		}
-		if m.Lifecycle.IdleSince.IsZero() {
-			m.Lifecycle.IdleSince = now
+		if machine.Lifecycle.IdleSince.IsZero() {
+			machine.Lifecycle.IdleSince = now
 		}
-		if (m.Quarantine.Active && now.Sub(m.Quarantine.ChangedAt) > quarantineGrace) || !m.Lifecycle.DrainingSince.IsZero() {
-			n.returnMachine(s, m)
+		if (machine.Quarantine.Active && now.Sub(machine.Quarantine.ChangedAt) > quarantineGrace) || !machine.Lifecycle.DrainingSince.IsZero() {
+			c.returnMachine(shard, machine)
 			continue
 		}
-		if now.Sub(m.Lifecycle.IdleSince) < n.policy.IdleMachineTTL {
+		if now.Sub(machine.Lifecycle.IdleSince) < c.policy.IdleMachineTTL {
 			continue
 		}
-		if !m.Record.Spot && t.GPUs == 0 {
-			if spare-t.CPUs < keep {
+		if !machine.Record.Spot && machineType.GPUs == 0 {
+			if spare-machineType.CPUs < keep {
 				continue
 			}
-			spare -= t.CPUs
+			spare -= machineType.CPUs
 		}
-		n.log.Info("returning an idle machine", "host", m.Host)
-		n.returnMachine(s, m)
+		c.log.Info("returning an idle machine", "host", machine.Host)
+		c.returnMachine(shard, machine)
 	}
 }
 
 // kindsInDemand tells which kinds of machine the shard's queue could use. While
 // the state service is short of budget, work waits beside idle machines; to
 // return them and hire others just after would be paid twice.
-func (n *Controller) kindsInDemand(s *replica.Shard, now time.Time) map[replica.MachineKind]bool {
+func (c *Controller) kindsInDemand(shard *replica.Shard, now time.Time) map[replica.MachineKind]bool {
 	wanted := make(map[replica.MachineKind]bool)
-	queue := n.queue(s, now)
-	for kind := range s.Kinds {
-		if t := n.view.MachineTypes[kind.Type]; t != nil {
-			wanted[kind] = slices.ContainsFunc(queue, func(u *placement.QueueEntry) bool {
-				return placement.FitsEmpty(u.Spec, t) && placement.Allowed(u.Spec, kind.Type, kind.Zone, kind.Spot) && !n.exceedsLimit(u)
+	queue := c.queue(shard, now)
+	for kind := range shard.Kinds {
+		if machineType := c.view.MachineTypes[kind.Type]; machineType != nil {
+			wanted[kind] = slices.ContainsFunc(queue, func(entry *placement.QueueEntry) bool {
+				return placement.FitsEmpty(entry.Spec, machineType) && placement.Allowed(entry.Spec, kind.Type, kind.Zone, kind.Spot) && !c.exceedsLimit(entry)
 			})
 		}
 	}
--- a/internal/coordination/controller/scaleout.go
+++ b/internal/coordination/controller/scaleout.go
@@ -15,19 +15,19 @@
 )
 
 // scaleOut provisions machines for the work that neither free nor coming capacity can take.
-func (n *Controller) scaleOut(now time.Time) {
-	planner := provisioning.Planner{Market: n.market(now), Supply: n.supply(now)}
-	urgent, arrays := n.demands(now)
+func (c *Controller) scaleOut(now time.Time) {
+	planner := provisioning.Planner{Market: c.market(now), Supply: c.supply(now)}
+	urgent, arrays := c.demands(now)
 	var offers []provisioning.Offer
 	for _, demand := range urgent {
 		offers = append(offers, planner.Fill(demand, math.Inf(1))...)
 	}
 	others, bestEffort := provisioning.SplitBestEffort(arrays)
-	budget, bestEffortBudget := planner.ArrayBudget(others, bestEffort, n.runningLoad(), n.budgetPolicy())
+	budget, bestEffortBudget := planner.ArrayBudget(others, bestEffort, c.runningLoad(), c.budgetPolicy())
 	offers = append(offers, fillArrays(&planner, others, budget)...)
 	offers = append(offers, fillArrays(&planner, bestEffort, bestEffortBudget)...)
-	for _, provision := range n.groupOffers(offers, now) {
-		n.recordProvision(provision)
+	for _, provision := range c.groupOffers(offers, now) {
+		c.recordProvision(provision)
 	}
 }
 
@@ -54,64 +54,64 @@
 // groupOffers makes one request for all machines of a kind, whatever their shards: the
 // rates of the cloud and of the state service are too low for one of each for every
 // machine. It stops at an offer for which there is no shard, without any request.
-func (n *Controller) groupOffers(offers []provisioning.Offer, now time.Time) []*records.Provision {
+func (c *Controller) groupOffers(offers []provisioning.Offer, now time.Time) []*records.Provision {
 	current := make(map[string]*records.Provision)
 	var requests []*records.Provision
 	for _, offer := range offers {
 		shard := offer.Shard
 		if shard == "" {
-			shard = n.smallestShard(offer.Zone, offer.Type.Name)
+			shard = c.smallestShard(offer.Zone, offer.Type.Name)
 		}
 		if shard == "" {
 			return nil
 		}
 		request := current[offer.Key()]
 		if request == nil || request.Count == maxMachinesPerRequest {
-			request = n.newProvision(replica.MachineKind{Type: offer.Type.Name, Zone: offer.Zone, Spot: offer.Spot}, now)
+			request = c.newProvision(replica.MachineKind{Type: offer.Type.Name, Zone: offer.Zone, Spot: offer.Spot}, now)
 			current[offer.Key()] = request
 			requests = append(requests, request)
 			// smallestShard counts it from now on.
-			n.view.Provisions[request.Name] = &replica.Provision{Name: request.Name, Busy: true}
+			c.view.Provisions[request.Name] = &replica.Provision{Name: request.Name, Busy: true}
 		}
 		request.Count++
 		request.Allocate(shard)
-		n.view.Provisions[request.Name].Record = *request
+		c.view.Provisions[request.Name].Record = *request
 	}
 	return requests
 }
 
 // newProvision returns a request for machines of a kind under a name of its own.
-func (n *Controller) newProvision(kind replica.MachineKind, now time.Time) *records.Provision {
-	n.provisioner.requestCount++
-	name := fmt.Sprintf("%s-%d-%d", n.settings.NodeName, n.startedAt.UnixMilli(), n.provisioner.requestCount)
+func (c *Controller) newProvision(kind replica.MachineKind, now time.Time) *records.Provision {
+	c.provisioner.requestCount++
+	name := fmt.Sprintf("%s-%d-%d", c.settings.NodeName, c.startedAt.UnixMilli(), c.provisioner.requestCount)
 	request := protocol.ProvisionRequest{Name: name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot}
 	return &records.Provision{ProvisionRequest: request, RequestedAtMs: now.UnixMilli()}
 }
 
 // market is what can be provisioned now.
-func (n *Controller) market(now time.Time) provisioning.Market {
+func (c *Controller) market(now time.Time) provisioning.Market {
 	machinesByZone := make(map[string]int)
-	for _, shard := range n.view.Shards {
+	for _, shard := range c.view.Shards {
 		for kind, count := range shard.Kinds {
 			machinesByZone[kind.Zone] += count
 		}
 	}
 	return provisioning.Market{
-		Types: n.view.MachineTypes, RefusedUntil: n.provisioner.refusedUntil, MachinesByZone: machinesByZone, Now: now,
-		IsPartitioned: func(zone string) bool { return n.isPartitioned(zone, now) },
-		Unreliability: func(typeName, zone string) float64 { return n.unreliability(typeName, zone, now) },
+		Types: c.view.MachineTypes, RefusedUntil: c.provisioner.refusedUntil, MachinesByZone: machinesByZone, Now: now,
+		IsPartitioned: func(zone string) bool { return c.isPartitioned(zone, now) },
+		Unreliability: func(typeName, zone string) float64 { return c.unreliability(typeName, zone, now) },
 	}
 }
 
-func (n *Controller) budgetPolicy() provisioning.BudgetPolicy {
-	return provisioning.BudgetPolicy{ArrayWait: n.policy.ArrayWait, BestEffortWait: n.policy.BestEffortWait,
-		BestEffortShare: n.policy.BestEffortProvisionShare, WarmShare: n.policy.WarmShare}
+func (c *Controller) budgetPolicy() provisioning.BudgetPolicy {
+	return provisioning.BudgetPolicy{ArrayWait: c.policy.ArrayWait, BestEffortWait: c.policy.BestEffortWait,
+		BestEffortShare: c.policy.BestEffortProvisionShare, WarmShare: c.policy.WarmShare}
 }
 
 // runningLoad is what arrays and services have placed, in all shards.
-func (n *Controller) runningLoad() provisioning.RunningLoad {
+func (c *Controller) runningLoad() provisioning.RunningLoad {
 	var load provisioning.RunningLoad
-	for _, claim := range n.view.Claims {
+	for _, claim := range c.view.Claims {
 		if claim.Record == nil || claim.Spec == nil {
 			continue
 		}
@@ -126,24 +126,24 @@
 }
 
 // supply is the capacity of all machines, there or coming, of every shard.
-func (n *Controller) supply(now time.Time) []*placement.Capacity {
+func (c *Controller) supply(now time.Time) []*placement.Capacity {
 	var supply []*placement.Capacity
-	for _, name := range n.view.ShardNames() {
+	for _, name := range c.view.ShardNames() {
 		// Only the owner sees that a machine fails its tasks. Counted on by the leader, its
 		// capacity would keep what waits for it from getting another machine.
-		excluded := n.shardLoads.reported[name].Load.ExcludedHosts
-		for _, machine := range n.view.Shards[name].Machines {
+		excluded := c.shardLoads.reported[name].Load.ExcludedHosts
+		for _, machine := range c.view.Shards[name].Machines {
 			if slices.Contains(excluded, machine.Host) {
 				continue
 			}
-			if capacity := n.supplyOf(machine, now); capacity != nil {
+			if capacity := c.supplyOf(machine, now); capacity != nil {
 				supply = append(supply, capacity)
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(n.view.Provisions)) {
-		request := n.view.Provisions[name].Record
-		machineType := n.view.MachineTypes[request.Type]
+	for _, name := range slices.Sorted(maps.Keys(c.view.Provisions)) {
+		request := c.view.Provisions[name].Record
+		machineType := c.view.MachineTypes[request.Type]
 		if machineType == nil {
 			continue
 		}
@@ -158,14 +158,14 @@
 }
 
 // supplyOf is the capacity of a machine as it counts for what waits; nil: it does not.
-func (n *Controller) supplyOf(machine *replica.Machine, now time.Time) *placement.Capacity {
-	machineType := n.view.MachineTypes[machine.Record.Type]
+func (c *Controller) supplyOf(machine *replica.Machine, now time.Time) *placement.Capacity {
+	machineType := c.view.MachineTypes[machine.Record.Type]
 	leaving := machine.Lifecycle.Returning || !machine.Agent.PreemptionNoticeAt.IsZero()
-	if machineType == nil || machine.Quarantine.Active || leaving || n.isPartitioned(machine.Record.Zone, now) {
+	if machineType == nil || machine.Quarantine.Active || leaving || c.isPartitioned(machine.Record.Zone, now) {
 		return nil
 	}
 	return &placement.Capacity{Machine: machine, Host: machine.Host, TypeName: machine.Record.Type, Zone: machine.Record.Zone,
-		Spot: machine.Record.Spot, Type: machineType, Shard: machine.Record.Shard, Free: n.view.FreeCapacity(machine)}
+		Spot: machine.Record.Spot, Type: machineType, Shard: machine.Record.Shard, Free: c.view.FreeCapacity(machine)}
 }
 
 // maxDemandTasks bounds the tasks of one chunk that machines are sought for in one pass.
@@ -176,10 +176,10 @@
 
 // demands lists the work without machines, urgent first, and arrays apart: an array may
 // wait a little for running tasks to end.
-func (n *Controller) demands(now time.Time) (urgent, arrays []provisioning.Demand) {
+func (c *Controller) demands(now time.Time) (urgent, arrays []provisioning.Demand) {
 	replicas := 0
 	var service *protocol.Submission
-	for _, job := range n.view.Jobs {
+	for _, job := range c.view.Jobs {
 		if job.Record == nil || job.Record.Spec == nil || job.Record.IsFinal() {
 			continue
 		}
@@ -191,17 +191,17 @@
 			}
 		}
 		if spec.Shape == protocol.ShapeArray {
-			arrays = append(arrays, n.demandsOf(job, now)...)
+			arrays = append(arrays, c.demandsOf(job, now)...)
 		} else {
-			urgent = append(urgent, n.demandsOf(job, now)...)
+			urgent = append(urgent, c.demandsOf(job, now)...)
 		}
 	}
 	provisioning.SortByPriority(urgent)
 	provisioning.SortByPriority(arrays)
-	if service != nil && n.policy.WarmShare > 0 {
-		tasks := int(math.Ceil(float64(replicas)*n.policy.WarmShare)) + warmReserveTasks
-		skip := func(zone string) bool { return n.isPartitioned(zone, now) }
-		urgent = append(urgent, provisioning.WarmReserve(service, tasks, n.settings.Zones, skip)...)
+	if service != nil && c.policy.WarmShare > 0 {
+		tasks := int(math.Ceil(float64(replicas)*c.policy.WarmShare)) + warmReserveTasks
+		skip := func(zone string) bool { return c.isPartitioned(zone, now) }
+		urgent = append(urgent, provisioning.WarmReserve(service, tasks, c.settings.Zones, skip)...)
 	}
 	return urgent, arrays
 }
@@ -216,26 +216,26 @@
 }
 
 // demandsOf lists the chunks of an open job that lack machines.
-func (n *Controller) demandsOf(job *replica.Job, now time.Time) []provisioning.Demand {
+func (c *Controller) demandsOf(job *replica.Job, now time.Time) []provisioning.Demand {
 	if now.Before(job.NotBefore) || job.OnProbation(now) {
 		return nil
 	}
 	spec := job.Spec()
 	allowance := math.MaxInt
-	if n.isLimited(spec) {
+	if c.isLimited(spec) {
 		// No machines for what the team's limit keeps waiting anyway.
-		allowance = n.allowance(spec)
+		allowance = c.allowance(spec)
 	}
 	var demands []provisioning.Demand
 	for chunk := range job.Chunks {
-		entry := placement.QueueEntry{Job: job, Claim: n.view.ClaimOf(job, chunk), Chunk: chunk, Spec: spec}
+		entry := placement.QueueEntry{Job: job, Claim: c.view.ClaimOf(job, chunk), Chunk: chunk, Spec: spec}
 		demand := provisioning.Demand{Spec: spec, Count: min(entry.PlaceableTasks(), allowance, maxDemandTasks),
-			Runtime: n.estimateRuntime(spec), SubmittedAt: job.SubmittedAt()}
+			Runtime: c.estimateRuntime(spec), SubmittedAt: job.SubmittedAt()}
 		if demand.Count <= 0 {
 			continue
 		}
 		if entry.Claim != nil && entry.Claim.Record != nil {
-			demand.Shard, demand.TakenZones = entry.Claim.Record.Shard, n.view.ZonesOf(entry.Claim)
+			demand.Shard, demand.TakenZones = entry.Claim.Record.Shard, c.view.ZonesOf(entry.Claim)
 		}
 		if entry.StartsTogether() && demand.Shard == "" && len(job.Record.Shards) > 0 {
 			demand.Shard = job.Record.Shards[0] // a gang needs its machines side by side
--- a/internal/coordination/controller/users_test.go
+++ b/internal/coordination/controller/users_test.go
@@ -24,7 +24,7 @@
 	err error
 }
 
-func (a *saturatedReads) Submit(t *kv.Txn)            { a.txn = t }
+func (a *saturatedReads) Submit(txn *kv.Txn)          { a.txn = txn }
 func (a *saturatedReads) ReadBacklog() (int, float64) { return 0, 100 }
 func (a *saturatedReads) Get(context.Context, string) (kv.Item, error) {
 	return a.now, a.err
@@ -54,22 +54,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				led := &saturatedReads{now: c.read, err: c.err}
-				n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: led, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1))})
-				n.view.Loaded, n.view.Revision = true, 8
+				controller := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: led, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1))})
+				controller.view.Loaded, controller.view.Revision = true, 8
 				var got transport.Response
-				n.handleQuery("wk-1", func(r transport.Response) { got = r })
-				n.mu.Lock()
-				n.view.Apply(key, &records.Job{Spec: spec, ChunkSize: 1}, 7)
-				n.mu.Unlock()
+				controller.handleQuery("wk-1", func(r transport.Response) { got = r })
+				controller.mu.Lock()
+				controller.view.Apply(key, &records.Job{Spec: spec, ChunkSize: 1}, 7)
+				controller.mu.Unlock()
 				led.txn.OnResult(kv.Result{Err: kv.ErrCompareFailed, FailedKeys: []string{key}, Revision: 8})
 				time.Sleep(5 * time.Second)
-				n.mu.Lock()
-				defer n.mu.Unlock()
-				var a protocol.JobStatus
-				if got.Status == 200 && json.Unmarshal(got.Body, &a) != nil {
+				controller.mu.Lock()
+				defer controller.mu.Unlock()
+				var answer protocol.JobStatus
+				if got.Status == 200 && json.Unmarshal(got.Body, &answer) != nil {
 					t.Fatal("unreadable", got.Body)
 				}
-				if got.Status != c.status || a.Phase != c.phase {
+				if got.Status != c.status || answer.Phase != c.phase {
 					t.Errorf("answered %d %s", got.Status, got.Body)
 				}
 			})
@@ -83,13 +83,13 @@
 // knows of every claim committed before it, or not at all.
 func TestCancelledIsToldOnceItsClaimsAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: &saturatedReads{}, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1))})
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		n.view.Loaded, n.view.Revision = true, 5
+		controller := New(Options{Settings: protocol.Settings{NodeName: "n0"}, Store: &saturatedReads{}, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1))})
+		controller.mu.Lock()
+		defer controller.mu.Unlock()
+		controller.view.Loaded, controller.view.Revision = true, 5
 		answer := func() *transport.Response {
 			r := &transport.Response{}
-			n.replyStatus("wk-1", 201, time.Second, func(got transport.Response) { *r = got })
+			controller.replyStatus("wk-1", 201, time.Second, func(got transport.Response) { *r = got })
 			return r
 		}
 		expect := func(what string, r *transport.Response, status int, phase string) {
@@ -99,23 +99,23 @@
 				t.Errorf("%s: %d %s, wanted %d %s", what, r.Status, r.Body, status, phase)
 			}
 		}
-		n.view.Apply(records.JobPrefix+"wk-1", &records.Job{Spec: &protocol.Submission{JobID: "wk-1", Tasks: 1}, ChunkSize: 1}, 6)
+		controller.view.Apply(records.JobPrefix+"wk-1", &records.Job{Spec: &protocol.Submission{JobID: "wk-1", Tasks: 1}, ChunkSize: 1}, 6)
 		expect("accepted", answer(), 201, protocol.JobPending)
-		n.view.Apply(records.JobPrefix+"wk-1", &records.Job{State: protocol.JobCancelled, Tasks: 1}, 8)
+		controller.view.Apply(records.JobPrefix+"wk-1", &records.Job{State: protocol.JobCancelled, Tasks: 1}, 8)
 		first := answer()
 		expect("the watch is behind", first, 0, "")
 		time.Sleep(500 * time.Millisecond)
 		second := answer()
 		time.Sleep(600 * time.Millisecond)
-		n.sendPendingReplies(time.Now())
+		controller.sendPendingReplies(time.Now())
 		expect("its time is over", first, 503, "")
 		expect("it still has time", second, 0, "")
-		n.view.Revision = 8
-		n.sendPendingReplies(time.Now())
+		controller.view.Revision = 8
+		controller.sendPendingReplies(time.Now())
 		expect("the watch has come as far", second, 201, protocol.JobCancelled)
 		expect("and from then on", answer(), 201, protocol.JobCancelled)
-		if len(n.pendingReplies) != 0 {
-			t.Errorf("%d answers are kept", len(n.pendingReplies))
+		if len(controller.pendingReplies) != 0 {
+			t.Errorf("%d answers are kept", len(controller.pendingReplies))
 		}
 	})
 }
--- a/internal/coordination/controller/versions_test.go
+++ b/internal/coordination/controller/versions_test.go
@@ -24,22 +24,22 @@
 	}
 	kinds := make(map[string]bool)
 	for key, value := range stored {
-		rec := replica.NewRecord(key)
-		if rec == nil {
+		record := replica.NewRecord(key)
+		if record == nil {
 			t.Errorf("%s: of no known kind", key)
 			continue
 		}
 		kinds[key[:2]] = true
-		if err := protocol.Decode(value, rec); err != nil {
+		if err := protocol.Decode(value, record); err != nil {
 			t.Errorf("%s: %v", key, err)
 			continue
 		}
-		again, err := protocol.Encode(rec)
+		again, err := protocol.Encode(record)
 		var was, is any
 		if err != nil || json.Unmarshal(value, &was) != nil || json.Unmarshal(again, &is) != nil || !reflect.DeepEqual(was, is) {
 			t.Errorf("%s: %s, written again %s (%v)", key, value, again, err)
 		}
-		if j, ok := rec.(*records.Job); ok && (j.State == records.JobBlocked || len(j.Dependencies) > 0 || j.ReleasedAtMs != 0) {
+		if j, ok := record.(*records.Job); ok && (j.State == records.JobBlocked || len(j.Dependencies) > 0 || j.ReleasedAtMs != 0) {
 			t.Errorf("%s is taken for one that waits", key)
 		}
 	}
@@ -68,9 +68,9 @@
 // jobs that wait, wait no longer, or were cancelled while they waited.
 func TestProductionReadsPipelines(t *testing.T) {
 	spec := &protocol.Submission{JobID: "wk-7", Shape: protocol.ShapeArray, Tasks: 3, CPUs: 2}
-	read := func(rec *records.Job) *formerJob {
+	read := func(record *records.Job) *formerJob {
 		t.Helper()
-		raw, err := protocol.Encode(rec)
+		raw, err := protocol.Encode(record)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -97,12 +97,12 @@
 // TestNoPipelineBesideOlderVersions: while a live controller does not understand jobs that
 // wait, none is accepted.
 func TestNoPipelineBesideOlderVersions(t *testing.T) {
-	n := &Controller{view: &replica.View{Nodes: map[string]replica.NodeInfo{"n0": {DependencyVersion: dependencyVersion}, "n1": {}}}}
-	if n.allSupportDependencies() {
+	controller := &Controller{view: &replica.View{Nodes: map[string]replica.NodeInfo{"n0": {DependencyVersion: dependencyVersion}, "n1": {}}}}
+	if controller.allSupportDependencies() {
 		t.Error("accepted beside n1, which does not say that it understands them")
 	}
-	n.view.Nodes["n1"] = replica.NodeInfo{DependencyVersion: dependencyVersion}
-	if !n.allSupportDependencies() {
+	controller.view.Nodes["n1"] = replica.NodeInfo{DependencyVersion: dependencyVersion}
+	if !controller.allSupportDependencies() {
 		t.Error("refused though all understand them")
 	}
 	if (&Controller{view: &replica.View{}}).allSupportDependencies() {
--- a/internal/coordination/controller/watch.go
+++ b/internal/coordination/controller/watch.go
@@ -13,38 +13,38 @@
 const watchPause = 90 * time.Millisecond
 
 // watchLoop keeps the cache up to date.
-func (n *Controller) watchLoop(ctx context.Context) {
+func (c *Controller) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		items, epoch, err := n.store.List(ctx)
+		items, epoch, err := c.store.List(ctx)
 		if err != nil {
-			n.log.Info("cannot read the state service", "err", err)
-			n.pause(ctx, 500*time.Millisecond)
+			c.log.Info("cannot read the state service", "err", err)
+			c.pause(ctx, 500*time.Millisecond)
 			continue
 		}
-		n.mu.Lock()
-		n.view.Relist(items, epoch)
-		n.mu.Unlock()
-		n.log.Info("records read", "records", len(items), "epoch", epoch)
+		c.mu.Lock()
+		c.view.Relist(items, epoch)
+		c.mu.Unlock()
+		c.log.Info("records read", "records", len(items), "epoch", epoch)
 		for ctx.Err() == nil {
-			items, upTo, err := n.store.Watch(ctx, epoch, 10*time.Second)
+			items, upTo, err := c.store.Watch(ctx, epoch, 10*time.Second)
 			if errors.Is(err, kv.ErrCompacted) {
-				n.log.Info("watch fell behind, reading anew")
+				c.log.Info("watch fell behind, reading anew")
 				break
 			}
 			if err != nil {
-				n.log.Debug("watch", "err", err)
-				n.pause(ctx, 300*time.Millisecond)
+				c.log.Debug("watch", "err", err)
+				c.pause(ctx, 300*time.Millisecond)
 				continue
 			}
-			n.mu.Lock()
-			for _, it := range items {
-				n.view.ApplyItem(it)
+			c.mu.Lock()
+			for _, item := range items {
+				c.view.ApplyItem(item)
 			}
 			epoch = upTo
-			n.view.ReachRevision(epoch)
-			n.mu.Unlock()
-			n.wake()
-			n.pause(ctx, watchPause)
+			c.view.ReachRevision(epoch)
+			c.mu.Unlock()
+			c.wake()
+			c.pause(ctx, watchPause)
 		}
 	}
 }
--- a/internal/coordination/controller/workloop.go
+++ b/internal/coordination/controller/workloop.go
@@ -26,64 +26,64 @@
 
 // workLoop compares placements with reports and the queue with the room there
 // is, whenever something changed and a few times a second.
-func (n *Controller) workLoop(ctx context.Context) {
+func (c *Controller) workLoop(ctx context.Context) {
 	for {
 		tick := time.NewTimer(passInterval)
 		select {
 		case <-ctx.Done():
 			tick.Stop()
 			return
-		case <-n.wakeUp:
+		case <-c.wakeUp:
 			// What came together is looked at together.
-			n.pause(ctx, batchDelay)
+			c.pause(ctx, batchDelay)
 		case <-tick.C:
-			n.waitWhilePaused(ctx)
+			c.waitWhilePaused(ctx)
 		}
 		tick.Stop()
-		n.mu.Lock()
+		c.mu.Lock()
 		began := time.Now()
-		n.observePause(began)
-		urgent := n.view.Urgent
-		if n.view.Loaded {
-			n.view.Urgent = false
-			n.pass(began)
+		c.observePause(began)
+		urgent := c.view.Urgent
+		if c.view.Loaded {
+			c.view.Urgent = false
+			c.pass(began)
 		}
-		n.mu.Unlock()
-		if !n.pause(ctx, throttle.Pause(time.Since(began), urgent)) {
+		c.mu.Unlock()
+		if !c.pause(ctx, throttle.Pause(time.Since(began), urgent)) {
 			return
 		}
 	}
 }
 
-func (n *Controller) pass(now time.Time) {
-	n.expirePreemptions(now)
-	n.propagateUrgency(now)
-	for _, name := range n.view.ShardNames() {
-		s := n.view.Shards[name]
-		if !n.view.IsActive(s) {
+func (c *Controller) pass(now time.Time) {
+	c.expirePreemptions(now)
+	c.propagateUrgency(now)
+	for _, name := range c.view.ShardNames() {
+		shard := c.view.Shards[name]
+		if !c.view.IsActive(shard) {
 			continue
 		}
-		if now.Sub(s.SweptAt) > sweepInterval {
-			n.view.MarkAllDirty(s)
+		if now.Sub(shard.SweptAt) > sweepInterval {
+			c.view.MarkAllDirty(shard)
 		}
-		n.reconcileClaims(s, now)
-		n.holdForGangs(s, now)
+		c.reconcileClaims(shard, now)
+		c.holdForGangs(shard, now)
 		// Nothing has changed: the queue would only find what it found before.
-		if s.Changed || now.Sub(s.ScheduledAt) >= passInterval {
-			s.Changed, s.ScheduledAt = false, now
-			n.scheduleShard(s, now)
+		if shard.Changed || now.Sub(shard.ScheduledAt) >= passInterval {
+			shard.Changed, shard.ScheduledAt = false, now
+			c.scheduleShard(shard, now)
 		}
 	}
-	if n.isLeader() {
-		n.reserveForGangs(now)
+	if c.isLeader() {
+		c.reserveForGangs(now)
 	}
-	n.transferAllotments(now)
-	n.releaseReservations(now)
-	if len(n.claimIntents)+len(n.preemptions.intents) > 0 {
-		n.broadcast(n.ctx, protocol.PeerMessage{From: n.settings.NodeName, StateReachable: true, ClaimIntents: n.claimIntents, PreemptionIntents: n.preemptions.intents})
-		n.claimIntents, n.preemptions.intents = nil, nil
+	c.transferAllotments(now)
+	c.releaseReservations(now)
+	if len(c.claimIntents)+len(c.preemptions.intents) > 0 {
+		c.broadcast(c.ctx, protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, ClaimIntents: c.claimIntents, PreemptionIntents: c.preemptions.intents})
+		c.claimIntents, c.preemptions.intents = nil, nil
 	}
-	n.readOrphanJobs(now)
+	c.readOrphanJobs(now)
 }
 
 // maxJobReads bounds how many jobs are read in one go.
@@ -94,53 +94,53 @@
 // at a time. When each had its own, some seven thousand waited for the request
 // budget on a bad day, until the process ended for memory, and the watch behind
 // them was so late that cancelled tasks ran on.
-func (n *Controller) readOrphanJobs(now time.Time) {
-	if n.readingOrphans || len(n.view.OrphanClaims) == 0 {
+func (c *Controller) readOrphanJobs(now time.Time) {
+	if c.readingOrphans || len(c.view.OrphanClaims) == 0 {
 		return
 	}
-	var refs []string
-	for _, ref := range slices.Sorted(maps.Keys(n.view.OrphanClaims)) {
+	var jobIDs []string
+	for _, jobID := range slices.Sorted(maps.Keys(c.view.OrphanClaims)) {
 		due := true
-		for _, c := range n.view.OrphanClaims[ref] {
-			due = due && c.RetryAt.Before(now)
+		for _, claim := range c.view.OrphanClaims[jobID] {
+			due = due && claim.RetryAt.Before(now)
 		}
-		if due && len(refs) < maxJobReads {
-			refs = append(refs, ref)
+		if due && len(jobIDs) < maxJobReads {
+			jobIDs = append(jobIDs, jobID)
 		}
 	}
-	if len(refs) == 0 {
+	if len(jobIDs) == 0 {
 		return
 	}
-	n.readingOrphans = true
-	ctx := n.ctx
+	c.readingOrphans = true
+	ctx := c.ctx
 	go func() {
-		for _, ref := range refs {
+		for _, jobID := range jobIDs {
 			ctx, cancel := context.WithTimeout(ctx, jobReadTimeout)
-			it, err := n.store.Get(ctx, records.JobPrefix+ref)
+			item, err := c.store.Get(ctx, records.JobPrefix+jobID)
 			cancel()
-			n.mu.Lock()
-			n.applyOrphanJob(ref, it, err)
-			n.mu.Unlock()
+			c.mu.Lock()
+			c.applyOrphanJob(jobID, item, err)
+			c.mu.Unlock()
 			if err != nil {
 				break // the others would wait as vainly
 			}
 		}
-		n.mu.Lock()
-		n.readingOrphans = false
-		n.mu.Unlock()
+		c.mu.Lock()
+		c.readingOrphans = false
+		c.mu.Unlock()
 	}()
 }
 
 const jobReadTimeout = 2 * time.Second
 
-func (n *Controller) applyOrphanJob(ref string, it kv.Item, err error) {
-	for _, c := range n.view.OrphanClaims[ref] {
-		c.RetryAt = time.Now().Add(time.Second)
+func (c *Controller) applyOrphanJob(jobID string, item kv.Item, err error) {
+	for _, claim := range c.view.OrphanClaims[jobID] {
+		claim.RetryAt = time.Now().Add(time.Second)
 	}
-	if err != nil || it.Value == nil || !n.view.HasClaims(ref) || n.view.Jobs[ref] != nil {
+	if err != nil || item.Value == nil || !c.view.HasClaims(jobID) || c.view.Jobs[jobID] != nil {
 		return
 	}
-	delete(n.view.FinalJobs, ref)
-	delete(n.view.Versions, it.Key)
-	n.view.ApplyItem(it)
+	delete(c.view.FinalJobs, jobID)
+	delete(c.view.Versions, item.Key)
+	c.view.ApplyItem(item)
 }
--- a/internal/coordination/replica/claim.go
+++ b/internal/coordination/replica/claim.go
@@ -27,8 +27,8 @@
 // though their end may be recorded later.
 func (c *Claim) OccupyingCount() int {
 	count := 0
-	for _, p := range c.Slots {
-		if p.Host.Machine == nil || !p.Exited(p.Host.Machine) {
+	for _, slot := range c.Slots {
+		if slot.Host.Machine == nil || !slot.Exited(slot.Host.Machine) {
 			count++
 		}
 	}
@@ -53,8 +53,8 @@
 
 // TaskName is the name of a placement's task.
 func (c *Claim) TaskName(p *records.Placement) string {
-	if pl := c.Slots[SlotKey{p.Task, p.Host}]; pl != nil {
-		return pl.TaskName
+	if slot := c.Slots[SlotKey{p.Task, p.Host}]; slot != nil {
+		return slot.TaskName
 	}
 	return protocol.TaskName(c.JobID, p.Task)
 }
--- a/internal/coordination/replica/cluster.go
+++ b/internal/coordination/replica/cluster.go
@@ -21,15 +21,15 @@
 	At   time.Time
 }
 
-func (v *View) ApplyNode(name string, r *records.Node, stamp uint64) {
-	if r == nil {
+func (v *View) ApplyNode(name string, record *records.Node, version uint64) {
+	if record == nil {
 		delete(v.Nodes, name)
 	} else {
 		seen := v.Nodes[name]
 		if seen.Version == 0 {
 			seen.Since = time.Now()
 		}
-		seen.Version, seen.QuotaVersion, seen.TeamsHash, seen.DependencyVersion = stamp, r.QuotaVersion, r.TeamsHash, r.DependencyVersion
+		seen.Version, seen.QuotaVersion, seen.TeamsHash, seen.DependencyVersion = version, record.QuotaVersion, record.TeamsHash, record.DependencyVersion
 		v.Nodes[name] = seen
 	}
 	v.observer.NodesChanged()
--- a/internal/coordination/replica/gangs.go
+++ b/internal/coordination/replica/gangs.go
@@ -27,35 +27,35 @@
 	Pending map[string]int // what is being recorded as held
 }
 
-func (v *View) GangReservation(ref string) *GangReservation {
-	g := v.GangReservations[ref]
-	if g == nil {
-		g = &GangReservation{Holds: make(map[string]*GangHold)}
-		v.GangReservations[ref] = g
+func (v *View) GangReservation(jobID string) *GangReservation {
+	reservation := v.GangReservations[jobID]
+	if reservation == nil {
+		reservation = &GangReservation{Holds: make(map[string]*GangHold)}
+		v.GangReservations[jobID] = reservation
 	}
-	return g
+	return reservation
 }
 
-func (v *View) ApplyGangReservation(ref string, r *records.GangReservation, stamp uint64) {
-	g := v.GangReservation(ref)
-	if r == nil {
+func (v *View) ApplyGangReservation(jobID string, record *records.GangReservation, version uint64) {
+	reservation := v.GangReservation(jobID)
+	if record == nil {
 		// Gone with its purpose, or with the leader's lease.
-		g.Version, g.RetryAt = 0, time.Now().Add(gangRetryPause)
+		reservation.Version, reservation.RetryAt = 0, time.Now().Add(gangRetryPause)
 		return
 	}
-	g.Record, g.Version = *r, stamp
+	reservation.Record, reservation.Version = *record, version
 }
 
-func (v *View) ApplyGangHold(key string, r *records.GangHold, stamp uint64) {
-	ref, shard, _ := strings.Cut(key, "/")
-	g := v.GangReservation(ref)
-	h := g.Holds[shard]
-	if h == nil {
-		h = &GangHold{}
-		g.Holds[shard] = h
+func (v *View) ApplyGangHold(key string, record *records.GangHold, version uint64) {
+	jobID, shard, _ := strings.Cut(key, "/")
+	reservation := v.GangReservation(jobID)
+	hold := reservation.Holds[shard]
+	if hold == nil {
+		hold = &GangHold{}
+		reservation.Holds[shard] = hold
 	}
-	h.Record, h.Version = records.GangHold{}, 0
-	if r != nil {
-		h.Record, h.Version = *r, stamp
+	hold.Record, hold.Version = records.GangHold{}, 0
+	if record != nil {
+		hold.Record, hold.Version = *record, version
 	}
 }
--- a/internal/coordination/replica/images.go
+++ b/internal/coordination/replica/images.go
@@ -17,29 +17,29 @@
 	return int(h.Sum32() % ImageParts)
 }
 
-func ImagesOfPart(s *Shard, part, limit int) *records.ImageLocations {
+func ImagesOfPart(shard *Shard, part, limit int) *records.ImageLocations {
 	rec := &records.ImageLocations{Hosts: make(map[string][]int)}
 	index := make(map[string]int)
 	size := 64
-	for _, m := range s.Machines {
-		if len(m.Images) == 0 || imagePart(m.Host) != part {
+	for _, machine := range shard.Machines {
+		if len(machine.Images) == 0 || imagePart(machine.Host) != part {
 			continue
 		}
 		var list []int
-		for _, u := range m.Images {
-			i, ok := index[u.Name]
+		for _, cached := range machine.Images {
+			i, ok := index[cached.Name]
 			if !ok {
 				i = len(rec.Names)
-				index[u.Name] = i
-				rec.Names, rec.SizesGB = append(rec.Names, u.Name), append(rec.SizesGB, u.SizeGB)
-				size += len(u.Name) + 30
+				index[cached.Name] = i
+				rec.Names, rec.SizesGB = append(rec.Names, cached.Name), append(rec.SizesGB, cached.SizeGB)
+				size += len(cached.Name) + 30
 			}
 			list = append(list, i)
 		}
-		if size += len(m.Host) + 6 + 4*len(list); size > limit {
+		if size += len(machine.Host) + 6 + 4*len(list); size > limit {
 			break
 		}
-		rec.Hosts[m.Host] = list
+		rec.Hosts[machine.Host] = list
 	}
 	return rec
 }
@@ -63,28 +63,28 @@
 }
 
 // ApplyImages tells machines what they hold, unless this process knows better.
-func (v *View) ApplyImages(key string, r *records.ImageLocations) {
-	if r == nil {
+func (v *View) ApplyImages(key string, record *records.ImageLocations) {
+	if record == nil {
 		return
 	}
-	v.ImageRecords[key] = r
-	for host := range r.Hosts {
-		if m := v.Machines[host]; m != nil {
-			v.recallImages(m)
+	v.ImageRecords[key] = record
+	for host := range record.Hosts {
+		if machine := v.Machines[host]; machine != nil {
+			v.recallImages(machine)
 		}
 	}
 }
 
 // recallImages looks a machine's images up in the records.
-func (v *View) recallImages(m *Machine) {
-	r := v.ImageRecords[records.ImagePrefix+m.Record.Shard+"/"+strconv.Itoa(imagePart(m.Host))]
-	if r == nil || m.Record.State != "" || v.Shard(m.Record.Shard).FencingToken != 0 {
+func (v *View) recallImages(machine *Machine) {
+	record := v.ImageRecords[records.ImagePrefix+machine.Record.Shard+"/"+strconv.Itoa(imagePart(machine.Host))]
+	if record == nil || machine.Record.State != "" || v.Shard(machine.Record.Shard).FencingToken != 0 {
 		return
 	}
-	m.Images = m.Images[:0]
-	for _, i := range r.Hosts[m.Host] {
-		if i >= 0 && i < len(r.Names) && i < len(r.SizesGB) {
-			m.Images = append(m.Images, records.CachedImage{Name: r.Names[i], SizeGB: r.SizesGB[i]})
+	machine.Images = machine.Images[:0]
+	for _, i := range record.Hosts[machine.Host] {
+		if i >= 0 && i < len(record.Names) && i < len(record.SizesGB) {
+			machine.Images = append(machine.Images, records.CachedImage{Name: record.Names[i], SizeGB: record.SizesGB[i]})
 		}
 	}
 }
--- a/internal/coordination/replica/index.go
+++ b/internal/coordination/replica/index.go
@@ -26,9 +26,9 @@
 }
 
 // Exited tells that the machine reports the task as ended, whether that is recorded or not.
-func (p *Slot) Exited(m *Machine) bool {
-	t := m.Agent.Tasks[p.TaskName]
-	return t != nil && t.Attempt == p.Attempt && t.Phase == protocol.TaskExited
+func (p *Slot) Exited(machine *Machine) bool {
+	status := machine.Agent.Tasks[p.TaskName]
+	return status != nil && status.Attempt == p.Attempt && status.Phase == protocol.TaskExited
 }
 
 // SlotKey tells a claim's places apart.
@@ -76,159 +76,159 @@
 // Reindex brings the indexes in line with a claim. It is called after every
 // change of the claim's record, of the version being committed, of its job's
 // description, and of whether the claim is there at all.
-func (v *View) Reindex(c *Claim) {
-	c.generation++
-	live := v.Claims[c.Key] == c
-	if live {
-		if c.Slots == nil {
-			c.Slots = make(map[SlotKey]*Slot)
+func (v *View) Reindex(claim *Claim) {
+	claim.generation++
+	exists := v.Claims[claim.Key] == claim
+	if exists {
+		if claim.Slots == nil {
+			claim.Slots = make(map[SlotKey]*Slot)
 		}
-		for _, rec := range [2]*records.Claim{c.Record, c.Pending} {
-			if rec != nil {
-				for i := range rec.Placements {
-					v.enterSlot(c, &rec.Placements[i])
+		for _, record := range [2]*records.Claim{claim.Record, claim.Pending} {
+			if record != nil {
+				for i := range record.Placements {
+					v.enterSlot(claim, &record.Placements[i])
 				}
 			}
 		}
 	}
-	for id, p := range c.Slots {
-		if p.generation == c.generation {
+	for id, slot := range claim.Slots {
+		if slot.generation == claim.generation {
 			continue
 		}
-		delete(c.Slots, id)
-		delete(c.PreemptedFor, id)
-		if p.Host.Slots[p.TaskName] == p { // else another try of the same claim has put its own there
-			delete(p.Host.Slots, p.TaskName)
+		delete(claim.Slots, id)
+		delete(claim.PreemptedFor, id)
+		if slot.Host.Slots[slot.TaskName] == slot { // else another try of the same claim has put its own there
+			delete(slot.Host.Slots, slot.TaskName)
 		}
-		p.Host.Invalidate()
-		if len(p.Host.Slots) == 0 && p.Host.Machine == nil {
-			delete(v.Hosts, p.Host.Name)
+		slot.Host.Invalidate()
+		if len(slot.Host.Slots) == 0 && slot.Host.Machine == nil {
+			delete(v.Hosts, slot.Host.Name)
 		}
 	}
-	v.updateTally(c, live)
-	if j := v.Jobs[c.JobID]; j != nil {
-		v.Unplaced[c.JobID] = j
+	v.updateTally(claim, exists)
+	if job := v.Jobs[claim.JobID]; job != nil {
+		v.Unplaced[claim.JobID] = job
 	}
-	if rec := c.Latest(); c.Spec != nil && c.Spec.Shape != protocol.ShapeArray && rec != nil && rec.TaskCount > rec.CompletedCount()+len(rec.Placements) {
+	if record := claim.Latest(); claim.Spec != nil && claim.Spec.Shape != protocol.ShapeArray && record != nil && record.TaskCount > record.CompletedCount()+len(record.Placements) {
 		v.Urgent = true // tasks of it wait
 	}
-	if live {
-		v.MarkDirty(c)
+	if exists {
+		v.MarkDirty(claim)
 	}
 }
 
-func (v *View) enterSlot(c *Claim, p *records.Placement) {
+func (v *View) enterSlot(claim *Claim, p *records.Placement) {
 	id := SlotKey{p.Task, p.Host}
-	pl := c.Slots[id]
-	if pl == nil {
-		pl = &Slot{Claim: c, Task: p.Task, TaskName: protocol.TaskName(c.JobID, p.Task), Host: v.HostUse(p.Host)}
-		c.Slots[id] = pl
-		pl.Host.Slots[pl.TaskName] = pl
-		pl.Host.Invalidate()
-	}
-	if pl.Attempt != p.Attempt || c.specChanged {
-		pl.Attempt = p.Attempt
-		pl.Host.Invalidate()
-	}
-	pl.generation = c.generation
+	slot := claim.Slots[id]
+	if slot == nil {
+		slot = &Slot{Claim: claim, Task: p.Task, TaskName: protocol.TaskName(claim.JobID, p.Task), Host: v.HostUse(p.Host)}
+		claim.Slots[id] = slot
+		slot.Host.Slots[slot.TaskName] = slot
+		slot.Host.Invalidate()
+	}
+	if slot.Attempt != p.Attempt || claim.specChanged {
+		slot.Attempt = p.Attempt
+		slot.Host.Invalidate()
+	}
+	slot.generation = claim.generation
 }
 
 // updateTally puts a claim's present share into the sums in place of its earlier.
-func (v *View) updateTally(c *Claim, live bool) {
-	c.specChanged = false
-	if c.Tally.Counted {
-		v.UseByShard[c.Tally.Key] = v.UseByShard[c.Tally.Key].Difference(c.Tally.Use)
-		v.UseByTeam[c.Tally.Key.Team] = v.UseByTeam[c.Tally.Key.Team].Difference(c.Tally.Use)
-		v.CommittedUse[c.Tally.Key.Team] = v.CommittedUse[c.Tally.Key.Team].Minus(c.Tally.Committed)
-		if c.Tally.Permanent {
-			v.ServiceUse[c.Tally.Key.Team] = v.ServiceUse[c.Tally.Key.Team].Minus(c.Tally.Use)
+func (v *View) updateTally(claim *Claim, exists bool) {
+	claim.specChanged = false
+	if claim.Tally.Counted {
+		v.UseByShard[claim.Tally.Key] = v.UseByShard[claim.Tally.Key].Difference(claim.Tally.Use)
+		v.UseByTeam[claim.Tally.Key.Team] = v.UseByTeam[claim.Tally.Key.Team].Difference(claim.Tally.Use)
+		v.CommittedUse[claim.Tally.Key.Team] = v.CommittedUse[claim.Tally.Key.Team].Minus(claim.Tally.Committed)
+		if claim.Tally.Permanent {
+			v.ServiceUse[claim.Tally.Key.Team] = v.ServiceUse[claim.Tally.Key.Team].Minus(claim.Tally.Use)
 		}
 	}
-	c.Tally = Tally{}
-	rec := c.Record
-	if rec == nil {
-		rec = c.Pending
+	claim.Tally = Tally{}
+	record := claim.Record
+	if record == nil {
+		record = claim.Pending
 	}
 	shard, wide := "", false
-	if live && rec != nil {
-		shard, wide = rec.Shard, rec.Shard == ""
-		if c.Spec != nil {
+	if exists && record != nil {
+		shard, wide = record.Shard, record.Shard == ""
+		if claim.Spec != nil {
 			// Of a version being committed and the committed one the larger counts: what
 			// is on its way up may be there, what is on its way down may stay.
-			c.Tally = Tally{TeamShard{c.Spec.Team, rec.Shard}, TaskResources(c.Spec).Times(float64(c.ReservedCount())), true, c.Spec.Shape == protocol.ShapeService, TaskResources(c.Spec).Times(float64(c.CommittedCount()))}
-			v.CommittedUse[c.Spec.Team] = v.CommittedUse[c.Spec.Team].Plus(c.Tally.Committed)
-			if c.Tally.Permanent {
-				v.ServiceUse[c.Spec.Team] = v.ServiceUse[c.Spec.Team].Plus(c.Tally.Use)
+			claim.Tally = Tally{TeamShard{claim.Spec.Team, record.Shard}, TaskResources(claim.Spec).Times(float64(claim.ReservedCount())), true, claim.Spec.Shape == protocol.ShapeService, TaskResources(claim.Spec).Times(float64(claim.CommittedCount()))}
+			v.CommittedUse[claim.Spec.Team] = v.CommittedUse[claim.Spec.Team].Plus(claim.Tally.Committed)
+			if claim.Tally.Permanent {
+				v.ServiceUse[claim.Spec.Team] = v.ServiceUse[claim.Spec.Team].Plus(claim.Tally.Use)
 			}
-			v.UseByShard[c.Tally.Key] = v.UseByShard[c.Tally.Key].Plus(c.Tally.Use)
-			v.UseByTeam[c.Tally.Key.Team] = v.UseByTeam[c.Tally.Key.Team].Plus(c.Tally.Use)
+			v.UseByShard[claim.Tally.Key] = v.UseByShard[claim.Tally.Key].Plus(claim.Tally.Use)
+			v.UseByTeam[claim.Tally.Key.Team] = v.UseByTeam[claim.Tally.Key.Team].Plus(claim.Tally.Use)
 		}
 	}
-	if c.Shard != shard {
-		if s := v.Shards[c.Shard]; s != nil {
-			delete(s.Claims, c)
-			delete(s.Dirty, c)
+	if claim.Shard != shard {
+		if s := v.Shards[claim.Shard]; s != nil {
+			delete(s.Claims, claim)
+			delete(s.Dirty, claim)
 		}
 		if shard != "" {
-			v.Shard(shard).Claims[c] = struct{}{}
+			v.Shard(shard).Claims[claim] = struct{}{}
 		}
-		c.Shard = shard
+		claim.Shard = shard
 	}
 	if wide {
-		v.CrossShardClaims[c] = struct{}{}
+		v.CrossShardClaims[claim] = struct{}{}
 	} else {
-		delete(v.CrossShardClaims, c)
+		delete(v.CrossShardClaims, claim)
 	}
-	if !live {
+	if !exists {
 		for _, s := range v.Shards {
-			delete(s.Dirty, c)
+			delete(s.Dirty, claim)
 		}
 	}
 }
 
 // MarkDirty has a claim looked at in the next pass.
-func (v *View) MarkDirty(c *Claim) {
-	if c.Shard != "" {
-		s := v.Shard(c.Shard)
-		s.Dirty[c] = struct{}{}
-		s.Changed = true
+func (v *View) MarkDirty(claim *Claim) {
+	if claim.Shard != "" {
+		shard := v.Shard(claim.Shard)
+		shard.Dirty[claim] = struct{}{}
+		shard.Changed = true
 		return
 	}
-	if _, wide := v.CrossShardClaims[c]; wide {
-		for _, s := range v.Shards {
-			s.Dirty[c], s.Changed = struct{}{}, true
+	if _, wide := v.CrossShardClaims[claim]; wide {
+		for _, shard := range v.Shards {
+			shard.Dirty[claim], shard.Changed = struct{}{}, true
 		}
 	}
 }
 
 // MarkAllDirty has all of a shard's claims looked at.
-func (v *View) MarkAllDirty(s *Shard) {
-	for c := range s.Claims {
-		v.MarkDirty(c)
+func (v *View) MarkAllDirty(shard *Shard) {
+	for claim := range shard.Claims {
+		v.MarkDirty(claim)
 	}
-	for c := range v.CrossShardClaims {
-		v.MarkDirty(c)
+	for claim := range v.CrossShardClaims {
+		v.MarkDirty(claim)
 	}
-	s.SweptAt, s.Changed = time.Now(), true
+	shard.SweptAt, shard.Changed = time.Now(), true
 }
 
 // TakeDirtyClaims takes the claims of a shard that are to be looked at now, in
 // the order of their keys. Those whose time has not come stay marked.
-func (v *View) TakeDirtyClaims(s *Shard, now time.Time) []*Claim {
+func (v *View) TakeDirtyClaims(shard *Shard, now time.Time) []*Claim {
 	var out []*Claim
-	for c := range s.Dirty {
-		if v.Claims[c.Key] != c || (c.Shard != "" && c.Shard != s.Name) {
-			delete(s.Dirty, c)
+	for claim := range shard.Dirty {
+		if v.Claims[claim.Key] != claim || (claim.Shard != "" && claim.Shard != shard.Name) {
+			delete(shard.Dirty, claim)
 			continue
 		}
-		if now.Before(c.RetryAt) || now.Before(c.CheckAt) {
+		if now.Before(claim.RetryAt) || now.Before(claim.CheckAt) {
 			continue
 		}
-		delete(s.Dirty, c)
-		if c.Shard == "" && !v.TouchesShard(c, s.Name) {
+		delete(shard.Dirty, claim)
+		if claim.Shard == "" && !v.TouchesShard(claim, shard.Name) {
 			continue
 		}
-		out = append(out, c)
+		out = append(out, claim)
 	}
 	slices.SortFunc(out, func(a, b *Claim) int { return strings.Compare(a.Key, b.Key) })
 	return out
--- a/internal/coordination/replica/job.go
+++ b/internal/coordination/replica/job.go
@@ -16,8 +16,8 @@
 
 // ProbationRunning tells that the trial of a job is under way.
 func (j *Job) ProbationRunning() bool {
-	for _, c := range j.Claims {
-		if rec := c.Latest(); rec != nil && len(rec.Placements) > 0 {
+	for _, claim := range j.Claims {
+		if record := claim.Latest(); record != nil && len(record.Placements) > 0 {
 			return true
 		}
 	}
@@ -85,10 +85,10 @@
 
 // Progress tells how many tasks of a job are done and running, for display.
 func (j *Job) Progress() (done, running int) {
-	for _, c := range j.Claims {
-		if c.Record != nil {
-			done += c.Record.CompletedCount()
-			running += len(c.Record.Placements)
+	for _, claim := range j.Claims {
+		if claim.Record != nil {
+			done += claim.Record.CompletedCount()
+			running += len(claim.Record.Placements)
 		}
 	}
 	return done, running
--- a/internal/coordination/replica/jobs.go
+++ b/internal/coordination/replica/jobs.go
@@ -9,20 +9,20 @@
 )
 
 // IsCancelled tells that a job's cancellation is committed.
-func (v *View) IsCancelled(ref string) bool {
-	if j := v.Jobs[ref]; j != nil && j.Record != nil {
-		return j.Record.State == protocol.JobCancelled
+func (v *View) IsCancelled(jobID string) bool {
+	if job := v.Jobs[jobID]; job != nil && job.Record != nil {
+		return job.Record.State == protocol.JobCancelled
 	}
-	return v.FinalJobs[ref].State == protocol.JobCancelled
+	return v.FinalJobs[jobID].State == protocol.JobCancelled
 }
 
 // JobState is what the cache says of a job that does not wait for others.
-func (v *View) JobState(ref string) dag.State {
-	if f, ok := v.FinalJobs[ref]; ok {
+func (v *View) JobState(jobID string) dag.State {
+	if f, ok := v.FinalJobs[jobID]; ok {
 		return dependencyState(f.State)
 	}
-	if j := v.Jobs[ref]; j != nil && j.Record != nil {
-		return dependencyState(j.Record.State)
+	if job := v.Jobs[jobID]; job != nil && job.Record != nil {
+		return dependencyState(job.Record.State)
 	}
 	return dag.Unknown
 }
@@ -39,85 +39,85 @@
 
 // ApplyBlockedJob takes a version of a job's record into the graph, and tells whether that is
 // all: a job that waits is nowhere else.
-func (v *View) ApplyBlockedJob(ref string, r *records.Job, stamp uint64) bool {
-	if r.State != records.JobBlocked {
-		v.Dependencies.ObserveState(ref, dependencyState(r.State), time.Now())
+func (v *View) ApplyBlockedJob(jobID string, record *records.Job, version uint64) bool {
+	if record.State != records.JobBlocked {
+		v.Dependencies.ObserveState(jobID, dependencyState(record.State), time.Now())
 		return false
 	}
-	if r.Spec == nil {
-		v.log.Error("held job without a description", "job", ref)
+	if record.Spec == nil {
+		v.log.Error("held job without a description", "job", jobID)
 		return true
 	}
-	v.Dependencies.Add(dag.Job{ID: ref, Dependencies: r.Dependencies, Spec: r.Spec, AcceptedAt: time.UnixMilli(r.AcceptedAtMs), Revision: stamp}, time.Now())
+	v.Dependencies.Add(dag.Job{ID: jobID, Dependencies: record.Dependencies, Spec: record.Spec, AcceptedAt: time.UnixMilli(record.AcceptedAtMs), Revision: version}, time.Now())
 	return true
 }
 
-func (v *View) ApplyJob(ref string, r *records.Job, stamp uint64) {
-	j := v.Jobs[ref]
-	if r == nil {
+func (v *View) ApplyJob(jobID string, record *records.Job, version uint64) {
+	job := v.Jobs[jobID]
+	if record == nil {
 		return // job records are kept for ever
 	}
-	if v.ApplyBlockedJob(ref, r, stamp) {
+	if v.ApplyBlockedJob(jobID, record, version) {
 		return
 	}
-	if j == nil {
-		if r.IsFinal() && !v.HasClaims(ref) && !v.mayHaveClaims(r, stamp) {
-			v.rememberFinal(ref, r, stamp)
+	if job == nil {
+		if record.IsFinal() && !v.HasClaims(jobID) && !v.mayHaveClaims(record, version) {
+			v.rememberFinal(jobID, record, version)
 			return
 		}
-		j = &Job{ID: ref, Claims: make(map[int]*Claim), SeenAt: time.Now(), LeftUntil: make(map[int]time.Time)}
-		v.Jobs[ref] = j
-		if r.Spec != nil && r.Spec.GPUs > 0 && !r.IsFinal() {
-			v.GPUJobSeenAt = j.SeenAt
+		job = &Job{ID: jobID, Claims: make(map[int]*Claim), SeenAt: time.Now(), LeftUntil: make(map[int]time.Time)}
+		v.Jobs[jobID] = job
+		if record.Spec != nil && record.Spec.GPUs > 0 && !record.IsFinal() {
+			v.GPUJobSeenAt = job.SeenAt
 		}
 	}
-	if r.Spec == nil && j.Record != nil && j.Record.Spec != nil {
-		c := *r
-		c.Spec = j.Record.Spec
-		r = &c
+	if record.Spec == nil && job.Record != nil && job.Record.Spec != nil {
+		c := *record
+		c.Spec = job.Record.Spec
+		record = &c
 	}
-	j.Record, j.Version = r, stamp
-	v.Unplaced[ref] = j
-	v.Urgent = v.Urgent || (r.Spec != nil && r.Spec.Shape != protocol.ShapeArray)
-	if r.IsFinal() && j.FinalAt.IsZero() {
-		j.FinalAt = time.Now()
+	job.Record, job.Version = record, version
+	v.Unplaced[jobID] = job
+	v.Urgent = v.Urgent || (record.Spec != nil && record.Spec.Shape != protocol.ShapeArray)
+	if record.IsFinal() && job.FinalAt.IsZero() {
+		job.FinalAt = time.Now()
 		// What counts is when its user was told, not when this process heard of it:
 		// with every restart in between the machine that kept its tasks was given
 		// the full time again.
-		if at := time.UnixMilli(r.CancelledAtMs); r.CancelledAtMs != 0 && at.Before(j.FinalAt) {
-			j.FinalAt = at
+		if at := time.UnixMilli(record.CancelledAtMs); record.CancelledAtMs != 0 && at.Before(job.FinalAt) {
+			job.FinalAt = at
 		}
 	}
-	if r.State == protocol.JobCancelled {
-		v.CancelledJobs[ref] = j
+	if record.State == protocol.JobCancelled {
+		v.CancelledJobs[jobID] = job
 	}
-	if r.Spec != nil {
+	if record.Spec != nil {
 		// From the record: every controller must cut a job the same way.
-		j.ChunkSize = max(1, r.ChunkSize)
-		j.Chunks = (r.Spec.Tasks + j.ChunkSize - 1) / j.ChunkSize
+		job.ChunkSize = max(1, record.ChunkSize)
+		job.Chunks = (record.Spec.Tasks + job.ChunkSize - 1) / job.ChunkSize
 	}
-	for key, c := range v.OrphanClaims[ref] {
-		v.Attach(j, c)
-		delete(v.OrphanClaims[ref], key)
+	for key, claim := range v.OrphanClaims[jobID] {
+		v.Attach(job, claim)
+		delete(v.OrphanClaims[jobID], key)
 	}
-	delete(v.OrphanClaims, ref)
-	v.observer.JobChanged(j)
-	for _, c := range j.Claims {
-		v.SetSpec(c, j.Spec())
-		v.MarkDirty(c)
+	delete(v.OrphanClaims, jobID)
+	v.observer.JobChanged(job)
+	for _, claim := range job.Claims {
+		v.SetSpec(claim, job.Spec())
+		v.MarkDirty(claim)
 	}
-	v.forgetIfOver(j)
+	v.forgetIfOver(job)
 }
 
-func (v *View) HasClaims(ref string) bool { return len(v.OrphanClaims[ref]) > 0 }
+func (v *View) HasClaims(jobID string) bool { return len(v.OrphanClaims[jobID]) > 0 }
 
-func (v *View) Attach(j *Job, c *Claim) {
-	j.Claims[c.Chunk] = c
-	v.SetSpec(c, j.Spec())
+func (v *View) Attach(job *Job, claim *Claim) {
+	job.Claims[claim.Chunk] = claim
+	v.SetSpec(claim, job.Spec())
 }
 
 // rememberFinal keeps only a small entry of a final job.
-func (v *View) rememberFinal(ref string, r *records.Job, stamp uint64) {
+func (v *View) rememberFinal(jobID string, record *records.Job, version uint64) {
 	if len(v.FinalJobs) >= maxFinalJobs {
 		for old := range v.FinalJobs {
 			delete(v.FinalJobs, old)
@@ -125,7 +125,7 @@
 			break
 		}
 	}
-	v.FinalJobs[ref] = FinalJob{State: r.State, Tasks: r.Tasks, Version: stamp}
+	v.FinalJobs[jobID] = FinalJob{State: record.State, Tasks: record.Tasks, Version: version}
 }
 
 // maxFinalJobs bounds the finished jobs answered from memory; older ones are
@@ -141,26 +141,26 @@
 // mayHaveClaims tells that a job's cancellation is known ahead of the watch, which may
 // yet bring claims of it. Forgotten at once, the job had to be read again for them, which
 // nobody can in an outage, and they were minded by nobody.
-func (v *View) mayHaveClaims(r *records.Job, stamp uint64) bool {
-	return v.Loaded && r.State == protocol.JobCancelled && stamp > v.Revision
+func (v *View) mayHaveClaims(record *records.Job, version uint64) bool {
+	return v.Loaded && record.State == protocol.JobCancelled && version > v.Revision
 }
 
-func (v *View) forgetIfOver(j *Job) {
-	if v.mayHaveClaims(j.Record, j.Version) {
-		v.EarlyCancellations[j.ID] = j
+func (v *View) forgetIfOver(job *Job) {
+	if v.mayHaveClaims(job.Record, job.Version) {
+		v.EarlyCancellations[job.ID] = job
 		return
 	}
-	if j.Record.IsFinal() && len(j.Claims) == 0 && v.Jobs[j.ID] == j {
-		delete(v.Jobs, j.ID)
-		delete(v.CancelledJobs, j.ID)
-		v.rememberFinal(j.ID, j.Record, j.Version)
+	if job.Record.IsFinal() && len(job.Claims) == 0 && v.Jobs[job.ID] == job {
+		delete(v.Jobs, job.ID)
+		delete(v.CancelledJobs, job.ID)
+		v.rememberFinal(job.ID, job.Record, job.Version)
 	}
 }
 
 func (v *View) SpecOfTask(task string) *protocol.Submission {
-	ref, _, ok := protocol.ParseTaskName(task)
-	if j := v.Jobs[ref]; ok && j != nil && j.Record != nil {
-		return j.Spec()
+	jobID, _, ok := protocol.ParseTaskName(task)
+	if job := v.Jobs[jobID]; ok && job != nil && job.Record != nil {
+		return job.Spec()
 	}
 	return nil
 }
--- a/internal/coordination/replica/machine.go
+++ b/internal/coordination/replica/machine.go
@@ -100,15 +100,15 @@
 
 // HasImage tells whether a machine's cache holds an image, as far as known.
 func (m *Machine) HasImage(image string) bool {
-	return slices.ContainsFunc(m.Images, func(u records.CachedImage) bool { return u.Name == image })
+	return slices.ContainsFunc(m.Images, func(cached records.CachedImage) bool { return cached.Name == image })
 }
 
 func (m *Machine) RecordImageUse(name string, gb, cache float64) {
-	m.Images = slices.DeleteFunc(m.Images, func(u records.CachedImage) bool { return u.Name == name })
+	m.Images = slices.DeleteFunc(m.Images, func(cached records.CachedImage) bool { return cached.Name == name })
 	m.Images = append(m.Images, records.CachedImage{Name: name, SizeGB: gb})
 	total := 0.0
-	for _, u := range m.Images {
-		total += u.SizeGB
+	for _, cached := range m.Images {
+		total += cached.SizeGB
 	}
 	for len(m.Images) > 1 && cache > 0 && total > cache {
 		total -= m.Images[0].SizeGB
@@ -119,8 +119,8 @@
 // RunsOnlyReplicas tells whether a machine runs replicas of services and nothing
 // else, none of them just moving.
 func (m *Machine) RunsOnlyReplicas() bool {
-	for _, p := range m.Use.Slots {
-		if p.Claim.Spec == nil || p.Claim.Spec.Shape != protocol.ShapeService || p.Claim.Pending != nil || len(p.Claim.Evictions) > 0 {
+	for _, slot := range m.Use.Slots {
+		if slot.Claim.Spec == nil || slot.Claim.Spec.Shape != protocol.ShapeService || slot.Claim.Pending != nil || len(slot.Claim.Evictions) > 0 {
 			return false
 		}
 	}
@@ -129,8 +129,8 @@
 
 // RunsReplicas tells whether a machine runs a replica of a service.
 func (m *Machine) RunsReplicas() bool {
-	for _, p := range m.Use.Slots {
-		if p.Claim.Spec != nil && p.Claim.Spec.Shape == protocol.ShapeService {
+	for _, slot := range m.Use.Slots {
+		if slot.Claim.Spec != nil && slot.Claim.Spec.Shape == protocol.ShapeService {
 			return true
 		}
 	}
@@ -177,8 +177,8 @@
 
 // ShowsToken tells whether a machine's own account shows the current token: then
 // no command of an earlier owner can act any more, and the account is complete.
-func (m *Machine) ShowsToken(s *Shard) bool {
-	return m.Agent.Heartbeat != nil && s.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= s.FencingToken && IncarnationOf(m.Agent.Heartbeat).Valid(m.Agent.MinToken)
+func (m *Machine) ShowsToken(shard *Shard) bool {
+	return m.Agent.Heartbeat != nil && shard.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= shard.FencingToken && IncarnationOf(m.Agent.Heartbeat).Valid(m.Agent.MinToken)
 }
 
 // HasUnconfirmedStart tells whether a start of this attempt may still be executed.
@@ -191,7 +191,7 @@
 // RunsNothingPlaced tells that a machine shows none of what is placed there as being on it.
 func (m *Machine) RunsNothingPlaced() bool {
 	for name := range m.Use.Slots {
-		if t := m.Agent.Tasks[name]; t != nil && t.Phase != protocol.TaskExited {
+		if status := m.Agent.Tasks[name]; status != nil && status.Phase != protocol.TaskExited {
 			return false
 		}
 	}
--- a/internal/coordination/replica/machines.go
+++ b/internal/coordination/replica/machines.go
@@ -15,26 +15,26 @@
 // FreeCapacity is what a machine has left: everything that is or may be on it counts,
 // recorded or only reported. A task that its worker reports as exited takes no
 // room, even before its end is booked.
-func (v *View) FreeCapacity(m *Machine) protocol.MachineResources {
-	if !m.Capacity.Stale {
-		return m.Capacity.Free
+func (v *View) FreeCapacity(machine *Machine) protocol.MachineResources {
+	if !machine.Capacity.Stale {
+		return machine.Capacity.Free
 	}
-	machineType := v.MachineType(m.Record.Type)
-	m.Capacity.Free = protocol.ResourcesOf(&machineType)
-	m.Capacity.Stale, m.Capacity.UnknownUse = false, false
-	for name, slot := range m.Use.Slots {
-		if status := m.Agent.Tasks[name]; status != nil && status.Attempt == slot.Attempt && status.Phase == protocol.TaskExited {
+	machineType := v.MachineType(machine.Record.Type)
+	machine.Capacity.Free = protocol.ResourcesOf(&machineType)
+	machine.Capacity.Stale, machine.Capacity.UnknownUse = false, false
+	for name, slot := range machine.Use.Slots {
+		if status := machine.Agent.Tasks[name]; status != nil && status.Attempt == slot.Attempt && status.Phase == protocol.TaskExited {
 			continue
 		}
-		m.allocate(slot.Claim.Spec)
+		machine.allocate(slot.Claim.Spec)
 	}
-	for name, status := range m.Agent.Tasks {
-		if status.Phase != protocol.TaskExited && m.Use.Slots[name] == nil {
-			m.allocate(v.SpecOfTask(name)) // orphaned, and about to be stopped
-			m.Capacity.Stale = true        // its job may be forgotten any moment, and its size with it
+	for name, status := range machine.Agent.Tasks {
+		if status.Phase != protocol.TaskExited && machine.Use.Slots[name] == nil {
+			machine.allocate(v.SpecOfTask(name)) // orphaned, and about to be stopped
+			machine.Capacity.Stale = true        // its job may be forgotten any moment, and its size with it
 		}
 	}
-	return m.Capacity.Free
+	return machine.Capacity.Free
 }
 
 // allocate takes a task's use from the free capacity. A nil spec is of unknown size.
@@ -70,45 +70,45 @@
 	return max(lost, 0) * max(s.CPUs, 1)
 }
 
-func (v *View) ApplyMachine(host string, r *records.Machine, stamp uint64) {
-	m := v.Machines[host]
-	if r == nil {
+func (v *View) ApplyMachine(host string, record *records.Machine, version uint64) {
+	machine := v.Machines[host]
+	if record == nil {
 		return // kept as a tombstone: a return is final
 	}
-	if m == nil {
-		m = &Machine{Host: host, AdoptedAt: time.Now(), Agent: AgentState{RunningSince: make(map[string]time.Time)},
+	if machine == nil {
+		machine = &Machine{Host: host, AdoptedAt: time.Now(), Agent: AgentState{RunningSince: make(map[string]time.Time)},
 			Commands: CommandQueue{StartSentAt: make(map[string]time.Time), StopSentAt: make(map[string]time.Time)}}
-		m.Use = v.HostUse(host)
-		m.Use.Machine = m
-		v.Machines[host] = m
+		machine.Use = v.HostUse(host)
+		machine.Use.Machine = machine
+		v.Machines[host] = machine
 		v.observer.MachineRecorded(host)
-		m.Record = *r
-		if r.State == "" {
-			v.Shard(r.Shard).AddMachine(m)
+		machine.Record = *record
+		if record.State == "" {
+			v.Shard(record.Shard).AddMachine(machine)
 		}
-		v.recallImages(m)
+		v.recallImages(machine)
 	}
-	m.Record, m.Version, m.Capacity.Stale, m.Capacity.DetailsStale = *r, stamp, true, true
-	v.Shard(r.Shard).Changed = true
-	if r.State != "" {
-		v.Shard(r.Shard).RemoveMachine(m)
+	machine.Record, machine.Version, machine.Capacity.Stale, machine.Capacity.DetailsStale = *record, version, true, true
+	v.Shard(record.Shard).Changed = true
+	if record.State != "" {
+		v.Shard(record.Shard).RemoveMachine(machine)
 	}
-	if r.State == records.MachineReturning {
-		v.Returns[host] = m
+	if record.State == records.MachineReturning {
+		v.Returns[host] = machine
 	} else {
 		delete(v.Returns, host)
 	}
-	if r.State == records.MachineGone {
-		for _, p := range m.Use.Slots {
-			v.MarkDirty(p.Claim)
+	if record.State == records.MachineGone {
+		for _, slot := range machine.Use.Slots {
+			v.MarkDirty(slot.Claim)
 		}
 		// Only the tombstone stays in memory, and what its worker has said of
 		// tasks whose end is not booked yet.
-		m.Agent.Heartbeat, m.Images, m.Commands.Pending, m.Commands.InFlight, m.Commands.Unknown = nil, nil, nil, nil, nil
-		if len(m.Use.Slots) == 0 {
-			m.Agent.Tasks = nil
+		machine.Agent.Heartbeat, machine.Images, machine.Commands.Pending, machine.Commands.InFlight, machine.Commands.Unknown = nil, nil, nil, nil, nil
+		if len(machine.Use.Slots) == 0 {
+			machine.Agent.Tasks = nil
 		}
-		m.Agent.RunningSince, m.Commands.StartSentAt, m.Commands.StopSentAt, m.Quarantine.Evidence = map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}, quarantine.MachineEvidence{}
+		machine.Agent.RunningSince, machine.Commands.StartSentAt, machine.Commands.StopSentAt, machine.Quarantine.Evidence = map[string]time.Time{}, map[string]time.Time{}, map[string]time.Time{}, quarantine.MachineEvidence{}
 	}
 }
 
--- a/internal/coordination/replica/provisions.go
+++ b/internal/coordination/replica/provisions.go
@@ -8,19 +8,19 @@
 
 // ApplyProvision takes a hire's record. Once it names the machines it is their
 // record, until one is returned and gets a record of its own.
-func (v *View) ApplyProvision(name string, r *records.Provision, stamp uint64) {
+func (v *View) ApplyProvision(name string, record *records.Provision, version uint64) {
 	delete(v.Groups, name)
 	switch {
-	case r == nil:
+	case record == nil:
 		delete(v.Provisions, name)
-	case len(r.Hosts) == 0:
-		v.Provisions[name] = &Provision{Name: name, Record: *r, Version: stamp}
+	case len(record.Hosts) == 0:
+		v.Provisions[name] = &Provision{Name: name, Record: *record, Version: version}
 	default:
 		delete(v.Provisions, name)
-		v.Groups[name] = MachineGroup{r.Hosts, stamp}
-		for i, host := range r.Hosts {
+		v.Groups[name] = MachineGroup{record.Hosts, version}
+		for i, host := range record.Hosts {
 			if v.Machines[host] == nil {
-				v.ApplyMachine(host, &records.Machine{Shard: r.ShardOf(i), Type: r.Type, Zone: r.Zone, Spot: r.Spot, RentedAtMs: r.RequestedAtMs}, 0)
+				v.ApplyMachine(host, &records.Machine{Shard: record.ShardOf(i), Type: record.Type, Zone: record.Zone, Spot: record.Spot, RentedAtMs: record.RequestedAtMs}, 0)
 			}
 		}
 	}
--- a/internal/coordination/replica/recount.go
+++ b/internal/coordination/replica/recount.go
@@ -16,37 +16,37 @@
 	places := make(map[string]map[string]*Claim)
 	use := make(map[TeamShard]quota.Resources)
 	inShard := make(map[*Claim]string)
-	for _, c := range v.Claims {
-		for _, rec := range []*records.Claim{c.Record, c.Pending} {
-			if rec == nil {
+	for _, claim := range v.Claims {
+		for _, record := range []*records.Claim{claim.Record, claim.Pending} {
+			if record == nil {
 				continue
 			}
-			for _, p := range rec.Placements {
+			for _, p := range record.Placements {
 				if places[p.Host] == nil {
 					places[p.Host] = make(map[string]*Claim)
 				}
-				places[p.Host][protocol.TaskName(c.JobID, p.Task)] = c
+				places[p.Host][protocol.TaskName(claim.JobID, p.Task)] = claim
 			}
 		}
-		rec := c.Record
-		if rec == nil {
-			rec = c.Pending
+		record := claim.Record
+		if record == nil {
+			record = claim.Pending
 		}
-		if rec == nil {
+		if record == nil {
 			continue
 		}
-		inShard[c] = rec.Shard
-		if c.Spec != nil {
-			k := TeamShard{c.Spec.Team, rec.Shard}
-			use[k] = use[k].Plus(TaskResources(c.Spec).Times(float64(c.ReservedCount())))
+		inShard[claim] = record.Shard
+		if claim.Spec != nil {
+			k := TeamShard{claim.Spec.Team, record.Shard}
+			use[k] = use[k].Plus(TaskResources(claim.Spec).Times(float64(claim.ReservedCount())))
 		}
 	}
 	for host, h := range v.Hosts {
 		if len(h.Slots) != len(places[host]) {
 			return fmt.Errorf("%s has %d places, counted %d", host, len(h.Slots), len(places[host]))
 		}
-		for name, p := range h.Slots {
-			if places[host][name] != p.Claim {
+		for name, slot := range h.Slots {
+			if places[host][name] != slot.Claim {
 				return fmt.Errorf("%s: place of %s", host, name)
 			}
 		}
@@ -62,9 +62,9 @@
 		}
 	}
 	sure := make(map[string]quota.Resources)
-	for _, c := range v.Claims {
-		if c.Tally.Counted {
-			sure[c.Spec.Team] = sure[c.Spec.Team].Plus(TaskResources(c.Spec).Times(float64(c.CommittedCount())))
+	for _, claim := range v.Claims {
+		if claim.Tally.Counted {
+			sure[claim.Spec.Team] = sure[claim.Spec.Team].Plus(TaskResources(claim.Spec).Times(float64(claim.CommittedCount())))
 		}
 	}
 	for team, got := range v.CommittedUse {
@@ -78,33 +78,33 @@
 		}
 	}
 	for _, s := range v.Shards {
-		for c := range s.Claims {
-			if inShard[c] != s.Name {
-				return fmt.Errorf("%s is not a claim of %s", c.Key, s.Name)
+		for claim := range s.Claims {
+			if inShard[claim] != s.Name {
+				return fmt.Errorf("%s is not a claim of %s", claim.Key, s.Name)
 			}
-			delete(inShard, c)
+			delete(inShard, claim)
 		}
 		kinds := make(map[MachineKind]int)
-		for _, m := range s.Machines {
-			kinds[m.Kind()]++
+		for _, machine := range s.Machines {
+			kinds[machine.Kind()]++
 		}
 		if !maps.Equal(kinds, s.Kinds) {
 			return fmt.Errorf("%s has %v, counted %v", s.Name, s.Kinds, kinds)
 		}
-		for _, m := range s.Machines {
-			kept := m.Capacity.Free
-			if m.Capacity.Stale {
+		for _, machine := range s.Machines {
+			kept := machine.Capacity.Free
+			if machine.Capacity.Stale {
 				continue
 			}
-			m.Capacity.Stale = true
-			if v.FreeCapacity(m); m.Capacity.Free != kept {
-				return fmt.Errorf("%s had %v free, counted %v", m.Host, kept, m.Capacity.Free)
+			machine.Capacity.Stale = true
+			if v.FreeCapacity(machine); machine.Capacity.Free != kept {
+				return fmt.Errorf("%s had %v free, counted %v", machine.Host, kept, machine.Capacity.Free)
 			}
 		}
 	}
-	for c, shard := range inShard {
-		if _, wide := v.CrossShardClaims[c]; (shard == "") != wide {
-			return fmt.Errorf("%s is in no index", c.Key)
+	for claim, shard := range inShard {
+		if _, wide := v.CrossShardClaims[claim]; (shard == "") != wide {
+			return fmt.Errorf("%s is in no index", claim.Key)
 		}
 	}
 	return nil
--- a/internal/coordination/replica/shard.go
+++ b/internal/coordination/replica/shard.go
@@ -67,42 +67,42 @@
 }
 
 func (v *View) Shard(name string) *Shard {
-	s := v.Shards[name]
-	if s == nil {
-		s = &Shard{Name: name, Kinds: make(map[MachineKind]int), Claims: make(map[*Claim]struct{}), Dirty: make(map[*Claim]struct{})}
-		v.Shards[name] = s
+	shard := v.Shards[name]
+	if shard == nil {
+		shard = &Shard{Name: name, Kinds: make(map[MachineKind]int), Claims: make(map[*Claim]struct{}), Dirty: make(map[*Claim]struct{})}
+		v.Shards[name] = shard
 	}
-	return s
+	return shard
 }
 
 // IsActive tells whether this process may act for a shard: it owns it, and its
 // cache holds everything that earlier owners committed.
-func (v *View) IsActive(s *Shard) bool {
-	return s != nil && s.FencingToken != 0 && v.Revision >= s.FencingToken
+func (v *View) IsActive(shard *Shard) bool {
+	return shard != nil && shard.FencingToken != 0 && v.Revision >= shard.FencingToken
 }
 
 // RequestNewToken asks for a new token to settle a machine's commands of unknown fate. One
 // that has given no sign of life since could not show it, nor can one that does not hear
 // what it is sent, and each token is shown to every machine of the shard: with sixty
 // machines hanging, several hundred calls went out every few seconds for nothing.
-func (s *Shard) RequestNewToken(m *Machine) {
-	if !m.Detector.Reachability.Suspect() && slices.ContainsFunc(m.Commands.Unknown, func(u UnknownStart) bool { return m.Agent.LastContact.After(u.SentAt) }) {
+func (s *Shard) RequestNewToken(machine *Machine) {
+	if !machine.Detector.Reachability.Suspect() && slices.ContainsFunc(machine.Commands.Unknown, func(u UnknownStart) bool { return machine.Agent.LastContact.After(u.SentAt) }) {
 		s.NeedsNewToken = true
 	}
 }
 
 // AddMachine and discharge keep a shard's list of machines in use.
-func (s *Shard) AddMachine(m *Machine) {
-	at, _ := slices.BinarySearchFunc(s.Machines, m.Host, func(x *Machine, host string) int { return strings.Compare(x.Host, host) })
-	s.Machines = slices.Insert(s.Machines, at, m)
-	s.Kinds[m.Kind()]++
+func (s *Shard) AddMachine(machine *Machine) {
+	at, _ := slices.BinarySearchFunc(s.Machines, machine.Host, func(x *Machine, host string) int { return strings.Compare(x.Host, host) })
+	s.Machines = slices.Insert(s.Machines, at, machine)
+	s.Kinds[machine.Kind()]++
 }
 
-func (s *Shard) RemoveMachine(m *Machine) {
-	at, ok := slices.BinarySearchFunc(s.Machines, m.Host, func(x *Machine, host string) int { return strings.Compare(x.Host, host) })
+func (s *Shard) RemoveMachine(machine *Machine) {
+	at, ok := slices.BinarySearchFunc(s.Machines, machine.Host, func(x *Machine, host string) int { return strings.Compare(x.Host, host) })
 	if ok {
 		s.Machines = slices.Delete(s.Machines, at, at+1)
-		if k := m.Kind(); s.Kinds[k] > 1 {
+		if k := machine.Kind(); s.Kinds[k] > 1 {
 			s.Kinds[k]--
 		} else {
 			delete(s.Kinds, k)
--- a/internal/coordination/replica/teams.go
+++ b/internal/coordination/replica/teams.go
@@ -21,8 +21,8 @@
 // can be read before its job; until then nobody can say whose use it is.
 func (v *View) KnowsUse(holder string) bool {
 	for _, set := range v.OrphanClaims {
-		for _, c := range set {
-			if c.Record == nil || c.Record.Shard == holder || (c.Record.Shard == "" && holder == quota.CrossShard) {
+		for _, claim := range set {
+			if claim.Record == nil || claim.Record.Shard == holder || (claim.Record.Shard == "" && holder == quota.CrossShard) {
 				return false
 			}
 		}
@@ -37,10 +37,10 @@
 }
 
 func (v *View) Team(name string) *TeamUsage {
-	t := v.Teams[name]
-	if t == nil {
-		t = &TeamUsage{}
-		v.Teams[name] = t
+	usage := v.Teams[name]
+	if usage == nil {
+		usage = &TeamUsage{}
+		v.Teams[name] = usage
 	}
-	return t
+	return usage
 }
--- a/internal/coordination/replica/view.go
+++ b/internal/coordination/replica/view.go
@@ -127,13 +127,13 @@
 // Relist takes a complete reading. What it lacks was dropped meanwhile.
 func (v *View) Relist(items []kv.Item, epoch uint64) {
 	have := make(map[string]bool, len(items))
-	for _, it := range items {
-		have[it.Key] = true
-		v.ApplyItem(it)
+	for _, item := range items {
+		have[item.Key] = true
+		v.ApplyItem(item)
 	}
 	var gone []string
-	for key, stamp := range v.Versions {
-		if !have[key] && stamp <= epoch {
+	for key, version := range v.Versions {
+		if !have[key] && version <= epoch {
 			gone = append(gone, key)
 		}
 	}
@@ -147,78 +147,78 @@
 
 // Apply takes a record of the ledger into the cache. Older versions than the
 // cached one are ignored: watch, own commits and reads arrive in any order.
-func (v *View) Apply(key string, rec any, stamp uint64) {
-	if stamp <= v.Versions[key] {
+func (v *View) Apply(key string, record any, version uint64) {
+	if version <= v.Versions[key] {
 		return
 	}
-	v.Versions[key] = stamp
-	v.observer.VersionObserved(key, stamp, rec != nil)
+	v.Versions[key] = version
+	v.observer.VersionObserved(key, version, record != nil)
 	switch {
 	case strings.HasPrefix(key, records.JobPrefix):
-		r, _ := rec.(*records.Job)
-		v.ApplyJob(strings.TrimPrefix(key, records.JobPrefix), r, stamp)
+		record, _ := record.(*records.Job)
+		v.ApplyJob(strings.TrimPrefix(key, records.JobPrefix), record, version)
 	case strings.HasPrefix(key, records.ClaimPrefix):
-		r, _ := rec.(*records.Claim)
-		v.ApplyClaim(key, r, stamp)
+		record, _ := record.(*records.Claim)
+		v.ApplyClaim(key, record, version)
 	case strings.HasPrefix(key, records.MachinePrefix):
-		r, _ := rec.(*records.Machine)
-		v.ApplyMachine(strings.TrimPrefix(key, records.MachinePrefix), r, stamp)
+		record, _ := record.(*records.Machine)
+		v.ApplyMachine(strings.TrimPrefix(key, records.MachinePrefix), record, version)
 	case strings.HasPrefix(key, records.ShardPrefix):
-		r, _ := rec.(*records.Shard)
-		v.observer.ShardChanged(strings.TrimPrefix(key, records.ShardPrefix), r, stamp)
+		r, _ := record.(*records.Shard)
+		v.observer.ShardChanged(strings.TrimPrefix(key, records.ShardPrefix), r, version)
 	case strings.HasPrefix(key, records.NodePrefix):
-		r, _ := rec.(*records.Node)
-		v.ApplyNode(strings.TrimPrefix(key, records.NodePrefix), r, stamp)
+		record, _ := record.(*records.Node)
+		v.ApplyNode(strings.TrimPrefix(key, records.NodePrefix), record, version)
 	case strings.HasPrefix(key, records.TeamUsagePrefix):
-		if r, ok := rec.(*records.TeamUsage); ok && r != nil {
-			t := v.Team(strings.TrimPrefix(key, records.TeamUsagePrefix))
-			t.Record, t.Version = *r, stamp
+		if r, ok := record.(*records.TeamUsage); ok && r != nil {
+			usage := v.Team(strings.TrimPrefix(key, records.TeamUsagePrefix))
+			usage.Record, usage.Version = *r, version
 		}
 	case strings.HasPrefix(key, records.TeamLimitPrefix):
-		r, _ := rec.(*records.TeamLimit)
-		v.Quota.ApplyLimit(strings.TrimPrefix(key, records.TeamLimitPrefix), r, stamp)
+		r, _ := record.(*records.TeamLimit)
+		v.Quota.ApplyLimit(strings.TrimPrefix(key, records.TeamLimitPrefix), r, version)
 	case strings.HasPrefix(key, records.AllotmentPrefix):
-		r, _ := rec.(*records.Allotment)
-		v.Quota.ApplyAllotment(strings.TrimPrefix(key, records.AllotmentPrefix), r, stamp)
+		r, _ := record.(*records.Allotment)
+		v.Quota.ApplyAllotment(strings.TrimPrefix(key, records.AllotmentPrefix), r, version)
 	case strings.HasPrefix(key, records.ReservationPrefix):
-		r, _ := rec.(*records.Reservations)
-		v.Quota.ApplyReservations(strings.TrimPrefix(key, records.ReservationPrefix), r, stamp)
+		r, _ := record.(*records.Reservations)
+		v.Quota.ApplyReservations(strings.TrimPrefix(key, records.ReservationPrefix), r, version)
 	case strings.HasPrefix(key, records.ProvisionPrefix):
-		r, _ := rec.(*records.Provision)
-		v.ApplyProvision(strings.TrimPrefix(key, records.ProvisionPrefix), r, stamp)
+		record, _ := record.(*records.Provision)
+		v.ApplyProvision(strings.TrimPrefix(key, records.ProvisionPrefix), record, version)
 	case strings.HasPrefix(key, records.ImagePrefix):
-		r, _ := rec.(*records.ImageLocations)
-		v.ApplyImages(key, r)
+		record, _ := record.(*records.ImageLocations)
+		v.ApplyImages(key, record)
 	case strings.HasPrefix(key, records.GangReservationPrefix):
-		r, _ := rec.(*records.GangReservation)
-		v.ApplyGangReservation(strings.TrimPrefix(key, records.GangReservationPrefix), r, stamp)
+		record, _ := record.(*records.GangReservation)
+		v.ApplyGangReservation(strings.TrimPrefix(key, records.GangReservationPrefix), record, version)
 	case strings.HasPrefix(key, records.GangHoldPrefix):
-		r, _ := rec.(*records.GangHold)
-		v.ApplyGangHold(strings.TrimPrefix(key, records.GangHoldPrefix), r, stamp)
+		record, _ := record.(*records.GangHold)
+		v.ApplyGangHold(strings.TrimPrefix(key, records.GangHoldPrefix), record, version)
 	case key == records.LeaderKey:
-		r, _ := rec.(*records.Leader)
-		v.observer.LeaderChanged(r, stamp)
+		r, _ := record.(*records.Leader)
+		v.observer.LeaderChanged(r, version)
 	}
 	v.observer.RecordsChanged()
 }
 
 // ApplyItem decodes an item of the ledger and stores it.
-func (v *View) ApplyItem(it kv.Item) {
-	if it.Version <= v.Versions[it.Key] {
+func (v *View) ApplyItem(item kv.Item) {
+	if item.Version <= v.Versions[item.Key] {
 		return
 	}
-	var rec any
-	if it.Value != nil {
-		rec = NewRecord(it.Key)
-		if rec == nil {
+	var record any
+	if item.Value != nil {
+		record = NewRecord(item.Key)
+		if record == nil {
 			return
 		}
-		if err := protocol.Decode(it.Value, rec); err != nil {
-			v.log.Error("record unreadable", "key", it.Key, "err", err)
+		if err := protocol.Decode(item.Value, record); err != nil {
+			v.log.Error("record unreadable", "key", item.Key, "err", err)
 			return
 		}
 	}
-	v.Apply(it.Key, rec, it.Version)
+	v.Apply(item.Key, record, item.Version)
 }
 
 func NewRecord(key string) any {
@@ -258,10 +258,10 @@
 // ReachRevision takes it that the watch is complete up to a revision.
 func (v *View) ReachRevision(epoch uint64) {
 	v.Revision = max(v.Revision, epoch)
-	for _, ref := range slices.Sorted(maps.Keys(v.EarlyCancellations)) {
-		if j := v.EarlyCancellations[ref]; !v.mayHaveClaims(j.Record, j.Version) {
-			delete(v.EarlyCancellations, ref)
-			v.forgetIfOver(j)
+	for _, jobID := range slices.Sorted(maps.Keys(v.EarlyCancellations)) {
+		if job := v.EarlyCancellations[jobID]; !v.mayHaveClaims(job.Record, job.Version) {
+			delete(v.EarlyCancellations, jobID)
+			v.forgetIfOver(job)
 		}
 	}
 	v.observer.RevisionReached()
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -22,52 +22,52 @@
 
 // taken are the guards that docs/DESIGN.md names.
 var taken = []guard{
-	{"a claim must not exist yet", "coordination/controller/claims.go", `kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: 0})`, `kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken})`},
-	{"a claim must be the version decided on", "coordination/controller/claims.go", `kv.Compare{Key: c.Key, Version: c.Version})
-	if j := n.view.Jobs`, `kv.Compare{Key: records.ShardPrefix + s.name, Version: s.FencingToken})
-	if j := n.view.Jobs`},
-	{"a placement needs the shard still owned", "coordination/controller/claims.go", `	conds = append(conds, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: c.Key, Version: c.Version})
-	if j`, `	conds = append(conds, kv.Compare{Key: c.Key, Version: c.Version})
-	if j`},
-	{"a placement needs the job as it was", "coordination/controller/claims.go", `conds = append(conds, kv.Compare{Key: records.JobPrefix + c.JobID, Version: j.Version})`, `_ = j`},
-	{"write ahead", "coordination/controller/claims.go", `	n.commit(claimPriority(u.Spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })`, `	for _, p := range next.Placements {
-		if m := n.machines[p.Host]; m != nil {
-			n.order(s, m, protocol.Start(protocol.TaskName(c.ref, p.Task), p.Try))
+	{"a claim must not exist yet", "coordination/controller/claims.go", `kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: claim.Key, Version: 0})`, `kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken})`},
+	{"a claim must be the version decided on", "coordination/controller/claims.go", `kv.Compare{Key: claim.Key, Version: claim.Version})
+	if job := c.view.Jobs`, `kv.Compare{Key: records.ShardPrefix + s.name, Version: s.FencingToken})
+	if job := c.view.Jobs`},
+	{"a placement needs the shard still owned", "coordination/controller/claims.go", `	compares = append(compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: claim.Key, Version: claim.Version})
+	if job`, `	compares = append(compares, kv.Compare{Key: claim.Key, Version: claim.Version})
+	if job`},
+	{"a placement needs the job as it was", "coordination/controller/claims.go", `compares = append(compares, kv.Compare{Key: records.JobPrefix + claim.JobID, Version: job.Version})`, `_ = job`},
+	{"write ahead", "coordination/controller/claims.go", `	c.commit(claimPriority(entry.Spec), compares, ops, 0, func(err error) { c.finishClaim(shard, claim, err) })`, `	for _, placed := range next.Placements {
+		if machine := c.machines[placed.Host]; machine != nil {
+			c.order(shard, machine, protocol.Start(protocol.TaskName(claim.ref, placed.Task), placed.Try))
 		}
 	}
-	n.flush(s)
-	n.commit(claimPriority(u.Spec), conds, ops, 0, func(err error) { n.finishClaim(s, c, err) })`},
-	{"a new process acquires its shard anew", "coordination/controller/shards.go", `case !n.view.Loaded:`, `case false:`},
-	{"a shard is acted for once its records are read", "coordination/replica/shard.go", `s.FencingToken != 0 && v.Revision >= s.FencingToken`, `s.FencingToken != 0`},
-	{"silence proves nothing", "coordination/controller/reconcile.go", `	if m.Agent.Heartbeat == nil {
+	c.flush(shard)
+	c.commit(claimPriority(entry.Spec), compares, ops, 0, func(err error) { c.finishClaim(shard, claim, err) })`},
+	{"a new process acquires its shard anew", "coordination/controller/shards.go", `case !c.view.Loaded:`, `case false:`},
+	{"a shard is acted for once its records are read", "coordination/replica/shard.go", `shard.FencingToken != 0 && v.Revision >= shard.FencingToken`, `shard.FencingToken != 0`},
+	{"silence proves nothing", "coordination/controller/reconcile.go", `	if machine.Agent.Heartbeat == nil {
 		return outcomeRunning
 	}
-	grace`, `	if m.Agent.Heartbeat == nil {
+	grace`, `	if machine.Agent.Heartbeat == nil {
 		return outcomeRunning
 	}
-	if n.silence(m, now) > n.policy.Fence {
+	if command.silence(machine, now) > command.policy.Fence {
 		return Lifecycle.Gone
 	}
 	grace`},
-	{"an account counts under the present token only", "coordination/replica/machine.go", `return m.Agent.Heartbeat != nil && s.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= s.FencingToken`, `return m.Agent.Heartbeat != nil && s.FencingToken != 0`},
+	{"an account counts under the present token only", "coordination/replica/machine.go", `return m.Agent.Heartbeat != nil && shard.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= shard.FencingToken`, `return m.Agent.Heartbeat != nil && shard.FencingToken != 0`},
 	{"commands of unknown fate", "coordination/replica/machine.go", `slices.ContainsFunc(m.Commands.Unknown, func(u UnknownStart) bool { return u.Task == task && u.Attempt == try })`, `false`},
-	{"a machine that keeps a cancelled task is fenced", "coordination/controller/probes.go", `		n.enforceCancellations(now)
+	{"a machine that keeps a cancelled task is fenced", "coordination/controller/probes.go", `		c.enforceCancellations(now)
 `, ``},
-	{"fenced without a record if need be", "coordination/controller/cancellations.go", `return c.ReturnUnrecorded(limit, n.isStateDown(now)) && m.Record.State == "" && !n.isRefusedAlone(now)`, `return false`},
-	{"whoever knows stops cancelled tasks", "coordination/controller/probes.go", `n.stopCancelledTasks(m, &r)`, `_ = m`},
+	{"fenced without a record if need be", "coordination/controller/cancellations.go", `return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == "" && !c.isRefusedAlone(now)`, `return false`},
+	{"whoever knows stops cancelled tasks", "coordination/controller/probes.go", `c.stopCancelledTasks(machine, &heartbeat)`, `_ = machine`},
 	{"and asks again", "coordination/health/misplaced_tasks.go", `t.SinceProbe >= interval`, `t.SinceProbe > 1000*interval`},
 	{"its owner may begin them again", "coordination/health/misplaced_tasks.go", `if t.Finding == Ended || t.Age > limit {`, `if t.Finding == Ended {
 		return false
 	}
 	if t.Age > limit {`},
-	{"who hears nobody begins nothing", "coordination/controller/reconcile.go", `if !n.hearsNobody(now) && `, `if `},
-	{"all cancellations are repeated", "coordination/controller/peers.go", `n.nextRepeated = ref`, `n.nextRepeated = ""`},
-	{"the bound counts from the record", "coordination/replica/jobs.go", `r.CancelledAtMs != 0 && at.Before(j.FinalAt)`, `false && at.Before(j.FinalAt)`},
-	{"team limits are conditions", "coordination/controller/limits.go", `return append(conds, kv.Compare{Key: key, Version: t.Version}), []kv.Op`, `return conds, []kv.Op`},
-	{"a start needs its limit as it was", "coordination/controller/limits.go", `	conds = append(conds, n.view.Quota.LimitCompares(team)...)`, ``},
+	{"who hears nobody begins nothing", "coordination/controller/reconcile.go", `if !c.hearsNobody(now) && `, `if `},
+	{"all cancellations are repeated", "coordination/controller/peers.go", `c.nextRepeated = jobID`, `c.nextRepeated = ""`},
+	{"the bound counts from the record", "coordination/replica/jobs.go", `record.CancelledAtMs != 0 && at.Before(job.FinalAt)`, `false && at.Before(job.FinalAt)`},
+	{"team limits are conditions", "coordination/controller/limits.go", `return append(compares, kv.Compare{Key: key, Version: usage.Version}), []kv.Op`, `return compares, []kv.Op`},
+	{"a start needs its limit as it was", "coordination/controller/limits.go", `	compares = append(compares, c.view.Quota.LimitCompares(team)...)`, ``},
 	{"a start needs the bookings as they were", "coordination/controller/limits.go", `has && grows {`, `has && grows && false {`},
-	{"a shard starts within its allotment", "coordination/controller/limits.go", `!grows || (n.view.KnowsUse(holder) && more <= n.view.Quota.Allowance(team, holder, replica.TaskResources(c.Spec)))`, `true || more < 0 || holder == ""`},
-	{"claims of unknown size are not nothing", "coordination/replica/teams.go", `			if c.Record == nil || c.Record.Shard == holder || (c.Record.Shard == "" && holder == quota.CrossShard) {`, `			if false && c.Record == nil && holder == "" {`},
+	{"a shard starts within its allotment", "coordination/controller/limits.go", `!grows || (c.view.KnowsUse(holder) && more <= c.view.Quota.Allowance(team, holder, replica.TaskResources(claim.Spec)))`, `true || more < 0 || holder == ""`},
+	{"claims of unknown size are not nothing", "coordination/replica/teams.go", `			if claim.Record == nil || claim.Record.Shard == holder || (claim.Record.Shard == "" && holder == quota.CrossShard) {`, `			if false && claim.Record == nil && holder == "" {`},
 	{"the larger of two versions counts", "coordination/replica/claim.go", `return max(c.PlacedCount(), len(c.Pending.Placements))`, `return c.PlacedCount()`},
 	{"what became of a start is found out", "coordination/controller/commit.go", `for err != nil && insist && life`, `for err != nil && false && insist && life`},
 	{"only who decides for a holder gives", "coordination/quota/transfers.go", `[]kv.Compare{own, {Key`, `[]kv.Compare{{Key`},
@@ -79,77 +79,77 @@
 	{"the lower limit counts", "coordination/quota/allotments.go", `	if team.lowersLimit() {
 		return Resources{}`, `	if false {
 		return Resources{}`},
-	{"a booking is carried out once all before it is known", "coordination/controller/guarantees.go", `b.version == 0 || n.view.Revision < b.version {`, `b.version == 0 {`},
-	{"a booking that does not hold any more goes", "coordination/controller/guarantees.go", `if due < b.tasks ||`, `if (due < 0) ||`},
+	{"a booking is carried out once all before it is known", "coordination/controller/guarantees.go", `reservation.version == 0 || c.view.Revision < reservation.version {`, `reservation.version == 0 {`},
+	{"a booking that does not hold any more goes", "coordination/controller/guarantees.go", `if due < reservation.tasks ||`, `if (due < 0) ||`},
 	{"bookings exclude one another", "coordination/quota/reservations.go", `		compares = append(compares, kv.Compare{Key: key, Version: m.team(name).reservationsVersion})
 `, ``},
 	{"a lender keeps its guarantee", "coordination/quota/guarantee.go", `return p.taken[team]+main.of(beside)+main.of(task) <= p.StandingOf(team).Surplus(p.ClaimedTask)+tolerance`, `return true`},
 	{"team use by the record", "coordination/controller/limits.go", `	return use, use.Max(sum)`, `	return sum, sum`},
-	{"404 is confirmed", "coordination/controller/replies.go", `	n.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + ref, Version: stamp}}, nil, within, func(err error, revision uint64) {
+	{"404 is confirmed", "coordination/controller/replies.go", `	c.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + jobID, Version: version}}, nil, within, func(err error, revision uint64) {
 		switch {
 		case err == nil &&`, `	func(do func(error, uint64)) { do(nil, 0) }(func(err error, revision uint64) {
 		switch {
 		case err == nil &&`},
 	{"what could not be read anew is not answered", "coordination/controller/commit.go", `if !read && prio == kv.PriorityUser {`, `if false && !read {`},
-	{"a cancellation is told once its claims are known", "coordination/controller/replies.go", `if a.Phase != protocol.JobCancelled || n.view.Revision >= stamp {`, `if true {`},
-	{"claims may come after their job's cancellation", "coordination/replica/jobs.go", `return v.Loaded && r.State == protocol.JobCancelled && stamp > v.Revision`, `return false`},
-	{"done needs all chunks", "coordination/controller/claims.go", `(o != c && !o.Record.IsComplete())`, `false`},
-	{"a job that waits is in no queue", "coordination/replica/jobs.go", `	if v.ApplyBlockedJob(ref, r, stamp) {
+	{"a cancellation is told once its claims are known", "coordination/controller/replies.go", `if answer.Phase != protocol.JobCancelled || c.view.Revision >= version {`, `if true {`},
+	{"claims may come after their job's cancellation", "coordination/replica/jobs.go", `return v.Loaded && record.State == protocol.JobCancelled && version > v.Revision`, `return false`},
+	{"done needs all chunks", "coordination/controller/claims.go", `(other != claim && !other.Record.IsComplete())`, `false`},
+	{"a job that waits is in no queue", "coordination/replica/jobs.go", `	if v.ApplyBlockedJob(jobID, record, version) {
 		return
 	}
 `, ``},
 	{"a job is released once all that it needs is done", "coordination/dag/graph.go", `return len(b.unfinished) == 0 && !b.cancelled`, `return len(b.unfinished) <= 1 && !b.cancelled`},
-	{"a job is refused on proof that one it names is not there", "coordination/controller/dependencies.go", `		n.proveDependencies(spec, missing, until, reply)
+	{"a job is refused on proof that one it names is not there", "coordination/controller/dependencies.go", `		c.proveDependencies(spec, missing, until, reply)
 		return
 `, `		reply(transport.Response{Status: 422})
 		return
 `},
-	{"jobs that were never accepted are not waited for", "coordination/controller/dependencies.go", `if missing := n.unknownJobs(spec.Dependencies); len(missing) > 0 {`, `if missing := n.unknownJobs(spec.Dependencies); len(missing) > 1000 {`},
+	{"jobs that were never accepted are not waited for", "coordination/controller/dependencies.go", `if missing := c.unknownJobs(spec.Dependencies); len(missing) > 0 {`, `if missing := c.unknownJobs(spec.Dependencies); len(missing) > 1000 {`},
 	{"a cancellation goes down the graph", "coordination/dag/graph.go", `		for _, dependent := range g.dependents[job.ID] {
 			pending = append(pending, dependent)
 		}
 `, ``},
-	{"a job that waits is answered by what was read since", "coordination/controller/replies.go", `case err == nil && n.isUndecided(ref):`, `case false:`},
+	{"a job that waits is answered by what was read since", "coordination/controller/replies.go", `case err == nil && c.isUndecided(jobID):`, `case false:`},
 	{"what an urgent job needs is urgent", "coordination/dag/urgency.go", `urgency.Priority = max(urgency.Priority, inherited.Priority, dependent.Spec.Priority())`, `_ = inherited`},
 	{"a refused transaction proves lower limits", "storage/kv/limiter.go", `	l.lowered = true
 	return true
 `, `	return false
 `},
-	{"zones of what is placed already", "coordination/controller/schedule.go", `return placement.NewZoneConstraint(u.Spec, n.view.ZonesOf(u.Claim))`, `return placement.NewZoneConstraint(u.Spec, nil)`},
-	{"a gang claimed meanwhile is not placed again", "coordination/controller/gangs.go", `|| !canReserveAcrossShards(j) {
-			n.endGangReservation`, `|| false {
-			n.endGangReservation`},
-	{"a gang's old attempt has to be gone", "coordination/controller/schedule.go", `	if whole && u.Claim != nil && len(u.Claim.Record.Placements) > 0 {
-		placement.ReleaseAssignments(u.Spec, picks, rooms)
+	{"zones of what is placed already", "coordination/controller/schedule.go", `return placement.NewZoneConstraint(entry.Spec, c.view.ZonesOf(entry.Claim))`, `return placement.NewZoneConstraint(entry.Spec, nil)`},
+	{"a gang claimed meanwhile is not placed again", "coordination/controller/gangs.go", `|| !canReserveAcrossShards(job) {
+			c.endGangReservation`, `|| false {
+			c.endGangReservation`},
+	{"a gang's old attempt has to be gone", "coordination/controller/schedule.go", `	if whole && entry.Claim != nil && len(entry.Claim.Record.Placements) > 0 {
+		placement.ReleaseAssignments(entry.Spec, assignments, capacities)
 		return false, false // the old attempt has to be gone first
 	}
 `, ``},
-	{"done frees a placement under the present token only", "coordination/controller/reconcile.go", `if !m.ShowsToken(s) && !m.Lifecycle.Gone && m.Record.State != records.MachineGone {
+	{"done frees a placement under the present token only", "coordination/controller/reconcile.go", `if !machine.ShowsToken(shard) && !machine.Lifecycle.Gone && machine.Record.State != records.MachineGone {
 			return outcomePending`, `if false {
 			return outcomePending`},
-	{"orders of an earlier token are void", "coordination/controller/shards.go", `		m.Commands.Pending = nil
-		delete(n.pendingCommands, m)
-`, `		_ = m
+	{"orders of an earlier token are void", "coordination/controller/shards.go", `		machine.Commands.Pending = nil
+		delete(c.pendingCommands, machine)
+`, `		_ = machine
 `},
-	{"adoption and a hire's answer exclude one another", "coordination/controller/adoption.go", `			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + h.Name, Value: &again})
+	{"adoption and a hire's answer exclude one another", "coordination/controller/adoption.go", `			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + provision.Name, Value: &again})
 `, `			_ = again
 `},
-	{"the lead is known by its record", "coordination/controller/leadership.go", `n.leadership.isSelf = r.Node == n.settings.NodeName && r.StartedAtMs == n.startedAt.UnixMilli(); n.leadership.isSelf {`, `n.leadership.isSelf = r.NodeName == n.settings.NodeName && r.StartedAtMs == n.startedAt.UnixMilli() && !n.leadership.campaigning; n.leadership.isSelf {`},
-	{"no empty set of claims without a job", "coordination/replica/claims.go", `if delete(set, c.Key); len(set) == 0 {`, `if delete(set, c.Key); false {`},
-	{"leases are kept behind a cut", "coordination/controller/leases.go", `	if r.FencingToken > s.Version || !failover.MayExtendLease`, `	if true || r.FencingToken > s.Version || !failover.MayExtendLease`},
+	{"the lead is known by its record", "coordination/controller/leadership.go", `c.leadership.isSelf = record.Node == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli(); c.leadership.isSelf {`, `c.leadership.isSelf = record.NodeName == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli() && !c.leadership.campaigning; c.leadership.isSelf {`},
+	{"no empty set of claims without a job", "coordination/replica/claims.go", `if delete(set, claim.Key); len(set) == 0 {`, `if delete(set, claim.Key); false {`},
+	{"leases are kept behind a cut", "coordination/controller/leases.go", `	if heartbeat.FencingToken > shard.Version || !failover.MayExtendLease`, `	if true || heartbeat.FencingToken > shard.Version || !failover.MayExtendLease`},
 	{"a zone that seems cut off is not fenced", "coordination/controller/failuredetection.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
-	{"no lease is kept for a cancelled task", "coordination/controller/leases.go", `r.Tasks[i].Phase != protocol.TaskExited && (`, `false && (`},
-	{"silence counts from waking", "coordination/controller/failuredetection.go", `	if woke := n.pauses.ResumedAt(); woke.After(m.AdoptedAt) {`, `	if woke := n.pauses.ResumedAt(); false && woke.After(m.AdoptedAt) {`},
-	{"an answer tells that a machine began again", "coordination/controller/probes.go", `m.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(&r)) {`, `m.Record.State == "" && false {`},
+	{"no lease is kept for a cancelled task", "coordination/controller/leases.go", `heartbeat.Tasks[i].Phase != protocol.TaskExited && (`, `false && (`},
+	{"silence counts from waking", "coordination/controller/failuredetection.go", `	if woke := c.pauses.ResumedAt(); woke.After(machine.AdoptedAt) {`, `	if woke := c.pauses.ResumedAt(); false && woke.After(machine.AdoptedAt) {`},
+	{"an answer tells that a machine began again", "coordination/controller/probes.go", `machine.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(&heartbeat)) {`, `machine.Record.State == "" && false {`},
 	{"accounts of a former life do not count", "coordination/health/incarnation.go", `return floor == 0 || i.FencingToken > floor`, `return floor == 0 || i.FencingToken >= 0`},
-	{"a doubtful report brings no orders", "coordination/controller/agents.go", `	if !doubtful && n.view.IsActive(s) {`, `	if n.view.IsActive(s) {`},
-	{"registration is conditional", "coordination/controller/membership.go", `[]kv.Compare{{Key: key, Version: n.view.Nodes[n.settings.NodeName].Version}}`, `nil`},
-	{"nothing begins under a limit lowered since", "coordination/controller/reconcile.go", `	case stop, n.isOverLimit(c.Spec), m.Detector.Reachability.CannotReceive(), n.cannotReport(m, now) && !n.isStateDown(now):`, `	case stop, m.Detector.Reachability.CannotReceive(), n.cannotReport(m, now) && !n.isStateDown(now):`},
-	{"what a mute machine has lost is not begun there again", "coordination/controller/reconcile.go", `m.Detector.Reachability.CannotReceive(), n.cannotReport(m, now) && !n.isStateDown(now):`, `m.Detector.Reachability.CannotReceive():`},
-	{"nothing new is placed on a mute machine", "coordination/controller/capacities.go", ` && !n.cannotReport(m, now)`, ``},
+	{"a doubtful report brings no orders", "coordination/controller/agents.go", `	if !doubtful && c.view.IsActive(shard) {`, `	if c.view.IsActive(shard) {`},
+	{"registration is conditional", "coordination/controller/membership.go", `[]kv.Compare{{Key: key, Version: c.view.Nodes[c.settings.NodeName].Version}}`, `nil`},
+	{"nothing begins under a limit lowered since", "coordination/controller/reconcile.go", `	case stop, c.isOverLimit(claim.Spec), machine.Detector.Reachability.CannotReceive(), c.cannotReport(machine, now) && !c.isStateDown(now):`, `	case stop, machine.Detector.Reachability.CannotReceive(), c.cannotReport(machine, now) && !c.isStateDown(now):`},
+	{"what a mute machine has lost is not begun there again", "coordination/controller/reconcile.go", `machine.Detector.Reachability.CannotReceive(), c.cannotReport(machine, now) && !c.isStateDown(now):`, `machine.Detector.Reachability.CannotReceive():`},
+	{"nothing new is placed on a mute machine", "coordination/controller/capacities.go", ` && !c.cannotReport(machine, now)`, ``},
 	{"a machine that stays mute is returned", "coordination/health/reachability.go", `return CannotReport(lastHeartbeat, actingSince, now.Add(-unreachableLeases*lease), lease)`, `return false`},
-	{"a machine that does not hear and lost its work is returned", "coordination/controller/probes.go", `m.Detector.Reachability.CannotReceive() && !m.ShowsToken(s) && !m.Lifecycle.Returning`, `false && !m.Lifecycle.Returning`},
-	{"no token is raised for a machine that may not hear it", "coordination/replica/shard.go", `!m.Detector.Reachability.Suspect() && `, ``},
+	{"a machine that does not hear and lost its work is returned", "coordination/controller/probes.go", `machine.Detector.Reachability.CannotReceive() && !machine.ShowsToken(shard) && !machine.Lifecycle.Returning`, `false && !machine.Lifecycle.Returning`},
+	{"no token is raised for a machine that may not hear it", "coordination/replica/shard.go", `!machine.Detector.Reachability.Suspect() && `, ``},
 	{"who stands in is told from machines that are silent", "coordination/health/isolation.go", `	if s.Home {
 		return true
 	}
@@ -171,14 +171,14 @@
 	{"tries become rarer", "coordination/quarantine/job.go", `j.retryAt = now.Add(wait/2`, `j.retryAt = now.Add(0*wait`},
 	{"late boots do not count", "coordination/controller/boots.go", `return out[:provisioning.ReplacementCount(late, coming)]`, `return out[:0*provisioning.ReplacementCount(late, coming)]`},
 	{"late ones are replaced a few at a time", "coordination/provisioning/replacement.go", `return min(overdue, 1+booting/bootingPerReplacement)`, `return overdue`},
-	{"boots are judged by who saw them", "coordination/controller/boots.go", ` || !s.OwnedSince.Before(time.UnixMilli(m.Record.RentedAtMs)) {
+	{"boots are judged by who saw them", "coordination/controller/boots.go", ` || !shard.OwnedSince.Before(time.UnixMilli(machine.Record.RentedAtMs)) {
 			continue`, ` {
 			continue`},
 	{"idle work starts little while others wait", "coordination/placement/besteffort.go", `	if c.Contended {`, `	if false {`},
 	{"idle work that has begun has its turn again", "coordination/placement/besteffort.go", `return anyStarted && unplacedFor < maxUnplaced`, `return anyStarted`},
 	{"an array is owed a machine kept for cards", "coordination/placement/gpumachines.go", `			capacity.KeptForGPUJobs, capacity.KeptFromBestEffort = false, false
 			return true`, `			return false`},
-	{"a hire's machines wait for the watch", "coordination/controller/provisions.go", `if n.view.Revision < h.Version {`, `if false {`},
+	{"a hire's machines wait for the watch", "coordination/controller/provisions.go", `if c.view.Revision < provision.Version {`, `if false {`},
 	{"an array begins ahead of a burst", "coordination/placement/startahead.go", `return !started && waited >= maxWait`, `return false`},
 	{"little is rented for idle work", "coordination/placement/besteffort.go", `	bestEffortDemand = min(bestEffortDemand, bestEffortLimit)
 `, ``},
