--- a/madderslip.go
+++ b/madderslip.go
@@ -1,6 +1,9 @@
 // Package madderslip is a cluster scheduler: controllers own shards of rented
 // machines, queue each job at the K least-loaded shards, and start it where it
-// can start first. It can be embedded: New, then Run.
+// can start first. It can be embedded: LoadConfig, New, then Run.
+//
+// It puts the parts of one controller together and owns their lifetime. All decisions are
+// made below internal/coordination.
 package madderslip
 
 import (
@@ -28,103 +31,164 @@
 type Config struct {
 	Settings protocol.Settings
 	Policy   policy.Policy
-	Log      *slog.Logger
+	Log      *slog.Logger // nil: nothing is logged
 }
 
 // LoadConfig reads and checks the platform's settings file and the operators'
 // policy. policyFile may be empty; then the settings' own entry, or the
-// defaults, hold.
+// defaults, hold. An error names the file and what is wrong in it, in one line.
 func LoadConfig(file, policyFile string) (Config, error) {
-	s, err := protocol.LoadSettings(file)
+	settings, err := protocol.LoadSettings(file)
 	if err != nil {
 		return Config{}, err
 	}
 	if policyFile == "" {
-		policyFile = s.PolicyFile
+		policyFile = settings.PolicyFile
 	}
-	p, err := policy.Load(policyFile, s)
+	checked, err := policy.Load(policyFile, settings)
 	if err != nil {
 		return Config{}, err
 	}
-	return Config{Settings: s, Policy: p}, nil
+	return Config{Settings: settings, Policy: checked}, nil
 }
 
 // Controller is one controller.
 type Controller struct {
-	cfg   Config
-	led   *kv.Client
-	node  *controller.Controller
-	pub   *transport.Server
-	peers []*transport.PeerClient
+	cfg          Config
+	store        *kv.Client
+	node         *controller.Controller
+	publicServer *transport.Server
+	peerClients  []*transport.PeerClient
 }
 
+// dialTimeout is the longest that a connection to a worker, the cloud or the state service
+// may take to be made.
+const dialTimeout = time.Second
+
+// Idle connections that are kept for another call, per address.
+const (
+	idlePerWorker = 1
+	idlePerState  = 8
+)
+
 // New prepares a controller; nothing is opened before Run.
 func New(cfg Config) (*Controller, error) {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	s := cfg.Settings
-	sockets := admission.DivideSockets(s.ProcessLimits.MaxConns, len(s.Peers))
-	worker := transport.NewClient(sockets.WorkerCalls, 1, time.Second)
-	state := transport.NewClient(sockets.State, 8, time.Second)
-	led := kv.New(state, s.StateAddr, s.StateLimits, cfg.Log)
-	led.AnnounceLimits(s.AnnouncedStateLimits)
-	c := &Controller{cfg: cfg, led: led}
-	callers := make(map[string]controller.PeerClient)
-	for _, p := range s.Peers {
-		pc, err := transport.DialPeer(p.Addr)
+	settings := cfg.Settings
+	sockets := admission.DivideSockets(settings.ProcessLimits.MaxConns, len(settings.Peers))
+	c := &Controller{cfg: cfg}
+	c.store = newStore(cfg, sockets)
+	peers, err := c.dialPeers()
+	if err != nil {
+		return nil, err
+	}
+	c.node = controller.New(controller.Options{
+		Settings: settings,
+		Policy:   cfg.Policy,
+		Store:    c.store,
+		HTTP:     transport.NewClient(sockets.WorkerCalls, idlePerWorker, dialTimeout),
+		Peers:    peers,
+		Log:      cfg.Log,
+		Rand:     rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1)),
+	})
+	c.publicServer = transport.NewServer(publicServerConfig(settings, sockets), c.node.Handle, cfg.Log)
+	return c, nil
+}
+
+// newStore makes the client of the state service.
+func newStore(cfg Config, sockets admission.SocketBudget) *kv.Client {
+	settings := cfg.Settings
+	caller := transport.NewClient(sockets.State, idlePerState, dialTimeout)
+	store := kv.New(caller, settings.StateAddr, settings.StateLimits, cfg.Log)
+	store.AnnounceLimits(settings.AnnouncedStateLimits)
+	return store
+}
+
+// dialPeers prepares a client of each other controller, by its name.
+func (c *Controller) dialPeers() (map[string]controller.PeerClient, error) {
+	byName := make(map[string]controller.PeerClient)
+	for _, peer := range c.cfg.Settings.Peers {
+		client, err := transport.DialPeer(peer.Addr)
 		if err != nil {
 			return nil, err
 		}
-		c.peers = append(c.peers, pc)
-		callers[p.Node] = pc
+		c.peerClients = append(c.peerClients, client)
+		byName[peer.Node] = client
 	}
-	seed := uint64(time.Now().UnixNano())
-	c.node = controller.New(controller.Options{Settings: s, Policy: cfg.Policy, Store: led, HTTP: worker,
-		Peers: callers, Log: cfg.Log, Rand: rand.New(rand.NewPCG(seed, 1))})
-	c.pub = transport.NewServer(transport.ServerConfig{
-		Addr: s.PublicAddr, MaxConns: sockets.Public, MaxUsers: sockets.Users, Keep: sockets.KeepAlive, IsUser: protocol.IsUserRequest,
-		Limits: transport.Limits{Head: 8 << 10, Body: 64 << 10},
-		// Whoever has nothing to say for several beats has gone, or its machine has.
-		Idle: max(30*time.Second, 5*s.Workers.HeartbeatInterval), Stall: 10 * time.Second,
-	}, c.node.Handle, cfg.Log)
-	return c, nil
+	return byName, nil
 }
 
-// Run serves until the context ends or an address can't be opened.
+// Bounds of a request on the public address, in bytes.
+const (
+	maxRequestHead = 8 << 10
+	maxRequestBody = 64 << 10
+)
+
+// Times after which the public server closes a connection.
+const (
+	minIdleTime    = 30 * time.Second
+	idleHeartbeats = 5 // heartbeat intervals, if that is longer
+	stallTime      = 10 * time.Second
+)
+
+// publicServerConfig bounds the public server by the process's limits.
+func publicServerConfig(settings protocol.Settings, sockets admission.SocketBudget) transport.ServerConfig {
+	return transport.ServerConfig{
+		Addr:     settings.PublicAddr,
+		MaxConns: sockets.Public,
+		MaxUsers: sockets.Users,
+		Keep:     sockets.KeepAlive,
+		IsUser:   protocol.IsUserRequest,
+		Limits:   transport.Limits{Head: maxRequestHead, Body: maxRequestBody},
+		// Whoever has nothing to say for several heartbeats has gone, or its machine has.
+		Idle:  max(minIdleTime, idleHeartbeats*settings.Workers.HeartbeatInterval),
+		Stall: stallTime,
+	}
+}
+
+// Run serves until the context ends or an address can't be opened; then it returns the
+// cause, or nil if the context was cancelled. All that it started has ended when it returns:
+// an embedding program may open the same addresses again. It is called once.
 func (c *Controller) Run(ctx context.Context) error {
-	ram := c.cfg.Settings.ProcessLimits.MemoryBytes
-	// Processor time is scarcer than memory: collect less often than usual, and
-	// more often only when memory runs short.
-	debug.SetGCPercent(400)
-	debug.SetMemoryLimit(ram * 6 / 10)
-	ps, err := transport.ListenPeers(c.cfg.Settings.PeerAddr, c.node.HandlePeerMessage)
+	tuneMemory(c.cfg.Settings.ProcessLimits.MemoryBytes)
+	peerServer, err := transport.ListenPeers(c.cfg.Settings.PeerAddr, c.node.HandlePeerMessage)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// An embedding program may open the same addresses again once Run returns,
-	// so that waits for all that it started.
-	var wg sync.WaitGroup
-	wg.Go(func() {
-		if err := ps.Run(ctx); err != nil && ctx.Err() == nil {
+	var background sync.WaitGroup
+	background.Go(func() {
+		if err := peerServer.Run(ctx); err != nil && ctx.Err() == nil {
 			cancel(fmt.Errorf("peer server: %w", err))
 		}
 	})
-	wg.Go(func() { c.led.Run(ctx) })
-	wg.Go(func() {
-		if err := c.pub.Run(ctx, nil); err != nil {
+	background.Go(func() { c.store.Run(ctx) })
+	background.Go(func() {
+		if err := c.publicServer.Run(ctx, nil); err != nil {
 			cancel(fmt.Errorf("public server: %w", err))
 		}
 	})
 	c.node.Run(ctx)
-	wg.Wait()
-	for _, p := range c.peers {
-		_ = p.Close()
+	background.Wait()
+	for _, client := range c.peerClients {
+		_ = client.Close()
 	}
 	if cause := context.Cause(ctx); !errors.Is(cause, context.Canceled) {
 		return cause
 	}
 	return nil
 }
+
+// gcPercent is how much the heap grows between collections, in percent. Processor time is
+// scarcer than memory: collect less often than usual.
+const gcPercent = 400
+
+// tuneMemory has the runtime collect more often only when memory runs short: beyond 60 %
+// of the process's limit, in bytes.
+func tuneMemory(limit int64) {
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(limit * 6 / 10)
+}
