--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -11,8 +11,8 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Amounts are amounts by name. They are written in the order of the names, as
-// everything that controllers send is: a schedule replays to the letter.
+// Amounts are amounts by name. They are written in the order of the names, so that a
+// simulation that is repeated sends the same bytes.
 type Amounts map[string]float64
 
 // MarshalEasyJSON writes the amounts.
@@ -29,7 +29,7 @@
 	w.RawByte('}')
 }
 
-// UnmarshalEasyJSON undoes MarshalEasyJSON.
+// UnmarshalEasyJSON reads what MarshalEasyJSON writes; null is no amounts.
 func (a *Amounts) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	*a = make(Amounts)
 	if l.IsNull() {
@@ -46,68 +46,72 @@
 	l.Delim('}')
 }
 
-// PeerMessage is what controllers send each other. All of it is advice: every
-// decision that matters is settled by the state service.
+// PeerMessage is what controllers send each other, each second and when something changes.
+// All of it is advice: missing, late or wrong, it costs time, and no rule rests on it.
+// Transactions on the records decide.
 //
 //easyjson:json
 type PeerMessage struct {
 	From    string      `json:"from"`
 	Loads   []ShardLoad `json:"loads,omitempty"`
 	Updates []KeyUpdate `json:"fresh,omitempty"`
-	// Intents are claims that the sender is about to make: its copies of the
-	// same work need not try as well.
+	// ClaimIntents are the keys of claims that the sender is about to create. The jobs'
+	// other shards need not try as well.
 	ClaimIntents []string `json:"intents,omitempty"`
-	// Planned are claims for which the sender is displacing other work.
+	// PreemptionIntents are the keys of claims for which the sender is preempting tasks.
 	PreemptionIntents []string `json:"planned,omitempty"`
-	// Waits is how many changes wait at the sender for the state service's budget.
+	// PendingChanges is how many of the sender's changes wait for the state service's rate
+	// limit. Only a periodic message tells it.
 	PendingChanges int `json:"waits,omitempty"`
-	// Beat marks the message of every second, which alone tells Waits.
+	// Periodic marks the message of each second.
 	Periodic bool `json:"beat,omitempty"`
-	// Wants are what the sender's shards could start if their teams' allotments
-	// reached. Wanting marks a message that tells all of them, none included.
+	// Demands are what the sender's shards could start with larger allotments. They are
+	// all of them, none included, if DemandsComplete is set.
 	Demands         []Demand `json:"wants,omitempty"`
 	DemandsComplete bool     `json:"wanting,omitempty"`
-	// StateReachable tells that the sender heard from the state service just now.
+	// StateReachable reports whether the sender has reached the state service just now.
 	StateReachable bool `json:"stateOk"`
-	// Took, in an answer, tells that the news were taken. Older versions do not say.
+	// Accepted, in an answer, reports that the updates were applied. Older versions do not
+	// set it.
 	Accepted bool `json:"took,omitempty"`
 }
 
 // ShardLoad is a shard's load as its owner sees it.
 type ShardLoad struct {
 	Shard string `json:"shard"`
-	// Token is the revision at which the sender acquired the shard. A controller
-	// that holds an older one owns it no longer, whatever its records say.
+	// FencingToken is the revision at which the sender acquired the shard. A controller
+	// with an older one does not own the shard any more, whatever it has read.
 	FencingToken    uint64  `json:"token,omitempty"`
-	CPUs            float64 `json:"cpus"`   // of all usable machines
+	CPUs            float64 `json:"cpus"`   // of its machines
 	UsedCPUs        float64 `json:"used"`   // by placed tasks
-	QueuedCPUs      float64 `json:"queued"` // wanted by its queue
-	FreeCPUsByImage Amounts `json:"holds"`  // image: largest free CPUs on one machine holding it
-	// Barred are machines that do not count: their owner gives them nothing new for
-	// good and they are not returned yet, or they are late in coming up.
+	QueuedCPUs      float64 `json:"queued"` // of the tasks in its queue
+	FreeCPUsByImage Amounts `json:"holds"`  // by image: the most that is free on one machine with the image
+	// ExcludedHosts are machines that do not count: quarantined ones that are not
+	// returned yet, and those that are late to boot.
 	ExcludedHosts []string `json:"barred,omitempty"`
-	// Shy are kinds, "type/zone", whose machines the owner sees fail to come up, and
-	// how many times as dear as it is each should seem.
+	// Unreliability is the factor, by "type/zone", by which the price of machines that
+	// fail to boot should seem higher.
 	Unreliability Amounts `json:"shy,omitempty"`
 }
 
-// Demand is what a shard could start this moment within its team's limit, if its
-// allotment reached.
+// Demand is what a shard, or the work across shards, could start of a team this moment with
+// a larger allotment of the team's limit.
 type Demand struct {
 	Team         string    `json:"team"`
 	Holder       string    `json:"holder"` // the shard, or "*": across shards
-	Head         Resources `json:"head"`   // what its first job needs to start
-	PerTask      Resources `json:"unit"`   // one task of it
-	Total        Resources `json:"total"`
+	Head         Resources `json:"head"`   // what the first job needs to start
+	PerTask      Resources `json:"unit"`   // one task of the first job
+	Total        Resources `json:"total"`  // all that could be started
 	Priority     int       `json:"rank"`
 	AcceptedAtMs int64     `json:"born"` // Unix milliseconds
 	JobID        string    `json:"ref"`
 	AllOrNothing bool      `json:"whole,omitempty"`
-	Anticipated  bool      `json:"ahead,omitempty"` // its room is not there yet
-	WaitedMs     int64     `json:"waitedMs"`
+	Anticipated  bool      `json:"ahead,omitempty"` // there is no capacity for it yet
+	WaitedMs     int64     `json:"waitedMs"`        // how long the first job has waited, milliseconds
 }
 
-// KeyUpdate passes a just-committed record on, ahead of the watch.
+// KeyUpdate is a version of a record that the sender has just committed, ahead of the
+// receiver's watch.
 type KeyUpdate struct {
 	Key     string          `json:"key"`
 	Value   json.RawMessage `json:"value"`
