--- a/internal/coordination/quota/manager.go
+++ b/internal/coordination/quota/manager.go
@@ -103,8 +103,9 @@
 	}
 }
 
-// ApplyAllotment applies a version of a holder's allotment; nil: there is none. The key is
-// "team/holder", without records.AllotmentPrefix; others are ignored.
+// ApplyAllotment applies a version of a holder's allotment; nil: there is none. The key
+// comes without records.AllotmentPrefix: the team, a slash and the holder. Any other key is
+// ignored.
 func (m *Manager) ApplyAllotment(key string, record *records.Allotment, version uint64) {
 	slash := strings.LastIndexByte(key, '/')
 	if slash < 0 {
