--- a/cmd/madderslip/run.go
+++ b/cmd/madderslip/run.go
@@ -38,7 +38,7 @@
 				return err
 			}
 			for _, warning := range cfg.Settings.Warnings {
-				cfg.Log.Warn("doubtful settings", "reason", warning)
+				cfg.Log.Warn("contradictory settings", "reason", warning)
 			}
 			cfg.Log.Info("starting", "version", madderslip.Version, "node", cfg.Settings.NodeName)
 			return controller.Run(ctx)
--- a/internal/coordination/controller/adoption.go
+++ b/internal/coordination/controller/adoption.go
@@ -87,7 +87,7 @@
 	}
 	c.commit(kv.PriorityLease, compares, ops, 5*time.Second, func(err error) {
 		if err == nil {
-			c.log.Info("machines adopted", "hosts", len(hosts), "type", kind.Type, "zone", kind.Zone, "parts", record.Allocations)
+			c.log.Info("unrecorded machines adopted", "machines", len(hosts), "type", kind.Type, "zone", kind.Zone, "shards", record.Allocations)
 		}
 		for _, host := range hosts {
 			delete(c.provisioner.unrecorded, host)
--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -25,7 +25,7 @@
 // of them could show a task as ended that runs again. So a higher token is shown,
 // and until then nothing that the machine says counts.
 func (c *Controller) recordRestart(shard *replica.Shard, machine *replica.Machine, heartbeat *protocol.Heartbeat) {
-	c.log.Info("machine began again", "host", machine.Host, "seq", heartbeat.Sequence, "was", machine.Agent.Heartbeat.Sequence, "session", heartbeat.AgentEpoch)
+	c.log.Info("agent restarted", "host", machine.Host, "sequence", heartbeat.Sequence, "last_sequence", machine.Agent.Heartbeat.Sequence, "agent_epoch", heartbeat.AgentEpoch)
 	machine.Agent.MinToken = max(machine.Agent.MinToken, machine.Agent.Heartbeat.FencingToken, shard.FencingToken)
 	shard.NeedsNewToken = true
 	machine.Commands.Pending, machine.Agent.RunningSince = nil, make(map[string]time.Time)
@@ -59,7 +59,7 @@
 		if status.Phase == protocol.TaskRunning || status.Phase == protocol.TaskWaitingForGang {
 			if _, ok := machine.Agent.RunningSince[status.Task]; !ok {
 				machine.Agent.RunningSince[status.Task] = now
-				c.log.Debug("task runs", "task", status.Task, "try", status.Attempt, "host", machine.Host)
+				c.log.Debug("task running", "task", status.Task, "attempt", status.Attempt, "host", machine.Host)
 				if spec := c.view.SpecOfTask(status.Task); spec != nil {
 					machine.RecordImageUse(spec.Image, spec.ImageGB, c.view.MachineType(machine.Record.Type).ImageCacheGB)
 				}
@@ -76,7 +76,7 @@
 	})
 	if heartbeat.PreemptionNoticeS != nil && machine.Agent.PreemptionNoticeAt.IsZero() {
 		machine.Agent.PreemptionNoticeAt = now
-		c.log.Info("spot notice", "host", machine.Host, "seconds", *heartbeat.PreemptionNoticeS)
+		c.log.Info("spot preemption notice", "host", machine.Host, "seconds", *heartbeat.PreemptionNoticeS)
 	}
 	// Only claims about which the report says something new are looked at, and
 	// those it does not mention.
--- a/internal/coordination/controller/attribution.go
+++ b/internal/coordination/controller/attribution.go
@@ -11,7 +11,7 @@
 
 // recordTaskEnd notes why a task ended.
 func (c *Controller) recordTaskEnd(job *replica.Job, machine *replica.Machine, status *protocol.TaskStatus, now time.Time) {
-	c.log.Debug("task ended", "task", status.Task, "try", status.Attempt, "host", machine.Host, "cause", status.Cause)
+	c.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "host", machine.Host, "cause", status.Cause)
 	switch status.Cause {
 	case protocol.CauseNoCapacity, protocol.CauseBusy:
 		machine.Quarantine.RejectingUntil = now.Add(2 * time.Second)
@@ -29,7 +29,7 @@
 		machine.Quarantine.Evidence.RecordFailure(job.ID, began, now)
 		c.corroborateJob(job, now)
 		if was != quarantine.Suspect && job.Evidence.Verdict(now) == quarantine.Suspect {
-			c.log.Info("job fails wherever it runs, its tasks are tried one at a time", "job", job.ID, "on", strings.Join(job.Evidence.FailedHosts(), ","))
+			c.log.Info("job on probation", "job", job.ID, "failed_hosts", strings.Join(job.Evidence.FailedHosts(), ","))
 		}
 		c.updateQuarantine(machine, now)
 	}
@@ -75,10 +75,10 @@
 	machine.Quarantine.Active, machine.Quarantine.ChangedAt = sick, now
 	c.view.Shard(machine.Record.Shard).Changed = true
 	if !sick {
-		c.log.Info("machine is in use again, the jobs that failed there fail elsewhere too", "host", machine.Host)
+		c.log.Info("machine released from quarantine", "host", machine.Host)
 		return
 	}
-	c.log.Info("machine fails tasks of jobs that run elsewhere, taken out of use", "host", machine.Host, "jobs", strings.Join(on, ","))
+	c.log.Info("machine quarantined", "host", machine.Host, "failed_jobs", strings.Join(on, ","))
 	for _, jobID := range on {
 		if job := c.view.Jobs[jobID]; job != nil {
 			job.Evidence.Exonerate(machine.Host)
--- a/internal/coordination/controller/boots.go
+++ b/internal/coordination/controller/boots.go
@@ -14,7 +14,7 @@
 		c.provisioner.bootStats.Booted(bootKindOf(machine), machine.Age(now), now)
 	}
 	if machine.Lifecycle.Overdue {
-		c.log.Info("a late machine has come up", "host", machine.Host, "after", machine.Age(now).Round(time.Second))
+		c.log.Info("overdue machine booted", "host", machine.Host, "age", machine.Age(now).Round(time.Second))
 	}
 }
 
@@ -37,7 +37,7 @@
 		if !machine.Lifecycle.Overdue {
 			machine.Lifecycle.Overdue = true
 			c.provisioner.bootStats.Failed(bootKindOf(machine), now)
-			c.log.Info("a machine is late, others are rented for what waits for it", "host", machine.Host, "type", machine.Record.Type, "zone", machine.Record.Zone, "age", machine.Age(now).Round(time.Second))
+			c.log.Info("machine boot overdue", "host", machine.Host, "type", machine.Record.Type, "zone", machine.Record.Zone, "age", machine.Age(now).Round(time.Second))
 		}
 		out = append(out, machine.Host)
 	}
--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -68,7 +68,7 @@
 	if len(bare) > 0 && !c.provisioner.returningUnrecorded {
 		slices.Sort(bare)
 		bare = bare[:min(len(bare), maxReturnsPerCall)]
-		c.log.Info("returning machines without a record, the state service takes none", "hosts", bare)
+		c.log.Info("machines being returned without a record", "hosts", bare)
 		c.provisioner.returningUnrecorded = true
 		go c.returnUnrecorded(c.ctx, bare)
 	}
@@ -95,7 +95,7 @@
 		return false
 	}
 	if machine.Record.State == "" && !machine.Lifecycle.Returning {
-		c.log.Info("fencing a machine that keeps a cancelled task", "host", machine.Host, "job", job.ID, "after", cancelled.Age, "silent", cancelled.Silent)
+		c.log.Info("machine fenced for a cancelled task", "host", machine.Host, "job", job.ID, "age", cancelled.Age, "silent", cancelled.Silent)
 		c.returnMachine(shard, machine)
 	}
 	// A process that has just gone on after standing still knows the age alone, not
@@ -162,7 +162,7 @@
 	if len(body.Commands) == 0 {
 		return
 	}
-	c.log.Info("stopping cancelled tasks on a machine of another's shard", "host", machine.Host, "shard", machine.Record.Shard, "tasks", len(body.Commands), "first", body.Commands[0].Task)
+	c.log.Info("cancelled tasks stopped on a machine of another owner", "host", machine.Host, "shard", machine.Record.Shard, "tasks", len(body.Commands), "task", body.Commands[0].Task)
 	addr, ctx := machine.Address(), c.ctx
 	go func() {
 		var after protocol.Heartbeat
--- a/internal/coordination/controller/claims.go
+++ b/internal/coordination/controller/claims.go
@@ -172,7 +172,7 @@
 		c.view.SetPending(claim, nil)
 		if err != nil {
 			claim.RetryAt = time.Now().Add(150 * time.Millisecond)
-			c.log.Debug("claim not updated", "claim", claim.Key, "err", err)
+			c.log.Debug("claim update failed", "claim", claim.Key, "err", err)
 		}
 		if then != nil {
 			then(err)
@@ -272,7 +272,7 @@
 			job.LeftUntil[claim.Chunk] = time.Now().Add(claimRetryPause)
 		}
 		if !errors.Is(err, kv.ErrCompareFailed) {
-			c.log.Debug("claim not made", "claim", claim.Key, "err", err)
+			c.log.Debug("claim commit failed", "claim", claim.Key, "err", err)
 		}
 		return
 	}
--- a/internal/coordination/controller/cloud.go
+++ b/internal/coordination/controller/cloud.go
@@ -70,7 +70,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil || status != 200 || len(out.Types) == 0 {
-		c.log.Debug("machine types", "status", status, "err", err)
+		c.log.Debug("machine types fetch failed", "status", status, "err", err)
 		if len(c.view.MachineTypes) > 0 {
 			c.provisioner.typesFetchedAt = time.Now().Add(-20 * time.Second)
 		}
@@ -126,7 +126,7 @@
 		}
 	case h.Phase == protocol.MachineFailed && machine.Record.State == "":
 		if shard := c.view.Shards[machine.Record.Shard]; c.view.IsActive(shard) {
-			c.log.Info("machine failed", "host", h.Host)
+			c.log.Info("machine reported failed by the cloud", "host", h.Host)
 			c.returnMachine(shard, machine)
 		}
 	}
--- a/internal/coordination/controller/commands.go
+++ b/internal/coordination/controller/commands.go
@@ -44,7 +44,7 @@
 		body.Commands = []protocol.Command{}
 	}
 	addr, ctx := machine.Address(), c.ctx
-	c.log.Debug("commands", "host", machine.Host, "token", body.FencingToken, "orders", body.Commands)
+	c.log.Debug("commands sent", "host", machine.Host, "token", body.FencingToken, "commands", body.Commands)
 	go func() {
 		var heartbeat protocol.Heartbeat
 		status, err := c.callJSON(ctx, addr, "POST", protocol.PathCommands, body, &heartbeat, commandTimeout)
@@ -59,7 +59,7 @@
 	machine.Commands.InFlight = nil
 	switch {
 	case err != nil && !errors.Is(err, transport.ErrNotSent), err == nil && status != 200 && status != 409:
-		c.log.Debug("commands of unknown fate", "host", machine.Host, "status", status, "err", err)
+		c.log.Debug("command outcome unknown", "host", machine.Host, "status", status, "err", err)
 		machine.Detector.Reachability.RecordFailure(time.Now(), machine.Agent.LastContact)
 		for _, command := range body.Commands {
 			if command.Verb == "start" {
--- a/internal/coordination/controller/consolidation.go
+++ b/internal/coordination/controller/consolidation.go
@@ -64,7 +64,7 @@
 		if !c.fitElsewhere(from, on[from.Host], capacities, now) {
 			continue
 		}
-		c.log.Info("emptying a machine", "host", from.Host, "replicas", len(on[from.Host]))
+		c.log.Info("machine draining", "host", from.Host, "replicas", len(on[from.Host]))
 		from.Machine.Lifecycle.DrainingSince = now
 		shard.DrainedAt = now
 		c.migrateReplicas(from.Machine, now)
--- a/internal/coordination/controller/dependencies.go
+++ b/internal/coordination/controller/dependencies.go
@@ -221,7 +221,7 @@
 	c.commit(kv.PriorityClaim, compares, ops, submitTimeout, func(err error) {
 		first.finish(c, err)
 		if err == nil {
-			c.log.Debug("job released", "job", blocked.ID, "class", blocked.Spec.Class, "at", record.Shards, "claimed", first.claim != nil)
+			c.log.Debug("job released", "job", blocked.ID, "class", blocked.Spec.Class, "shards", record.Shards, "claimed", first.claim != nil)
 			c.broadcastJob(key)
 		} else if errors.Is(err, kv.ErrCompareFailed) && first.claim != nil {
 			if still, held := c.view.Dependencies.Lookup(blocked.ID); held && still.Revision == blocked.Revision {
@@ -322,7 +322,7 @@
 	if job.Spec() == before {
 		return
 	}
-	c.log.Debug("rank inherited", "job", job.ID, "rank", job.Spec().PriorityClass)
+	c.log.Debug("job priority inherited", "job", job.ID, "priority", job.Spec().PriorityClass)
 	for _, claim := range job.Claims {
 		c.view.SetSpec(claim, job.Spec())
 		c.view.MarkDirty(claim)
--- a/internal/coordination/controller/failuredetection.go
+++ b/internal/coordination/controller/failuredetection.go
@@ -11,7 +11,7 @@
 // silence, and logged.
 func (c *Controller) observePause(now time.Time) {
 	if still := c.pauses.Observe(now); still > 0 {
-		c.log.Info("this process stood still", "for", still)
+		c.log.Info("process paused", "pause", still)
 	}
 }
 
@@ -44,7 +44,7 @@
 	}
 	for zone := range health.PartitionedZones(c.settings.Zone, signs, beat, witnesses) {
 		if !c.isPartitioned(zone, now) {
-			c.log.Info("a zone seems cut off, its machines are not fenced for a while", "zone", zone)
+			c.log.Info("zone partitioned, fencing delayed", "zone", zone)
 		}
 		c.partitionSeenAt[zone] = now
 	}
--- a/internal/coordination/controller/gangs.go
+++ b/internal/coordination/controller/gangs.go
@@ -114,7 +114,7 @@
 func (c *Controller) beginGangReservation(jobID string, reservation *replica.GangReservation, now time.Time) {
 	reservation.Writing = true
 	key := records.GangReservationPrefix + jobID
-	c.log.Info("gathering room", "job", jobID)
+	c.log.Info("gang reservation started", "job", jobID)
 	c.commit(kv.PriorityClaim, []kv.Compare{{Key: records.LeaderKey, Version: c.leadership.version}, {Key: key, Version: 0}},
 		[]kv.Op{{Key: key, Value: &records.GangReservation{ExpiresAtMs: now.Add(gangReservationTTL).UnixMilli()}, Lease: c.membership.lease}}, 5*time.Second,
 		func(error) { reservation.Writing = false })
@@ -277,7 +277,7 @@
 	reservation.Writing = true
 	c.view.Claims[claim.Key] = claim
 	c.view.SetPending(claim, next)
-	c.log.Info("placing a wide job", "job", job.ID, "tasks", spec.Tasks, "shards", len(used))
+	c.log.Info("gang placed across shards", "job", job.ID, "tasks", spec.Tasks, "shards", len(used))
 	c.commit(kv.PriorityClaim, compares, ops, 0, func(err error) {
 		reservation.Writing = false
 		c.view.SetPending(claim, nil)
--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -222,7 +222,7 @@
 	compares = append(compares, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: records.JobPrefix + entry.Job.ID, Version: entry.Job.Version})
 	c.commit(kv.PriorityClaim, compares, ops, 0, func(err error) {
 		if err != nil {
-			c.log.Debug("guarantee not booked", "claim", id, "team", reservation.team, "err", err)
+			c.log.Debug("guarantee reservation failed", "claim", id, "team", reservation.team, "err", err)
 			if c.preemptions.reservations[id] == reservation {
 				delete(c.preemptions.reservations, id)
 			}
@@ -293,7 +293,7 @@
 	}
 	if due < reservation.tasks || (entry.StartsTogether() && len(plan) < len(reservation.planned)) {
 		// It goes as a whole and is made anew: what is on record is what is taken.
-		c.log.Debug("a booking does not hold any more", "claim", entry.ClaimKey(), "team", reservation.team)
+		c.log.Debug("guarantee reservation no longer valid", "claim", entry.ClaimKey(), "team", reservation.team)
 		return false
 	}
 	for _, eviction := range plan {
--- a/internal/coordination/controller/leadership.go
+++ b/internal/coordination/controller/leadership.go
@@ -38,7 +38,7 @@
 	}
 	c.leadership.node, c.leadership.version = record.Node, version
 	if c.leadership.isSelf = record.Node == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli(); c.leadership.isSelf {
-		c.log.Info("leading")
+		c.log.Info("leadership acquired")
 	}
 }
 
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -232,7 +232,7 @@
 		c.broadcast(c.ctx, protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, Demands: wants, DemandsComplete: true})
 	}
 	for _, m := range c.view.Quota.DueTransfers(c.decidesFor, now) {
-		c.log.Debug("allotment given", "team", m.Team, "from", m.From, "to", m.To, "cpus", m.Amount.CPUs, "cards", m.Amount.GPUs)
+		c.log.Debug("allotment transferred", "team", m.Team, "from", m.From, "to", m.To, "cpus", m.Amount.CPUs, "gpus", m.Amount.GPUs)
 		c.commit(kv.PriorityClaim, m.Compares, m.Ops, 0, func(err error) {
 			c.view.Quota.FinishTransfer(m)
 			if err == nil {
@@ -241,7 +241,7 @@
 		})
 	}
 	for _, h := range c.view.Quota.WaitingTeams(waitingLogInterval, now) {
-		c.log.Info("a team waits for its limit", "team", h.Team, "seconds", int(h.WaitedFor.Seconds()), "limit", h.Limit, "allotted", h.Grants, "used", h.Usage)
+		c.log.Info("team waiting for its limit", "team", h.Team, "seconds", int(h.WaitedFor.Seconds()), "limit", h.Limit, "allotted", h.Grants, "used", h.Usage)
 	}
 }
 
@@ -280,11 +280,11 @@
 		return
 	}
 	for _, change := range c.view.Quota.LimitChanges(sit) {
-		c.log.Info("team limit", "team", change.Team, "is", change.Description)
+		c.log.Info("team limit changed", "team", change.Team, "change", change.Description)
 		c.commit(kv.PriorityClaim, change.Compares, change.Ops, 0, func(err error) {
 			c.view.Quota.FinishChange(change)
 			if err != nil {
-				c.log.Debug("team limit not changed", "team", change.Team, "err", err)
+				c.log.Debug("team limit change failed", "team", change.Team, "err", err)
 			}
 		})
 	}
--- a/internal/coordination/controller/membership.go
+++ b/internal/coordination/controller/membership.go
@@ -28,7 +28,7 @@
 		if permit == 0 {
 			p, err := c.store.GrantLease(ctx, ttl)
 			if err != nil {
-				c.log.Info("no lease", "err", err)
+				c.log.Info("lease not granted", "err", err)
 				c.pause(ctx, 300*time.Millisecond)
 				continue
 			}
@@ -55,7 +55,7 @@
 				return // the ledger may have ended first
 			}
 			if err != nil {
-				c.log.Info("cannot register", "err", err)
+				c.log.Info("node registration failed", "err", err)
 				if errors.Is(err, kv.ErrLeaseExpired) {
 					permit = 0 // the lease ended before it was used
 				}
@@ -65,10 +65,10 @@
 		}
 		c.pause(ctx, ttl/3)
 		if err := c.store.KeepAlive(ctx, permit); errors.Is(err, kv.ErrLeaseExpired) {
-			c.log.Info("lease ended")
+			c.log.Info("lease expired")
 			permit = 0
 		} else if err != nil {
-			c.log.Debug("lease not extended", "err", err)
+			c.log.Debug("lease keep-alive failed", "err", err)
 		}
 	}
 }
--- a/internal/coordination/controller/peers.go
+++ b/internal/coordination/controller/peers.go
@@ -97,7 +97,7 @@
 			defer cancel()
 			var out protocol.PeerMessage
 			if err := peer.Call(ctx, message, &out); err != nil {
-				c.log.Debug("peer not reached", "peer", name, "err", err)
+				c.log.Debug("peer unreachable", "node", name, "err", err)
 			} else if out.Accepted {
 				c.recordNotified(name, message.Updates)
 			}
--- a/internal/coordination/controller/preemption.go
+++ b/internal/coordination/controller/preemption.go
@@ -121,7 +121,7 @@
 	for _, victim := range eviction.Victims {
 		c.evict(victim.Claim, victim.Task, now)
 		capacity.Release(victim.Claim.Spec)
-		c.log.Debug("displacing", "claim", victim.Claim.Key, "task", victim.Task, "host", capacity.Host, "for", entry.Job.ID)
+		c.log.Debug("task preempted", "claim", victim.Claim.Key, "task", victim.Task, "host", capacity.Host, "job", entry.Job.ID)
 	}
 	c.sendPendingCommands(s)
 	capacity.Allocate(entry.Spec)
--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -38,7 +38,7 @@
 			c.probeMachine(machine)
 		}
 		if quiet > c.fenceDelay(machine, 2*c.policy.FenceAfter, now) && len(machine.Use.Slots) > 0 && !machine.Lifecycle.Returning {
-			c.log.Info("fencing a machine that does not come to its new owner", "host", machine.Host)
+			c.log.Info("machine fenced, not heard by its new owner", "host", machine.Host)
 			c.returnMachine(shard, machine)
 		}
 		return
@@ -50,14 +50,14 @@
 	shard.RequestNewToken(machine)
 	if health.Unreachable(machine.Agent.LastHeartbeat, c.hearingSince(machine), now, c.settings.Workers.LeaseDuration) && quiet <= c.policy.SuspectAfter && !machine.Lifecycle.Returning && !c.isOwnFault(shard, now) && !c.isStateDown(now) && machine.RunsNothingPlaced() {
 		// It answers, but its lease ends again and again, with all that it is given.
-		c.log.Info("fencing a machine whose reports do not arrive", "host", machine.Host)
+		c.log.Info("machine fenced, heartbeats do not arrive", "host", machine.Host)
 		c.returnMachine(shard, machine)
 		return
 	}
 	if machine.Detector.Reachability.CannotReceive() && !machine.ShowsToken(shard) && !machine.Lifecycle.Returning && len(machine.Use.Slots) > 0 && !c.isStateDown(now) && machine.RunsNothingPlaced() {
 		// It can't be shown the token, so nothing it says proves anything, and what was
 		// placed there is not there any more: its lease has run out while it did not hear.
-		c.log.Info("fencing a machine that does not hear and has lost what it ran", "host", machine.Host)
+		c.log.Info("machine fenced, cannot receive commands", "host", machine.Host)
 		c.returnMachine(shard, machine)
 		return
 	}
@@ -79,7 +79,7 @@
 	if c.isStateDown(now) {
 		return // nothing can be recorded now; it may be heard before that changes
 	}
-	c.log.Info("fencing a silent machine", "host", machine.Host, "silent", quiet)
+	c.log.Info("machine fenced, silent", "host", machine.Host, "silence", quiet)
 	c.returnMachine(shard, machine)
 }
 
--- a/internal/coordination/controller/provisions.go
+++ b/internal/coordination/controller/provisions.go
@@ -18,7 +18,7 @@
 // recordProvision writes a hire's name down before it is sent.
 func (c *Controller) recordProvision(record *records.Provision) {
 	name := record.Name
-	c.log.Info("hiring", "name", name, "type", record.Type, "zone", record.Zone, "spot", record.Spot, "count", record.Count, "parts", record.Allocations)
+	c.log.Info("provision requested", "name", name, "type", record.Type, "zone", record.Zone, "spot", record.Spot, "machines", record.Count, "shards", record.Allocations)
 	// Hires are few and everything waits for the machines, so they go first.
 	c.commit(kv.PriorityLease, []kv.Compare{{Key: records.LeaderKey, Version: c.leadership.version}, {Key: records.ProvisionPrefix + name, Version: 0}},
 		[]kv.Op{{Key: records.ProvisionPrefix + name, Value: record}}, 5*time.Second, func(err error) {
@@ -75,7 +75,7 @@
 		case err == nil && (status == 503 || status == 400):
 			o := record.Type + "/" + record.Zone + "/" + strconv.FormatBool(record.Spot)
 			c.provisioner.refusedUntil[o] = time.Now().Add(c.policy.RefusedOfferPause)
-			c.log.Info("hire refused", "kind", o, "status", status)
+			c.log.Info("provision refused", "kind", o, "status", status)
 			c.dropProvision(provision)
 		default:
 			provision.Busy = false
--- a/internal/coordination/controller/reconcile.go
+++ b/internal/coordination/controller/reconcile.go
@@ -52,7 +52,7 @@
 			changed = true
 		case outcomeGone:
 			if _, moved := claim.Evictions[placement.Task]; !moved && claim.Spec.Shape == protocol.ShapeService && !job.Record.IsFinal() {
-				c.log.Info("replica lost", "task", protocol.TaskName(claim.JobID, placement.Task), "try", placement.Attempt, "host", placement.Host)
+				c.log.Info("service replica lost", "task", protocol.TaskName(claim.JobID, placement.Task), "attempt", placement.Attempt, "host", placement.Host)
 			}
 			delete(claim.Evictions, placement.Task)
 			changed, pressing = true, true
--- a/internal/coordination/controller/scalein.go
+++ b/internal/coordination/controller/scalein.go
@@ -68,7 +68,7 @@
 		if machine.Agent.Heartbeat == nil {
 			age := machine.Age(now)
 			if age > c.provisioner.bootStats.Expired(bootKindOf(machine), machineType.BootTime(), now) && now.Sub(machine.AdoptedAt) > machineType.BootTime()+c.settings.Workers.LeaseDuration {
-				c.log.Info("machine never came up, returned", "host", machine.Host, "type", machine.Record.Type, "zone", machine.Record.Zone, "age", age.Round(time.Second))
+				c.log.Info("machine boot expired", "host", machine.Host, "type", machine.Record.Type, "zone", machine.Record.Zone, "age", age.Round(time.Second))
 				c.returnMachine(shard, machine)
 			}
 			continue
@@ -94,7 +94,7 @@
 			}
 			spare -= machineType.CPUs
 		}
-		c.log.Info("returning an idle machine", "host", machine.Host)
+		c.log.Info("idle machine returned", "host", machine.Host)
 		c.returnMachine(shard, machine)
 	}
 }
--- a/internal/coordination/controller/shards.go
+++ b/internal/coordination/controller/shards.go
@@ -65,7 +65,7 @@
 	if by == c.settings.NodeName || token <= max(shard.FencingToken, shard.NewOwnerToken) || (shard.FencingToken == 0 && shard.NewOwner == "") {
 		return
 	}
-	c.log.Info("shard lost, its new owner says so", "shard", shard.Name, "to", by, "token", token)
+	c.log.Info("shard lost to its new owner", "shard", shard.Name, "node", by, "token", token)
 	shard.FencingToken, shard.NewOwner, shard.NewOwnerToken = 0, by, token
 	c.dropPendingCommands(shard)
 }
@@ -131,14 +131,14 @@
 		c.writeShard(shard, me, nil)
 	case shard.Record.Owner == me && shard.NeedsNewToken && now.Sub(shard.TokenRaisedAt) > 3*time.Second:
 		shard.TokenRaisedAt = now
-		c.log.Info("raising the token", "shard", shard.Name)
+		c.log.Info("fencing token renewal requested", "shard", shard.Name)
 		c.writeShard(shard, me, nil)
 	case shard.Record.Owner == me && shard.Name != me && homeLive && now.UnixMilli() > shard.Record.AwayUntilMs && now.Sub(home.Since) > c.policy.HandbackDelay && now.Sub(shard.OwnedSince) > 2*time.Second:
-		c.log.Info("handing the shard back", "shard", shard.Name)
+		c.log.Info("shard handed back", "shard", shard.Name)
 		c.writeShard(shard, shard.Name, []kv.Compare{{Key: records.NodePrefix + shard.Name, Version: home.Version}})
 	case shard.Record.Owner == me && c.isCutOff(shard, now):
 		if to := c.leastLoadedPeer(); to != "" {
-			c.log.Info("most machines are silent here, giving the shard away", "shard", shard.Name, "to", to)
+			c.log.Info("shard given away, most machines are silent", "shard", shard.Name, "node", to)
 			c.giveAway(shard, to, now)
 		}
 	case shard.Record.Owner != me:
@@ -155,7 +155,7 @@
 			if homeLive && shard.Name != me && now.Sub(home.Since) < 2*time.Second {
 				return
 			}
-			c.log.Info("taking over", "shard", shard.Name, "from", shard.Record.Owner)
+			c.log.Info("shard takeover started", "shard", shard.Name, "node", shard.Record.Owner)
 			c.writeShard(shard, me, []kv.Compare{{Key: records.NodePrefix + shard.Record.Owner, Version: 0}})
 		}
 	}
@@ -188,7 +188,7 @@
 	c.commit(kv.PriorityLease, compares, []kv.Op{{Key: records.ShardPrefix + shard.Name, Value: next}}, 3*time.Second, func(err error) {
 		shard.Writing = false
 		if err != nil {
-			c.log.Debug("shard not changed", "shard", shard.Name, "err", err)
+			c.log.Debug("shard record change failed", "shard", shard.Name, "err", err)
 		}
 	})
 }
--- a/internal/coordination/controller/users.go
+++ b/internal/coordination/controller/users.go
@@ -201,7 +201,7 @@
 		first.finish(c, err)
 		switch {
 		case err == nil:
-			c.log.Debug("job accepted", "job", jobID, "at", record.Shards, "needs", len(record.Dependencies), "claimed", first.claim != nil)
+			c.log.Debug("job accepted", "job", jobID, "shards", record.Shards, "dependencies", len(record.Dependencies), "claimed", first.claim != nil)
 			c.replyStatus(jobID, 201, time.Until(until), reply)
 			c.broadcastAccepted(key, record)
 		case errors.Is(err, kv.ErrTooLarge) && !errors.Is(err, kv.ErrOutcomeUnknown):
--- a/internal/coordination/controller/watch.go
+++ b/internal/coordination/controller/watch.go
@@ -17,22 +17,22 @@
 	for ctx.Err() == nil {
 		items, epoch, err := c.store.List(ctx)
 		if err != nil {
-			c.log.Info("cannot read the state service", "err", err)
+			c.log.Info("records read failed", "err", err)
 			c.pause(ctx, 500*time.Millisecond)
 			continue
 		}
 		c.mu.Lock()
 		c.view.Relist(items, epoch)
 		c.mu.Unlock()
-		c.log.Info("records read", "records", len(items), "epoch", epoch)
+		c.log.Info("records read", "records", len(items), "revision", epoch)
 		for ctx.Err() == nil {
 			items, upTo, err := c.store.Watch(ctx, epoch, 10*time.Second)
 			if errors.Is(err, kv.ErrCompacted) {
-				c.log.Info("watch fell behind, reading anew")
+				c.log.Info("watch compacted, reading all records")
 				break
 			}
 			if err != nil {
-				c.log.Debug("watch", "err", err)
+				c.log.Debug("watch failed", "err", err)
 				c.pause(ctx, 300*time.Millisecond)
 				continue
 			}
--- a/internal/coordination/replica/jobs.go
+++ b/internal/coordination/replica/jobs.go
@@ -45,7 +45,7 @@
 		return false
 	}
 	if record.Spec == nil {
-		v.log.Error("held job without a description", "job", jobID)
+		v.log.Error("blocked job has no description", "job", jobID)
 		return true
 	}
 	v.Dependencies.Add(dag.Job{ID: jobID, Dependencies: record.Dependencies, Spec: record.Spec, AcceptedAt: time.UnixMilli(record.AcceptedAtMs), Revision: version}, time.Now())
--- a/internal/coordination/replica/view.go
+++ b/internal/coordination/replica/view.go
@@ -214,7 +214,7 @@
 			return
 		}
 		if err := protocol.Decode(item.Value, record); err != nil {
-			v.log.Error("record unreadable", "key", item.Key, "err", err)
+			v.log.Error("record undecodable", "key", item.Key, "err", err)
 			return
 		}
 	}
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -50,7 +50,7 @@
 	}
 	grace`},
 	{"an account counts under the present token only", "coordination/replica/machine.go", `return m.Agent.Heartbeat != nil && shard.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= shard.FencingToken`, `return m.Agent.Heartbeat != nil && shard.FencingToken != 0`},
-	{"commands of unknown fate", "coordination/replica/machine.go", `slices.ContainsFunc(m.Commands.Unknown, func(u UnknownStart) bool { return u.Task == task && u.Attempt == try })`, `false`},
+	{"command outcome unknown", "coordination/replica/machine.go", `slices.ContainsFunc(m.Commands.Unknown, func(u UnknownStart) bool { return u.Task == task && u.Attempt == try })`, `false`},
 	{"a machine that keeps a cancelled task is fenced", "coordination/controller/probes.go", `		c.enforceCancellations(now)
 `, ``},
 	{"fenced without a record if need be", "coordination/controller/cancellations.go", `return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == "" && !c.isRefusedAlone(now)`, `return false`},
--- a/internal/storage/kv/budgetlog.go
+++ b/internal/storage/kv/budgetlog.go
@@ -68,7 +68,7 @@
 			use := b.use[priority]
 			attrs = append(attrs, slog.Group(label, "changes", use.changes, "failed", use.failed, "waiting", waiting[priority]))
 		}
-		b.log.Info("state service budget", append(attrs, "inflight", batcher.requestsInflight())...)
+		b.log.Info("store budget", append(attrs, "inflight", batcher.requestsInflight())...)
 	}
 	b.loggedAt, b.use = now, [priorityCount]budgetUse{}
 }
--- a/internal/storage/kv/outcome.go
+++ b/internal/storage/kv/outcome.go
@@ -116,7 +116,7 @@
 // recordNoAnswer marks transactions that may have been applied, or be applied later. Sent
 // once more each either succeeds or conflicts with what is there, and both are clear.
 func (c *Client) recordNoAnswer(batch []*Txn, err error) {
-	c.log.Debug("transaction without an answer", "transactions", len(batch), "err", err)
+	c.log.Debug("transaction outcome unknown", "transactions", len(batch), "err", err)
 	for _, t := range batch {
 		t.outcomeUnknown = true
 	}
@@ -150,7 +150,7 @@
 			retry = append(retry, t)
 			continue
 		}
-		c.log.Info("lease of a transaction has ended", "keys", t.opKeys())
+		c.log.Info("transaction lease expired", "keys", t.opKeys())
 		t.refuse(ErrLeaseExpired)
 	}
 	if len(retry) == len(batch) { // not an answer that this client understands
@@ -168,7 +168,7 @@
 func (c *Client) resolveRefused(batch []*Txn, reason string) (retry []*Txn) {
 	whole := merge(batch)
 	if c.limiter.limits.recordRefused(whole) {
-		c.log.Info("the state service has lowered its limits", "reason", reason, "changes", len(whole.Ops), "bytes", whole.maxValueBytes)
+		c.log.Info("store limits lowered", "reason", reason, "changes", len(whole.Ops), "bytes", whole.maxValueBytes)
 	}
 	limits := c.limiter.limits.sizes()
 	wholeFits := whole.fitsIn(limits)
@@ -177,7 +177,7 @@
 		case !t.fitsIn(limits):
 			t.refuse(ErrTooLarge)
 		case len(batch) == 1:
-			c.log.Error("transaction refused as malformed", "reason", reason, "keys", t.opKeys())
+			c.log.Error("transaction rejected as malformed", "reason", reason, "keys", t.opKeys())
 			t.refuse(ErrInvalid)
 		default:
 			t.sendAlone = wholeFits
--- a/internal/storage/kv/send.go
+++ b/internal/storage/kv/send.go
@@ -18,12 +18,12 @@
 // the end of Run, is answered on a goroutine that nobody waits for.
 func (c *Client) Submit(t *Txn) {
 	if key, err := t.encode(); err != nil {
-		c.log.Error("record cannot be written", "key", key, "err", err)
+		c.log.Error("record not encodable", "key", key, "err", err)
 		go t.fail(Result{Err: ErrInvalid})
 		return
 	}
 	if !t.fitsIn(c.limiter.limits.sizes()) {
-		c.log.Info("transaction is larger than the state service takes", "keys", t.opKeys(), "changes", len(t.Ops), "bytes", t.maxValueBytes)
+		c.log.Info("transaction exceeds the store's limits", "keys", t.opKeys(), "changes", len(t.Ops), "bytes", t.maxValueBytes)
 		go t.fail(Result{Err: ErrTooLarge})
 		return
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -72,7 +72,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		s.log.Error("public server ended, opening it again", "err", err)
+		s.log.Error("public server failed, reopening", "err", err)
 		select {
 		case <-ctx.Done():
 			return nil
