--- /dev/null
+++ b/docs_test.go
@@ -0,0 +1,80 @@
+package madderslip_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// TestArchitecturePageNamesWhatExists: every package and every exported name of a package
+// that docs/ARCHITECTURE.md mentions is in the sources.
+func TestArchitecturePageNamesWhatExists(t *testing.T) {
+	page, err := os.ReadFile(filepath.Join("docs", "ARCHITECTURE.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, directory := range regexp.MustCompile(`\b(?:internal|cmd)/[a-z/]*[a-z]`).FindAllString(string(page), -1) {
+		if info, err := os.Stat(directory); err != nil || !info.IsDir() {
+			t.Errorf("there is no package %s", directory)
+		}
+	}
+	exported := exportedNames(t)
+	for _, match := range regexp.MustCompile("`([a-z]+)\\.([A-Z][A-Za-z]*)`").FindAllStringSubmatch(string(page), -1) {
+		if !exported[match[1]+"."+match[2]] {
+			t.Errorf("there is no %s.%s", match[1], match[2])
+		}
+	}
+}
+
+// exportedNames lists the exported types, functions and constants of all packages below
+// internal, as package.Name.
+func exportedNames(t *testing.T) map[string]bool {
+	names := make(map[string]bool)
+	err := filepath.WalkDir("internal", func(path string, entry os.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+		if err != nil {
+			return err
+		}
+		for name := range fileScope(file) {
+			names[file.Name.Name+"."+name] = true
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
+
+// fileScope returns the names that a file declares at the top level, methods left out.
+func fileScope(file *ast.File) map[string]bool {
+	names := make(map[string]bool)
+	for _, declaration := range file.Decls {
+		switch declared := declaration.(type) {
+		case *ast.FuncDecl:
+			if declared.Recv == nil {
+				names[declared.Name.Name] = true
+			}
+		case *ast.GenDecl:
+			for _, spec := range declared.Specs {
+				switch s := spec.(type) {
+				case *ast.TypeSpec:
+					names[s.Name.Name] = true
+				case *ast.ValueSpec:
+					for _, name := range s.Names {
+						names[name.Name] = true
+					}
+				}
+			}
+		}
+	}
+	return names
+}
