--- a/internal/emulator/loopback.go
+++ b/internal/emulator/loopback.go
@@ -47,16 +47,16 @@
 	l := &Loopback{W: w, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 20_000, IdleConnTimeout: time.Minute, DisableCompression: true}}}
 	var err error
 	if l.StateAddr, err = l.serve(ctx, "127.0.0.1:0", l.handle(&l.State, func(r *http.Request, body []byte) (int, []byte) {
-		return w.State.do(r.Context(), r.Method, r.URL.RequestURI(), body)
+		return w.State.handle(r.Context(), r.Method, r.URL.RequestURI(), body)
 	})); err != nil {
 		return nil, err
 	}
 	if l.CloudAddr, err = l.serve(ctx, "127.0.0.1:0", l.handle(&l.Cloud, func(r *http.Request, body []byte) (int, []byte) {
-		return w.cloud(r.Method, r.URL.RequestURI(), body)
+		return w.handleCloud(r.Method, r.URL.RequestURI(), body)
 	})); err != nil {
 		return nil, err
 	}
-	workers, err := l.serve(ctx, "0.0.0.0:0", l.handle(&l.Commands, l.worker))
+	workers, err := l.serve(ctx, "0.0.0.0:0", l.handle(&l.Commands, l.serveWorker))
 	if err != nil {
 		return nil, err
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// onLoopback has a socket take connections of the loopback device alone.
-func onLoopback(_, _ string, c syscall.RawConn) error {
+// bindToLoopback has a socket take connections of the loopback device alone.
+func bindToLoopback(_, _ string, c syscall.RawConn) error {
 	var err error
 	if control := c.Control(func(fd uintptr) {
 		err = syscall.SetsockoptString(int(fd), syscall.SOL_SOCKET, syscall.SO_BINDTODEVICE, "lo")
@@ -90,7 +90,7 @@
 }
 
 func (l *Loopback) serve(ctx context.Context, addr string, h http.Handler) (string, error) {
-	lc := net.ListenConfig{Control: onLoopback}
+	lc := net.ListenConfig{Control: bindToLoopback}
 	ln, err := lc.Listen(ctx, "tcp4", addr)
 	if err != nil {
 		return "", err
@@ -125,8 +125,8 @@
 	return fmt.Sprintf("127.1.%d.%d:%d", n/250, 1+n%250, l.workerPort)
 }
 
-// worker finds the machine that a call was sent to by the address that took it.
-func (l *Loopback) worker(r *http.Request, body []byte) (int, []byte) {
+// serveWorker finds the machine that a call was sent to by the address that took it.
+func (l *Loopback) serveWorker(r *http.Request, body []byte) (int, []byte) {
 	local, _ := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	tcp, ok := local.(*net.TCPAddr)
 	if !ok {
@@ -134,7 +134,7 @@
 	}
 	ip := tcp.IP.To4()
 	host := fmt.Sprintf("vm-%06d", int(ip[2])*250+int(ip[3])-1)
-	status, out, err := l.W.toWorker(r.Context(), "", host, r.URL.Path, body, 0)
+	status, out, err := l.W.callWorker(r.Context(), "", host, r.URL.Path, body, 0)
 	if err != nil {
 		return 0, nil
 	}
@@ -145,7 +145,7 @@
 func (l *Loopback) AddNode(name, addr string) {
 	l.W.SetNode(name, func(method, target string, body []byte, reply func(transport.Response)) {
 		t := &l.Users
-		if target == reportPath {
+		if target == heartbeatPath {
 			t = &l.Reports
 		}
 		ctx, cancel := context.WithTimeout(l.W.ctx, 5*time.Second)
@@ -171,12 +171,12 @@
 // OnStart has the world tell of each task that begins. It is set before machines are
 // added, with Hollow; the world's lock is held as it is called.
 func (w *World) OnStart(started func(ref string, sinceAccepted time.Duration)) {
-	w.started = func(j *Job) {
+	w.onStart = func(job *Job) {
 		since := time.Duration(0)
-		if !j.accepted.IsZero() {
-			since = time.Since(j.accepted)
+		if !job.acceptedAt.IsZero() {
+			since = time.Since(job.acceptedAt)
 		}
-		started(j.Spec.JobID, since)
+		started(job.Spec.JobID, since)
 	}
 }
 
@@ -185,12 +185,12 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	count := 0
-	for _, m := range w.machines {
-		if m.gone {
+	for _, machine := range w.machines {
+		if machine.removed {
 			continue
 		}
-		for _, t := range m.tasks {
-			if t.on() {
+		for _, task := range machine.tasks {
+			if task.occupiesMachine() {
 				count++
 			}
 		}
@@ -202,12 +202,12 @@
 func (w *World) Forget() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for ref, j := range w.jobs {
-		if j.finished() && time.Since(j.endedAt) > time.Minute {
-			delete(w.jobs, ref)
+	for jobID, job := range w.jobs {
+		if job.allTasksDone() && time.Since(job.finishedAt) > time.Minute {
+			delete(w.jobs, jobID)
 		}
 	}
-	clear(w.rolls)
+	clear(w.draws)
 }
 
 // Up counts the machines whose worker obeys a token.
@@ -215,8 +215,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	up := 0
-	for _, m := range w.machines {
-		if !m.gone && m.token > 0 {
+	for _, machine := range w.machines {
+		if !machine.removed && machine.fencingToken > 0 {
 			up++
 		}
 	}
--- a/internal/emulator/served.go
+++ b/internal/emulator/served.go
@@ -20,31 +20,31 @@
 	return s.Was / s.Could
 }
 
-// servedAfter is from when on a replica counts as missed: a machine may have to boot.
-const servedAfter = 25 * time.Second
+// replicaGrace is from when on a replica counts as missed: a machine may have to boot.
+const replicaGrace = 25 * time.Second
 
 // countReplicas adds a moment to the replica time that services have had. The world's
 // lock is held.
 func (w *World) countReplicas(moment time.Duration) {
 	running := make(map[string]int)
-	for _, m := range w.machines {
-		for name, t := range m.tasks {
-			if ref, _, _ := protocol.ParseTaskName(name); !m.gone && !m.hung && !m.dead && t.phase == protocol.TaskRunning {
+	for _, machine := range w.machines {
+		for name, task := range machine.tasks {
+			if ref, _, _ := protocol.ParseTaskName(name); !machine.removed && !machine.hung && !machine.crashed && task.phase == protocol.TaskRunning {
 				running[ref]++
 			}
 		}
 	}
-	for _, j := range w.jobs {
-		if j.Spec.Shape == protocol.ShapeService && !w.idles(j) && time.Since(w.queuedAt(j)) > servedAfter {
-			j.served.Could += float64(j.Spec.Tasks) * moment.Seconds()
-			j.served.Was += float64(min(running[j.Spec.JobID], j.Spec.Tasks)) * moment.Seconds()
+	for _, job := range w.jobs {
+		if job.Spec.Shape == protocol.ShapeService && !w.needNotRun(job) && time.Since(w.eligibleAt(job)) > replicaGrace {
+			job.replicaTime.Could += float64(job.Spec.Tasks) * moment.Seconds()
+			job.replicaTime.Was += float64(min(running[job.Spec.JobID], job.Spec.Tasks)) * moment.Seconds()
 		}
 	}
 }
 
-// largest tells which jobs are a class's largest: whose tasks together take at least
+// largestJobs tells which jobs are a class's largest: whose tasks together take at least
 // nine tenths of the CPUs that its largest job's do. The world's lock is held.
-func (w *World) largest() map[*Job]bool {
+func (w *World) largestJobs() map[*Job]bool {
 	size := func(j *Job) float64 { return j.Spec.CPUs * float64(j.Spec.Tasks) }
 	most := make(map[string]float64)
 	for _, j := range w.jobs {
@@ -64,18 +64,18 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
-	largest := w.largest()
-	for _, ref := range slices.Sorted(maps.Keys(w.jobs)) {
-		j := w.jobs[ref]
-		if !largest[j] || w.idles(j) {
+	largest := w.largestJobs()
+	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
+		job := w.jobs[jobID]
+		if !largest[job] || w.needNotRun(job) {
 			continue
 		}
-		end := j.began
+		end := job.startedAt
 		if end.IsZero() {
 			end = time.Now()
 		}
-		if end.Sub(w.queuedAt(j)) > within {
-			out = append(out, ref)
+		if end.Sub(w.eligibleAt(job)) > within {
+			out = append(out, jobID)
 		}
 	}
 	return out
@@ -90,24 +90,24 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := make(map[string]ServedShare)
-	largest := w.largest()
-	for _, ref := range slices.Sorted(maps.Keys(w.jobs)) {
-		j := w.jobs[ref]
-		s := j.served
-		if w.idles(j) {
+	largest := w.largestJobs()
+	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
+		job := w.jobs[jobID]
+		s := job.replicaTime
+		if w.needNotRun(job) {
 			continue
 		}
-		if j.Spec.Shape != protocol.ShapeService {
-			if time.Since(w.queuedAt(j)) < early {
+		if job.Spec.Shape != protocol.ShapeService {
+			if time.Since(w.eligibleAt(job)) < early {
 				continue
 			}
-			s = ServedShare{float64(j.Spec.Tasks), float64(len(j.done))}
+			s = ServedShare{float64(job.Spec.Tasks), float64(len(job.tasksDone))}
 		}
-		names := []string{j.Spec.Class}
-		if largest[j] {
-			names = append(names, "largest of "+j.Spec.Class)
+		names := []string{job.Spec.Class}
+		if largest[job] {
+			names = append(names, "largest of "+job.Spec.Class)
 		}
-		for _, name := range append(names, "team "+j.Spec.Team) {
+		for _, name := range append(names, "team "+job.Spec.Team) {
 			// A class of one shape adds up; a team's classes count alike whatever their measure.
 			if strings.HasPrefix(name, "team ") && s.Could > 0 {
 				s = ServedShare{1, s.Was / s.Could}
--- a/internal/emulator/standin_test.go
+++ b/internal/emulator/standin_test.go
@@ -17,9 +17,9 @@
 	job := func(ref string, tasks int) *Job {
 		return &Job{Run: time.Hour, Spec: protocol.Submission{JobID: ref, Team: "t", Shape: protocol.ShapeArray, Tasks: tasks, CPUs: 2, Image: "i"}}
 	}
-	start := func(w *World, host, task string, try uint64) {
+	start := func(w *World, host, task string, attempt uint64) {
 		w.mu.Lock()
-		w.machines[host].execute([]protocol.Command{protocol.StartCommand(task, try)})
+		w.machines[host].runCommands([]protocol.Command{protocol.StartCommand(task, attempt)})
 		w.mu.Unlock()
 		time.Sleep(2 * time.Second)
 	}
@@ -59,7 +59,7 @@
 			w.jobs["wk-1"] = job("wk-1", 1)
 			start(w, "vm-000001", "wk-1/0", 1)
 			w.mu.Lock()
-			w.jobs["wk-1"].cancelled = time.Now()
+			w.jobs["wk-1"].cancelledAt = time.Now()
 			w.mu.Unlock()
 			time.Sleep(10 * time.Second)
 		},
@@ -90,7 +90,7 @@
 		start(w, "vm-000001", "wk-2/0", 1)
 		w.Set("vm-000001", "hang")
 		w.mu.Lock()
-		w.jobs["wk-2"].cancelled = time.Now()
+		w.jobs["wk-2"].cancelledAt = time.Now()
 		w.mu.Unlock()
 		time.Sleep(10 * time.Second)
 	}
@@ -155,15 +155,15 @@
 			map[string]protocol.Team{"t": {}, "none": {MaxCPUs: 1}})
 		w.AddMachines(2, "a")
 		w.mu.Lock()
-		for ref, s := range map[string]protocol.Submission{
+		for jobID, s := range map[string]protocol.Submission{
 			"wk-1": {Team: "t", Shape: protocol.ShapeArray, Tasks: 1, CPUs: 8},
 			"wk-2": {Team: "none", Shape: protocol.ShapeArray, Tasks: 1, CPUs: 2},
 			"wk-3": {Team: "t", Shape: protocol.ShapeGang, Tasks: 3, CPUs: 8},
 			"wk-4": {Team: "t", Shape: protocol.ShapeGang, Tasks: 2, CPUs: 8, SameZone: true},
 			"wk-5": {Team: "t", Shape: protocol.ShapeService, Tasks: 1, CPUs: 2, Zone: "b"},
 		} {
-			s.JobID, s.Image = ref, "i"
-			w.jobs[ref] = &Job{Spec: s, Run: time.Hour, accepted: time.Now(), done: make(map[int]bool)}
+			s.JobID, s.Image = jobID, "i"
+			w.jobs[jobID] = &Job{Spec: s, Run: time.Hour, acceptedAt: time.Now(), tasksDone: make(map[int]bool)}
 		}
 		w.mu.Unlock()
 		time.Sleep(2 * time.Minute)
@@ -176,8 +176,8 @@
 			t.Errorf("waiting beside room: %s", got)
 		}
 		w.mu.Lock()
-		w.jobs["wk-1"].cancelled = time.Now()
-		w.machines["vm-000001"].execute([]protocol.Command{protocol.StartCommand("wk-1/0", 1)})
+		w.jobs["wk-1"].cancelledAt = time.Now()
+		w.machines["vm-000001"].runCommands([]protocol.Command{protocol.StartCommand("wk-1/0", 1)})
 		w.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		if got := w.WastedStarts(); got != 1 {
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -15,45 +15,45 @@
 	"golang.org/x/time/rate"
 )
 
-// shardKeys is what the keys of shards' owners begin with.
-const shardKeys = "madderslip/s/"
+// shardKeyPrefix is what the keys of shards' owners begin with.
+const shardKeyPrefix = "madderslip/s/"
 
-type kv struct {
-	value json.RawMessage
-	stamp uint64
-	grant uint64
+type storedValue struct {
+	value   json.RawMessage
+	version uint64
+	leaseID uint64
 }
 
-type change struct {
-	Set   string          `json:"set,omitempty"`
-	Drop  string          `json:"drop,omitempty"`
-	Value json.RawMessage `json:"value,omitempty"`
-	Stamp uint64          `json:"stamp"`
+type keyChange struct {
+	Set     string          `json:"set,omitempty"`
+	Deleted string          `json:"drop,omitempty"`
+	Value   json.RawMessage `json:"value,omitempty"`
+	Version uint64          `json:"stamp"`
 }
 
-type grant struct {
-	ttl  time.Duration
-	ends time.Time
+type lease struct {
+	ttl     time.Duration
+	expires time.Time
 }
 
 // StateService is the state service.
 type StateService struct {
-	mu      sync.Mutex
-	keys    map[string]kv
-	log     []change
-	keep    int    // how many changes a watch can go back, at least
-	dropped uint64 // the newest change that is no longer kept
-	epoch   uint64
-	grants  map[uint64]*grant
-	nextID  uint64
-	changed chan struct{}
-	down    bool
-	reqs    *rate.Limiter
-	writes  *rate.Limiter
-	done    Counts
-	onShard func() // told, on its own, of a shard's new token
-	most    SizeLimits
-	refused map[string]int // transactions refused for their size, by the first key
+	mu                 sync.Mutex
+	keys               map[string]storedValue
+	history            []keyChange
+	minHistory         int    // how many changes a watch can go back, at least
+	compactedAt        uint64 // the newest change that is no longer kept
+	revision           uint64
+	leases             map[uint64]*lease
+	lastLeaseID        uint64
+	changed            chan struct{}
+	down               bool
+	requestLimiter     *rate.Limiter
+	writeLimiter       *rate.Limiter
+	counts             Counts
+	onShardOwnerChange func() // told, on its own, of a shard's new token
+	sizeLimits         SizeLimits
+	refusedForSize     map[string]int // transactions refused for their size, by the first key
 }
 
 // SizeLimits bound values and transactions; 0 is no bound. Four times as many conditions as
@@ -64,7 +64,7 @@
 func (s *StateService) SetSizeLimits(most SizeLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.most = most
+	s.sizeLimits = most
 }
 
 // RefusedForSize tells how many transactions were refused for their size, by the first
@@ -72,7 +72,7 @@
 func (s *StateService) RefusedForSize() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.refused)
+	return maps.Clone(s.refusedForSize)
 }
 
 // Counts is what transactions with changes have come to.
@@ -82,25 +82,25 @@
 func (s *StateService) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.done
+	return s.counts
 }
 
-func newState() *StateService {
-	return &StateService{keys: make(map[string]kv), keep: 10_000, grants: make(map[uint64]*grant), changed: make(chan struct{}),
-		refused: make(map[string]int), reqs: rate.NewLimiter(rate.Inf, 0), writes: rate.NewLimiter(rate.Inf, 0)}
+func newStateService() *StateService {
+	return &StateService{keys: make(map[string]storedValue), minHistory: 10_000, leases: make(map[uint64]*lease), changed: make(chan struct{}),
+		refusedForSize: make(map[string]int), requestLimiter: rate.NewLimiter(rate.Inf, 0), writeLimiter: rate.NewLimiter(rate.Inf, 0)}
 }
 
 // SetRateLimits sets the budgets; both allow bursts of one second's worth.
 func (s *StateService) SetRateLimits(rps, writeRPS float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reqs = rate.NewLimiter(rate.Limit(rps), int(rps))
-	s.writes = rate.NewLimiter(rate.Limit(writeRPS), int(writeRPS))
+	s.requestLimiter = rate.NewLimiter(rate.Limit(rps), int(rps))
+	s.writeLimiter = rate.NewLimiter(rate.Limit(writeRPS), int(writeRPS))
 }
 
-// run ends leases until the context does. They end as much as 100 ms late, but
+// expireLeases ends leases until the context does. They end as much as 100 ms late, but
 // never early.
-func (s *StateService) run(ctx context.Context) {
+func (s *StateService) expireLeases(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -108,32 +108,32 @@
 		case <-time.After(50*time.Millisecond + 41*time.Nanosecond):
 		}
 		s.mu.Lock()
-		for _, id := range slices.Sorted(maps.Keys(s.grants)) {
+		for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 			late := time.Duration(id%3) * 45 * time.Millisecond
-			if !s.down && time.Now().After(s.grants[id].ends.Add(late)) {
-				s.end(id)
+			if !s.down && time.Now().After(s.leases[id].expires.Add(late)) {
+				s.expireLease(id)
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-func (s *StateService) end(id uint64) {
-	delete(s.grants, id)
+func (s *StateService) expireLease(id uint64) {
+	delete(s.leases, id)
 	for _, key := range slices.Sorted(maps.Keys(s.keys)) {
-		if s.keys[key].grant == id {
-			s.epoch++
+		if s.keys[key].leaseID == id {
+			s.revision++
 			delete(s.keys, key)
-			s.record(change{Drop: key, Stamp: s.epoch})
+			s.appendChange(keyChange{Deleted: key, Version: s.revision})
 		}
 	}
-	s.wake()
+	s.wakeWatches()
 }
 
-func (s *StateService) record(c change) {
-	if s.log = append(s.log, c); len(s.log) > 2*s.keep {
-		s.dropped = s.log[len(s.log)-s.keep-1].Stamp
-		s.log = slices.Clone(s.log[len(s.log)-s.keep:])
+func (s *StateService) appendChange(c keyChange) {
+	if s.history = append(s.history, c); len(s.history) > 2*s.minHistory {
+		s.compactedAt = s.history[len(s.history)-s.minHistory-1].Version
+		s.history = slices.Clone(s.history[len(s.history)-s.minHistory:])
 	}
 }
 
@@ -154,33 +154,33 @@
 	defer s.mu.Unlock()
 	out := make(map[string]uint64, len(s.keys))
 	for key, v := range s.keys {
-		out[key] = v.stamp
+		out[key] = v.version
 	}
 	return out
 }
 
-func (s *StateService) wake() {
+func (s *StateService) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// setDown begins or ends an outage; after it every lease has its full time.
-func (s *StateService) setDown(down bool) {
+// setOutage begins or ends an outage; after it every lease has its full time.
+func (s *StateService) setOutage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	for _, g := range s.grants {
-		g.ends = time.Now().Add(g.ttl)
+	for _, g := range s.leases {
+		g.expires = time.Now().Add(g.ttl)
 	}
-	s.wake()
+	s.wakeWatches()
 }
 
-func reply(status int, v any) (int, []byte) {
+func jsonResponse(status int, v any) (int, []byte) {
 	b, _ := json.Marshal(v)
 	return status, b
 }
 
-func (s *StateService) do(ctx context.Context, method, target string, body []byte) (int, []byte) {
+func (s *StateService) handle(ctx context.Context, method, target string, body []byte) (int, []byte) {
 	u, err := url.Parse(target)
 	if err != nil {
 		return 400, nil
@@ -190,7 +190,7 @@
 	if s.down {
 		return 503, nil
 	}
-	if !s.reqs.Allow() {
+	if !s.requestLimiter.Allow() {
 		return 429, nil
 	}
 	if method == "GET" && u.Path == "/watch" {
@@ -205,11 +205,11 @@
 		key := strings.TrimPrefix(u.Path, "/keys/")
 		v, ok := s.keys[key]
 		if !ok {
-			return reply(404, map[string]uint64{"epoch": s.epoch})
+			return jsonResponse(404, map[string]uint64{"epoch": s.revision})
 		}
-		return reply(200, map[string]any{"key": key, "value": v.value, "stamp": v.stamp})
+		return jsonResponse(200, map[string]any{"key": key, "value": v.value, "stamp": v.version})
 	case u.Path == "/multi":
-		return s.multi(body)
+		return s.commit(body)
 	case u.Path == "/grants":
 		var in struct {
 			TTL int64 `json:"ttlMs"`
@@ -217,18 +217,18 @@
 		if json.Unmarshal(body, &in) != nil || in.TTL < 100 {
 			return 400, nil
 		}
-		s.nextID++
+		s.lastLeaseID++
 		ttl := time.Duration(in.TTL) * time.Millisecond
-		s.grants[s.nextID] = &grant{ttl, time.Now().Add(ttl)}
-		return reply(200, map[string]uint64{"permit": s.nextID})
+		s.leases[s.lastLeaseID] = &lease{ttl, time.Now().Add(ttl)}
+		return jsonResponse(200, map[string]uint64{"permit": s.lastLeaseID})
 	case strings.HasSuffix(u.Path, "/extend"):
 		id, _ := strconv.ParseUint(strings.Split(u.Path, "/")[2], 10, 64)
-		g := s.grants[id]
+		g := s.leases[id]
 		if g == nil {
 			return 404, nil
 		}
-		g.ends = time.Now().Add(g.ttl)
-		return reply(200, map[string]uint64{"permit": id})
+		g.expires = time.Now().Add(g.ttl)
+		return jsonResponse(200, map[string]uint64{"permit": id})
 	}
 	return 404, nil
 }
@@ -248,18 +248,18 @@
 	}
 	items := []map[string]any{}
 	for _, key := range names {
-		items = append(items, map[string]any{"key": key, "value": s.keys[key].value, "stamp": s.keys[key].stamp})
+		items = append(items, map[string]any{"key": key, "value": s.keys[key].value, "stamp": s.keys[key].version})
 	}
-	return reply(200, map[string]any{"items": items, "truncated": truncated, "epoch": s.epoch})
+	return jsonResponse(200, map[string]any{"items": items, "truncated": truncated, "epoch": s.revision})
 }
 
 // transaction is the body of a call of /multi.
 type transaction struct {
-	If []struct {
+	Compares []struct {
 		Key   string `json:"key"`
 		Stamp uint64 `json:"stamp"`
 	} `json:"if"`
-	Writes []struct {
+	Ops []struct {
 		Set    string          `json:"set"`
 		Drop   string          `json:"drop"`
 		Value  json.RawMessage `json:"value"`
@@ -267,11 +267,11 @@
 	} `json:"writes"`
 }
 
-func (t *transaction) within(most SizeLimits) bool {
-	if most.Changes > 0 && (len(t.Writes) > most.Changes || len(t.If) > 4*most.Changes) {
+func (t *transaction) withinLimits(most SizeLimits) bool {
+	if most.Changes > 0 && (len(t.Ops) > most.Changes || len(t.Compares) > 4*most.Changes) {
 		return false
 	}
-	for _, w := range t.Writes {
+	for _, w := range t.Ops {
 		if most.ValueBytes > 0 && len(w.Value) > most.ValueBytes {
 			return false
 		}
@@ -279,57 +279,57 @@
 	return true
 }
 
-func (s *StateService) multi(body []byte) (int, []byte) {
+func (s *StateService) commit(body []byte) (int, []byte) {
 	var in transaction
 	if json.Unmarshal(body, &in) != nil {
 		return 400, nil
 	}
-	if !in.within(s.most) {
+	if !in.withinLimits(s.sizeLimits) {
 		key := "no change"
-		if len(in.Writes) > 0 {
-			key = in.Writes[0].Set + in.Writes[0].Drop
+		if len(in.Ops) > 0 {
+			key = in.Ops[0].Set + in.Ops[0].Drop
 		}
-		s.refused[key]++
-		return reply(400, map[string]string{"error": "too large"})
+		s.refusedForSize[key]++
+		return jsonResponse(400, map[string]string{"error": "too large"})
 	}
-	if len(in.Writes) > 0 && !s.writes.AllowN(time.Now(), len(in.Writes)) {
+	if len(in.Ops) > 0 && !s.writeLimiter.AllowN(time.Now(), len(in.Ops)) {
 		return 429, nil
 	}
-	for _, w := range in.Writes {
-		if w.Permit != 0 && s.grants[w.Permit] == nil {
-			return reply(400, map[string]string{"error": "no such lease"})
+	for _, w := range in.Ops {
+		if w.Permit != 0 && s.leases[w.Permit] == nil {
+			return jsonResponse(400, map[string]string{"error": "no such lease"})
 		}
 	}
 	var failed []string
-	for _, c := range in.If {
-		if s.keys[c.Key].stamp != c.Stamp {
+	for _, c := range in.Compares {
+		if s.keys[c.Key].version != c.Stamp {
 			failed = append(failed, c.Key)
 		}
 	}
 	if len(failed) > 0 {
-		if len(in.Writes) > 0 {
-			s.done.Refused++
+		if len(in.Ops) > 0 {
+			s.counts.Refused++
 		}
-		return reply(409, map[string]any{"failed": failed, "epoch": s.epoch})
+		return jsonResponse(409, map[string]any{"failed": failed, "epoch": s.revision})
 	}
-	if len(in.Writes) > 0 {
-		s.epoch++
-		s.done.Changes += len(in.Writes)
+	if len(in.Ops) > 0 {
+		s.revision++
+		s.counts.Changes += len(in.Ops)
 	}
-	for _, w := range in.Writes {
+	for _, w := range in.Ops {
 		if w.Set != "" {
-			s.keys[w.Set] = kv{w.Value, s.epoch, w.Permit}
-			s.record(change{Set: w.Set, Value: w.Value, Stamp: s.epoch})
-			if s.onShard != nil && strings.HasPrefix(w.Set, shardKeys) {
-				go s.onShard()
+			s.keys[w.Set] = storedValue{w.Value, s.revision, w.Permit}
+			s.appendChange(keyChange{Set: w.Set, Value: w.Value, Version: s.revision})
+			if s.onShardOwnerChange != nil && strings.HasPrefix(w.Set, shardKeyPrefix) {
+				go s.onShardOwnerChange()
 			}
 		} else if _, ok := s.keys[w.Drop]; ok {
 			delete(s.keys, w.Drop)
-			s.record(change{Drop: w.Drop, Stamp: s.epoch})
+			s.appendChange(keyChange{Deleted: w.Drop, Version: s.revision})
 		}
 	}
-	s.wake()
-	return reply(200, map[string]uint64{"epoch": s.epoch})
+	s.wakeWatches()
+	return jsonResponse(200, map[string]uint64{"epoch": s.revision})
 }
 
 func (s *StateService) watch(ctx context.Context, q url.Values) (int, []byte) {
@@ -338,28 +338,28 @@
 	deadline := time.Now().Add(time.Duration(block) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		news := []change{}
-		epoch, changed := s.epoch, s.changed
+		news := []keyChange{}
+		epoch, changed := s.revision, s.changed
 		if !s.down {
-			at, _ := slices.BinarySearchFunc(s.log, from+1, func(c change, stamp uint64) int { return cmp.Compare(c.Stamp, stamp) })
-			news = append(news, s.log[at:]...)
-			if from < s.dropped {
+			at, _ := slices.BinarySearchFunc(s.history, from+1, func(c keyChange, stamp uint64) int { return cmp.Compare(c.Version, stamp) })
+			news = append(news, s.history[at:]...)
+			if from < s.compactedAt {
 				s.mu.Unlock()
 				return 410, nil
 			}
 		}
 		s.mu.Unlock()
 		if len(news) > 0 {
-			return reply(200, map[string]any{"epoch": epoch, "news": news})
+			return jsonResponse(200, map[string]any{"epoch": epoch, "news": news})
 		}
 		left := time.Until(deadline)
 		if left <= 0 {
-			return reply(200, map[string]any{"epoch": from, "news": news})
+			return jsonResponse(200, map[string]any{"epoch": from, "news": news})
 		}
 		select {
 		case <-changed:
 		case <-time.After(left):
-			return reply(200, map[string]any{"epoch": from, "news": news})
+			return jsonResponse(200, map[string]any{"epoch": from, "news": news})
 		case <-ctx.Done():
 			return 0, nil
 		}
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -13,54 +13,54 @@
 // Job is a job as the world knows it: what was submitted and how its tasks
 // really run.
 type Job struct {
-	Spec      protocol.Submission
-	Run       time.Duration // 0 for a service
-	Fail      bool          // every task fails
-	Fetch     time.Duration // of its image, if longer than usual
-	accepted  time.Time     // when its user was told so
-	told      string        // the latest phase a user was told
-	toldAt    time.Time     // when it was first told that
-	cancelled time.Time
-	done      map[int]bool
-	served    ServedShare // of a service
-	waits     time.Time   // since when it waits beside room that it fits, once all is calm
-	began     time.Time   // when its first task ran, of a gang all of them
-	endedAt   time.Time   // when its last task was done
+	Spec          protocol.Submission
+	Run           time.Duration // 0 for a service
+	Fail          bool          // every task fails
+	Fetch         time.Duration // of its image, if longer than usual
+	acceptedAt    time.Time     // when its user was told so
+	lastPhase     string        // the latest phase a user was told
+	lastPhaseAt   time.Time     // when it was first told that
+	cancelledAt   time.Time
+	tasksDone     map[int]bool
+	replicaTime   ServedShare // of a service
+	unplacedSince time.Time   // since when it waits beside room that it fits, once all is calm
+	startedAt     time.Time   // when its first task ran, of a gang all of them
+	finishedAt    time.Time   // when its last task was done
 }
 
 // Submit sends a job to a node and waits for the answer.
-func (w *World) Submit(node string, j *Job) int {
+func (w *World) Submit(node string, job *Job) int {
 	w.mu.Lock()
-	if old := w.jobs[j.Spec.JobID]; old != nil {
-		j = old
+	if old := w.jobs[job.Spec.JobID]; old != nil {
+		job = old
 	} else {
-		j.done = make(map[int]bool)
-		w.jobs[j.Spec.JobID] = j
+		job.tasksDone = make(map[int]bool)
+		w.jobs[job.Spec.JobID] = job
 	}
 	w.mu.Unlock()
-	body := form(&j.Spec)
+	body := submissionBody(&job.Spec)
 	asked := time.Now()
 	status, raw := w.Ask(node, "POST", "/submissions", body, 5*time.Second)
-	w.told(j.Spec.JobID, asked, status, raw, status == 200 || status == 201)
+	w.checkAnswer(job.Spec.JobID, asked, status, raw, status == 200 || status == 201)
 	return status
 }
 
 // Cancel asks a node to cancel a job.
-func (w *World) Cancel(node, ref string) int {
+func (w *World) Cancel(node, jobID string) int {
 	w.mu.Lock()
-	w.aborted[ref] = true
+	w.cancelRequested[jobID] = true
 	w.mu.Unlock()
 	asked := time.Now()
-	status, raw := w.Ask(node, "POST", "/submissions/"+ref+"/abort", nil, 5*time.Second)
-	w.told(ref, asked, status, raw, false)
+	status, raw := w.Ask(node, "POST", "/submissions/"+jobID+"/abort", nil, 5*time.Second)
+	w.checkAnswer(jobID, asked, status, raw, false)
 	return status
 }
 
 // Query asks a node for a job; phase is empty without an answer.
-func (w *World) Query(node, ref string) (status int, a protocol.JobStatus) {
+func (w *World) Query(node, jobID string) (status int, a protocol.JobStatus) {
 	asked := time.Now()
-	status, raw := w.Ask(node, "GET", "/submissions/"+ref, nil, 2*time.Second)
-	w.told(ref, asked, status, raw, false)
+	status, raw := w.Ask(node, "GET", "/submissions/"+jobID, nil, 2*time.Second)
+	w.checkAnswer(jobID, asked, status, raw, false)
 	_ = json.Unmarshal(raw, &a)
 	return status, a
 }
@@ -69,7 +69,7 @@
 // to a minute, until it has a definite answer.
 func (w *World) RequestUntilAnswered(node string, request func(node string) int) int {
 	w.mu.Lock()
-	names := slices.Clone(w.names)
+	names := slices.Clone(w.controllers)
 	w.mu.Unlock()
 	began := time.Now()
 	for i := slices.Index(names, node); time.Since(began) < time.Minute; i++ {
@@ -87,17 +87,17 @@
 // Ask makes a user's request.
 func (w *World) Ask(node, method, target string, body []byte, timeout time.Duration) (int, []byte) {
 	w.mu.Lock()
-	h := w.nodes[node]
-	if w.apart(w.zoneOf[node], "") {
-		h = nil // users are in no zone
+	handler := w.handlers[node]
+	if w.zonesPartitioned(w.controllerZones[node], "") {
+		handler = nil // users are in no zone
 	}
 	there, back := w.between(100*time.Microsecond, time.Millisecond, node, target), w.between(100*time.Microsecond, time.Millisecond, node, target)
 	w.mu.Unlock()
-	if h == nil || !wait(w.ctx, there) {
+	if handler == nil || !wait(w.ctx, there) {
 		return 0, nil
 	}
 	got := make(chan transport.Response, 1)
-	go h(method, target, body, func(r transport.Response) { got <- r })
+	go handler(method, target, body, func(r transport.Response) { got <- r })
 	select {
 	case r := <-got:
 		if !wait(w.ctx, back) {
@@ -111,45 +111,45 @@
 	}
 }
 
-// told checks an answer against what users were told before they asked. What
+// checkAnswer checks an answer against what users were told before they asked. What
 // they were told while the question was on its way cannot be held against it.
-func (w *World) told(ref string, asked time.Time, status int, raw []byte, accepted bool) {
+func (w *World) checkAnswer(jobID string, asked time.Time, status int, raw []byte, accepted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	j := w.jobs[ref]
-	if j == nil {
+	job := w.jobs[jobID]
+	if job == nil {
 		if status == 200 {
-			w.breakRule("invented", "%s", ref)
+			w.recordViolation("invented", "%s", jobID)
 		}
 		return
 	}
-	w.judgeAcceptance(j, asked, status)
-	if accepted && j.accepted.IsZero() {
-		j.accepted = time.Now()
-		w.look(ref, "accepted")
+	w.checkAcceptance(job, asked, status)
+	if accepted && job.acceptedAt.IsZero() {
+		job.acceptedAt = time.Now()
+		w.readConcurrently(jobID, "accepted")
 	}
-	if (status == 404 || status == 400 || status == 422) && !j.accepted.IsZero() && !j.accepted.After(asked) {
-		w.breakRule("forgotten", "%s got %d", ref, status)
+	if (status == 404 || status == 400 || status == 422) && !job.acceptedAt.IsZero() && !job.acceptedAt.After(asked) {
+		w.recordViolation("forgotten", "%s got %d", jobID, status)
 	}
 	var a protocol.JobStatus
 	if (status != 200 && status != 201) || json.Unmarshal(raw, &a) != nil {
 		return
 	}
 	final := func(p string) bool { return p == protocol.JobDone || p == protocol.JobCancelled }
-	if final(j.told) && a.Phase != j.told && (final(a.Phase) || !j.toldAt.After(asked)) {
-		w.breakRule("went_back", "%s was %s, is %s", ref, j.told, a.Phase)
+	if final(job.lastPhase) && a.Phase != job.lastPhase && (final(a.Phase) || !job.lastPhaseAt.After(asked)) {
+		w.recordViolation("went_back", "%s was %s, is %s", jobID, job.lastPhase, a.Phase)
 	}
-	w.judgePhase(ref, a.Phase, asked)
-	if a.Phase == protocol.JobDone && len(j.done) < j.Spec.Tasks {
-		w.breakRule("not_done", "%s has %d of %d", ref, len(j.done), j.Spec.Tasks)
+	w.checkPhase(jobID, a.Phase, asked)
+	if a.Phase == protocol.JobDone && len(job.tasksDone) < job.Spec.Tasks {
+		w.recordViolation("not_done", "%s has %d of %d", jobID, len(job.tasksDone), job.Spec.Tasks)
 	}
-	if a.Phase == protocol.JobCancelled && j.cancelled.IsZero() {
-		j.cancelled = time.Now()
-		w.note("%s is cancelled", ref)
-		w.look(ref, "cancelled")
+	if a.Phase == protocol.JobCancelled && job.cancelledAt.IsZero() {
+		job.cancelledAt = time.Now()
+		w.recordEvent("%s is cancelled", jobID)
+		w.readConcurrently(jobID, "cancelled")
 	}
-	if !final(j.told) && a.Phase != j.told {
-		j.told, j.toldAt = a.Phase, time.Now()
+	if !final(job.lastPhase) && a.Phase != job.lastPhase {
+		job.lastPhase, job.lastPhaseAt = a.Phase, time.Now()
 	}
 }
 
@@ -166,9 +166,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []Known
-	for _, ref := range slices.Sorted(maps.Keys(w.jobs)) {
-		if j := w.jobs[ref]; !j.accepted.IsZero() {
-			out = append(out, Known{ref, j.Spec.Shape, j.Spec.Tasks, j.Fail})
+	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
+		if j := w.jobs[jobID]; !j.acceptedAt.IsZero() {
+			out = append(out, Known{jobID, j.Spec.Shape, j.Spec.Tasks, j.Fail})
 		}
 	}
 	return out
@@ -178,17 +178,17 @@
 func (w *World) SetTeam(t protocol.Team) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.above[t.Name] = w.Teams[t.Name]
+	w.formerLimits[t.Name] = w.Teams[t.Name]
 	w.Teams[t.Name] = t
-	w.note("team %s: %+v", t.Name, t)
+	w.recordEvent("team %s: %+v", t.Name, t)
 }
 
-// permitted is what a team may use now: its limit or, since that was lowered below
+// allowance is what a team may use now: its limit or, since that was lowered below
 // what ran, what still runs of it. Nothing need be stopped, and nothing may start
 // that passes it.
-func (w *World) permitted(team string, use [2]float64) protocol.Team {
+func (w *World) allowance(team string, use [2]float64) protocol.Team {
 	limit := w.Teams[team]
-	was, lowered := w.above[team]
+	was, lowered := w.formerLimits[team]
 	if !lowered {
 		return limit
 	}
@@ -199,12 +199,12 @@
 		return max(limit, min(was, use))
 	}
 	now := protocol.Team{MaxCPUs: most(limit.MaxCPUs, was.MaxCPUs, use[0]), MaxGPUs: most(limit.MaxGPUs, was.MaxGPUs, use[1])}
-	w.above[team] = now
+	w.formerLimits[team] = now
 	return now
 }
 
-// check looks for cancelled tasks that stay, and for teams beyond their limit.
-func (w *World) check() {
+// checkRulesPeriodically looks for cancelled tasks that stay, and for teams beyond their limit.
+func (w *World) checkRulesPeriodically() {
 	for wait(w.ctx, 500*time.Millisecond+73*time.Nanosecond) {
 		w.mu.Lock()
 		if w.RecordStartsOnly {
@@ -213,26 +213,26 @@
 		}
 		use := w.teamUse()
 		w.countReplicas(500 * time.Millisecond)
-		if !w.calmAt.IsZero() {
-			w.lookForWaiting(use)
+		if !w.faultsEndedAt.IsZero() {
+			w.trackUnplaced(use)
 		}
 		for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-			m := w.machines[host]
-			for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
-				ref, _, _ := protocol.ParseTaskName(name)
-				j := w.jobs[ref]
-				if m.gone || j == nil || !m.tasks[name].on() {
+			machine := w.machines[host]
+			for _, name := range slices.Sorted(maps.Keys(machine.tasks)) {
+				jobID, _, _ := protocol.ParseTaskName(name)
+				job := w.jobs[jobID]
+				if machine.removed || job == nil || !machine.tasks[name].occupiesMachine() {
 					continue
 				}
-				if !j.cancelled.IsZero() && time.Since(j.cancelled) > w.Workers.CancelDeadline {
-					w.breakRule("ran_cancelled", "%s on %s", name, m.host)
+				if !job.cancelledAt.IsZero() && time.Since(job.cancelledAt) > w.Workers.CancelDeadline {
+					w.recordViolation("ran_cancelled", "%s on %s", name, machine.host)
 				}
 			}
 		}
 		for _, team := range slices.Sorted(maps.Keys(use)) {
-			limit := w.permitted(team, use[team])
+			limit := w.allowance(team, use[team])
 			if u := use[team]; (limit.MaxCPUs > 0 && u[0] > limit.MaxCPUs+1e-6) || (limit.MaxGPUs > 0 && u[1] > limit.MaxGPUs+1e-6) {
-				w.breakRule("quota", "%s uses %v of %v CPUs and %v cards", team, u, limit.MaxCPUs, limit.MaxGPUs)
+				w.recordViolation("quota", "%s uses %v of %v CPUs and %v cards", team, u, limit.MaxCPUs, limit.MaxGPUs)
 			}
 		}
 		w.mu.Unlock()
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -15,44 +15,44 @@
 
 // Machine is a rented machine and its worker.
 type Machine struct {
-	w               *World
-	host, typ, zone string
-	spot            bool
-	born, up        time.Time
-	goneAt          time.Time
-	gone, hung      bool
-	dead            bool // it has stopped with all that was on it, and is listed still
-	deaf            bool // what is sent to it is lost, its reports arrive
-	mute            bool // it reaches no controller, while direct commands reach it
-	cutOff          bool // no packets in or out; what is sent is held and comes late
-	sick            bool // every task that starts here fails
-	slow            bool // tasks take four times as long
-	warning         time.Time
-	session, seq    uint64
-	token           uint64
-	tasks           map[string]*task
-	images          map[string]bool
-	node            int
-	kick            chan struct{}
-	lease           time.Time
-	drift           time.Duration // what the worker's clock gains in 2,000 s
-	away            bool          // it is beginning again
-	life            int           // how often it has
-	said            func()        // sends the latest report once more
-}
-
-type task struct {
-	try   uint64
-	phase string
-	cause string
-	saved bool
-	began time.Time
-	stop  time.Time // gang: when it was told to stop
-}
-
-// on tells whether a task is on its machine by the rules: from when it has its
+	world                   *World
+	host, machineType, zone string
+	spot                    bool
+	rentedAt, upAt          time.Time
+	stoppedAt               time.Time
+	removed, hung           bool
+	crashed                 bool // it has stopped with all that was on it, and is listed still
+	cannotReceive           bool // what is sent to it is lost, its reports arrive
+	cannotSend              bool // it reaches no controller, while direct commands reach it
+	partitioned             bool // no packets in or out; what is sent is held and comes late
+	failsTasks              bool // every task that starts here fails
+	slowsTasks              bool // tasks take four times as long
+	preemptionAt            time.Time
+	agentEpoch, sequence    uint64
+	fencingToken            uint64
+	tasks                   map[string]*taskAttempt
+	cachedImages            map[string]bool
+	controllerIndex         int
+	wakeup                  chan struct{}
+	leaseRenewedAt          time.Time
+	clockDrift              time.Duration // what the worker's clock gains in 2,000 s
+	rebooting               bool          // it is beginning again
+	boots                   int           // how often it has
+	resendHeartbeat         func()        // sends the latest report once more
+}
+
+type taskAttempt struct {
+	attempt      uint64
+	phase        string
+	cause        string
+	checkpointed bool
+	began        time.Time
+	stop         time.Time // gang: when it was told to stop
+}
+
+// occupiesMachine tells whether a task is on its machine by the rules: from when it has its
 // image until it exits.
-func (t *task) on() bool {
+func (t *taskAttempt) occupiesMachine() bool {
 	return t.phase == protocol.TaskRunning || t.phase == protocol.TaskWaitingForGang || t.phase == protocol.TaskCheckpointing
 }
 
@@ -60,29 +60,29 @@
 func (w *World) AddMachines(count int, zone string) { w.AddKind(count, w.Types[0].Name, zone, false) }
 
 // AddKind starts machines of a kind that are up at once.
-func (w *World) AddKind(count int, typ, zone string, spot bool) {
+func (w *World) AddKind(count int, machineType, zone string, spot bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for range count {
-		w.boot(typ, zone, spot, 0)
+		w.bootMachine(machineType, zone, spot, 0)
 	}
 }
 
-func (w *World) boot(typ, zone string, spot bool, after time.Duration) string {
-	w.made++
-	m := &Machine{w: w, host: fmt.Sprintf("vm-%06d", w.made), typ: typ, zone: zone, spot: spot, born: time.Now(), up: time.Now().Add(after), session: 1,
-		tasks: make(map[string]*task), images: make(map[string]bool), kick: make(chan struct{}, 1), node: w.made}
+func (w *World) bootMachine(typ, zone string, spot bool, after time.Duration) string {
+	w.machineCount++
+	machine := &Machine{world: w, host: fmt.Sprintf("vm-%06d", w.machineCount), machineType: typ, zone: zone, spot: spot, rentedAt: time.Now(), upAt: time.Now().Add(after), agentEpoch: 1,
+		tasks: make(map[string]*taskAttempt), cachedImages: make(map[string]bool), wakeup: make(chan struct{}, 1), controllerIndex: w.machineCount}
 	// Clocks drift apart by as much as 0.05 %.
-	m.drift = time.Duration(w.roll("drift", m.host)%2001)*time.Millisecond - time.Second
-	w.machines[m.host] = m
-	w.note("%s rented: %s in %s, cheap %v", m.host, typ, zone, spot)
-	go m.live(after + time.Duration(w.made)*17*time.Microsecond)
-	return m.host
+	machine.clockDrift = time.Duration(w.roll("drift", machine.host)%2001)*time.Millisecond - time.Second
+	w.machines[machine.host] = machine
+	w.recordEvent("%s rented: %s in %s, cheap %v", machine.host, typ, zone, spot)
+	go machine.runAgent(after + time.Duration(w.machineCount)*17*time.Microsecond)
+	return machine.host
 }
 
-// byClock is how long a duration of the worker's own clock really takes.
-func (m *Machine) byClock(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*m.drift.Seconds()/2000)
+// byWorkerClock is how long a duration of the worker's own clock really takes.
+func (m *Machine) byWorkerClock(d time.Duration) time.Duration {
+	return d + time.Duration(float64(d)*m.clockDrift.Seconds()/2000)
 }
 
 // Set changes a machine's condition: hang, resume, cut, heal, sick, slow, well,
@@ -91,75 +91,75 @@
 func (w *World) Set(host, what string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	m := w.machines[host]
-	if m == nil || m.gone || (m.dead && what != "take") {
+	machine := w.machines[host]
+	if machine == nil || machine.removed || (machine.crashed && what != "take") {
 		return
 	}
-	hung, cutOff := m.hung, m.cutOff
+	hung, cutOff := machine.hung, machine.partitioned
 	switch what {
 	case "hang":
-		if !m.hung {
-			m.hung = true
-			m.leaveGangs()
+		if !machine.hung {
+			machine.hung = true
+			machine.leaveGangsOnHang()
 		}
 	case "resume":
-		m.hung = false
+		machine.hung = false
 	case "deaf", "hears":
-		if m.deaf = what == "deaf"; m.deaf {
-			w.note("%s: deaf", host)
+		if machine.cannotReceive = what == "deaf"; machine.cannotReceive {
+			w.recordEvent("%s: deaf", host)
 		}
 	case "mute", "speaks":
-		if m.mute = what == "mute"; m.mute {
-			w.note("%s: mute", host)
+		if machine.cannotSend = what == "mute"; machine.cannotSend {
+			w.recordEvent("%s: mute", host)
 		}
 	case "cut":
-		m.cutOff = true
+		machine.partitioned = true
 	case "heal":
-		m.cutOff = false
+		machine.partitioned = false
 	case "die":
-		m.die()
+		machine.crash()
 		return
 	case "reboot":
-		m.reboot()
+		machine.reboot()
 		return
 	case "sick":
-		m.sick = true
+		machine.failsTasks = true
 	case "slow":
-		m.slow = true
+		machine.slowsTasks = true
 	case "well":
-		m.sick, m.slow = false, false
+		machine.failsTasks, machine.slowsTasks = false, false
 	case "notice":
-		m.warning = time.Now().Add(20 * time.Second)
-		m.poke()
+		machine.preemptionAt = time.Now().Add(20 * time.Second)
+		machine.wakeAgent()
 		// Half the nominal value, or one and a half times it.
-		m.later(w.between(10*time.Second, 30*time.Second, "notice", host), func() { w.note("%s taken", host); w.remove(m) })
+		machine.afterDelay(w.between(10*time.Second, 30*time.Second, "notice", host), func() { w.recordEvent("%s taken", host); w.removeMachine(machine) })
 	case "take":
-		w.note("%s taken", host)
-		w.remove(m)
+		w.recordEvent("%s taken", host)
+		w.removeMachine(machine)
 		return
 	}
-	if m.hung != hung || m.cutOff != cutOff || what == "sick" || what == "slow" {
-		w.note("%s: %s", host, what)
+	if machine.hung != hung || machine.partitioned != cutOff || what == "sick" || what == "slow" {
+		w.recordEvent("%s: %s", host, what)
 	}
-	if (what == "resume" && hung || what == "heal" && cutOff) && !m.hung && !m.cutOff {
-		m.expire()
-		w.arrive(w.held[host])
-		delete(w.held, host)
-		m.poke()
+	if (what == "resume" && hung || what == "heal" && cutOff) && !machine.hung && !machine.partitioned {
+		machine.expireLease()
+		w.deliverHeld(w.heldDeliveries[host])
+		delete(w.heldDeliveries, host)
+		machine.wakeAgent()
 	}
 }
 
 // HostOf is a machine that has a task of a job, or is fetching for it: the one
 // that neither hangs nor is cut off, if there is one, with the lowest name.
-func (w *World) HostOf(ref string) string {
+func (w *World) HostOf(jobID string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	best := ""
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-		m := w.machines[host]
-		for name, t := range m.tasks {
-			if r, _, _ := protocol.ParseTaskName(name); r == ref && !m.gone && t.phase != protocol.TaskExited {
-				if best == "" || w.machines[best].hung || w.machines[best].cutOff {
+		machine := w.machines[host]
+		for name, task := range machine.tasks {
+			if r, _, _ := protocol.ParseTaskName(name); r == jobID && !machine.removed && task.phase != protocol.TaskExited {
+				if best == "" || w.machines[best].hung || w.machines[best].partitioned {
 					best = host
 				}
 			}
@@ -174,76 +174,76 @@
 	defer w.mu.Unlock()
 	var out []string
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-		if m := w.machines[host]; !m.gone && (m.spot || !spotOnly) {
+		if m := w.machines[host]; !m.removed && (m.spot || !spotOnly) {
 			out = append(out, host)
 		}
 	}
 	return out
 }
 
-func (m *Machine) poke() {
+func (m *Machine) wakeAgent() {
 	select {
-	case m.kick <- struct{}{}:
+	case m.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// later does something after a while, unless the machine is gone by then.
-func (m *Machine) later(d time.Duration, do func()) {
+// afterDelay does something after a while, unless the machine is gone by then.
+func (m *Machine) afterDelay(d time.Duration, do func()) {
 	go func() {
-		if wait(m.w.ctx, d) {
-			m.w.mu.Lock()
-			defer m.w.mu.Unlock()
-			if !m.gone {
+		if wait(m.world.ctx, d) {
+			m.world.mu.Lock()
+			defer m.world.mu.Unlock()
+			if !m.removed {
 				do()
 			}
 		}
 	}()
 }
 
-func (m *Machine) kill() {
+func (m *Machine) dropTasks() {
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
-		t := m.tasks[name]
+		task := m.tasks[name]
 		delete(m.tasks, name)
-		m.w.missed(name, t)
+		m.world.notifyGangPeers(name, task)
 	}
 }
 
-func (m *Machine) expire() {
-	if !m.lease.IsZero() && time.Since(m.lease) > m.byClock(m.w.Workers.LeaseDuration) {
-		m.w.note("%s lease over, session %d", m.host, m.session+1)
-		m.kill()
-		m.session++
-		m.seq, m.lease = 0, time.Now()
+func (m *Machine) expireLease() {
+	if !m.leaseRenewedAt.IsZero() && time.Since(m.leaseRenewedAt) > m.byWorkerClock(m.world.Workers.LeaseDuration) {
+		m.world.recordEvent("%s lease over, session %d", m.host, m.agentEpoch+1)
+		m.dropTasks()
+		m.agentEpoch++
+		m.sequence, m.leaseRenewedAt = 0, time.Now()
 	}
 }
 
-// live reports to the controllers for as long as the machine exists.
-func (m *Machine) live(after time.Duration) {
-	w := m.w
+// runAgent reports to the controllers for as long as the machine exists.
+func (m *Machine) runAgent(after time.Duration) {
+	w := m.world
 	// The runtime may crash on a select over a timer that is due already, in a
 	// test bubble under the race detector; so no such timer is waited on here.
-	if after >= never || (after > 0 && !wait(w.ctx, after)) {
+	if after >= neverBoots || (after > 0 && !wait(w.ctx, after)) {
 		return
 	}
 	w.mu.Lock()
-	m.lease, m.up = time.Now(), time.Now()
+	m.leaseRenewedAt, m.upAt = time.Now(), time.Now()
 	w.mu.Unlock()
 	for {
-		pause := m.byClock(m.report())
+		pause := m.byWorkerClock(m.exchangeHeartbeat())
 		select {
 		case <-w.ctx.Done():
 			return
-		case <-m.kick:
-			if !wait(w.ctx, m.byClock(500*time.Millisecond)) {
+		case <-m.wakeup:
+			if !wait(w.ctx, m.byWorkerClock(500*time.Millisecond)) {
 				return
 			}
 		case <-time.After(pause):
 		}
 		w.mu.Lock()
-		gone := m.gone
-		if !m.hung && !m.dead {
-			m.expire()
+		gone := m.removed
+		if !m.hung && !m.crashed {
+			m.expireLease()
 		}
 		w.mu.Unlock()
 		if gone {
@@ -252,78 +252,78 @@
 	}
 }
 
-func (m *Machine) account() protocol.Heartbeat {
-	m.seq++
-	r := protocol.Heartbeat{Host: m.host, Address: m.w.Address(m.host), Type: m.typ, Zone: m.zone, Spot: m.spot, AgentEpoch: m.session, Sequence: m.seq,
-		FencingToken: m.token, Tasks: []protocol.TaskStatus{}}
-	if !m.warning.IsZero() {
-		left := time.Until(m.warning).Seconds()
+func (m *Machine) heartbeat() protocol.Heartbeat {
+	m.sequence++
+	r := protocol.Heartbeat{Host: m.host, Address: m.world.Address(m.host), Type: m.machineType, Zone: m.zone, Spot: m.spot, AgentEpoch: m.agentEpoch, Sequence: m.sequence,
+		FencingToken: m.fencingToken, Tasks: []protocol.TaskStatus{}}
+	if !m.preemptionAt.IsZero() {
+		left := time.Until(m.preemptionAt).Seconds()
 		r.PreemptionNoticeS = &left
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 		t := m.tasks[name]
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: name, Attempt: t.try, Phase: t.phase, Cause: t.cause, Checkpointed: t.saved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: name, Attempt: t.attempt, Phase: t.phase, Cause: t.cause, Checkpointed: t.checkpointed})
 	}
 	return r
 }
 
-// ignored is what nobody waits for any more.
-func ignored(transport.Response) {}
+// ignoreResponse is what nobody waits for any more.
+func ignoreResponse(transport.Response) {}
 
-// report makes one report and returns when to make the next.
-func (m *Machine) report() time.Duration {
-	w := m.w
+// exchangeHeartbeat makes one report and returns when to make the next.
+func (m *Machine) exchangeHeartbeat() time.Duration {
+	w := m.world
 	w.mu.Lock()
-	if m.away {
+	if m.rebooting {
 		w.mu.Unlock()
 		return 50 * time.Millisecond
 	}
-	if m.gone || m.hung || m.dead || len(w.names) == 0 {
+	if m.removed || m.hung || m.crashed || len(w.controllers) == 0 {
 		w.mu.Unlock()
 		return time.Second
 	}
-	if m.mute {
-		m.node++
+	if m.cannotSend {
+		m.controllerIndex++
 		w.mu.Unlock()
 		return time.Second
 	}
-	name := w.names[m.node%len(w.names)]
-	h := w.nodes[name]
-	if w.trouble["deaf "+name] {
-		h = nil
+	name := w.controllers[m.controllerIndex%len(w.controllers)]
+	handler := w.handlers[name]
+	if w.activeFaults["deaf "+name] {
+		handler = nil
 	}
-	body, _ := json.Marshal(m.account())
-	sent, session, tick := time.Now(), m.session, strconv.FormatUint(m.seq, 10)
-	if h != nil {
-		m.said = func() { go h("POST", reportPath, body, ignored) }
+	body, _ := json.Marshal(m.heartbeat())
+	sent, session, tick := time.Now(), m.agentEpoch, strconv.FormatUint(m.sequence, 10)
+	if handler != nil {
+		m.resendHeartbeat = func() { go handler("POST", heartbeatPath, body, ignoreResponse) }
 	}
-	if w.trouble["reports for next"] && w.chance(40, "keep", m.host, tick) {
-		w.keep(m, body)
+	if w.activeFaults["reports for next"] && w.chance(40, "keep", m.host, tick) {
+		w.keepHeartbeat(m, body)
 	}
-	if h != nil && !m.cutOff && w.trouble["late reports"] && w.chance(40, "copy", m.host, tick) {
-		m.later(w.between(2*time.Second, w.Workers.LeaseDuration*3/2, "copy", m.host, tick), m.said)
+	if handler != nil && !m.partitioned && w.activeFaults["late reports"] && w.chance(40, "copy", m.host, tick) {
+		m.afterDelay(w.between(2*time.Second, w.Workers.LeaseDuration*3/2, "copy", m.host, tick), m.resendHeartbeat)
 	}
-	life := m.life
+	life := m.boots
 	there, back := w.between(300*time.Microsecond, 3*time.Millisecond, m.host, tick), w.between(300*time.Microsecond, 3*time.Millisecond, m.host, tick)
-	if m.cutOff {
+	if m.partitioned {
 		// The packets are held and may arrive once the cut is over, though nobody
 		// waits for an answer any more.
-		if h != nil && w.chance(50, m.host, tick) {
-			w.held[m.host] = append(w.held[m.host], func() { go h("POST", reportPath, body, ignored) })
+		if handler != nil && w.chance(50, m.host, tick) {
+			w.heldDeliveries[m.host] = append(w.heldDeliveries[m.host], func() { go handler("POST", heartbeatPath, body, ignoreResponse) })
 		}
 		w.mu.Unlock()
 		return 4 * time.Second
 	}
-	if h != nil && !m.reached(name) {
+	if handler != nil && !m.reachable(name) {
 		if w.chance(50, m.host, tick) {
-			w.hold(m.zone, w.zoneOf[name], func() { go h("POST", reportPath, body, ignored) })
+			w.holdUntilHealed(m.zone, w.controllerZones[name], func() { go handler("POST", heartbeatPath, body, ignoreResponse) })
 		}
-		m.node++
+		m.controllerIndex++
 		w.mu.Unlock()
 		return 5 * time.Second
 	}
-	if h == nil {
-		m.node++
+	if handler == nil {
+		m.controllerIndex++
 		w.mu.Unlock()
 		return time.Second
 	}
@@ -332,7 +332,7 @@
 		return time.Second
 	}
 	got := make(chan transport.Response, 1)
-	go h("POST", reportPath, body, func(r transport.Response) { got <- r })
+	go handler("POST", heartbeatPath, body, func(r transport.Response) { got <- r })
 	var r transport.Response
 	select {
 	case r = <-got:
@@ -344,190 +344,190 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if m.gone || m.hung || m.dead || m.cutOff || m.deaf || m.session != session || m.life != life || w.trouble["deaf "+name] || !m.reached(name) {
-		if m.deaf {
-			m.node++ // no answer in time: the next node
+	if m.removed || m.hung || m.crashed || m.partitioned || m.cannotReceive || m.agentEpoch != session || m.boots != life || w.activeFaults["deaf "+name] || !m.reachable(name) {
+		if m.cannotReceive {
+			m.controllerIndex++ // no answer in time: the next node
 		}
 		return time.Second
 	}
 	switch r.Status {
 	case 200:
 		var a protocol.HeartbeatResponse
-		if json.Unmarshal(r.Body, &a) == nil && a.FencingToken >= m.token && a.FencingToken > 0 {
-			if a.FencingToken > m.token {
-				m.poke()
+		if json.Unmarshal(r.Body, &a) == nil && a.FencingToken >= m.fencingToken && a.FencingToken > 0 {
+			if a.FencingToken > m.fencingToken {
+				m.wakeAgent()
 			}
-			m.token, m.lease = a.FencingToken, sent
-			m.execute(a.Commands)
+			m.fencingToken, m.leaseRenewedAt = a.FencingToken, sent
+			m.runCommands(a.Commands)
 		}
 		// Give or take a quarter, as workers do.
 		return w.between(w.Workers.HeartbeatInterval*3/4, w.Workers.HeartbeatInterval*5/4, m.host, tick)
 	case 421:
 		var s protocol.Redirect
 		_ = json.Unmarshal(r.Body, &s)
-		for i, n := range w.names {
+		for i, n := range w.controllers {
 			if n == s.Node && n != name {
-				m.node = i
+				m.controllerIndex = i
 				return w.between(0, 500*time.Millisecond, m.host, tick)
 			}
 		}
 	}
-	m.node++
+	m.controllerIndex++
 	return time.Second
 }
 
-// toWorker carries a controller's call. Across a cut, or to a hung machine,
+// callWorker carries a controller's call. Across a cut, or to a hung machine,
 // it is held and executed late, though the caller has long given up.
-func (w *World) toWorker(ctx context.Context, node, host, target string, body []byte, back time.Duration) (int, []byte, error) {
+func (w *World) callWorker(ctx context.Context, node, host, target string, body []byte, back time.Duration) (int, []byte, error) {
 	w.mu.Lock()
-	m := w.machines[host]
-	if m != nil && !m.gone && !m.dead && !m.hung && !m.cutOff && !m.reached(node) {
+	machine := w.machines[host]
+	if machine != nil && !machine.removed && !machine.crashed && !machine.hung && !machine.partitioned && !machine.reachable(node) {
 		if target == protocol.PathCommands {
-			w.hold(m.zone, w.zoneOf[node], func() {
-				if !m.gone && !m.dead && !m.hung && !m.cutOff {
-					m.expire()
-					m.commands(body)
+			w.holdUntilHealed(machine.zone, w.controllerZones[node], func() {
+				if !machine.removed && !machine.crashed && !machine.hung && !machine.partitioned {
+					machine.expireLease()
+					machine.handleCommands(body)
 				}
 			})
 		}
 		w.mu.Unlock()
 		<-ctx.Done()
-		return 0, nil, errReset
+		return 0, nil, errConnectionReset
 	}
-	if m != nil && (m.away || time.Now().Before(m.up)) { // it boots
+	if machine != nil && (machine.rebooting || time.Now().Before(machine.upAt)) { // it boots
 		w.mu.Unlock()
-		return 0, nil, errReset
+		return 0, nil, errConnectionReset
 	}
-	if m == nil || m.gone || m.dead || m.cutOff || m.hung || m.deaf {
-		if m != nil && !m.gone && !m.dead && !m.deaf && target == protocol.PathCommands {
-			w.held[host] = append(w.held[host], func() { m.commands(body) })
+	if machine == nil || machine.removed || machine.crashed || machine.partitioned || machine.hung || machine.cannotReceive {
+		if machine != nil && !machine.removed && !machine.crashed && !machine.cannotReceive && target == protocol.PathCommands {
+			w.heldDeliveries[host] = append(w.heldDeliveries[host], func() { machine.handleCommands(body) })
 		}
 		w.mu.Unlock()
 		<-ctx.Done()
-		return 0, nil, errReset
+		return 0, nil, errConnectionReset
 	}
 	var status int
 	var out []byte
 	if target == protocol.PathStatus {
-		status, out = reply(200, m.account())
+		status, out = jsonResponse(200, machine.heartbeat())
 	} else {
-		status, out = m.commands(body)
+		status, out = machine.handleCommands(body)
 	}
 	w.mu.Unlock()
 	if !wait(ctx, back) {
-		return 0, nil, errReset
+		return 0, nil, errConnectionReset
 	}
 	return status, out, nil
 }
 
-func (m *Machine) commands(body []byte) (int, []byte) {
+func (m *Machine) handleCommands(body []byte) (int, []byte) {
 	var in protocol.CommandRequest
 	if json.Unmarshal(body, &in) != nil || in.FencingToken == 0 || in.AgentEpoch == 0 {
 		return 400, nil
 	}
-	if in.FencingToken < m.token || in.AgentEpoch != m.session {
-		return reply(409, m.account())
+	if in.FencingToken < m.fencingToken || in.AgentEpoch != m.agentEpoch {
+		return jsonResponse(409, m.heartbeat())
 	}
-	if in.FencingToken > m.token {
-		m.token = in.FencingToken
-		m.poke()
+	if in.FencingToken > m.fencingToken {
+		m.fencingToken = in.FencingToken
+		m.wakeAgent()
 	}
-	m.execute(in.Commands)
-	return reply(200, m.account())
+	m.runCommands(in.Commands)
+	return jsonResponse(200, m.heartbeat())
 }
 
-func (m *Machine) execute(cmds []protocol.Command) {
+func (m *Machine) runCommands(cmds []protocol.Command) {
 	for _, c := range cmds {
-		t := m.tasks[c.Task]
+		task := m.tasks[c.Task]
 		switch c.Verb {
 		case "start":
 			switch {
-			case t == nil || (t.try != c.Attempt && t.phase == protocol.TaskExited):
-				m.start(c.Task, c.Attempt)
-			case t.try != c.Attempt:
-				m.w.note("%s %s/%d refused: busy with attempt %d", m.host, c.Task, c.Attempt, t.try)
+			case task == nil || (task.attempt != c.Attempt && task.phase == protocol.TaskExited):
+				m.startTask(c.Task, c.Attempt)
+			case task.attempt != c.Attempt:
+				m.world.recordEvent("%s %s/%d refused: busy with attempt %d", m.host, c.Task, c.Attempt, task.attempt)
 			}
 		case "stop":
-			if t != nil && t.try == c.Attempt && t.phase != protocol.TaskExited {
-				m.stop(c.Task, t, c.GraceS)
+			if task != nil && task.attempt == c.Attempt && task.phase != protocol.TaskExited {
+				m.stopTask(c.Task, task, c.GraceS)
 			}
 		case "reap":
-			if t != nil && t.try == c.Attempt && t.phase == protocol.TaskExited {
+			if task != nil && task.attempt == c.Attempt && task.phase == protocol.TaskExited {
 				delete(m.tasks, c.Task)
 			}
 		}
 	}
 }
 
-// stop ends a task. One that runs and can save does so if its grace suffices; a
+// stopTask ends a task. One that runs and can save does so if its grace suffices; a
 // gang's saves only if all of its tasks are told in time.
-func (m *Machine) stop(name string, t *task, grace *float64) {
-	ref, _, _ := protocol.ParseTaskName(name)
-	j := m.w.jobs[ref]
-	saves := t.phase == protocol.TaskRunning && j != nil && j.Spec.CheckpointIntervalS > 0 && grace != nil && *grace >= j.Spec.CheckpointS
-	if m.w.OnStop != nil && t.phase == protocol.TaskRunning {
-		if why := m.w.OnStop(name, m.host, m.w.teamUse()); why != "" {
-			m.w.breakRule("guarantee", "%s", why)
+func (m *Machine) stopTask(name string, task *taskAttempt, grace *float64) {
+	jobID, _, _ := protocol.ParseTaskName(name)
+	job := m.world.jobs[jobID]
+	saves := task.phase == protocol.TaskRunning && job != nil && job.Spec.CheckpointIntervalS > 0 && grace != nil && *grace >= job.Spec.CheckpointS
+	if m.world.OnStop != nil && task.phase == protocol.TaskRunning {
+		if why := m.world.OnStop(name, m.host, m.world.teamUse()); why != "" {
+			m.world.recordViolation("guarantee", "%s", why)
 		}
 	}
 	if !saves {
-		m.exit(name, t, "halted")
+		m.exitTask(name, task, "halted")
 		return
 	}
-	t.phase, t.stop = protocol.TaskCheckpointing, time.Now()
-	m.poke()
-	m.after(name, t, j.Spec.CheckpointDuration(), func() {
-		if t.saved = j.Spec.Shape != protocol.ShapeGang || m.w.allSaving(ref, t.try, j); t.saved {
-			m.exit(name, t, "halted")
+	task.phase, task.stop = protocol.TaskCheckpointing, time.Now()
+	m.wakeAgent()
+	m.afterOnTask(name, task, job.Spec.CheckpointDuration(), func() {
+		if task.checkpointed = job.Spec.Shape != protocol.ShapeGang || m.world.gangCheckpointing(jobID, task.attempt, job); task.checkpointed {
+			m.exitTask(name, task, "halted")
 		} else {
-			m.exit(name, t, causePeers)
+			m.exitTask(name, task, causeGangPeerLost)
 		}
 	})
 }
 
 const (
-	causePeers = "peers"
-	reportPath = "/v1/report"
+	causeGangPeerLost = "peers"
+	heartbeatPath     = "/v1/report"
 )
 
-// allSaving tells whether every task of a gang's attempt was told to stop.
-func (w *World) allSaving(ref string, try uint64, j *Job) bool {
+// gangCheckpointing tells whether every task of a gang's attempt was told to stop.
+func (w *World) gangCheckpointing(jobID string, attempt uint64, job *Job) bool {
 	told := 0
 	for _, o := range w.machines {
-		for name, t := range o.tasks {
-			if r, _, _ := protocol.ParseTaskName(name); r == ref && t.try == try && (t.phase == protocol.TaskCheckpointing || t.saved) && !o.gone {
+		for name, task := range o.tasks {
+			if r, _, _ := protocol.ParseTaskName(name); r == jobID && task.attempt == attempt && (task.phase == protocol.TaskCheckpointing || task.checkpointed) && !o.removed {
 				told++
 			}
 		}
 	}
-	return told == j.Spec.Tasks
+	return told == job.Spec.Tasks
 }
 
-func (m *Machine) exit(name string, t *task, cause string) {
-	was := *t
-	t.phase, t.cause = protocol.TaskExited, cause
-	m.w.note("%s %s/%d exits: %s", m.host, name, t.try, cause)
-	m.poke()
-	if cause != protocol.CauseDone && cause != causePeers {
-		m.w.missed(name, &was)
+func (m *Machine) exitTask(name string, task *taskAttempt, cause string) {
+	was := *task
+	task.phase, task.cause = protocol.TaskExited, cause
+	m.world.recordEvent("%s %s/%d exits: %s", m.host, name, task.attempt, cause)
+	m.wakeAgent()
+	if cause != protocol.CauseDone && cause != causeGangPeerLost {
+		m.world.notifyGangPeers(name, &was)
 	}
 }
 
-// missed has the others of a running gang notice that one of them is gone.
-func (w *World) missed(name string, t *task) {
-	ref, _, ok := protocol.ParseTaskName(name)
-	j := w.jobs[ref]
-	if !ok || j == nil || j.Spec.Shape != protocol.ShapeGang || t.phase != protocol.TaskRunning {
+// notifyGangPeers has the others of a running gang notice that one of them is gone.
+func (w *World) notifyGangPeers(name string, task *taskAttempt) {
+	jobID, _, ok := protocol.ParseTaskName(name)
+	job := w.jobs[jobID]
+	if !ok || job == nil || job.Spec.Shape != protocol.ShapeGang || task.phase != protocol.TaskRunning {
 		return
 	}
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-		m := w.machines[host]
-		for _, other := range slices.Sorted(maps.Keys(m.tasks)) {
-			x := m.tasks[other]
-			if r, _, _ := protocol.ParseTaskName(other); r == ref && x.try == t.try && x != t && x.phase == protocol.TaskRunning {
-				m.after(other, x, w.between(w.Workers.GangPeerTimeout/2, w.Workers.GangPeerTimeout, other, m.host), func() {
+		machine := w.machines[host]
+		for _, other := range slices.Sorted(maps.Keys(machine.tasks)) {
+			x := machine.tasks[other]
+			if r, _, _ := protocol.ParseTaskName(other); r == jobID && x.attempt == task.attempt && x != task && x.phase == protocol.TaskRunning {
+				machine.afterOnTask(other, x, w.between(w.Workers.GangPeerTimeout/2, w.Workers.GangPeerTimeout, other, machine.host), func() {
 					if x.phase == protocol.TaskRunning {
-						m.exit(other, x, causePeers)
+						machine.exitTask(other, x, causeGangPeerLost)
 					}
 				})
 			}
@@ -535,32 +535,32 @@
 	}
 }
 
-// leaveGangs has gangs notice that the machine hangs; once it goes on, its own
+// leaveGangsOnHang has gangs notice that the machine hangs; once it goes on, its own
 // tasks of theirs notice it too.
-func (m *Machine) leaveGangs() {
+func (m *Machine) leaveGangsOnHang() {
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
-		t := m.tasks[name]
-		ref, _, _ := protocol.ParseTaskName(name)
-		if j := m.w.jobs[ref]; j == nil || j.Spec.Shape != protocol.ShapeGang || j.Spec.Tasks < 2 || t.phase != protocol.TaskRunning {
+		task := m.tasks[name]
+		jobID, _, _ := protocol.ParseTaskName(name)
+		if j := m.world.jobs[jobID]; j == nil || j.Spec.Shape != protocol.ShapeGang || j.Spec.Tasks < 2 || task.phase != protocol.TaskRunning {
 			continue
 		}
-		m.w.missed(name, t)
-		m.after(name, t, m.w.Workers.GangPeerTimeout, func() {
-			if t.phase == protocol.TaskRunning {
-				m.exit(name, t, causePeers)
+		m.world.notifyGangPeers(name, task)
+		m.afterOnTask(name, task, m.world.Workers.GangPeerTimeout, func() {
+			if task.phase == protocol.TaskRunning {
+				m.exitTask(name, task, causeGangPeerLost)
 			}
 		})
 	}
 }
 
-func (m *Machine) start(name string, try uint64) {
-	w := m.w
-	ref, num, _ := protocol.ParseTaskName(name)
-	t := &task{try: try, phase: protocol.TaskFetching}
-	m.tasks[name] = t
-	j := w.jobs[ref]
-	if j == nil || num >= j.Spec.Tasks {
-		m.exit(name, t, protocol.CauseUnknownJob)
+func (m *Machine) startTask(name string, try uint64) {
+	w := m.world
+	jobID, index, _ := protocol.ParseTaskName(name)
+	task := &taskAttempt{attempt: try, phase: protocol.TaskFetching}
+	m.tasks[name] = task
+	job := w.jobs[jobID]
+	if job == nil || index >= job.Spec.Tasks {
+		m.exitTask(name, task, protocol.CauseUnknownJob)
 		return
 	}
 	var used [3]float64
@@ -570,16 +570,16 @@
 			used = [3]float64{used[0] + x.Spec.CPUs, used[1] + x.Spec.GPUs, used[2] + x.Spec.MemoryGB}
 		}
 	}
-	typ := w.typeOf(m.typ)
-	if used[0] > typ.CPUs+1e-6 || used[1] > typ.GPUs+1e-6 || used[2] > typ.MemoryGB+1e-6 {
-		m.exit(name, t, protocol.CauseNoCapacity)
+	machineType := w.typeOf(m.machineType)
+	if used[0] > machineType.CPUs+1e-6 || used[1] > machineType.GPUs+1e-6 || used[2] > machineType.MemoryGB+1e-6 {
+		m.exitTask(name, task, protocol.CauseNoCapacity)
 		return
 	}
-	fetch := max(time.Second, j.Fetch)
-	if m.images[j.Spec.Image] {
+	fetch := max(time.Second, job.Fetch)
+	if m.cachedImages[job.Spec.Image] {
 		fetch = time.Millisecond
 	}
-	m.after(name, t, fetch, func() { m.begin(name, t, j) })
+	m.afterOnTask(name, task, fetch, func() { m.beginTask(name, task, job) })
 }
 
 func (w *World) typeOf(name string) protocol.MachineType {
@@ -591,20 +591,20 @@
 	return protocol.MachineType{}
 }
 
-// after does something to a task later, if it is still there by then. A hanging
+// afterOnTask does something to a task later, if it is still there by then. A hanging
 // machine does nothing until it goes on.
-func (m *Machine) after(name string, t *task, d time.Duration, do func()) {
-	w, session := m.w, m.session
-	d = m.byClock(d) + w.between(0, time.Millisecond, "after", m.host, name)
+func (m *Machine) afterOnTask(name string, task *taskAttempt, d time.Duration, do func()) {
+	w, session := m.world, m.agentEpoch
+	d = m.byWorkerClock(d) + w.between(0, time.Millisecond, "after", m.host, name)
 	go func() {
 		if !wait(w.ctx, d) {
 			return
 		}
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if !m.gone && !m.dead && m.session == session && m.tasks[name] == t && t.phase != protocol.TaskExited {
+		if !m.removed && !m.crashed && m.agentEpoch == session && m.tasks[name] == task && task.phase != protocol.TaskExited {
 			if m.hung {
-				m.after(name, t, time.Second, do)
+				m.afterOnTask(name, task, time.Second, do)
 				return
 			}
 			do()
@@ -612,152 +612,152 @@
 	}()
 }
 
-// begin is the moment a task is on its machine; the rules are checked here.
-func (m *Machine) begin(name string, t *task, j *Job) {
-	w := m.w
-	m.images[j.Spec.Image] = true
-	w.checkStart(m, name, t, j)
-	t.phase, t.began = protocol.TaskRunning, time.Now()
-	w.note("%s %s/%d runs", m.host, name, t.try)
-	m.poke()
-	if j.Spec.Shape == protocol.ShapeGang && j.Spec.Tasks > 1 {
-		t.phase = protocol.TaskWaitingForGang
-		if !w.assemble(j, t.try) {
-			m.after(name, t, w.Workers.GangStartTimeout, func() {
-				if t.phase == protocol.TaskWaitingForGang {
-					m.exit(name, t, protocol.CauseGangTimeout)
+// beginTask is the moment a task is on its machine; the rules are checked here.
+func (m *Machine) beginTask(name string, task *taskAttempt, job *Job) {
+	w := m.world
+	m.cachedImages[job.Spec.Image] = true
+	w.checkStart(m, name, task, job)
+	task.phase, task.began = protocol.TaskRunning, time.Now()
+	w.recordEvent("%s %s/%d runs", m.host, name, task.attempt)
+	m.wakeAgent()
+	if job.Spec.Shape == protocol.ShapeGang && job.Spec.Tasks > 1 {
+		task.phase = protocol.TaskWaitingForGang
+		if !w.startGangIfComplete(job, task.attempt) {
+			m.afterOnTask(name, task, w.Workers.GangStartTimeout, func() {
+				if task.phase == protocol.TaskWaitingForGang {
+					m.exitTask(name, task, protocol.CauseGangTimeout)
 				}
 			})
 			return
 		}
 	}
-	if j.began.IsZero() {
-		j.began = time.Now()
+	if job.startedAt.IsZero() {
+		job.startedAt = time.Now()
 	}
-	if j.Fail || m.sick {
-		m.after(name, t, time.Second, func() { m.exit(name, t, protocol.CauseError) })
+	if job.Fail || m.failsTasks {
+		m.afterOnTask(name, task, time.Second, func() { m.exitTask(name, task, protocol.CauseError) })
 		return
 	}
-	if j.Run > 0 {
-		run := j.Run
-		if m.slow {
+	if job.Run > 0 {
+		run := job.Run
+		if m.slowsTasks {
 			run *= 4
 		}
 		var end func()
 		end = func() {
-			if t.phase != protocol.TaskRunning {
+			if task.phase != protocol.TaskRunning {
 				return // it is being stopped
 			}
-			if j.Spec.Shape == protocol.ShapeGang {
-				w.finishGang(j, t.try)
-				if t.phase == protocol.TaskRunning {
-					m.after(name, t, time.Second, end) // another one's machine hangs
+			if job.Spec.Shape == protocol.ShapeGang {
+				w.completeGang(job, task.attempt)
+				if task.phase == protocol.TaskRunning {
+					m.afterOnTask(name, task, time.Second, end) // another one's machine hangs
 				}
 				return
 			}
-			_, num, _ := protocol.ParseTaskName(name)
-			j.done[num] = true
-			m.exit(name, t, protocol.CauseDone)
-			m.w.ended(j)
+			_, index, _ := protocol.ParseTaskName(name)
+			job.tasksDone[index] = true
+			m.exitTask(name, task, protocol.CauseDone)
+			m.world.jobFinished(job)
 		}
-		m.after(name, t, run, end)
+		m.afterOnTask(name, task, run, end)
 	}
 }
 
 // checkStart judges a start by the rules.
-func (w *World) checkStart(m *Machine, name string, t *task, j *Job) {
+func (w *World) checkStart(machine *Machine, name string, task *taskAttempt, job *Job) {
 	if w.RecordStartsOnly {
-		w.started(j)
+		w.onStart(job)
 		return
 	}
-	s := &j.Spec
+	s := &job.Spec
 	inZone := 1
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
 		o := w.machines[host]
-		if o.gone {
+		if o.removed {
 			continue
 		}
 		for other, x := range o.tasks {
-			ref, _, _ := protocol.ParseTaskName(other)
-			if ref != s.JobID || !x.on() {
+			jobID, _, _ := protocol.ParseTaskName(other)
+			if jobID != s.JobID || !x.occupiesMachine() {
 				continue
 			}
-			if other == name && x != t {
-				w.breakRule("ran_twice", "%s on %s and %s", name, o.host, m.host)
+			if other == name && x != task {
+				w.recordViolation("ran_twice", "%s on %s and %s", name, o.host, machine.host)
 			}
-			if o.zone == m.zone {
+			if o.zone == machine.zone {
 				inZone++
 			} else if s.SameZone {
-				w.breakRule("wrong_place", "%s in %s and %s", ref, o.zone, m.zone)
+				w.recordViolation("wrong_place", "%s in %s and %s", jobID, o.zone, machine.zone)
 			}
 		}
 	}
 	if s.SpreadZones && inZone > (s.Tasks+1)/2 {
-		w.breakRule("wrong_place", "%s has %d tasks in %s", s.JobID, inZone, m.zone)
+		w.recordViolation("wrong_place", "%s has %d tasks in %s", s.JobID, inZone, machine.zone)
 	}
-	if (len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, m.typ)) || (s.Zone != "" && s.Zone != m.zone) || (m.spot && !s.AllowSpot) {
-		w.breakRule("wrong_place", "%s on %s: %s in %s, cheap %v", s.JobID, m.host, m.typ, m.zone, m.spot)
+	if (len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, machine.machineType)) || (s.Zone != "" && s.Zone != machine.zone) || (machine.spot && !s.AllowSpot) {
+		w.recordViolation("wrong_place", "%s on %s: %s in %s, cheap %v", s.JobID, machine.host, machine.machineType, machine.zone, machine.spot)
 	}
-	if !j.cancelled.IsZero() && time.Since(j.cancelled) > w.Workers.CancelDeadline {
-		w.breakRule("ran_cancelled", "%s starts on %s", name, m.host)
+	if !job.cancelledAt.IsZero() && time.Since(job.cancelledAt) > w.Workers.CancelDeadline {
+		w.recordViolation("ran_cancelled", "%s starts on %s", name, machine.host)
 	}
-	if !w.needsDone(j) {
-		w.breakRule("too_early", "%s starts on %s before all that it needs is done", name, m.host)
+	if !w.dependenciesDone(job) {
+		w.recordViolation("too_early", "%s starts on %s before all that it needs is done", name, machine.host)
 	}
-	if !j.cancelled.IsZero() {
-		w.vain++
-		w.note("%s starts after its cancellation was confirmed", name)
+	if !job.cancelledAt.IsZero() {
+		w.wastedStarts++
+		w.recordEvent("%s starts after its cancellation was confirmed", name)
 	}
 }
 
-// assemble starts a gang's attempt if all of its tasks wait for one another.
-func (w *World) assemble(j *Job, try uint64) bool {
-	var there []*task
-	for _, m := range w.machines {
-		for name, t := range m.tasks {
-			if ref, _, _ := protocol.ParseTaskName(name); ref == j.Spec.JobID && t.try == try && t.phase == protocol.TaskWaitingForGang && !m.gone {
-				there = append(there, t)
+// startGangIfComplete starts a gang's attempt if all of its tasks wait for one another.
+func (w *World) startGangIfComplete(job *Job, attempt uint64) bool {
+	var there []*taskAttempt
+	for _, machine := range w.machines {
+		for name, task := range machine.tasks {
+			if ref, _, _ := protocol.ParseTaskName(name); ref == job.Spec.JobID && task.attempt == attempt && task.phase == protocol.TaskWaitingForGang && !machine.removed {
+				there = append(there, task)
 			}
 		}
 	}
-	if len(there) < j.Spec.Tasks {
+	if len(there) < job.Spec.Tasks {
 		return false
 	}
 	for _, t := range there {
 		t.phase, t.began = protocol.TaskRunning, time.Now()
 	}
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-		w.machines[host].poke()
+		w.machines[host].wakeAgent()
 	}
 	return true
 }
 
-// finishGang ends a gang's attempt: its tasks complete together.
-func (w *World) finishGang(j *Job, try uint64) {
+// completeGang ends a gang's attempt: its tasks complete together.
+func (w *World) completeGang(job *Job, attempt uint64) {
 	running := 0
-	for _, m := range w.machines {
-		for name, t := range m.tasks {
-			if ref, _, _ := protocol.ParseTaskName(name); ref == j.Spec.JobID && t.try == try && t.phase == protocol.TaskRunning && !m.gone && !m.hung {
+	for _, machine := range w.machines {
+		for name, task := range machine.tasks {
+			if ref, _, _ := protocol.ParseTaskName(name); ref == job.Spec.JobID && task.attempt == attempt && task.phase == protocol.TaskRunning && !machine.removed && !machine.hung {
 				running++
 			}
 		}
 	}
-	if running < j.Spec.Tasks {
+	if running < job.Spec.Tasks {
 		return // one is gone, and the others are about to notice
 	}
-	for k := range j.Spec.Tasks {
-		j.done[k] = true
+	for k := range job.Spec.Tasks {
+		job.tasksDone[k] = true
 	}
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-		m := w.machines[host]
-		for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
-			t := m.tasks[name]
-			if ref, _, _ := protocol.ParseTaskName(name); ref == j.Spec.JobID && t.try == try && t.on() && !m.gone {
-				m.exit(name, t, protocol.CauseDone)
+		machine := w.machines[host]
+		for _, name := range slices.Sorted(maps.Keys(machine.tasks)) {
+			task := machine.tasks[name]
+			if ref, _, _ := protocol.ParseTaskName(name); ref == job.Spec.JobID && task.attempt == attempt && task.occupiesMachine() && !machine.removed {
+				machine.exitTask(name, task, protocol.CauseDone)
 			}
 		}
 	}
-	w.ended(j)
+	w.jobFinished(job)
 }
 
 // MachineTokens is the highest token that each worker obeys which nothing keeps from being
@@ -766,9 +766,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := make(map[string]uint64)
-	for host, m := range w.machines {
-		if !m.gone && !m.hung && !m.dead && !m.cutOff && !w.trouble["zone "+m.zone] && m.token > 0 && time.Since(m.lease) < 2*w.Workers.HeartbeatInterval {
-			out[host] = m.token
+	for host, machine := range w.machines {
+		if !machine.removed && !machine.hung && !machine.crashed && !machine.partitioned && !w.activeFaults["zone "+machine.zone] && machine.fencingToken > 0 && time.Since(machine.leaseRenewedAt) < 2*w.Workers.HeartbeatInterval {
+			out[host] = machine.fencingToken
 		}
 	}
 	return out
@@ -778,7 +778,7 @@
 func (w *World) FaultyMachines() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.DeleteFunc(slices.Sorted(maps.Keys(w.trouble)), func(name string) bool { return !w.trouble[name] })
+	return slices.DeleteFunc(slices.Sorted(maps.Keys(w.activeFaults)), func(name string) bool { return !w.activeFaults[name] })
 }
 
 // TeamUse is the CPUs and cards that each team's tasks take on machines.
@@ -790,11 +790,11 @@
 
 // JobUse is what a job's tasks from one up to another take on machines. It is for OnStop, which holds the
 // world's lock.
-func (w *World) JobUse(ref string, from, upTo int) (use [2]float64) {
-	for _, m := range w.machines {
-		for name, t := range m.tasks {
-			r, num, _ := protocol.ParseTaskName(name)
-			if j := w.jobs[ref]; r == ref && num >= from && num < upTo && j != nil && !m.gone && t.on() {
+func (w *World) JobUse(jobID string, from, upTo int) (use [2]float64) {
+	for _, machine := range w.machines {
+		for name, task := range machine.tasks {
+			r, index, _ := protocol.ParseTaskName(name)
+			if j := w.jobs[jobID]; r == jobID && index >= from && index < upTo && j != nil && !machine.removed && task.occupiesMachine() {
 				use = [2]float64{use[0] + j.Spec.CPUs, use[1] + j.Spec.GPUs}
 			}
 		}
@@ -804,12 +804,12 @@
 
 func (w *World) teamUse() map[string][2]float64 {
 	use := make(map[string][2]float64)
-	for _, m := range w.machines {
-		for name, t := range m.tasks {
-			ref, _, _ := protocol.ParseTaskName(name)
-			if j := w.jobs[ref]; j != nil && !m.gone && t.on() {
-				u := use[j.Spec.Team]
-				use[j.Spec.Team] = [2]float64{u[0] + j.Spec.CPUs, u[1] + j.Spec.GPUs}
+	for _, machine := range w.machines {
+		for name, task := range machine.tasks {
+			jobID, _, _ := protocol.ParseTaskName(name)
+			if job := w.jobs[jobID]; job != nil && !machine.removed && task.occupiesMachine() {
+				u := use[job.Spec.Team]
+				use[job.Spec.Team] = [2]float64{u[0] + job.Spec.CPUs, u[1] + job.Spec.GPUs}
 			}
 		}
 	}
@@ -817,13 +817,13 @@
 }
 
 // Running counts the tasks of a job that are on machines.
-func (w *World) Running(ref string) int {
+func (w *World) Running(jobID string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	count := 0
-	for _, m := range w.machines {
-		for name, t := range m.tasks {
-			if r, _, _ := protocol.ParseTaskName(name); (r == ref || ref == "") && !m.gone && t.on() {
+	for _, machine := range w.machines {
+		for name, task := range machine.tasks {
+			if r, _, _ := protocol.ParseTaskName(name); (r == jobID || jobID == "") && !machine.removed && task.occupiesMachine() {
 				count++
 			}
 		}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -24,57 +24,57 @@
 // seed and on what it is told alone: every delay is drawn from the seed and the
 // message it delays, never from the order in which goroutines happen to run.
 type World struct {
-	State   *StateService
-	Workers protocol.WorkerSettings
-	Teams   map[string]protocol.Team
-	above   map[string]protocol.Team // what teams may use still, whose limit was changed
-	ListLag time.Duration            // of the cloud's list
-
-	mu       sync.Mutex
-	ctx      context.Context
-	seed     uint64
-	rolls    map[uint64]uint64
-	nodes    map[string]NodeHandler
-	names    []string
-	trouble  map[string]bool // by name, see Trouble
-	machines map[string]*Machine
-	made     int
-	hires    map[string][]string
-	jobs     map[string]*Job
-	aborted  map[string]bool // jobs that their users asked to cancel
-	broken   []string
-	held     map[string][]func() // late messages, by host
-	events   []string
-	began    time.Time
-	Types    []protocol.MachineType
-	spare    int // machines that the cloud has left to rent
+	State        *StateService
+	Workers      protocol.WorkerSettings
+	Teams        map[string]protocol.Team
+	formerLimits map[string]protocol.Team // what teams may use still, whose limit was changed
+	ListLag      time.Duration            // of the cloud's list
+
+	mu              sync.Mutex
+	ctx             context.Context
+	seed            uint64
+	draws           map[uint64]uint64
+	handlers        map[string]NodeHandler
+	controllers     []string
+	activeFaults    map[string]bool // by name, see Trouble
+	machines        map[string]*Machine
+	machineCount    int
+	provisioned     map[string][]string
+	jobs            map[string]*Job
+	cancelRequested map[string]bool // jobs that their users asked to cancel
+	violations      []string
+	heldDeliveries  map[string][]func() // late messages, by host
+	events          []string
+	startedAt       time.Time
+	Types           []protocol.MachineType
+	spareMachines   int // machines that the cloud has left to rent
 	// Address is where a machine's worker takes commands; set before machines are added.
 	Address func(host string) string
 	// Hollow has the world keep no events, look at no rule that needs a walk over all
 	// machines, and count starts instead: for measurements at sizes where its own work
 	// would be what is measured.
 	RecordStartsOnly bool
-	started          func(j *Job)
+	onStart          func(j *Job)
 	// OnStop, if set, is told of every running task that a command stops, with what
 	// the teams use, and says what rule that breaks. The world's lock is held.
-	OnStop func(task, host string, use map[string][2]float64) (rule string)
-	kept   map[string][][]byte // reports that wait for the next leader, by host
-	vain   int                 // starts after a confirmed cancellation
-	calmAt time.Time           // when all troubles were ended
-	faults
+	OnStop         func(task, host string, use map[string][2]float64) (rule string)
+	keptHeartbeats map[string][][]byte // reports that wait for the next leader, by host
+	wastedStarts   int                 // starts after a confirmed cancellation
+	faultsEndedAt  time.Time           // when all troubles were ended
+	partitions
 }
 
 // NewWorld makes an empty world.
 func NewWorld(ctx context.Context, seed uint64, w protocol.WorkerSettings, teams map[string]protocol.Team) *World {
-	world := &World{State: newState(), Address: func(host string) string { return host + ":9000" }, Workers: w, Teams: teams, ctx: ctx, seed: seed, rolls: make(map[uint64]uint64),
-		nodes: make(map[string]NodeHandler), trouble: make(map[string]bool),
-		machines: make(map[string]*Machine), hires: make(map[string][]string), jobs: make(map[string]*Job), aborted: make(map[string]bool),
-		held: make(map[string][]func()), began: time.Now(), faults: newFaults(), above: make(map[string]protocol.Team), kept: make(map[string][][]byte),
+	world := &World{State: newStateService(), Address: func(host string) string { return host + ":9000" }, Workers: w, Teams: teams, ctx: ctx, seed: seed, draws: make(map[uint64]uint64),
+		handlers: make(map[string]NodeHandler), activeFaults: make(map[string]bool),
+		machines: make(map[string]*Machine), provisioned: make(map[string][]string), jobs: make(map[string]*Job), cancelRequested: make(map[string]bool),
+		heldDeliveries: make(map[string][]func()), startedAt: time.Now(), partitions: newPartitions(), formerLimits: make(map[string]protocol.Team), keptHeartbeats: make(map[string][][]byte),
 		Types: []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a", "b"}}}}
-	go world.State.run(ctx)
-	world.State.onShard = world.newLeader
-	go world.check()
-	go world.oddly()
+	go world.State.expireLeases(ctx)
+	world.State.onShardOwnerChange = world.replayKeptHeartbeats
+	go world.checkRulesPeriodically()
+	go world.sendInvalidRequests()
 	return world
 }
 
@@ -87,8 +87,8 @@
 		_, _ = d.Write([]byte{0})
 	}
 	key := d.Sum64()
-	w.rolls[key]++
-	return xxhash.Sum64(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, key), w.rolls[key]))
+	w.draws[key]++
+	return xxhash.Sum64(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, key), w.draws[key]))
 }
 
 // between draws a duration. Down to the nanosecond, so that hardly two things
@@ -100,25 +100,25 @@
 // chance draws a yes with so many percent.
 func (w *World) chance(percent uint64, parts ...string) bool { return w.roll(parts...)%100 < percent }
 
-func (w *World) note(format string, a ...any) {
+func (w *World) recordEvent(format string, a ...any) {
 	if w.RecordStartsOnly {
 		return
 	}
-	w.events = append(w.events, fmt.Sprintf("%8.3f %s", time.Since(w.began).Seconds(), fmt.Sprintf(format, a...)))
+	w.events = append(w.events, fmt.Sprintf("%8.3f %s", time.Since(w.startedAt).Seconds(), fmt.Sprintf(format, a...)))
 }
 
 // Note writes a line among the events.
 func (w *World) Note(format string, a ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.note(format, a...)
+	w.recordEvent(format, a...)
 }
 
-func (w *World) breakRule(rule, format string, a ...any) {
+func (w *World) recordViolation(rule, format string, a ...any) {
 	text := rule + ": " + fmt.Sprintf(format, a...)
-	if !slices.Contains(w.broken, text) {
-		w.note("BROKEN %s", text)
-		w.broken = append(w.broken, text)
+	if !slices.Contains(w.violations, text) {
+		w.recordEvent("BROKEN %s", text)
+		w.violations = append(w.violations, text)
 	}
 }
 
@@ -126,7 +126,7 @@
 func (w *World) Broken() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.broken)
+	return slices.Clone(w.violations)
 }
 
 // Events is what happened, a line each.
@@ -137,20 +137,20 @@
 }
 
 // SetNode connects a controller, or with nil ends it.
-func (w *World) SetNode(name string, h NodeHandler) {
+func (w *World) SetNode(name string, handler NodeHandler) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !slices.Contains(w.names, name) {
-		w.names = append(w.names, name)
+	if !slices.Contains(w.controllers, name) {
+		w.controllers = append(w.controllers, name)
 	}
-	w.lives[name]++
-	if h == nil {
-		delete(w.nodes, name)
+	w.incarnations[name]++
+	if handler == nil {
+		delete(w.handlers, name)
 		return
 	}
-	life := w.lives[name]
-	w.nodes[name] = func(method, target string, body []byte, reply func(transport.Response)) {
-		w.alive(name, life, func() { h(method, target, body, reply) })
+	life := w.incarnations[name]
+	w.handlers[name] = func(method, target string, body []byte, reply func(transport.Response)) {
+		w.deliverIfAlive(name, life, func() { handler(method, target, body, reply) })
 	}
 }
 
@@ -190,57 +190,57 @@
 //	lost           answers of the cloud get lost, and some requests are carried out late
 func (w *World) SetFault(name string, on bool) {
 	w.mu.Lock()
-	was := w.trouble[name]
-	w.trouble[name] = on
-	w.note("%s %v", name, on)
+	was := w.activeFaults[name]
+	w.activeFaults[name] = on
+	w.recordEvent("%s %v", name, on)
 	if was != on {
-		w.zoneTrouble(name, on)
+		w.applyFault(name, on)
 	}
 	w.mu.Unlock()
 	if name == "outage" {
-		w.State.setDown(on)
+		w.State.setOutage(on)
 	}
 }
 
-// troubles are the names that Trouble knows; those that end in a space want one more
+// faultNames are the names that Trouble knows; those that end in a space want one more
 // word, a controller's or a zone's name.
-var troubles = []string{"outage", "slow", "lossy", "late writes", "unanswered writes", "late reports", "reports for next",
+var faultNames = []string{"outage", "slow", "lossy", "late writes", "unanswered writes", "late reports", "reports for next",
 	"close looks", "hasty users", "cancel at end", "odd requests", "swallow", "refuse ", "severed ", "deaf ", "freeze ", "zone ", "alone ",
 	"cloud", "stingy", "half", "slow boots", "no boots", "fast boots", "lost"}
 
 // IsFault tells whether Trouble knows a name, and what it may have for its second word.
 func IsFault(name string, second []string) bool {
-	return slices.ContainsFunc(troubles, func(known string) bool {
+	return slices.ContainsFunc(faultNames, func(known string) bool {
 		rest, found := strings.CutPrefix(name, known)
 		return found && (rest == "" && !strings.HasSuffix(known, " ") || strings.HasSuffix(known, " ") && slices.Contains(second, rest))
 	})
 }
 
-// conditions are what Set knows.
-var conditions = []string{"hang", "resume", "cut", "heal", "sick", "slow", "well", "deaf", "hears", "mute", "speaks", "notice", "take", "die", "reboot"}
+// machineFaults are what Set knows.
+var machineFaults = []string{"hang", "resume", "cut", "heal", "sick", "slow", "well", "deaf", "hears", "mute", "speaks", "notice", "take", "die", "reboot"}
 
 // IsMachineFault tells whether Set knows it.
-func IsMachineFault(what string) bool { return slices.Contains(conditions, what) }
+func IsMachineFault(what string) bool { return slices.Contains(machineFaults, what) }
 
 // WastedStarts counts the starts after a confirmed cancellation.
 func (w *World) WastedStarts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.vain
+	return w.wastedStarts
 }
 
 // SetSpare sets how many machines the cloud has left to rent.
 func (w *World) SetSpare(count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.spare = count
+	w.spareMachines = count
 }
 
 // EndFaults ends all troubles and leaves the cloud at least so many machines to rent.
 func (w *World) EndFaults(spare int) {
 	w.mu.Lock()
-	w.spare, w.calmAt = max(w.spare, spare), time.Now()
-	troubles := slices.Sorted(maps.Keys(w.trouble))
+	w.spareMachines, w.faultsEndedAt = max(w.spareMachines, spare), time.Now()
+	troubles := slices.Sorted(maps.Keys(w.activeFaults))
 	hosts := slices.Sorted(maps.Keys(w.machines))
 	w.mu.Unlock()
 	for _, name := range troubles {
@@ -260,7 +260,7 @@
 	Ctx  context.Context // the process's life
 }
 
-var errReset = errors.New("connection reset")
+var errConnectionReset = errors.New("connection reset")
 
 func wait(ctx context.Context, d time.Duration) bool {
 	select {
@@ -282,41 +282,41 @@
 	what := []string{l.Node, addr, target, string(body)}
 	w.mu.Lock()
 	there, back := w.between(300*time.Microsecond, 3*time.Millisecond, what...), w.between(300*time.Microsecond, 3*time.Millisecond, what...)
-	refused, deaf := w.trouble["refuse "+l.Node], w.trouble["deaf "+l.Node]
-	if addr == "state" && w.trouble["slow"] {
+	refused, deaf := w.activeFaults["refuse "+l.Node], w.activeFaults["deaf "+l.Node]
+	if addr == "state" && w.activeFaults["slow"] {
 		there += w.between(0, 2500*time.Millisecond, what...)
 	}
-	fate := w.fateOf(addr, target, what)
+	fate := w.drawOutcome(addr, target, what)
 	later := w.between(time.Second, 40*time.Second, what...)
-	if w.trouble["late writes"] {
+	if w.activeFaults["late writes"] {
 		later = w.between(2*time.Second, 12*time.Second, what...)
 	}
-	severed := addr == "state" && w.trouble["severed "+l.Node]
+	severed := addr == "state" && w.activeFaults["severed "+l.Node]
 	w.mu.Unlock()
 	if !wait(ctx, there) {
-		return 0, nil, errReset
+		return 0, nil, errConnectionReset
 	}
 	if severed {
 		<-ctx.Done()
-		return 0, nil, errReset
+		return 0, nil, errConnectionReset
 	}
 	if addr == "state" || addr == "cloud" {
 		w.mu.Lock()
-		if zone := w.zoneOf[l.Node]; w.apart(zone, "") {
+		if zone := w.controllerZones[l.Node]; w.zonesPartitioned(zone, "") {
 			if w.chance(50, what...) {
-				w.hold(zone, "", func() {
+				w.holdUntilHealed(zone, "", func() {
 					go func() {
 						if addr == "cloud" {
-							w.cloud(method, target, body)
+							w.handleCloud(method, target, body)
 						} else if target == protocol.PathTransactions {
-							w.State.do(w.ctx, method, target, body)
+							w.State.handle(w.ctx, method, target, body)
 						}
 					}()
 				})
 			}
 			w.mu.Unlock()
 			<-ctx.Done()
-			return 0, nil, errReset
+			return 0, nil, errConnectionReset
 		}
 		w.mu.Unlock()
 	}
@@ -325,16 +325,16 @@
 	case addr == "state" && refused:
 		do = func(context.Context) (int, []byte) { return 503, nil }
 	case addr == "state":
-		do = func(ctx context.Context) (int, []byte) { return w.State.do(ctx, method, target, body) }
+		do = func(ctx context.Context) (int, []byte) { return w.State.handle(ctx, method, target, body) }
 	case addr == "cloud":
-		do = func(context.Context) (int, []byte) { return w.cloud(method, target, body) }
+		do = func(context.Context) (int, []byte) { return w.handleCloud(method, target, body) }
 	case deaf:
 		<-ctx.Done()
 		return 0, nil, fmt.Errorf("%w: no route", transport.ErrNotSent)
 	default:
-		return w.toWorker(ctx, l.Node, strings.TrimSuffix(addr, ":9000"), target, body, back)
+		return w.callWorker(ctx, l.Node, strings.TrimSuffix(addr, ":9000"), target, body, back)
 	}
-	if fate == late || fate == twice {
+	if fate == outcomeExecutedLate || fate == outcomeExecutedTwice {
 		go func() {
 			if wait(w.ctx, later) {
 				_, _ = do(w.ctx)
@@ -343,25 +343,25 @@
 	}
 	var status int
 	var out []byte
-	if fate != late {
+	if fate != outcomeExecutedLate {
 		status, out = do(ctx)
 	}
-	if fate == late || fate == lost || !w.across(ctx, l.Node, "") || (addr == "state" && !w.unbarred(ctx, l.Node, target)) {
+	if fate == outcomeExecutedLate || fate == outcomeResponseLost || !w.waitForZoneLink(ctx, l.Node, "") || (addr == "state" && !w.waitUntilServed(ctx, l.Node, target)) {
 		<-ctx.Done()
 	}
 	if status == 0 || !wait(ctx, back) {
-		return 0, nil, errReset
+		return 0, nil, errConnectionReset
 	}
 	return status, out, nil
 }
 
-// unbarred waits with the news of an open watch for as long as the state service refuses
+// waitUntilServed waits with the news of an open watch for as long as the state service refuses
 // the node alone, as it would in an outage; whatever a severed node is answered is lost.
-func (w *World) unbarred(ctx context.Context, node, target string) bool {
+func (w *World) waitUntilServed(ctx context.Context, node, target string) bool {
 	watch := strings.HasPrefix(target, protocol.PathWatch)
 	for {
 		w.mu.Lock()
-		severed, barred := w.trouble["severed "+node], watch && w.trouble["refuse "+node]
+		severed, barred := w.activeFaults["severed "+node], watch && w.activeFaults["refuse "+node]
 		w.mu.Unlock()
 		if severed || !barred {
 			return !severed
@@ -374,42 +374,42 @@
 
 // fates of a call under loss.
 const (
-	fine = iota
-	lost // carried out, but the answer is lost
-	late // carried out long after the caller has given up
-	twice
+	outcomeDelivered    = iota
+	outcomeResponseLost // carried out, but the answer is lost
+	outcomeExecutedLate // carried out long after the caller has given up
+	outcomeExecutedTwice
 )
 
-func (w *World) fateOf(addr, target string, what []string) int {
-	if addr == "state" && target == protocol.PathTransactions && w.trouble["swallow"] {
-		return lost
+func (w *World) drawOutcome(addr, target string, what []string) int {
+	if addr == "state" && target == protocol.PathTransactions && w.activeFaults["swallow"] {
+		return outcomeResponseLost
 	}
-	if addr == "state" && target == protocol.PathTransactions && w.trouble["late writes"] && w.chance(40, what...) {
-		return late
+	if addr == "state" && target == protocol.PathTransactions && w.activeFaults["late writes"] && w.chance(40, what...) {
+		return outcomeExecutedLate
 	}
-	if addr == "state" && target == protocol.PathTransactions && w.trouble["unanswered writes"] && w.chance(40, what...) {
-		return lost
+	if addr == "state" && target == protocol.PathTransactions && w.activeFaults["unanswered writes"] && w.chance(40, what...) {
+		return outcomeResponseLost
 	}
-	lossy := addr == "state" && target == protocol.PathTransactions && w.trouble["lossy"]
-	if !lossy && (addr != "cloud" || !w.trouble["lost"] || strings.HasPrefix(target, protocol.PathMachines+"?")) {
-		return fine
+	lossy := addr == "state" && target == protocol.PathTransactions && w.activeFaults["lossy"]
+	if !lossy && (addr != "cloud" || !w.activeFaults["lost"] || strings.HasPrefix(target, protocol.PathMachines+"?")) {
+		return outcomeDelivered
 	}
 	switch p := w.roll(what...) % 100; {
 	case p < 12:
-		return lost
+		return outcomeResponseLost
 	case p < 22:
-		return late
+		return outcomeExecutedLate
 	case p < 30:
-		return twice
+		return outcomeExecutedTwice
 	}
-	return fine
+	return outcomeDelivered
 }
 
 // Peer carries a message between controllers, if their links are up.
 func (w *World) Peer(ctx context.Context, from, to string, raw []byte, deliver func(context.Context, []byte) error) error {
 	w.mu.Lock()
-	refused := w.trouble["alone "+from] || w.trouble["alone "+to]
-	apart := w.apart(w.zoneOf[from], w.zoneOf[to]) || w.trouble["severed "+from] || w.trouble["severed "+to]
+	refused := w.activeFaults["alone "+from] || w.activeFaults["alone "+to]
+	apart := w.zonesPartitioned(w.controllerZones[from], w.controllerZones[to]) || w.activeFaults["severed "+from] || w.activeFaults["severed "+to]
 	delay := w.between(300*time.Microsecond, 3*time.Millisecond, from, to, string(raw))
 	w.mu.Unlock()
 	if refused {
