--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -123,15 +123,20 @@
 	machine.wakeAgent()
 }
 
-// Rented lists the machines that are rented now.
-func (w *World) Rented() []string {
+// listedPhase is the phase that the cloud's list shows.
+func (m *Machine) listedPhase(asOf time.Time) string {
+	switch {
+	case m.crashed && asOf.Sub(m.stoppedAt) > crashedListedAsRunning:
+		return "failed"
+	case m.upAt.After(asOf):
+		return "booting"
+	}
+	return "running"
+}
+
+// SetSpare sets how many machines the cloud has left to rent.
+func (w *World) SetSpare(count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var out []string
-	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-		if !w.machines[host].removed {
-			out = append(out, host)
-		}
-	}
-	return out
+	w.spareMachines = count
 }
--- a/internal/emulator/pipeline.go
+++ b/internal/emulator/dependencies.go
@@ -6,12 +6,6 @@
 	"madderslip/internal/protocol"
 )
 
-// The rules about jobs that wait for others: none of their tasks starts too early, and
-// none stays orphaned once a job before it is cancelled.
-
-// allTasksDone tells that all tasks of a job are done. The world's lock is held.
-func (j *Job) allTasksDone() bool { return len(j.tasksDone) == j.Spec.Tasks }
-
 // dependenciesDone tells that all jobs that one needs are done. The world's lock is held.
 func (w *World) dependenciesDone(job *Job) bool {
 	for _, jobID := range job.Spec.Dependencies {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -1,212 +1,108 @@
 package emulator
 
 import (
-	"context"
+	"maps"
 	"slices"
 	"strings"
 	"time"
 )
 
-// Faults of whole processes and zones: a controller that stands still while
-// clocks run on, a zone that is cut off from everything, a machine that dies and
-// stays listed for a while.
-
-// partitions is what the world knows of them, guarded by its lock.
-type partitions struct {
-	controllerZones map[string]string        // of each controller
-	incarnations    map[string]int           // which process of a controller runs
-	paused          map[string]chan struct{} // closed when the controller goes on
-	heldAcrossZones map[string][]func()      // what a cut zone holds back, by zone
-	zoneHealed      chan struct{}            // closed when a zone's cut ends
-}
-
-func newPartitions() partitions {
-	return partitions{controllerZones: make(map[string]string), incarnations: make(map[string]int), paused: make(map[string]chan struct{}),
-		heldAcrossZones: make(map[string][]func()), zoneHealed: make(chan struct{})}
-}
-
-// SetZone says in which zone a controller stands.
-func (w *World) SetZone(node, zone string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.controllerZones[node] = zone
-}
-
-// setPaused has a controller stand still, or go on.
-func (w *World) setPaused(node string, on bool) {
-	switch held := w.paused[node]; {
-	case on && held == nil:
-		w.paused[node] = make(chan struct{})
-	case !on && held != nil:
-		close(held)
-		delete(w.paused, node)
-	}
-}
-
-// WaitWhilePaused waits for as long as a controller stands still. What waits goes on one after
-// the other, by what was drawn when each began to wait: all at the same instant they
-// would be in an order that nobody could repeat.
-func (w *World) WaitWhilePaused(ctx context.Context, node string) {
-	late := time.Duration(0)
-	for {
-		w.mu.Lock()
-		held := w.paused[node]
-		if held != nil && late == 0 {
-			late = w.between(time.Microsecond, 3*time.Millisecond, "stand", node)
-		}
-		w.mu.Unlock()
-		if held == nil {
-			return
-		}
-		select {
-		case <-held:
-		case <-ctx.Done():
-			return
-		}
-		if !wait(ctx, late) {
-			return
+// applyFault takes the troubles of this file.
+func (w *World) applyFault(name string, on bool) {
+	what, which, _ := strings.Cut(name, " ")
+	switch what {
+	case "freeze":
+		w.setPaused(which, on)
+	case "zone":
+		if !on {
+			w.healZone(which)
 		}
 	}
 }
 
-// deliverIfAlive wraps what a controller is asked: it hears nothing while it stands still,
-// and a process that has ended meanwhile hears nothing any more.
-func (w *World) deliverIfAlive(name string, life int, h func()) {
-	w.WaitWhilePaused(w.ctx, name)
+// FaultyMachines lists the troubles that are on, in order.
+func (w *World) FaultyMachines() []string {
 	w.mu.Lock()
-	same := w.incarnations[name] == life
-	w.mu.Unlock()
-	if same {
-		h()
-	}
-}
-
-// zonesPartitioned tells whether a cut lies between two zones; the empty one is the region,
-// in which users, cloud and state service are.
-func (w *World) zonesPartitioned(a, b string) bool {
-	return a != b && ((a != "" && w.activeFaults["zone "+a]) || (b != "" && w.activeFaults["zone "+b]))
-}
-
-// heldDeliveryGap is how far apart the messages arrive that a cut held back.
-const heldDeliveryGap = 67 * time.Nanosecond
-
-// deliverHeld has messages that were held back arrive one after the other: all at the same
-// instant they would be in an order that nobody could repeat. Each is called with the
-// world's lock held.
-func (w *World) deliverHeld(held []func()) {
-	for i, late := range held {
-		go func() {
-			if wait(w.ctx, time.Duration(i+1)*heldDeliveryGap) {
-				w.mu.Lock()
-				defer w.mu.Unlock()
-				late()
-			}
-		}()
-	}
-}
-
-// healZone ends the cut of a zone: what was held back arrives, in order.
-func (w *World) healZone(zone string) {
-	held := w.heldAcrossZones[zone]
-	delete(w.heldAcrossZones, zone)
-	w.deliverHeld(held)
-	close(w.zoneHealed)
-	w.zoneHealed = make(chan struct{})
-}
-
-// holdUntilHealed keeps a message until the cut of a zone is over.
-func (w *World) holdUntilHealed(a, b string, late func()) {
-	zone := a
-	if zone == "" || !w.activeFaults["zone "+zone] {
-		zone = b
+	defer w.mu.Unlock()
+	return slices.DeleteFunc(slices.Sorted(maps.Keys(w.activeFaults)), func(name string) bool { return !w.activeFaults[name] })
+}
+
+// SetFault begins or ends a trouble that has no host:
+//
+//	outage         the state service is down
+//	slow           the state service takes up to 2.5 s for an answer
+//	lossy          its answers get lost, and transactions are applied late or twice
+//	late writes    two in five transactions get no answer and are carried out 2 to 12 s
+//	               later, after newer ones
+//	unanswered writes  two in five transactions are carried out at once, and only their
+//	               answer is lost
+//	reports for next   copies of two in five of the workers' reports are kept, and reach
+//	               every controller as a shard gets a new token
+//	close looks    users ask at all nodes within milliseconds, and repeat the submission,
+//	               when a job was accepted, has ended or was cancelled
+//	hasty users    of those that look closely at an acceptance some cancel at once
+//	cancel at end  two in five of the jobs that end are cancelled at that moment
+//	odd requests   users repeat submissions, cancel what is done, send what can't run
+//	late reports   of two in five of the workers' reports a copy arrives again, from 2 s
+//	               to well over a lease later
+//	swallow        every transaction is carried out and no answer arrives
+//	refuse NODE    the state service refuses one node alone
+//	severed NODE   a node loses the state service and the other controllers, not its
+//	               workers and users
+//	deaf NODE      a node reaches no worker and hears none
+//	freeze NODE    a node stands still while clocks run on
+//	zone ZONE      a zone is cut off from everything; what is sent across is held and
+//	               arrives afterwards
+//	alone NODE     the other controllers reach a node as little as it reaches them
+//	cloud          the cloud is in trouble and answers 503
+//	stingy         the cloud has no machines
+//	half           the cloud gives half of the machines asked for
+//	slow boots     most of the machines rented take five times as long to come up
+//	no boots       none of the machines rented ever comes up
+//	fast boots     all are up within a second
+//	lost           answers of the cloud get lost, and some requests are carried out late
+func (w *World) SetFault(name string, on bool) {
+	w.mu.Lock()
+	was := w.activeFaults[name]
+	w.activeFaults[name] = on
+	w.recordEvent("%s %v", name, on)
+	if was != on {
+		w.applyFault(name, on)
 	}
-	w.heldAcrossZones[zone] = append(w.heldAcrossZones[zone], late)
-}
-
-// waitForZoneLink waits for as long as a cut lies between a controller and a zone. It
-// returns false if the context ends first.
-func (w *World) waitForZoneLink(ctx context.Context, node, zone string) bool {
-	for {
-		w.mu.Lock()
-		apart, healed := w.zonesPartitioned(w.controllerZones[node], zone), w.zoneHealed
-		w.mu.Unlock()
-		if !apart {
-			return true
-		}
-		select {
-		case <-healed:
-		case <-ctx.Done():
-			return false
-		}
+	w.mu.Unlock()
+	if name == "outage" {
+		w.State.setOutage(on)
 	}
 }
 
-// crashedListedAsRunning is how long a machine that died is listed as running.
-const crashedListedAsRunning = 30 * time.Second
+// faultNames are the names that Trouble knows; those that end in a space want one more
+// word, a controller's or a zone's name.
+var faultNames = []string{"outage", "slow", "lossy", "late writes", "unanswered writes", "late reports", "reports for next",
 
-// crash ends a machine at once. The cloud goes on listing it until it is returned.
-func (m *Machine) crash() {
-	m.crashed, m.stoppedAt = true, time.Now()
-	m.dropTasks()
-	delete(m.world.heldDeliveries, m.host)
-	m.world.recordEvent("%s dies", m.host)
-}
+	"close looks", "hasty users", "cancel at end", "odd requests", "swallow", "refuse ", "severed ", "deaf ", "freeze ", "zone ", "alone ",
+	"cloud", "stingy", "half", "slow boots", "no boots", "fast boots", "lost"}
 
-// reboot has a machine begin again within a moment, under its name: its tasks are
-// gone, and its worker counts from the start. Late copies of what it said last come
-// after that and look newer than all that it says now.
-func (m *Machine) reboot() {
-	w := m.world
-	w.recordEvent("%s begins again", m.host)
-	m.dropTasks()
-	m.boots++
-	m.agentEpoch, m.sequence, m.fencingToken, m.rebooting = 1, 0, 0, true
-	if late := m.resendHeartbeat; late != nil {
-		for range w.between(0, 3, "copies", m.host) {
-			m.afterDelay(w.between(10*time.Millisecond, 9*time.Second, "copy", m.host), late)
-		}
-	}
-	m.afterDelay(w.between(20*time.Millisecond, time.Second, "reboot", m.host), func() {
-		m.rebooting, m.leaseRenewedAt = false, time.Now()
-		m.wakeAgent()
+// IsFault tells whether Trouble knows a name, and what it may have for its second word.
+func IsFault(name string, second []string) bool {
+	return slices.ContainsFunc(faultNames, func(known string) bool {
+		rest, found := strings.CutPrefix(name, known)
+		return found && (rest == "" && !strings.HasSuffix(known, " ") || strings.HasSuffix(known, " ") && slices.Contains(second, rest))
 	})
 }
 
-// listedPhase is the phase that the cloud's list shows.
-func (m *Machine) listedPhase(asOf time.Time) string {
-	switch {
-	case m.crashed && asOf.Sub(m.stoppedAt) > crashedListedAsRunning:
-		return "failed"
-	case m.upAt.After(asOf):
-		return "booting"
+// EndFaults ends all troubles and leaves the cloud at least so many machines to rent.
+func (w *World) EndFaults(spare int) {
+	w.mu.Lock()
+	w.spareMachines, w.faultsEndedAt = max(w.spareMachines, spare), time.Now()
+	troubles := slices.Sorted(maps.Keys(w.activeFaults))
+	hosts := slices.Sorted(maps.Keys(w.machines))
+	w.mu.Unlock()
+	for _, name := range troubles {
+		w.SetFault(name, false)
 	}
-	return "running"
-}
-
-// applyFault takes the troubles of this file.
-func (w *World) applyFault(name string, on bool) {
-	what, which, _ := strings.Cut(name, " ")
-	switch what {
-	case "freeze":
-		w.setPaused(which, on)
-	case "zone":
-		if !on {
-			w.healZone(which)
+	for _, host := range hosts {
+		for _, what := range []string{"resume", "heal", "well", "hears", "speaks"} {
+			w.Set(host, what)
 		}
 	}
 }
-
-// reachable tells whether a worker and a controller reach one another.
-func (m *Machine) reachable(node string) bool {
-	return !m.world.zonesPartitioned(m.zone, m.world.controllerZones[node])
-}
-
-// InZone lists the machines of a zone that are rented and alive.
-func (w *World) InZone(zone string) []string {
-	return slices.DeleteFunc(w.Hosts(false), func(host string) bool {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		m := w.machines[host]
-		return m.zone != zone || m.crashed
-	})
-}
--- a/internal/emulator/loopback.go
+++ b/internal/emulator/loopback.go
@@ -101,23 +101,6 @@
 	return ln.Addr().String(), nil
 }
 
-func (l *Loopback) handle(t *Traffic, do func(*http.Request, []byte) (int, []byte)) http.Handler {
-	return http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(r.Body)
-		if err != nil {
-			return
-		}
-		status, answer := do(r, body)
-		if status == 0 {
-			panic(http.ErrAbortHandler) // no answer at all
-		}
-		t.add(len(body), len(answer))
-		out.Header().Set("Content-Type", "application/json")
-		out.WriteHeader(status)
-		_, _ = out.Write(answer)
-	})
-}
-
 // address is a worker's: 127.1.X.Y by the machine's number.
 func (l *Loopback) address(host string) string {
 	n := 0
@@ -167,58 +150,3 @@
 		reply(transport.Response{Status: resp.StatusCode, Body: out})
 	})
 }
-
-// OnStart has the world tell of each task that begins. It is set before machines are
-// added, with Hollow; the world's lock is held as it is called.
-func (w *World) OnStart(started func(ref string, sinceAccepted time.Duration)) {
-	w.onStart = func(job *Job) {
-		since := time.Duration(0)
-		if !job.acceptedAt.IsZero() {
-			since = time.Since(job.acceptedAt)
-		}
-		started(job.Spec.JobID, since)
-	}
-}
-
-// Tasks counts the tasks that run now.
-func (w *World) Tasks() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	count := 0
-	for _, machine := range w.machines {
-		if machine.removed {
-			continue
-		}
-		for _, task := range machine.tasks {
-			if task.occupiesMachine() {
-				count++
-			}
-		}
-	}
-	return count
-}
-
-// Forget drops what the world knows of jobs that are over and nobody asks about.
-func (w *World) Forget() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for jobID, job := range w.jobs {
-		if job.allTasksDone() && time.Since(job.finishedAt) > time.Minute {
-			delete(w.jobs, jobID)
-		}
-	}
-	clear(w.draws)
-}
-
-// Up counts the machines whose worker obeys a token.
-func (w *World) Up() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	up := 0
-	for _, machine := range w.machines {
-		if !machine.removed && machine.fencingToken > 0 {
-			up++
-		}
-	}
-	return up
-}
--- a/internal/emulator/looks.go
+++ b/internal/emulator/userfaults.go
@@ -11,21 +11,6 @@
 	"madderslip/internal/protocol"
 )
 
-// What users do that is hard: ask everybody at once, call off at the worst moment, send
-// what can't be.
-
-// submissionBody is a submission as users send it: every field that may not be left out is there.
-func submissionBody(s *protocol.Submission) []byte {
-	raw, _ := json.Marshal(s)
-	var all map[string]any
-	_ = json.Unmarshal(raw, &all)
-	for key, value := range map[string]any{"samePlace": s.SameZone, "spread": s.SpreadZones, "loaner": s.AllowSpot, "snapshotEveryS": s.CheckpointIntervalS, "snapshotS": s.CheckpointS} {
-		all[key] = value
-	}
-	raw, _ = json.Marshal(all)
-	return raw
-}
-
 // concurrentReadRounds is how often users ask each node in a close look.
 const concurrentReadRounds = 4
 
@@ -191,34 +176,3 @@
 		w.recordViolation("accepted", "%s, which can't run or lacks a field (%q): %s", s.JobID, lacks, bytes.TrimSpace(raw))
 	}
 }
-
-// keepHeartbeat has a copy of a report wait for the next leader. The world's lock is held.
-func (w *World) keepHeartbeat(machine *Machine, body []byte) {
-	const most = 3 // of each machine, the first ones: the older the worse
-	if kept := w.keptHeartbeats[machine.host]; len(kept) < most {
-		w.keptHeartbeats[machine.host] = append(kept, body)
-	}
-}
-
-// replayKeptHeartbeats tells of a shard's new token: reports kept for that reach every controller.
-func (w *World) replayKeptHeartbeats() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.activeFaults["reports for next"] {
-		return
-	}
-	if len(w.keptHeartbeats) > 0 {
-		w.recordEvent("old reports of %d machines reach every controller", len(w.keptHeartbeats))
-	}
-	for _, host := range slices.Sorted(maps.Keys(w.keptHeartbeats)) {
-		for i, body := range w.keptHeartbeats[host] {
-			for _, node := range w.controllers {
-				if handler := w.handlers[node]; handler != nil {
-					after := w.between(time.Microsecond, 150*time.Millisecond, "for next", host, node, fmt.Sprint(i))
-					w.machines[host].afterDelay(after, func() { go handler("POST", heartbeatPath, body, ignoreResponse) })
-				}
-			}
-		}
-		delete(w.keptHeartbeats, host)
-	}
-}
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"maps"
 	"slices"
 	"time"
 
@@ -10,22 +9,16 @@
 	"madderslip/internal/transport"
 )
 
-// Job is a job as the world knows it: what was submitted and how its tasks
-// really run.
-type Job struct {
-	Spec          protocol.Submission
-	Run           time.Duration // 0 for a service
-	Fail          bool          // every task fails
-	Fetch         time.Duration // of its image, if longer than usual
-	acceptedAt    time.Time     // when its user was told so
-	lastPhase     string        // the latest phase a user was told
-	lastPhaseAt   time.Time     // when it was first told that
-	cancelledAt   time.Time
-	tasksDone     map[int]bool
-	replicaTime   ServedShare // of a service
-	unplacedSince time.Time   // since when it waits beside room that it fits, once all is calm
-	startedAt     time.Time   // when its first task ran, of a gang all of them
-	finishedAt    time.Time   // when its last task was done
+// submissionBody is a submission as users send it: every field that may not be left out is there.
+func submissionBody(s *protocol.Submission) []byte {
+	raw, _ := json.Marshal(s)
+	var all map[string]any
+	_ = json.Unmarshal(raw, &all)
+	for key, value := range map[string]any{"samePlace": s.SameZone, "spread": s.SpreadZones, "loaner": s.AllowSpot, "snapshotEveryS": s.CheckpointIntervalS, "snapshotS": s.CheckpointS} {
+		all[key] = value
+	}
+	raw, _ = json.Marshal(all)
+	return raw
 }
 
 // Submit sends a job to a node and waits for the answer.
@@ -152,89 +145,3 @@
 		job.lastPhase, job.lastPhaseAt = a.Phase, time.Now()
 	}
 }
-
-// Known is a job that was accepted, for checks once a test's work is over.
-type Known struct {
-	Ref   string
-	Shape protocol.Shape
-	Tasks int
-	Fails bool
-}
-
-// Accepted lists the jobs that users were told are accepted.
-func (w *World) Accepted() []Known {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	var out []Known
-	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
-		if j := w.jobs[jobID]; !j.acceptedAt.IsZero() {
-			out = append(out, Known{jobID, j.Spec.Shape, j.Spec.Tasks, j.Fail})
-		}
-	}
-	return out
-}
-
-// SetTeam has the rules go by another guarantee or limit of a team from now on.
-func (w *World) SetTeam(t protocol.Team) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.formerLimits[t.Name] = w.Teams[t.Name]
-	w.Teams[t.Name] = t
-	w.recordEvent("team %s: %+v", t.Name, t)
-}
-
-// allowance is what a team may use now: its limit or, since that was lowered below
-// what ran, what still runs of it. Nothing need be stopped, and nothing may start
-// that passes it.
-func (w *World) allowance(team string, use [2]float64) protocol.Team {
-	limit := w.Teams[team]
-	was, lowered := w.formerLimits[team]
-	if !lowered {
-		return limit
-	}
-	most := func(limit, was, use float64) float64 {
-		if limit == 0 || was == 0 {
-			return limit
-		}
-		return max(limit, min(was, use))
-	}
-	now := protocol.Team{MaxCPUs: most(limit.MaxCPUs, was.MaxCPUs, use[0]), MaxGPUs: most(limit.MaxGPUs, was.MaxGPUs, use[1])}
-	w.formerLimits[team] = now
-	return now
-}
-
-// checkRulesPeriodically looks for cancelled tasks that stay, and for teams beyond their limit.
-func (w *World) checkRulesPeriodically() {
-	for wait(w.ctx, 500*time.Millisecond+73*time.Nanosecond) {
-		w.mu.Lock()
-		if w.RecordStartsOnly {
-			w.mu.Unlock()
-			continue
-		}
-		use := w.teamUse()
-		w.countReplicas(500 * time.Millisecond)
-		if !w.faultsEndedAt.IsZero() {
-			w.trackUnplaced(use)
-		}
-		for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-			machine := w.machines[host]
-			for _, name := range slices.Sorted(maps.Keys(machine.tasks)) {
-				jobID, _, _ := protocol.ParseTaskName(name)
-				job := w.jobs[jobID]
-				if machine.removed || job == nil || !machine.tasks[name].occupiesMachine() {
-					continue
-				}
-				if !job.cancelledAt.IsZero() && time.Since(job.cancelledAt) > w.Workers.CancelDeadline {
-					w.recordViolation("ran_cancelled", "%s on %s", name, machine.host)
-				}
-			}
-		}
-		for _, team := range slices.Sorted(maps.Keys(use)) {
-			limit := w.allowance(team, use[team])
-			if u := use[team]; (limit.MaxCPUs > 0 && u[0] > limit.MaxCPUs+1e-6) || (limit.MaxGPUs > 0 && u[1] > limit.MaxGPUs+1e-6) {
-				w.recordViolation("quota", "%s uses %v of %v CPUs and %v cards", team, u, limit.MaxCPUs, limit.MaxGPUs)
-			}
-		}
-		w.mu.Unlock()
-	}
-}
