--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -1,9 +1,9 @@
 package emulator
 
 import (
-	"context"
 	"encoding/json"
 	"maps"
+	"net/http"
 	"slices"
 	"strconv"
 	"time"
@@ -12,16 +12,19 @@
 	"madderslip/internal/transport"
 )
 
-func (m *Machine) expireLease() {
-	if !m.leaseRenewedAt.IsZero() && time.Since(m.leaseRenewedAt) > m.byWorkerClock(m.world.Workers.LeaseDuration) {
-		m.world.recordEvent("%s lease over, session %d", m.host, m.agentEpoch+1)
-		m.dropTasks()
-		m.agentEpoch++
-		m.sequence, m.leaseRenewedAt = 0, time.Now()
-	}
-}
+// heartbeatPath is where controllers take heartbeats.
+const heartbeatPath = "/v1/report"
+
+// Waits of a worker's agent, by its own clock.
+const (
+	wakeDelay        = 500 * time.Millisecond // from a change to the heartbeat that tells it
+	retryInterval    = time.Second            // after a heartbeat that came to nothing
+	heartbeatTimeout = 4 * time.Second        // for a response
+	zoneTimeout      = 5 * time.Second        // for one from a zone that is cut off
+	rebootPoll       = 50 * time.Millisecond
+)
 
-// runAgent reports to the controllers for as long as the machine exists.
+// runAgent sends heartbeats to the controllers for as long as the machine exists.
 func (m *Machine) runAgent(after time.Duration) {
 	w := m.world
 	// The runtime may crash on a select over a timer that is due already, in a
@@ -38,231 +41,214 @@
 		case <-w.ctx.Done():
 			return
 		case <-m.wakeup:
-			if !wait(w.ctx, m.byWorkerClock(500*time.Millisecond)) {
+			if !wait(w.ctx, m.byWorkerClock(wakeDelay)) {
 				return
 			}
 		case <-time.After(pause):
 		}
 		w.mu.Lock()
-		gone := m.removed
+		removed := m.removed
 		if !m.hung && !m.crashed {
 			m.expireLease()
 		}
 		w.mu.Unlock()
-		if gone {
+		if removed {
 			return
 		}
 	}
 }
 
+// wakeAgent has the agent send its next heartbeat soon. It never blocks.
+func (m *Machine) wakeAgent() {
+	select {
+	case m.wakeup <- struct{}{}:
+	default:
+	}
+}
+
+// expireLease has the worker give up its tasks and begin a new agent epoch if no
+// controller has answered for as long as its lease lasts. The world's lock is held by the
+// caller.
+func (m *Machine) expireLease() {
+	if !m.leaseRenewedAt.IsZero() && time.Since(m.leaseRenewedAt) > m.byWorkerClock(m.world.Workers.LeaseDuration) {
+		m.world.recordEvent("%s lease over, session %d", m.host, m.agentEpoch+1)
+		m.dropTasks()
+		m.agentEpoch++
+		m.sequence, m.leaseRenewedAt = 0, time.Now()
+	}
+}
+
+// heartbeat is the worker's next heartbeat, with the status of every task. The world's
+// lock is held by the caller.
 func (m *Machine) heartbeat() protocol.Heartbeat {
 	m.sequence++
-	r := protocol.Heartbeat{Host: m.host, Address: m.world.Address(m.host), Type: m.machineType, Zone: m.zone, Spot: m.spot, AgentEpoch: m.agentEpoch, Sequence: m.sequence,
-		FencingToken: m.fencingToken, Tasks: []protocol.TaskStatus{}}
+	h := protocol.Heartbeat{Host: m.host, Address: m.world.Address(m.host), Type: m.machineType, Zone: m.zone, Spot: m.spot,
+		AgentEpoch: m.agentEpoch, Sequence: m.sequence, FencingToken: m.fencingToken, Tasks: []protocol.TaskStatus{}}
 	if !m.preemptionAt.IsZero() {
 		left := time.Until(m.preemptionAt).Seconds()
-		r.PreemptionNoticeS = &left
+		h.PreemptionNoticeS = &left
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
-		t := m.tasks[name]
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: name, Attempt: t.attempt, Phase: t.phase, Cause: t.cause, Checkpointed: t.checkpointed})
+		task := m.tasks[name]
+		h.Tasks = append(h.Tasks, protocol.TaskStatus{Task: name, Attempt: task.attempt, Phase: task.phase, Cause: task.cause, Checkpointed: task.checkpointed})
 	}
-	return r
+	return h
+}
+
+// outgoingHeartbeat is a heartbeat on its way, and what the worker was as it sent it.
+type outgoingHeartbeat struct {
+	controller        string
+	handler           NodeHandler
+	body              []byte
+	sentAt            time.Time
+	agentEpoch        uint64
+	boots             int
+	sequence          string // part of the random draws
+	request, response time.Duration
+}
+
+// post hands the heartbeat to the controller, on a goroutine of its own.
+func (h *outgoingHeartbeat) post(reply func(transport.Response)) {
+	go h.handler("POST", heartbeatPath, h.body, reply)
 }
 
-// ignoreResponse is what nobody waits for any more.
-func ignoreResponse(transport.Response) {}
+// resend hands the heartbeat to the controller when nobody waits for the response.
+func (h *outgoingHeartbeat) resend() { h.post(ignoreResponse) }
 
-// exchangeHeartbeat makes one report and returns when to make the next.
+// exchangeHeartbeat sends one heartbeat, obeys the response and returns how long to wait
+// until the next one.
 func (m *Machine) exchangeHeartbeat() time.Duration {
-	w := m.world
-	w.mu.Lock()
-	if m.rebooting {
-		w.mu.Unlock()
-		return 50 * time.Millisecond
-	}
-	if m.removed || m.hung || m.crashed || len(w.controllers) == 0 {
-		w.mu.Unlock()
-		return time.Second
+	ctx := m.world.ctx
+	h, retryAfter := m.nextHeartbeat()
+	if h == nil {
+		return retryAfter
 	}
-	if m.cannotSend {
-		m.controllerIndex++
-		w.mu.Unlock()
-		return time.Second
-	}
-	name := w.controllers[m.controllerIndex%len(w.controllers)]
-	handler := w.handlers[name]
-	if w.activeFaults["deaf "+name] {
-		handler = nil
+	if !wait(ctx, h.request) {
+		return retryInterval
 	}
-	body, _ := json.Marshal(m.heartbeat())
-	sent, session, tick := time.Now(), m.agentEpoch, strconv.FormatUint(m.sequence, 10)
-	if handler != nil {
-		m.resendHeartbeat = func() { go handler("POST", heartbeatPath, body, ignoreResponse) }
-	}
-	if w.activeFaults["reports for next"] && w.chance(40, "keep", m.host, tick) {
-		w.keepHeartbeat(m, body)
+	received := make(chan transport.Response, 1)
+	h.post(func(response transport.Response) { received <- response })
+	var response transport.Response
+	select {
+	case response = <-received:
+	case <-time.After(heartbeatTimeout):
+	case <-ctx.Done():
 	}
-	if handler != nil && !m.partitioned && w.activeFaults["late reports"] && w.chance(40, "copy", m.host, tick) {
-		m.afterDelay(w.between(2*time.Second, w.Workers.LeaseDuration*3/2, "copy", m.host, tick), m.resendHeartbeat)
+	if !wait(ctx, h.response) {
+		return retryInterval
 	}
-	life := m.boots
-	there, back := w.between(300*time.Microsecond, 3*time.Millisecond, m.host, tick), w.between(300*time.Microsecond, 3*time.Millisecond, m.host, tick)
-	if m.partitioned {
-		// The packets are held and may arrive once the cut is over, though nobody
-		// waits for an answer any more.
-		if handler != nil && w.chance(50, m.host, tick) {
-			w.heldDeliveries[m.host] = append(w.heldDeliveries[m.host], func() { go handler("POST", heartbeatPath, body, ignoreResponse) })
+	return m.applyResponse(h, response)
+}
+
+// nextHeartbeat makes the next heartbeat and draws how long it takes. It returns nil, and
+// how long to wait until the next one, if the worker sends none or it does not arrive.
+func (m *Machine) nextHeartbeat() (*outgoingHeartbeat, time.Duration) {
+	w := m.world
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	switch {
+	case m.rebooting:
+		return nil, rebootPoll
+	case m.removed || m.hung || m.crashed || len(w.controllers) == 0:
+		return nil, retryInterval
+	case m.cannotSend:
+		m.controllerIndex++
+		return nil, retryInterval
+	}
+	h := m.drawHeartbeat()
+	switch {
+	case m.partitioned:
+		// The packets are held and may arrive once the partition is over, though nobody
+		// waits for a response any more.
+		if h.handler != nil && w.chance(50, m.host, h.sequence) {
+			w.heldDeliveries[m.host] = append(w.heldDeliveries[m.host], h.resend)
 		}
-		w.mu.Unlock()
-		return 4 * time.Second
-	}
-	if handler != nil && !m.reachable(name) {
-		if w.chance(50, m.host, tick) {
-			w.holdUntilHealed(m.zone, w.controllerZones[name], func() { go handler("POST", heartbeatPath, body, ignoreResponse) })
+		return nil, heartbeatTimeout
+	case h.handler == nil:
+		m.controllerIndex++
+		return nil, retryInterval
+	case !m.reachable(h.controller):
+		if w.chance(50, m.host, h.sequence) {
+			w.holdUntilHealed(m.zone, w.controllerZones[h.controller], h.resend)
 		}
 		m.controllerIndex++
-		w.mu.Unlock()
-		return 5 * time.Second
+		return nil, zoneTimeout
 	}
-	if handler == nil {
-		m.controllerIndex++
-		w.mu.Unlock()
-		return time.Second
+	return h, 0
+}
+
+// drawHeartbeat makes a heartbeat to the controller whose turn it is, without a handler if
+// that does not run, and draws the copies of it that arrive later and its delays. The
+// order of the draws decides what each yields. The world's lock is held by the caller.
+func (m *Machine) drawHeartbeat() *outgoingHeartbeat {
+	w := m.world
+	controller := w.controllers[m.controllerIndex%len(w.controllers)]
+	h := &outgoingHeartbeat{controller: controller, handler: w.handlers[controller]}
+	if w.hasFaultOn(faultControllerDeaf, controller) {
+		h.handler = nil
 	}
-	w.mu.Unlock()
-	if !wait(w.ctx, there) {
-		return time.Second
+	h.body, _ = json.Marshal(m.heartbeat())
+	h.sentAt, h.agentEpoch, h.boots, h.sequence = time.Now(), m.agentEpoch, m.boots, strconv.FormatUint(m.sequence, 10)
+	if h.handler != nil {
+		m.resendHeartbeat = h.resend
 	}
-	got := make(chan transport.Response, 1)
-	go handler("POST", heartbeatPath, body, func(r transport.Response) { got <- r })
-	var r transport.Response
-	select {
-	case r = <-got:
-	case <-time.After(4 * time.Second):
-	case <-w.ctx.Done():
+	if w.hasFault(faultStaleHeartbeats) && w.chance(40, "keep", m.host, h.sequence) {
+		w.keepHeartbeat(m, h.body)
 	}
-	if !wait(w.ctx, back) {
-		return time.Second
+	if h.handler != nil && !m.partitioned && w.hasFault(faultLateHeartbeats) && w.chance(40, "copy", m.host, h.sequence) {
+		m.afterDelay(w.between(2*time.Second, w.Workers.LeaseDuration*3/2, "copy", m.host, h.sequence), h.resend)
 	}
+	h.request = w.between(minDelay, maxDelay, m.host, h.sequence)
+	h.response = w.between(minDelay, maxDelay, m.host, h.sequence)
+	return h
+}
+
+// receives reports whether a response to a heartbeat reaches the worker that sent it, and
+// not one that has begun again since. The world's lock is held by the caller.
+func (m *Machine) receives(h *outgoingHeartbeat) bool {
+	return m.responsive() && !m.cannotReceive && m.agentEpoch == h.agentEpoch && m.boots == h.boots &&
+		!m.world.hasFaultOn(faultControllerDeaf, h.controller) && m.reachable(h.controller)
+}
+
+// applyResponse obeys a response to a heartbeat and returns how long to wait until the
+// next one. A response that did not come has no status.
+func (m *Machine) applyResponse(h *outgoingHeartbeat, response transport.Response) time.Duration {
+	w := m.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if m.removed || m.hung || m.crashed || m.partitioned || m.cannotReceive || m.agentEpoch != session || m.boots != life || w.activeFaults["deaf "+name] || !m.reachable(name) {
+	if !m.receives(h) {
 		if m.cannotReceive {
-			m.controllerIndex++ // no answer in time: the next node
+			m.controllerIndex++ // no response in time: the next controller
 		}
-		return time.Second
+		return retryInterval
 	}
-	switch r.Status {
+	switch response.Status {
 	case 200:
-		var a protocol.HeartbeatResponse
-		if json.Unmarshal(r.Body, &a) == nil && a.FencingToken >= m.fencingToken && a.FencingToken > 0 {
-			if a.FencingToken > m.fencingToken {
-				m.wakeAgent()
-			}
-			m.fencingToken, m.leaseRenewedAt = a.FencingToken, sent
-			m.runCommands(a.Commands)
+		var body protocol.HeartbeatResponse
+		if json.Unmarshal(response.Body, &body) == nil && body.FencingToken >= m.fencingToken && body.FencingToken > 0 {
+			m.raiseToken(body.FencingToken)
+			m.leaseRenewedAt = h.sentAt
+			m.runCommands(body.Commands)
 		}
 		// Give or take a quarter, as workers do.
-		return w.between(w.Workers.HeartbeatInterval*3/4, w.Workers.HeartbeatInterval*5/4, m.host, tick)
-	case 421:
-		var s protocol.Redirect
-		_ = json.Unmarshal(r.Body, &s)
-		for i, n := range w.controllers {
-			if n == s.Node && n != name {
-				m.controllerIndex = i
-				return w.between(0, 500*time.Millisecond, m.host, tick)
-			}
+		return w.between(w.Workers.HeartbeatInterval*3/4, w.Workers.HeartbeatInterval*5/4, m.host, h.sequence)
+	case http.StatusMisdirectedRequest:
+		var redirect protocol.Redirect
+		_ = json.Unmarshal(response.Body, &redirect)
+		if i := slices.Index(w.controllers, redirect.Node); i >= 0 && redirect.Node != h.controller {
+			m.controllerIndex = i
+			return w.between(0, 500*time.Millisecond, m.host, h.sequence)
 		}
 	}
 	m.controllerIndex++
-	return time.Second
-}
-
-// callWorker carries a controller's call. Across a cut, or to a hung machine,
-// it is held and executed late, though the caller has long given up.
-func (w *World) callWorker(ctx context.Context, node, host, target string, body []byte, back time.Duration) (int, []byte, error) {
-	w.mu.Lock()
-	machine := w.machines[host]
-	if machine != nil && !machine.removed && !machine.crashed && !machine.hung && !machine.partitioned && !machine.reachable(node) {
-		if target == protocol.PathCommands {
-			w.holdUntilHealed(machine.zone, w.controllerZones[node], func() {
-				if !machine.removed && !machine.crashed && !machine.hung && !machine.partitioned {
-					machine.expireLease()
-					machine.handleCommands(body)
-				}
-			})
-		}
-		w.mu.Unlock()
-		<-ctx.Done()
-		return 0, nil, errConnectionReset
-	}
-	if machine != nil && (machine.rebooting || time.Now().Before(machine.upAt)) { // it boots
-		w.mu.Unlock()
-		return 0, nil, errConnectionReset
-	}
-	if machine == nil || machine.removed || machine.crashed || machine.partitioned || machine.hung || machine.cannotReceive {
-		if machine != nil && !machine.removed && !machine.crashed && !machine.cannotReceive && target == protocol.PathCommands {
-			w.heldDeliveries[host] = append(w.heldDeliveries[host], func() { machine.handleCommands(body) })
-		}
-		w.mu.Unlock()
-		<-ctx.Done()
-		return 0, nil, errConnectionReset
-	}
-	var status int
-	var out []byte
-	if target == protocol.PathStatus {
-		status, out = jsonResponse(200, machine.heartbeat())
-	} else {
-		status, out = machine.handleCommands(body)
-	}
-	w.mu.Unlock()
-	if !wait(ctx, back) {
-		return 0, nil, errConnectionReset
-	}
-	return status, out, nil
+	return retryInterval
 }
 
-func (m *Machine) handleCommands(body []byte) (int, []byte) {
-	var in protocol.CommandRequest
-	if json.Unmarshal(body, &in) != nil || in.FencingToken == 0 || in.AgentEpoch == 0 {
-		return 400, nil
-	}
-	if in.FencingToken < m.fencingToken || in.AgentEpoch != m.agentEpoch {
-		return jsonResponse(409, m.heartbeat())
-	}
-	if in.FencingToken > m.fencingToken {
-		m.fencingToken = in.FencingToken
+// raiseToken has the worker obey a fencing token, and say so soon if it is a new one. The
+// world's lock is held by the caller.
+func (m *Machine) raiseToken(token uint64) {
+	if token > m.fencingToken {
+		m.fencingToken = token
 		m.wakeAgent()
 	}
-	m.runCommands(in.Commands)
-	return jsonResponse(200, m.heartbeat())
 }
-
-func (m *Machine) runCommands(cmds []protocol.Command) {
-	for _, c := range cmds {
-		task := m.tasks[c.Task]
-		switch c.Verb {
-		case "start":
-			switch {
-			case task == nil || (task.attempt != c.Attempt && task.phase == protocol.TaskExited):
-				m.startTask(c.Task, c.Attempt)
-			case task.attempt != c.Attempt:
-				m.world.recordEvent("%s %s/%d refused: busy with attempt %d", m.host, c.Task, c.Attempt, task.attempt)
-			}
-		case "stop":
-			if task != nil && task.attempt == c.Attempt && task.phase != protocol.TaskExited {
-				m.stopTask(c.Task, task, c.GraceS)
-			}
-		case "reap":
-			if task != nil && task.attempt == c.Attempt && task.phase == protocol.TaskExited {
-				delete(m.tasks, c.Task)
-			}
-		}
-	}
-}
-
-const (
-	causeGangPeerLost = "peers"
-	heartbeatPath     = "/v1/report"
-)
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -15,29 +15,39 @@
 func (w *World) handleCloud(method, target string, body []byte) (int, []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.activeFaults["cloud"] {
-		return jsonResponse(503, map[string]string{"error": "trouble"})
-	}
 	switch {
+	case w.hasFault(faultCloudDown):
+		return jsonResponse(503, map[string]string{"error": "trouble"})
 	case target == protocol.PathMachineTypes:
 		return jsonResponse(200, protocol.MachineTypes{Types: w.Types})
 	case target == protocol.PathMachines && method == "POST":
 		return w.provision(body)
 	case target == protocol.PathReturnMachines:
-		var h protocol.HostList
-		if json.Unmarshal(body, &h) != nil {
-			return 400, nil
-		}
-		for _, host := range h.Hosts {
-			if machine := w.machines[host]; machine != nil && !machine.removed {
-				w.recordEvent("%s returned", host)
-				w.removeMachine(machine)
-			}
+		return w.returnMachines(body)
+	}
+	return w.listMachines(target)
+}
+
+// returnMachines takes back machines; those that are gone already change nothing. The
+// world's lock is held by the caller.
+func (w *World) returnMachines(body []byte) (int, []byte) {
+	var request protocol.HostList
+	if json.Unmarshal(body, &request) != nil {
+		return 400, nil
+	}
+	for _, host := range request.Hosts {
+		if machine := w.machines[host]; machine != nil && !machine.removed {
+			w.recordEvent("%s returned", host)
+			w.removeMachine(machine)
 		}
-		return jsonResponse(200, map[string]any{})
 	}
-	// The list is as old as its lag; what is younger is missing, and what has
-	// gone since is still there.
+	return jsonResponse(200, map[string]any{})
+}
+
+// listMachines answers a page of the list of machines. The list is as old as its lag: what
+// is younger is missing, and what has gone since is still there. The world's lock is held
+// by the caller.
+func (w *World) listMachines(target string) (int, []byte) {
 	asOf := time.Now().Add(-w.ListLag)
 	from, most := parseListPage(target)
 	var list protocol.MachineList
@@ -52,8 +62,15 @@
 		if machine.rentedAt.After(asOf) || (machine.removed && machine.stoppedAt.Before(asOf)) {
 			continue
 		}
-		list.Hosts = append(list.Hosts, protocol.ListedMachine{Host: machine.host, Address: w.Address(machine.host), Type: machine.machineType, Zone: machine.zone, Spot: machine.spot, Phase: machine.listedPhase(asOf),
-			AgeS: asOf.Sub(machine.rentedAt).Seconds()})
+		list.Hosts = append(list.Hosts, protocol.ListedMachine{
+			Host:    machine.host,
+			Address: w.Address(machine.host),
+			Type:    machine.machineType,
+			Zone:    machine.zone,
+			Spot:    machine.spot,
+			Phase:   machine.listedPhase(asOf),
+			AgeS:    asOf.Sub(machine.rentedAt).Seconds(),
+		})
 	}
 	return jsonResponse(200, list)
 }
@@ -70,51 +87,55 @@
 	return from, most
 }
 
+// provision rents machines, as many as the cloud has of those asked for. A request that is
+// repeated under its name gets the same machines. The world's lock is held by the caller.
 func (w *World) provision(body []byte) (int, []byte) {
-	var h protocol.ProvisionRequest
-	if json.Unmarshal(body, &h) != nil {
+	var request protocol.ProvisionRequest
+	if json.Unmarshal(body, &request) != nil {
 		return 400, nil
 	}
-	hosts, again := w.provisioned[h.Name]
-	if !again {
-		count := min(h.Count, w.spareMachines)
-		if w.activeFaults["half"] {
-			count = min(count, (h.Count+1)/2)
+	hosts, repeated := w.provisioned[request.Name]
+	if !repeated {
+		count := min(request.Count, w.spareMachines)
+		if w.hasFault(faultHalfCapacity) {
+			count = min(count, (request.Count+1)/2)
 		}
-		if w.activeFaults["stingy"] {
+		if w.hasFault(faultNoCapacity) {
 			count = 0
 		}
 		for range count {
 			w.spareMachines--
-			hosts = append(hosts, w.bootMachine(h.Type, h.Zone, h.Spot, w.bootTime(h)))
+			hosts = append(hosts, w.bootMachine(request.Type, request.Zone, request.Spot, w.drawBootTime(request.Name)))
 		}
 		if len(hosts) == 0 {
 			return jsonResponse(503, map[string]string{"error": "no capacity"})
 		}
-		w.provisioned[h.Name] = hosts
+		w.provisioned[request.Name] = hosts
 	}
 	return jsonResponse(200, protocol.HostList{Hosts: hosts})
 }
 
-// neverBoots is longer than anybody waits.
+// neverBoots is the boot time of machines that never come up: longer than any test.
 const neverBoots = 1000 * time.Hour
 
-// bootTime is how long a machine takes to come up: some take several times as long,
-// or never come, if the cloud is in trouble.
-func (w *World) bootTime(h protocol.ProvisionRequest) time.Duration {
-	took := w.between(6*time.Second, 15*time.Second, h.Name)
+// drawBootTime draws how long a machine of a request takes to come up: some take several
+// times as long, or never come, under the cloud's faults. The world's lock is held by the
+// caller.
+func (w *World) drawBootTime(request string) time.Duration {
+	usual := w.between(6*time.Second, 15*time.Second, request)
 	switch {
-	case w.activeFaults["fast boots"]:
-		return took / 20
-	case w.activeFaults["no boots"]:
+	case w.hasFault(faultFastBoots):
+		return usual / 20
+	case w.hasFault(faultNoBoots):
 		return neverBoots
-	case w.activeFaults["slow boots"] && w.chance(60, "boot", h.Name):
-		return took * 5
+	case w.hasFault(faultSlowBoots) && w.chance(60, "boot", request):
+		return usual * 5
 	}
-	return took
+	return usual
 }
 
-// removeMachine takes a machine away with everything on it.
+// removeMachine takes a machine away with everything on it. The world's lock is held by
+// the caller.
 func (w *World) removeMachine(machine *Machine) {
 	machine.removed, machine.stoppedAt = true, time.Now()
 	machine.dropTasks()
@@ -123,7 +144,8 @@
 	machine.wakeAgent()
 }
 
-// listedPhase is the phase that the cloud's list shows.
+// listedPhase is the phase that the cloud's list shows. The world's lock is held by the
+// caller.
 func (m *Machine) listedPhase(asOf time.Time) string {
 	switch {
 	case m.crashed && asOf.Sub(m.stoppedAt) > crashedListedAsRunning:
--- /dev/null
+++ b/internal/emulator/commands.go
@@ -0,0 +1,108 @@
+package emulator
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"madderslip/internal/protocol"
+)
+
+// Verbs of commands.
+const (
+	verbStart = "start"
+	verbStop  = "stop"
+	verbReap  = "reap"
+)
+
+// callWorker carries a controller's call to a worker. Across a partition, or to a hung
+// machine, commands are held and carried out late, though the caller has long given up.
+func (w *World) callWorker(ctx context.Context, node, host, target string, body []byte, delay time.Duration) (int, []byte, error) {
+	w.mu.Lock()
+	machine := w.machines[host]
+	if machine != nil && machine.responsive() && !machine.reachable(node) {
+		if target == protocol.PathCommands {
+			machine.holdAcrossZones(node, body)
+		}
+		w.mu.Unlock()
+		<-ctx.Done()
+		return 0, nil, errConnectionReset
+	}
+	if machine != nil && machine.booting() {
+		w.mu.Unlock()
+		return 0, nil, errConnectionReset
+	}
+	if machine == nil || !machine.responsive() || machine.cannotReceive {
+		if machine != nil && machine.holdsPackets() && target == protocol.PathCommands {
+			w.heldDeliveries[host] = append(w.heldDeliveries[host], func() { machine.handleCommands(body) })
+		}
+		w.mu.Unlock()
+		<-ctx.Done()
+		return 0, nil, errConnectionReset
+	}
+	var status int
+	var response []byte
+	if target == protocol.PathStatus {
+		status, response = jsonResponse(200, machine.heartbeat())
+	} else {
+		status, response = machine.handleCommands(body)
+	}
+	w.mu.Unlock()
+	if !wait(ctx, delay) {
+		return 0, nil, errConnectionReset
+	}
+	return status, response, nil
+}
+
+// holdAcrossZones has commands arrive once the partition between the zones of the machine
+// and a controller ends. The world's lock is held by the caller.
+func (m *Machine) holdAcrossZones(node string, body []byte) {
+	m.world.holdUntilHealed(m.zone, m.world.controllerZones[node], func() {
+		if m.responsive() {
+			m.expireLease()
+			m.handleCommands(body)
+		}
+	})
+}
+
+// handleCommands carries out a command request, unless its fencing token or agent epoch
+// is an older one. The world's lock is held by the caller.
+func (m *Machine) handleCommands(body []byte) (int, []byte) {
+	var request protocol.CommandRequest
+	if json.Unmarshal(body, &request) != nil || request.FencingToken == 0 || request.AgentEpoch == 0 {
+		return 400, nil
+	}
+	if request.FencingToken < m.fencingToken || request.AgentEpoch != m.agentEpoch {
+		return jsonResponse(409, m.heartbeat())
+	}
+	m.raiseToken(request.FencingToken)
+	m.runCommands(request.Commands)
+	return jsonResponse(200, m.heartbeat())
+}
+
+// runCommands carries out commands one after the other. Those that an earlier copy has
+// carried out already change nothing. The world's lock is held by the caller.
+func (m *Machine) runCommands(commands []protocol.Command) {
+	for _, command := range commands {
+		task := m.tasks[command.Task]
+		exited := task != nil && task.phase == protocol.TaskExited
+		sameAttempt := task != nil && task.attempt == command.Attempt
+		switch command.Verb {
+		case verbStart:
+			switch {
+			case task == nil || (!sameAttempt && exited):
+				m.startTask(command.Task, command.Attempt)
+			case !sameAttempt:
+				m.world.recordEvent("%s %s/%d refused: busy with attempt %d", m.host, command.Task, command.Attempt, task.attempt)
+			}
+		case verbStop:
+			if sameAttempt && !exited {
+				m.stopTask(command.Task, task, command.GraceS)
+			}
+		case verbReap:
+			if sameAttempt && exited {
+				delete(m.tasks, command.Task)
+			}
+		}
+	}
+}
--- a/internal/emulator/dependencies.go
+++ b/internal/emulator/dependencies.go
@@ -74,15 +74,15 @@
 	return j.Fail || j.acceptedAt.IsZero() || !w.dependenciesDone(j) || w.cancelled(j.Spec.JobID)
 }
 
-// checkPhase checks what a user was told of a job against what is known of those before
+// checkCancelledPhase checks what a user was told of a job against what is known of those before
 // it. The world's lock is held.
-func (w *World) checkPhase(jobID, phase string, asked time.Time) {
+func (w *World) checkCancelledPhase(jobID, phase string, asked time.Time) {
 	off, told := w.cancelledDependency(jobID)
 	if phase == protocol.JobCancelled && !w.cancelRequested[jobID] && !off {
-		w.recordViolation("went_back", "%s cancelled by nobody", jobID)
+		w.recordViolation(ruleWentBack, "%s cancelled by nobody", jobID)
 	}
 	if phase != protocol.JobCancelled && phase != protocol.JobDone && !told.IsZero() && asked.Sub(told) > w.Workers.CancelDeadline {
-		w.recordViolation("orphaned", "%s is called %s, a job before it was called cancelled %v before", jobID, phase, asked.Sub(told).Round(time.Millisecond))
+		w.recordViolation(ruleOrphaned, "%s is called %s, a job before it was called cancelled %v before", jobID, phase, asked.Sub(told).Round(time.Millisecond))
 	}
 }
 
@@ -94,12 +94,12 @@
 	for _, jobID := range job.Spec.Dependencies {
 		need := w.jobs[jobID]
 		if need == nil && (status == 200 || status == 201) {
-			w.recordViolation("invented", "%s needs %s, which nobody submitted", job.Spec.JobID, jobID)
+			w.recordViolation(ruleInvented, "%s needs %s, which nobody submitted", job.Spec.JobID, jobID)
 		}
 		all = all && need != nil && !need.acceptedAt.IsZero() && need.acceptedAt.Before(asked)
 	}
 	if len(job.Spec.Dependencies) > 0 && all && status == 422 {
-		w.recordViolation("forgotten", "%s got 422, and all that it needs was accepted", job.Spec.JobID)
+		w.recordViolation(ruleForgotten, "%s got 422, and all that it needs was accepted", job.Spec.JobID)
 	}
 }
 
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -3,61 +3,48 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
 	"madderslip/internal/protocol"
 )
 
-// gangCheckpointing tells whether every task of a gang's attempt was told to stop.
-func (w *World) gangCheckpointing(jobID string, attempt uint64, job *Job) bool {
-	told := 0
-	for _, o := range w.machines {
-		for name, task := range o.tasks {
-			if r, _, _ := protocol.ParseTaskName(name); r == jobID && task.attempt == attempt && (task.phase == protocol.TaskCheckpointing || task.checkpointed) && !o.removed {
-				told++
-			}
-		}
-	}
-	return told == job.Spec.Tasks
+// causeGangPeerLost is the cause of an exit for the loss of another of the gang's tasks,
+// as the protocol spells it.
+const causeGangPeerLost = "peers"
+
+// attemptTask is a task of an attempt of a job, and the machine that has it.
+type attemptTask struct {
+	machine *Machine
+	name    string
+	task    *taskAttempt
 }
 
-// notifyGangPeers has the others of a running gang notice that one of them is gone.
-func (w *World) notifyGangPeers(name string, task *taskAttempt) {
-	jobID, _, ok := protocol.ParseTaskName(name)
-	job := w.jobs[jobID]
-	if !ok || job == nil || job.Spec.Shape != protocol.ShapeGang || task.phase != protocol.TaskRunning {
-		return
-	}
+// attemptTasks lists the tasks of an attempt of a job, in the order of machines and names.
+// The world's lock is held by the caller.
+func (w *World) attemptTasks(jobID string, attempt uint64) []attemptTask {
+	var tasks []attemptTask
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
 		machine := w.machines[host]
-		for _, other := range slices.Sorted(maps.Keys(machine.tasks)) {
-			x := machine.tasks[other]
-			if r, _, _ := protocol.ParseTaskName(other); r == jobID && x.attempt == task.attempt && x != task && x.phase == protocol.TaskRunning {
-				machine.afterOnTask(other, x, w.between(w.Workers.GangPeerTimeout/2, w.Workers.GangPeerTimeout, other, machine.host), func() {
-					if x.phase == protocol.TaskRunning {
-						machine.exitTask(other, x, causeGangPeerLost)
-					}
-				})
+		for _, name := range slices.Sorted(maps.Keys(machine.tasks)) {
+			task := machine.tasks[name]
+			if id, _, _ := protocol.ParseTaskName(name); id == jobID && task.attempt == attempt {
+				tasks = append(tasks, attemptTask{machine, name, task})
 			}
 		}
 	}
+	return tasks
 }
 
-// startGangIfComplete starts a gang's attempt if all of its tasks wait for one another.
+// startGangIfComplete starts a gang's attempt if all of its tasks wait for one another,
+// and reports whether it does. The world's lock is held by the caller.
 func (w *World) startGangIfComplete(job *Job, attempt uint64) bool {
-	var there []*taskAttempt
-	for _, machine := range w.machines {
-		for name, task := range machine.tasks {
-			if ref, _, _ := protocol.ParseTaskName(name); ref == job.Spec.JobID && task.attempt == attempt && task.phase == protocol.TaskWaitingForGang && !machine.removed {
-				there = append(there, task)
-			}
-		}
-	}
-	if len(there) < job.Spec.Tasks {
+	waiting := slices.DeleteFunc(w.attemptTasks(job.Spec.JobID, attempt), func(t attemptTask) bool {
+		return t.task.phase != protocol.TaskWaitingForGang || t.machine.removed
+	})
+	if len(waiting) < job.Spec.Tasks {
 		return false
 	}
-	for _, t := range there {
-		t.phase, t.began = protocol.TaskRunning, time.Now()
+	for _, t := range waiting {
+		t.task.phase = protocol.TaskRunning
 	}
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
 		w.machines[host].wakeAgent()
@@ -65,30 +52,73 @@
 	return true
 }
 
-// completeGang ends a gang's attempt: its tasks complete together.
+// exitUnlessGangStarts ends a task that waits for its gang for too long. The world's lock
+// is held by the caller.
+func (m *Machine) exitUnlessGangStarts(name string, task *taskAttempt) {
+	m.afterOnTask(name, task, m.world.Workers.GangStartTimeout, func() {
+		if task.phase == protocol.TaskWaitingForGang {
+			m.exitTask(name, task, protocol.CauseGangTimeout)
+		}
+	})
+}
+
+// completeGang ends a gang's attempt: its tasks complete together. It does nothing if one
+// of them is lost or hangs, which the others are about to notice. The world's lock is held
+// by the caller.
 func (w *World) completeGang(job *Job, attempt uint64) {
+	tasks := w.attemptTasks(job.Spec.JobID, attempt)
 	running := 0
-	for _, machine := range w.machines {
-		for name, task := range machine.tasks {
-			if ref, _, _ := protocol.ParseTaskName(name); ref == job.Spec.JobID && task.attempt == attempt && task.phase == protocol.TaskRunning && !machine.removed && !machine.hung {
-				running++
-			}
+	for _, t := range tasks {
+		if t.task.phase == protocol.TaskRunning && !t.machine.removed && !t.machine.hung {
+			running++
 		}
 	}
 	if running < job.Spec.Tasks {
-		return // one is gone, and the others are about to notice
+		return
 	}
-	for k := range job.Spec.Tasks {
-		job.tasksDone[k] = true
+	for index := range job.Spec.Tasks {
+		job.tasksDone[index] = true
 	}
-	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-		machine := w.machines[host]
-		for _, name := range slices.Sorted(maps.Keys(machine.tasks)) {
-			task := machine.tasks[name]
-			if ref, _, _ := protocol.ParseTaskName(name); ref == job.Spec.JobID && task.attempt == attempt && task.occupiesMachine() && !machine.removed {
-				machine.exitTask(name, task, protocol.CauseDone)
-			}
+	for _, t := range tasks {
+		if t.task.occupiesMachine() && !t.machine.removed {
+			t.machine.exitTask(t.name, t.task, protocol.CauseDone)
 		}
 	}
 	w.jobFinished(job)
 }
+
+// gangCheckpointing reports whether every task of a gang's attempt was told to stop and
+// takes or has taken a checkpoint. The world's lock is held by the caller.
+func (w *World) gangCheckpointing(job *Job, attempt uint64) bool {
+	checkpointing := 0
+	for _, t := range w.attemptTasks(job.Spec.JobID, attempt) {
+		if (t.task.phase == protocol.TaskCheckpointing || t.task.checkpointed) && !t.machine.removed {
+			checkpointing++
+		}
+	}
+	return checkpointing == job.Spec.Tasks
+}
+
+// notifyGangPeers has the others of a running gang notice that one of them is gone. The
+// world's lock is held by the caller.
+func (w *World) notifyGangPeers(name string, lost *taskAttempt) {
+	jobID, _, ok := protocol.ParseTaskName(name)
+	job := w.jobs[jobID]
+	if !ok || job == nil || !job.isGang() || lost.phase != protocol.TaskRunning {
+		return
+	}
+	for _, t := range w.attemptTasks(jobID, lost.attempt) {
+		if t.task != lost && t.task.phase == protocol.TaskRunning {
+			delay := w.between(w.Workers.GangPeerTimeout/2, w.Workers.GangPeerTimeout, t.name, t.machine.host)
+			t.machine.afterOnTask(t.name, t.task, delay, func() { t.machine.exitForLostPeer(t.name, t.task) })
+		}
+	}
+}
+
+// exitForLostPeer ends a gang's task that still runs when it notices that another one is
+// gone. The world's lock is held by the caller.
+func (m *Machine) exitForLostPeer(name string, task *taskAttempt) {
+	if task.phase == protocol.TaskRunning {
+		m.exitTask(name, task, causeGangPeerLost)
+	}
+}
--- a/internal/emulator/job.go
+++ b/internal/emulator/job.go
@@ -32,7 +32,11 @@
 	clear(w.draws)
 }
 
-// allTasksDone tells that all tasks of a job are done. The world's lock is held.
+// isGang reports whether the tasks of the job start and end together.
+func (j *Job) isGang() bool { return j.Spec.Shape == protocol.ShapeGang }
+
+// allTasksDone reports whether all tasks of the job are done. The world's lock is held by
+// the caller.
 func (j *Job) allTasksDone() bool { return len(j.tasksDone) == j.Spec.Tasks }
 
 // Job is a job as the world knows it: what was submitted and how its tasks
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -11,6 +11,21 @@
 	"madderslip/internal/transport"
 )
 
+// Addresses that a controller calls, beside those of workers.
+const (
+	stateAddr  = "state"
+	cloudAddr  = "cloud"
+	workerPort = ":9000"
+)
+
+// Bounds of the time that a message takes within the region.
+const (
+	minDelay = 300 * time.Microsecond
+	maxDelay = 3 * time.Millisecond
+)
+
+var errConnectionReset = errors.New("connection reset")
+
 // Link is a controller's network.
 type Link struct {
 	W    *World
@@ -18,99 +33,142 @@
 	Ctx  context.Context // the process's life
 }
 
-var errConnectionReset = errors.New("connection reset")
+// call is a call of a controller, with all that is drawn for it before it is sent.
+type call struct {
+	addr, method, target string
+	body                 []byte
+	drawKey              []string // of the call's random draws
+	request, response    time.Duration
+	outcome              callOutcome
+	lateBy               time.Duration // of a call that is carried out late
+	refused              bool          // the state service refuses the controller
+	severed              bool          // the controller has lost the state service
+	workersLost          bool          // the controller reaches no worker
+}
 
-// Do makes a call from the controller.
+// Do makes a call from the controller. What comes back is heard only when the process
+// runs: a paused controller gets the response when it goes on.
 func (l Link) Do(ctx context.Context, addr, method, target string, body []byte) (int, []byte, error) {
-	w := l.W
 	ctx, cancel := context.WithCancel(ctx)
 	defer context.AfterFunc(l.Ctx, cancel)()
 	defer cancel()
-	w.WaitWhilePaused(l.Ctx, l.Node)
-	defer w.WaitWhilePaused(l.Ctx, l.Node) // whatever comes back is heard when the process goes on
-	what := []string{l.Node, addr, target, string(body)}
-	w.mu.Lock()
-	there, back := w.between(300*time.Microsecond, 3*time.Millisecond, what...), w.between(300*time.Microsecond, 3*time.Millisecond, what...)
-	refused, deaf := w.activeFaults["refuse "+l.Node], w.activeFaults["deaf "+l.Node]
-	if addr == "state" && w.activeFaults["slow"] {
-		there += w.between(0, 2500*time.Millisecond, what...)
-	}
-	fate := w.drawOutcome(addr, target, what)
-	later := w.between(time.Second, 40*time.Second, what...)
-	if w.activeFaults["late writes"] {
-		later = w.between(2*time.Second, 12*time.Second, what...)
-	}
-	severed := addr == "state" && w.activeFaults["severed "+l.Node]
-	w.mu.Unlock()
-	if !wait(ctx, there) {
+	l.W.WaitWhilePaused(l.Ctx, l.Node)
+	defer l.W.WaitWhilePaused(l.Ctx, l.Node)
+	c := l.drawCall(addr, method, target, body)
+	if !wait(ctx, c.request) {
 		return 0, nil, errConnectionReset
 	}
-	if severed {
+	if c.severed || (c.leavesZones() && l.loseInPartition(c)) {
 		<-ctx.Done()
 		return 0, nil, errConnectionReset
 	}
-	if addr == "state" || addr == "cloud" {
-		w.mu.Lock()
-		if zone := w.controllerZones[l.Node]; w.zonesPartitioned(zone, "") {
-			if w.chance(50, what...) {
-				w.holdUntilHealed(zone, "", func() {
-					go func() {
-						if addr == "cloud" {
-							w.handleCloud(method, target, body)
-						} else if target == protocol.PathTransactions {
-							w.State.handle(w.ctx, method, target, body)
-						}
-					}()
-				})
-			}
-			w.mu.Unlock()
-			<-ctx.Done()
-			return 0, nil, errConnectionReset
-		}
-		w.mu.Unlock()
+	if c.leavesZones() {
+		return l.callService(ctx, c)
 	}
-	var do func(context.Context) (int, []byte)
-	switch {
-	case addr == "state" && refused:
-		do = func(context.Context) (int, []byte) { return 503, nil }
-	case addr == "state":
-		do = func(ctx context.Context) (int, []byte) { return w.State.handle(ctx, method, target, body) }
-	case addr == "cloud":
-		do = func(context.Context) (int, []byte) { return w.handleCloud(method, target, body) }
-	case deaf:
+	if c.workersLost {
 		<-ctx.Done()
 		return 0, nil, fmt.Errorf("%w: no route", transport.ErrNotSent)
-	default:
-		return w.callWorker(ctx, l.Node, strings.TrimSuffix(addr, ":9000"), target, body, back)
 	}
-	if fate == outcomeExecutedLate || fate == outcomeExecutedTwice {
+	return l.W.callWorker(ctx, l.Node, strings.TrimSuffix(addr, workerPort), target, body, c.response)
+}
+
+// drawCall draws what becomes of a call. The order of the draws decides what each yields.
+func (l Link) drawCall(addr, method, target string, body []byte) call {
+	w := l.W
+	key := []string{l.Node, addr, target, string(body)}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	c := call{addr: addr, method: method, target: target, body: body, drawKey: key}
+	c.request = w.between(minDelay, maxDelay, key...)
+	c.response = w.between(minDelay, maxDelay, key...)
+	if addr == stateAddr && w.hasFault(faultStateSlow) {
+		c.request += w.between(0, 2500*time.Millisecond, key...)
+	}
+	c.outcome = w.drawOutcome(addr, target, key)
+	c.lateBy = w.between(time.Second, 40*time.Second, key...)
+	if w.hasFault(faultLateWrites) {
+		c.lateBy = w.between(2*time.Second, 12*time.Second, key...)
+	}
+	c.refused = w.hasFaultOn(faultStateRefuses, l.Node)
+	c.severed = addr == stateAddr && w.hasFaultOn(faultSevered, l.Node)
+	c.workersLost = w.hasFaultOn(faultControllerDeaf, l.Node)
+	return c
+}
+
+// leavesZones reports whether a call goes to the region, in which the state service and
+// the cloud are, and not to a worker.
+func (c *call) leavesZones() bool { return c.addr == stateAddr || c.addr == cloudAddr }
+
+// loseInPartition reports whether the controller's zone is cut off from the region. Half
+// of the calls that this stops are carried out once the partition ends; of the state
+// service's these are the transactions.
+func (l Link) loseInPartition(c call) bool {
+	w := l.W
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	zone := w.controllerZones[l.Node]
+	if !w.zonesPartitioned(zone, "") {
+		return false
+	}
+	if w.chance(50, c.drawKey...) {
+		w.holdUntilHealed(zone, "", func() {
+			go func() {
+				if c.addr == cloudAddr {
+					w.handleCloud(c.method, c.target, c.body)
+				} else if c.target == protocol.PathTransactions {
+					w.State.handle(w.ctx, c.method, c.target, c.body)
+				}
+			}()
+		})
+	}
+	return true
+}
+
+// callService carries a call to the state service or the cloud and brings back the
+// response, unless one of the two gets lost.
+func (l Link) callService(ctx context.Context, c call) (int, []byte, error) {
+	w := l.W
+	if c.outcome == outcomeExecutedLate || c.outcome == outcomeExecutedTwice {
 		go func() {
-			if wait(w.ctx, later) {
-				_, _ = do(w.ctx)
+			if wait(w.ctx, c.lateBy) {
+				_, _ = w.serve(w.ctx, c)
 			}
 		}()
 	}
 	var status int
-	var out []byte
-	if fate != outcomeExecutedLate {
-		status, out = do(ctx)
+	var body []byte
+	if c.outcome != outcomeExecutedLate {
+		status, body = w.serve(ctx, c)
 	}
-	if fate == outcomeExecutedLate || fate == outcomeResponseLost || !w.waitForZoneLink(ctx, l.Node, "") || (addr == "state" && !w.waitUntilServed(ctx, l.Node, target)) {
+	lost := c.outcome == outcomeExecutedLate || c.outcome == outcomeResponseLost
+	if lost || !w.waitForZoneLink(ctx, l.Node, "") || (c.addr == stateAddr && !w.waitUntilServed(ctx, l.Node, c.target)) {
 		<-ctx.Done()
 	}
-	if status == 0 || !wait(ctx, back) {
+	if status == 0 || !wait(ctx, c.response) {
 		return 0, nil, errConnectionReset
 	}
-	return status, out, nil
+	return status, body, nil
+}
+
+// serve has the state service or the cloud answer a call.
+func (w *World) serve(ctx context.Context, c call) (int, []byte) {
+	switch {
+	case c.addr == cloudAddr:
+		return w.handleCloud(c.method, c.target, c.body)
+	case c.refused:
+		return 503, nil
+	}
+	return w.State.handle(ctx, c.method, c.target, c.body)
 }
 
-// waitUntilServed waits with the news of an open watch for as long as the state service refuses
-// the node alone, as it would in an outage; whatever a severed node is answered is lost.
+// waitUntilServed waits with the updates of an open watch for as long as the state service
+// refuses the controller alone, as it would in an outage. It returns false if the context
+// ends first or the controller is severed: whatever that is answered is lost.
 func (w *World) waitUntilServed(ctx context.Context, node, target string) bool {
 	watch := strings.HasPrefix(target, protocol.PathWatch)
 	for {
 		w.mu.Lock()
-		severed, barred := w.activeFaults["severed "+node], watch && w.activeFaults["refuse "+node]
+		severed, barred := w.hasFaultOn(faultSevered, node), watch && w.hasFaultOn(faultStateRefuses, node)
 		w.mu.Unlock()
 		if severed || !barred {
 			return !severed
@@ -121,50 +179,56 @@
 	}
 }
 
-// fates of a call under loss.
+// callOutcome is what becomes of a call of the state service or the cloud under loss.
+type callOutcome int
+
 const (
-	outcomeDelivered    = iota
-	outcomeResponseLost // carried out, but the answer is lost
-	outcomeExecutedLate // carried out long after the caller has given up
-	outcomeExecutedTwice
+	outcomeDelivered     callOutcome = iota
+	outcomeResponseLost              // carried out, but the response is lost
+	outcomeExecutedLate              // carried out long after the caller has given up
+	outcomeExecutedTwice             // carried out at once and once more later
 )
 
-func (w *World) drawOutcome(addr, target string, what []string) int {
-	if addr == "state" && target == protocol.PathTransactions && w.activeFaults["swallow"] {
+// drawOutcome draws what becomes of a call. Reads of the state service and the cloud's
+// list are always delivered. The world's lock is held by the caller.
+func (w *World) drawOutcome(addr, target string, key []string) callOutcome {
+	isTransaction := addr == stateAddr && target == protocol.PathTransactions
+	switch {
+	case isTransaction && w.hasFault(faultNoWriteAnswered):
 		return outcomeResponseLost
-	}
-	if addr == "state" && target == protocol.PathTransactions && w.activeFaults["late writes"] && w.chance(40, what...) {
+	case isTransaction && w.hasFault(faultLateWrites) && w.chance(40, key...):
 		return outcomeExecutedLate
-	}
-	if addr == "state" && target == protocol.PathTransactions && w.activeFaults["unanswered writes"] && w.chance(40, what...) {
+	case isTransaction && w.hasFault(faultUnansweredWrites) && w.chance(40, key...):
 		return outcomeResponseLost
 	}
-	lossy := addr == "state" && target == protocol.PathTransactions && w.activeFaults["lossy"]
-	if !lossy && (addr != "cloud" || !w.activeFaults["lost"] || strings.HasPrefix(target, protocol.PathMachines+"?")) {
+	lossyState := isTransaction && w.hasFault(faultStateLossy)
+	lossyCloud := addr == cloudAddr && w.hasFault(faultCloudLossy) && !strings.HasPrefix(target, protocol.PathMachines+"?")
+	if !lossyState && !lossyCloud {
 		return outcomeDelivered
 	}
-	switch p := w.roll(what...) % 100; {
-	case p < 12:
+	switch percent := w.roll(key...) % 100; {
+	case percent < 12:
 		return outcomeResponseLost
-	case p < 22:
+	case percent < 22:
 		return outcomeExecutedLate
-	case p < 30:
+	case percent < 30:
 		return outcomeExecutedTwice
 	}
 	return outcomeDelivered
 }
 
-// Peer carries a message between controllers, if their links are up.
+// Peer carries a message between controllers, if their links are up. A message to a
+// controller that is severed or in another zone gets lost.
 func (w *World) Peer(ctx context.Context, from, to string, raw []byte, deliver func(context.Context, []byte) error) error {
 	w.mu.Lock()
-	refused := w.activeFaults["alone "+from] || w.activeFaults["alone "+to]
-	apart := w.zonesPartitioned(w.controllerZones[from], w.controllerZones[to]) || w.activeFaults["severed "+from] || w.activeFaults["severed "+to]
-	delay := w.between(300*time.Microsecond, 3*time.Millisecond, from, to, string(raw))
+	refused := w.hasFaultOn(faultPeersRefuse, from) || w.hasFaultOn(faultPeersRefuse, to)
+	lost := w.zonesPartitioned(w.controllerZones[from], w.controllerZones[to]) || w.hasFaultOn(faultSevered, from) || w.hasFaultOn(faultSevered, to)
+	delay := w.between(minDelay, maxDelay, from, to, string(raw))
 	w.mu.Unlock()
 	if refused {
 		return fmt.Errorf("%s refuses", to)
 	}
-	if apart {
+	if lost {
 		<-ctx.Done()
 	}
 	if !wait(ctx, delay) {
--- a/internal/emulator/loopback.go
+++ b/internal/emulator/loopback.go
@@ -101,6 +101,24 @@
 	return ln.Addr().String(), nil
 }
 
+// handle answers calls by do and counts them; none that has no status gets a response.
+func (l *Loopback) handle(t *Traffic, do func(*http.Request, []byte) (int, []byte)) http.Handler {
+	return http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		status, answer := do(r, body)
+		if status == 0 {
+			panic(http.ErrAbortHandler) // no answer at all
+		}
+		t.add(len(body), len(answer))
+		out.Header().Set("Content-Type", "application/json")
+		out.WriteHeader(status)
+		_, _ = out.Write(answer)
+	})
+}
+
 // address is a worker's: 127.1.X.Y by the machine's number.
 func (l *Loopback) address(host string) string {
 	n := 0
--- a/internal/emulator/partition.go
+++ b/internal/emulator/partition.go
@@ -78,7 +78,8 @@
 // zonesPartitioned tells whether a cut lies between two zones; the empty one is the region,
 // in which users, cloud and state service are.
 func (w *World) zonesPartitioned(a, b string) bool {
-	return a != b && ((a != "" && w.activeFaults["zone "+a]) || (b != "" && w.activeFaults["zone "+b]))
+	cutOff := func(zone string) bool { return zone != "" && w.hasFaultOn(faultZonePartition, zone) }
+	return a != b && (cutOff(a) || cutOff(b))
 }
 
 // heldDeliveryGap is how far apart the messages arrive that a cut held back.
@@ -111,7 +112,7 @@
 // holdUntilHealed keeps a message until the cut of a zone is over.
 func (w *World) holdUntilHealed(a, b string, late func()) {
 	zone := a
-	if zone == "" || !w.activeFaults["zone "+zone] {
+	if zone == "" || !w.hasFaultOn(faultZonePartition, zone) {
 		zone = b
 	}
 	w.heldAcrossZones[zone] = append(w.heldAcrossZones[zone], late)
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -9,6 +9,24 @@
 	"madderslip/internal/protocol"
 )
 
+// rule is the name of a rule of the protocol, as operators know it.
+type rule string
+
+const (
+	ruleAccepted     rule = "accepted"      // what can't run or lacks a field is refused
+	ruleForgotten    rule = "forgotten"     // what was accepted stays known
+	ruleGuarantee    rule = "guarantee"     // nothing is preempted that its team's guarantee covers
+	ruleInvented     rule = "invented"      // nobody is told of a job that was not submitted
+	ruleNotDone      rule = "not_done"      // a job that is called done is done
+	ruleOrphaned     rule = "orphaned"      // what needs a cancelled job is cancelled too
+	ruleQuota        rule = "quota"         // a team uses no more than its limits
+	ruleRanCancelled rule = "ran_cancelled" // no task outlives its job's cancellation for long
+	ruleRanTwice     rule = "ran_twice"     // no task is on two machines at a time
+	ruleTooEarly     rule = "too_early"     // no task starts before what its job needs is done
+	ruleWentBack     rule = "went_back"     // a final phase stays, and comes of a request
+	ruleWrongPlace   rule = "wrong_place"   // tasks run where their job's submission wants them
+)
+
 // SetTeam has the rules go by another guarantee or limit of a team from now on.
 func (w *World) SetTeam(t protocol.Team) {
 	w.mu.Lock()
@@ -27,108 +45,141 @@
 	if !lowered {
 		return limit
 	}
-	most := func(limit, was, use float64) float64 {
+	higher := func(limit, was, use float64) float64 {
 		if limit == 0 || was == 0 {
 			return limit
 		}
 		return max(limit, min(was, use))
 	}
-	now := protocol.Team{MaxCPUs: most(limit.MaxCPUs, was.MaxCPUs, use[0]), MaxGPUs: most(limit.MaxGPUs, was.MaxGPUs, use[1])}
+	now := protocol.Team{MaxCPUs: higher(limit.MaxCPUs, was.MaxCPUs, use[0]), MaxGPUs: higher(limit.MaxGPUs, was.MaxGPUs, use[1])}
 	w.formerLimits[team] = now
 	return now
 }
 
-// checkRulesPeriodically looks for cancelled tasks that stay, and for teams beyond their limit.
+// exceedsLimit reports whether a use of CPUs and GPUs is above a team's limits.
+func exceedsLimit(limit protocol.Team, cpus, gpus float64) bool {
+	return (limit.MaxCPUs > 0 && cpus > limit.MaxCPUs+rounding) || (limit.MaxGPUs > 0 && gpus > limit.MaxGPUs+rounding)
+}
+
+// ruleInterval is how often the rules are checked that no single event breaks.
+const ruleInterval = 500 * time.Millisecond
+
+// checkRulesPeriodically checks, until the world ends, the rules that no single event
+// breaks, and adds to what they are measured by.
 func (w *World) checkRulesPeriodically() {
-	for wait(w.ctx, 500*time.Millisecond+73*time.Nanosecond) {
+	for wait(w.ctx, ruleInterval+73*time.Nanosecond) {
 		w.mu.Lock()
-		if w.RecordStartsOnly {
-			w.mu.Unlock()
-			continue
+		if !w.RecordStartsOnly {
+			use := w.teamUse()
+			w.countReplicas(ruleInterval)
+			if !w.faultsEndedAt.IsZero() {
+				w.trackUnplaced(use)
+			}
+			w.checkCancelledTasks()
+			w.checkTeamLimits(use)
 		}
-		use := w.teamUse()
-		w.countReplicas(500 * time.Millisecond)
-		if !w.faultsEndedAt.IsZero() {
-			w.trackUnplaced(use)
+		w.mu.Unlock()
+	}
+}
+
+// checkCancelledTasks looks for tasks that are on machines too long after their user was
+// told that the job is cancelled. The world's lock is held by the caller.
+func (w *World) checkCancelledTasks() {
+	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
+		machine := w.machines[host]
+		if machine.removed {
+			continue
 		}
-		for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-			machine := w.machines[host]
-			for _, name := range slices.Sorted(maps.Keys(machine.tasks)) {
-				jobID, _, _ := protocol.ParseTaskName(name)
-				job := w.jobs[jobID]
-				if machine.removed || job == nil || !machine.tasks[name].occupiesMachine() {
-					continue
-				}
-				if !job.cancelledAt.IsZero() && time.Since(job.cancelledAt) > w.Workers.CancelDeadline {
-					w.recordViolation("ran_cancelled", "%s on %s", name, machine.host)
-				}
+		for _, name := range slices.Sorted(maps.Keys(machine.tasks)) {
+			jobID, _, _ := protocol.ParseTaskName(name)
+			job := w.jobs[jobID]
+			if job != nil && machine.tasks[name].occupiesMachine() && w.pastCancelDeadline(job) {
+				w.recordViolation(ruleRanCancelled, "%s on %s", name, machine.host)
 			}
 		}
-		for _, team := range slices.Sorted(maps.Keys(use)) {
-			limit := w.allowance(team, use[team])
-			if u := use[team]; (limit.MaxCPUs > 0 && u[0] > limit.MaxCPUs+1e-6) || (limit.MaxGPUs > 0 && u[1] > limit.MaxGPUs+1e-6) {
-				w.recordViolation("quota", "%s uses %v of %v CPUs and %v cards", team, u, limit.MaxCPUs, limit.MaxGPUs)
-			}
+	}
+}
+
+// pastCancelDeadline reports whether no task of a job may be on a machine any more. The
+// world's lock is held by the caller.
+func (w *World) pastCancelDeadline(job *Job) bool {
+	return !job.cancelledAt.IsZero() && time.Since(job.cancelledAt) > w.Workers.CancelDeadline
+}
+
+// checkTeamLimits looks for teams that use more than their limits. The world's lock is
+// held by the caller.
+func (w *World) checkTeamLimits(use map[string][2]float64) {
+	for _, team := range slices.Sorted(maps.Keys(use)) {
+		limit, used := w.allowance(team, use[team]), use[team]
+		if exceedsLimit(limit, used[0], used[1]) {
+			w.recordViolation(ruleQuota, "%s uses %v of %v CPUs and %v cards", team, used, limit.MaxCPUs, limit.MaxGPUs)
 		}
-		w.mu.Unlock()
 	}
 }
 
-// checkStart judges a start by the rules.
+// checkStart checks a start against the rules. The world's lock is held by the caller.
 func (w *World) checkStart(machine *Machine, name string, task *taskAttempt, job *Job) {
 	if w.RecordStartsOnly {
 		w.onStart(job)
 		return
 	}
-	s := &job.Spec
+	w.checkPlacement(machine, name, task, &job.Spec)
+	if w.pastCancelDeadline(job) {
+		w.recordViolation(ruleRanCancelled, "%s starts on %s", name, machine.host)
+	}
+	if !w.dependenciesDone(job) {
+		w.recordViolation(ruleTooEarly, "%s starts on %s before all that it needs is done", name, machine.host)
+	}
+	if !job.cancelledAt.IsZero() {
+		w.wastedStarts++
+		w.recordEvent("%s starts after its cancellation was confirmed", name)
+	}
+}
+
+// checkPlacement checks that a task that starts runs nowhere else, and on a machine and
+// beside others of its job as its submission wants. The world's lock is held by the
+// caller.
+func (w *World) checkPlacement(machine *Machine, name string, task *taskAttempt, spec *protocol.Submission) {
 	inZone := 1
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-		o := w.machines[host]
-		if o.removed {
+		other := w.machines[host]
+		if other.removed {
 			continue
 		}
-		for other, x := range o.tasks {
-			jobID, _, _ := protocol.ParseTaskName(other)
-			if jobID != s.JobID || !x.occupiesMachine() {
+		for otherName, otherTask := range other.tasks {
+			jobID, _, _ := protocol.ParseTaskName(otherName)
+			if jobID != spec.JobID || !otherTask.occupiesMachine() {
 				continue
 			}
-			if other == name && x != task {
-				w.recordViolation("ran_twice", "%s on %s and %s", name, o.host, machine.host)
+			if otherName == name && otherTask != task {
+				w.recordViolation(ruleRanTwice, "%s on %s and %s", name, other.host, machine.host)
 			}
-			if o.zone == machine.zone {
+			if other.zone == machine.zone {
 				inZone++
-			} else if s.SameZone {
-				w.recordViolation("wrong_place", "%s in %s and %s", jobID, o.zone, machine.zone)
+			} else if spec.SameZone {
+				w.recordViolation(ruleWrongPlace, "%s in %s and %s", jobID, other.zone, machine.zone)
 			}
 		}
 	}
-	if s.SpreadZones && inZone > (s.Tasks+1)/2 {
-		w.recordViolation("wrong_place", "%s has %d tasks in %s", s.JobID, inZone, machine.zone)
-	}
-	if (len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, machine.machineType)) || (s.Zone != "" && s.Zone != machine.zone) || (machine.spot && !s.AllowSpot) {
-		w.recordViolation("wrong_place", "%s on %s: %s in %s, cheap %v", s.JobID, machine.host, machine.machineType, machine.zone, machine.spot)
+	if spec.SpreadZones && inZone > (spec.Tasks+1)/2 {
+		w.recordViolation(ruleWrongPlace, "%s has %d tasks in %s", spec.JobID, inZone, machine.zone)
 	}
-	if !job.cancelledAt.IsZero() && time.Since(job.cancelledAt) > w.Workers.CancelDeadline {
-		w.recordViolation("ran_cancelled", "%s starts on %s", name, machine.host)
-	}
-	if !w.dependenciesDone(job) {
-		w.recordViolation("too_early", "%s starts on %s before all that it needs is done", name, machine.host)
-	}
-	if !job.cancelledAt.IsZero() {
-		w.wastedStarts++
-		w.recordEvent("%s starts after its cancellation was confirmed", name)
+	if !machine.suits(spec) {
+		w.recordViolation(ruleWrongPlace, "%s on %s: %s in %s, cheap %v", spec.JobID, machine.host, machine.machineType, machine.zone, machine.spot)
 	}
 }
 
-func (w *World) recordViolation(rule, format string, a ...any) {
-	text := rule + ": " + fmt.Sprintf(format, a...)
+// recordViolation records that a rule was broken, once for the same details. The world's
+// lock is held by the caller.
+func (w *World) recordViolation(rule rule, format string, details ...any) {
+	text := string(rule) + ": " + fmt.Sprintf(format, details...)
 	if !slices.Contains(w.violations, text) {
 		w.recordEvent("BROKEN %s", text)
 		w.violations = append(w.violations, text)
 	}
 }
 
-// Broken lists the rules that were broken.
+// Broken lists the rules that were broken, each with its details.
 func (w *World) Broken() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/staleheartbeats.go
+++ b/internal/emulator/staleheartbeats.go
@@ -5,9 +5,12 @@
 	"maps"
 	"slices"
 	"time"
+
+	"madderslip/internal/transport"
 )
 
-// keepHeartbeat has a copy of a report wait for the next leader. The world's lock is held.
+// keepHeartbeat has a copy of a heartbeat wait for the next owner of a shard. The world's
+// lock is held by the caller.
 func (w *World) keepHeartbeat(machine *Machine, body []byte) {
 	const most = 3 // of each machine, the first ones: the older the worse
 	if kept := w.keptHeartbeats[machine.host]; len(kept) < most {
@@ -15,11 +18,12 @@
 	}
 }
 
-// replayKeptHeartbeats tells of a shard's new token: reports kept for that reach every controller.
+// replayKeptHeartbeats has the heartbeats that were kept reach every controller, as a
+// shard gets a new fencing token.
 func (w *World) replayKeptHeartbeats() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.activeFaults["reports for next"] {
+	if !w.hasFault(faultStaleHeartbeats) {
 		return
 	}
 	if len(w.keptHeartbeats) > 0 {
@@ -29,11 +33,14 @@
 		for i, body := range w.keptHeartbeats[host] {
 			for _, node := range w.controllers {
 				if handler := w.handlers[node]; handler != nil {
-					after := w.between(time.Microsecond, 150*time.Millisecond, "for next", host, node, fmt.Sprint(i))
-					w.machines[host].afterDelay(after, func() { go handler("POST", heartbeatPath, body, ignoreResponse) })
+					delay := w.between(time.Microsecond, 150*time.Millisecond, "for next", host, node, fmt.Sprint(i))
+					w.machines[host].afterDelay(delay, func() { go handler("POST", heartbeatPath, body, ignoreResponse) })
 				}
 			}
 		}
 		delete(w.keptHeartbeats, host)
 	}
 }
+
+// ignoreResponse takes a response that nobody waits for.
+func ignoreResponse(transport.Response) {}
--- a/internal/emulator/statestore.go
+++ b/internal/emulator/statestore.go
@@ -14,12 +14,14 @@
 // shardKeyPrefix is what the keys of shards' owners begin with.
 const shardKeyPrefix = "madderslip/s/"
 
+// storedValue is the value of a key.
 type storedValue struct {
 	value   json.RawMessage
-	version uint64
-	leaseID uint64
+	version uint64 // the revision of its latest change
+	leaseID uint64 // of the lease with which the key ends; 0 for none
 }
 
+// keyChange is a change of a key, as watches tell of it.
 type keyChange struct {
 	Set     string          `json:"set,omitempty"`
 	Deleted string          `json:"drop,omitempty"`
@@ -27,12 +29,14 @@
 	Version uint64          `json:"stamp"`
 }
 
+// lease keeps keys for as long as it is extended.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
-// StateService is the state service.
+// StateService is the consensus-backed key-value store: compare-and-swap transactions,
+// watches, leases, limits of rate and size. It is safe for concurrent use.
 type StateService struct {
 	mu                 sync.Mutex
 	keys               map[string]storedValue
@@ -42,28 +46,28 @@
 	revision           uint64
 	leases             map[uint64]*lease
 	lastLeaseID        uint64
-	changed            chan struct{}
+	changed            chan struct{} // closed and replaced at every change
 	down               bool
 	requestLimiter     *rate.Limiter
 	writeLimiter       *rate.Limiter
 	counts             Counts
-	onShardOwnerChange func() // told, on its own, of a shard's new token
+	onShardOwnerChange func() // called on a goroutine of its own as a shard gets a new fencing token
 	sizeLimits         SizeLimits
 	refusedForSize     map[string]int // transactions refused for their size, by the first key
 }
 
-// SizeLimits bound values and transactions; 0 is no bound. Four times as many conditions as
+// SizeLimits bound values and transactions; 0 is no bound. Four times as many compares as
 // changes may be in a transaction.
 type SizeLimits struct{ ValueBytes, Changes int }
 
 // SetSizeLimits sets the bounds on sizes from now on. What is stored stays readable.
-func (s *StateService) SetSizeLimits(most SizeLimits) {
+func (s *StateService) SetSizeLimits(limits SizeLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sizeLimits = most
+	s.sizeLimits = limits
 }
 
-// RefusedForSize tells how many transactions were refused for their size, by the first
+// RefusedForSize is how many transactions were refused for their size, by the first
 // key that each changes.
 func (s *StateService) RefusedForSize() map[string]int {
 	s.mu.Lock()
@@ -74,24 +78,25 @@
 // Counts is what transactions with changes have come to.
 type Counts struct{ Changes, Refused int }
 
-// Counts tells how many changes were carried out, and transactions refused.
+// Counts is how many changes were carried out, and transactions refused by a compare.
 func (s *StateService) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
+// newStateService makes an empty store without limits.
 func newStateService() *StateService {
 	return &StateService{keys: make(map[string]storedValue), minHistory: 10_000, leases: make(map[uint64]*lease), changed: make(chan struct{}),
 		refusedForSize: make(map[string]int), requestLimiter: rate.NewLimiter(rate.Inf, 0), writeLimiter: rate.NewLimiter(rate.Inf, 0)}
 }
 
-// SetRateLimits sets the budgets; both allow bursts of one second's worth.
-func (s *StateService) SetRateLimits(rps, writeRPS float64) {
+// SetRateLimits sets the limits of requests and of changes a second; both allow bursts of one second's worth.
+func (s *StateService) SetRateLimits(requestRate, writeRate float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.requestLimiter = rate.NewLimiter(rate.Limit(rps), int(rps))
-	s.writeLimiter = rate.NewLimiter(rate.Limit(writeRPS), int(writeRPS))
+	s.requestLimiter = rate.NewLimiter(rate.Limit(requestRate), int(requestRate))
+	s.writeLimiter = rate.NewLimiter(rate.Limit(writeRate), int(writeRate))
 }
 
 // expireLeases ends leases until the context does. They end as much as 100 ms late, but
@@ -114,6 +119,8 @@
 	}
 }
 
+// expireLease ends a lease and deletes its keys, each at a revision of its own. The
+// service's lock is held by the caller.
 func (s *StateService) expireLease(id uint64) {
 	delete(s.leases, id)
 	for _, key := range slices.Sorted(maps.Keys(s.keys)) {
@@ -126,6 +133,8 @@
 	s.wakeWatches()
 }
 
+// appendChange keeps a change for watches, and of the older ones as many as they may go
+// back. The service's lock is held by the caller.
 func (s *StateService) appendChange(c keyChange) {
 	if s.history = append(s.history, c); len(s.history) > 2*s.minHistory {
 		s.compactedAt = s.history[len(s.history)-s.minHistory-1].Version
@@ -155,6 +164,7 @@
 	return out
 }
 
+// wakeWatches has open watches look for changes. The service's lock is held by the caller.
 func (s *StateService) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -165,8 +175,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	for _, g := range s.leases {
-		g.expires = time.Now().Add(g.ttl)
+	for _, lease := range s.leases {
+		lease.expires = time.Now().Add(lease.ttl)
 	}
 	s.wakeWatches()
 }
--- a/internal/emulator/statestore_api.go
+++ b/internal/emulator/statestore_api.go
@@ -4,8 +4,6 @@
 	"cmp"
 	"context"
 	"encoding/json"
-	"io"
-	"net/http"
 	"net/url"
 	"slices"
 	"strconv"
@@ -13,28 +11,17 @@
 	"time"
 )
 
-func (l *Loopback) handle(t *Traffic, do func(*http.Request, []byte) (int, []byte)) http.Handler {
-	return http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(r.Body)
-		if err != nil {
-			return
-		}
-		status, answer := do(r, body)
-		if status == 0 {
-			panic(http.ErrAbortHandler) // no answer at all
-		}
-		t.add(len(body), len(answer))
-		out.Header().Set("Content-Type", "application/json")
-		out.WriteHeader(status)
-		_, _ = out.Write(answer)
-	})
-}
+// minLeaseMs is the shortest time to live of a lease, in milliseconds.
+const minLeaseMs = 100
 
-func jsonResponse(status int, v any) (int, []byte) {
-	b, _ := json.Marshal(v)
-	return status, b
+// jsonResponse is a response with a value for its body.
+func jsonResponse(status int, body any) (int, []byte) {
+	raw, _ := json.Marshal(body)
+	return status, raw
 }
 
+// handle answers a call of the state service's API. The status is 0 if the context of a
+// watch ends.
 func (s *StateService) handle(ctx context.Context, method, target string, body []byte) (int, []byte) {
 	u, err := url.Parse(target)
 	if err != nil {
@@ -42,181 +29,254 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down {
+	switch {
+	case s.down:
 		return 503, nil
-	}
-	if !s.requestLimiter.Allow() {
+	case !s.requestLimiter.Allow():
 		return 429, nil
-	}
-	if method == "GET" && u.Path == "/watch" {
-		s.mu.Unlock()
+	case method == "GET" && u.Path == "/watch":
+		s.mu.Unlock() // for as long as the watch waits
 		defer s.mu.Lock()
 		return s.watch(ctx, u.Query())
-	}
-	switch {
 	case method == "GET" && u.Path == "/keys":
 		return s.list(u.Query())
 	case method == "GET" && strings.HasPrefix(u.Path, "/keys/"):
-		key := strings.TrimPrefix(u.Path, "/keys/")
-		v, ok := s.keys[key]
-		if !ok {
-			return jsonResponse(404, map[string]uint64{"epoch": s.revision})
-		}
-		return jsonResponse(200, map[string]any{"key": key, "value": v.value, "stamp": v.version})
+		return s.get(strings.TrimPrefix(u.Path, "/keys/"))
 	case u.Path == "/multi":
 		return s.commit(body)
 	case u.Path == "/grants":
-		var in struct {
-			TTL int64 `json:"ttlMs"`
-		}
-		if json.Unmarshal(body, &in) != nil || in.TTL < 100 {
-			return 400, nil
-		}
-		s.lastLeaseID++
-		ttl := time.Duration(in.TTL) * time.Millisecond
-		s.leases[s.lastLeaseID] = &lease{ttl, time.Now().Add(ttl)}
-		return jsonResponse(200, map[string]uint64{"permit": s.lastLeaseID})
+		return s.grantLease(body)
 	case strings.HasSuffix(u.Path, "/extend"):
 		id, _ := strconv.ParseUint(strings.Split(u.Path, "/")[2], 10, 64)
-		g := s.leases[id]
-		if g == nil {
-			return 404, nil
-		}
-		g.expires = time.Now().Add(g.ttl)
-		return jsonResponse(200, map[string]uint64{"permit": id})
+		return s.extendLease(id)
 	}
 	return 404, nil
 }
 
-func (s *StateService) list(q url.Values) (int, []byte) {
+// keyResponse is a key in responses.
+type keyResponse struct {
+	Key     string          `json:"key"`
+	Version uint64          `json:"stamp"`
+	Value   json.RawMessage `json:"value"`
+}
+
+// revisionResponse is a response that says no more than the revision.
+type revisionResponse struct {
+	Revision uint64 `json:"epoch"`
+}
+
+// leaseResponse is a response about a lease.
+type leaseResponse struct {
+	LeaseID uint64 `json:"permit"`
+}
+
+// get answers a read of one key. The service's lock is held by the caller.
+func (s *StateService) get(key string) (int, []byte) {
+	stored, ok := s.keys[key]
+	if !ok {
+		return jsonResponse(404, revisionResponse{s.revision})
+	}
+	return jsonResponse(200, keyResponse{Key: key, Version: stored.version, Value: stored.value})
+}
+
+// list answers a page of the keys under a prefix, in order. The service's lock is held by
+// the caller.
+func (s *StateService) list(query url.Values) (int, []byte) {
 	var names []string
 	for key := range s.keys {
-		if strings.HasPrefix(key, q.Get("under")) && key > q.Get("from") {
+		if strings.HasPrefix(key, query.Get("under")) && key > query.Get("from") {
 			names = append(names, key)
 		}
 	}
 	slices.Sort(names)
-	most, _ := strconv.Atoi(q.Get("most"))
+	most, _ := strconv.Atoi(query.Get("most"))
 	truncated := most > 0 && len(names) > most
 	if truncated {
 		names = names[:most]
 	}
-	items := []map[string]any{}
+	items := []keyResponse{}
 	for _, key := range names {
-		items = append(items, map[string]any{"key": key, "value": s.keys[key].value, "stamp": s.keys[key].version})
+		items = append(items, keyResponse{Key: key, Version: s.keys[key].version, Value: s.keys[key].value})
+	}
+	return jsonResponse(200, struct {
+		Revision  uint64        `json:"epoch"`
+		Items     []keyResponse `json:"items"`
+		Truncated bool          `json:"truncated"`
+	}{s.revision, items, truncated})
+}
+
+// grantLease answers a request for a lease. The service's lock is held by the caller.
+func (s *StateService) grantLease(body []byte) (int, []byte) {
+	var request struct {
+		TTLMs int64 `json:"ttlMs"`
 	}
-	return jsonResponse(200, map[string]any{"items": items, "truncated": truncated, "epoch": s.revision})
+	if json.Unmarshal(body, &request) != nil || request.TTLMs < minLeaseMs {
+		return 400, nil
+	}
+	s.lastLeaseID++
+	ttl := time.Duration(request.TTLMs) * time.Millisecond
+	s.leases[s.lastLeaseID] = &lease{ttl, time.Now().Add(ttl)}
+	return jsonResponse(200, leaseResponse{s.lastLeaseID})
+}
+
+// extendLease answers a request to keep a lease alive. The service's lock is held by the
+// caller.
+func (s *StateService) extendLease(id uint64) (int, []byte) {
+	lease := s.leases[id]
+	if lease == nil {
+		return 404, nil
+	}
+	lease.expires = time.Now().Add(lease.ttl)
+	return jsonResponse(200, leaseResponse{id})
 }
 
 // transaction is the body of a call of /multi.
 type transaction struct {
 	Compares []struct {
-		Key   string `json:"key"`
-		Stamp uint64 `json:"stamp"`
+		Key     string `json:"key"`
+		Version uint64 `json:"stamp"`
 	} `json:"if"`
-	Ops []struct {
-		Set    string          `json:"set"`
-		Drop   string          `json:"drop"`
-		Value  json.RawMessage `json:"value"`
-		Permit uint64          `json:"permit"`
-	} `json:"writes"`
+	Ops []transactionOp `json:"writes"`
+}
+
+// transactionOp sets or deletes a key.
+type transactionOp struct {
+	Set     string          `json:"set"`
+	Delete  string          `json:"drop"`
+	Value   json.RawMessage `json:"value"`
+	LeaseID uint64          `json:"permit"`
 }
 
-func (t *transaction) withinLimits(most SizeLimits) bool {
-	if most.Changes > 0 && (len(t.Ops) > most.Changes || len(t.Compares) > 4*most.Changes) {
+// withinLimits reports whether a transaction and its values are small enough.
+func (t *transaction) withinLimits(limits SizeLimits) bool {
+	if limits.Changes > 0 && (len(t.Ops) > limits.Changes || len(t.Compares) > 4*limits.Changes) {
 		return false
 	}
-	for _, w := range t.Ops {
-		if most.ValueBytes > 0 && len(w.Value) > most.ValueBytes {
+	for _, op := range t.Ops {
+		if limits.ValueBytes > 0 && len(op.Value) > limits.ValueBytes {
 			return false
 		}
 	}
 	return true
 }
 
+// firstKey names a transaction by the first key that it changes.
+func (t *transaction) firstKey() string {
+	if len(t.Ops) == 0 {
+		return "no change"
+	}
+	return t.Ops[0].Set + t.Ops[0].Delete
+}
+
+// commit answers a transaction: all of its changes are made, or none if a compare fails,
+// a lease has ended or it is beyond a limit. The service's lock is held by the caller.
 func (s *StateService) commit(body []byte) (int, []byte) {
-	var in transaction
-	if json.Unmarshal(body, &in) != nil {
+	var txn transaction
+	if json.Unmarshal(body, &txn) != nil {
 		return 400, nil
 	}
-	if !in.withinLimits(s.sizeLimits) {
-		key := "no change"
-		if len(in.Ops) > 0 {
-			key = in.Ops[0].Set + in.Ops[0].Drop
-		}
-		s.refusedForSize[key]++
+	if !txn.withinLimits(s.sizeLimits) {
+		s.refusedForSize[txn.firstKey()]++
 		return jsonResponse(400, map[string]string{"error": "too large"})
 	}
-	if len(in.Ops) > 0 && !s.writeLimiter.AllowN(time.Now(), len(in.Ops)) {
+	if len(txn.Ops) > 0 && !s.writeLimiter.AllowN(time.Now(), len(txn.Ops)) {
 		return 429, nil
 	}
-	for _, w := range in.Ops {
-		if w.Permit != 0 && s.leases[w.Permit] == nil {
+	for _, op := range txn.Ops {
+		if op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
 			return jsonResponse(400, map[string]string{"error": "no such lease"})
 		}
 	}
-	var failed []string
-	for _, c := range in.Compares {
-		if s.keys[c.Key].version != c.Stamp {
-			failed = append(failed, c.Key)
-		}
-	}
-	if len(failed) > 0 {
-		if len(in.Ops) > 0 {
+	if failed := s.failedCompares(&txn); len(failed) > 0 {
+		if len(txn.Ops) > 0 {
 			s.counts.Refused++
 		}
 		return jsonResponse(409, map[string]any{"failed": failed, "epoch": s.revision})
 	}
-	if len(in.Ops) > 0 {
+	s.apply(txn.Ops)
+	return jsonResponse(200, revisionResponse{s.revision})
+}
+
+// failedCompares lists the keys whose version is not the one that a transaction wants. The
+// service's lock is held by the caller.
+func (s *StateService) failedCompares(txn *transaction) []string {
+	var failed []string
+	for _, compare := range txn.Compares {
+		if s.keys[compare.Key].version != compare.Version {
+			failed = append(failed, compare.Key)
+		}
+	}
+	return failed
+}
+
+// apply makes changes, all at one new revision. Deleting a key that is not there is none
+// that watches see. The service's lock is held by the caller.
+func (s *StateService) apply(ops []transactionOp) {
+	if len(ops) > 0 {
 		s.revision++
-		s.counts.Changes += len(in.Ops)
+		s.counts.Changes += len(ops)
 	}
-	for _, w := range in.Ops {
-		if w.Set != "" {
-			s.keys[w.Set] = storedValue{w.Value, s.revision, w.Permit}
-			s.appendChange(keyChange{Set: w.Set, Value: w.Value, Version: s.revision})
-			if s.onShardOwnerChange != nil && strings.HasPrefix(w.Set, shardKeyPrefix) {
+	for _, op := range ops {
+		if op.Set != "" {
+			s.keys[op.Set] = storedValue{op.Value, s.revision, op.LeaseID}
+			s.appendChange(keyChange{Set: op.Set, Value: op.Value, Version: s.revision})
+			if s.onShardOwnerChange != nil && strings.HasPrefix(op.Set, shardKeyPrefix) {
 				go s.onShardOwnerChange()
 			}
-		} else if _, ok := s.keys[w.Drop]; ok {
-			delete(s.keys, w.Drop)
-			s.appendChange(keyChange{Deleted: w.Drop, Version: s.revision})
+		} else if _, ok := s.keys[op.Delete]; ok {
+			delete(s.keys, op.Delete)
+			s.appendChange(keyChange{Deleted: op.Delete, Version: s.revision})
 		}
 	}
 	s.wakeWatches()
-	return jsonResponse(200, map[string]uint64{"epoch": s.revision})
 }
 
-func (s *StateService) watch(ctx context.Context, q url.Values) (int, []byte) {
-	from, _ := strconv.ParseUint(q.Get("from"), 10, 64)
-	block, _ := strconv.Atoi(q.Get("blockMs"))
-	deadline := time.Now().Add(time.Duration(block) * time.Millisecond)
+// watchResponse is what changed up to a revision.
+type watchResponse struct {
+	Revision uint64      `json:"epoch"`
+	Changes  []keyChange `json:"news"`
+}
+
+// watch answers with the changes after a revision, and waits for some as long as the call
+// wants; 410 if the changes are no longer kept. During an outage an open watch stays
+// silent.
+func (s *StateService) watch(ctx context.Context, query url.Values) (int, []byte) {
+	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
+	blockMs, _ := strconv.Atoi(query.Get("blockMs"))
+	deadline := time.Now().Add(time.Duration(blockMs) * time.Millisecond)
+	nothing := watchResponse{from, []keyChange{}}
 	for {
 		s.mu.Lock()
-		news := []keyChange{}
-		epoch, changed := s.revision, s.changed
+		changes := []keyChange{}
+		revision, changed := s.revision, s.changed
 		if !s.down {
-			at, _ := slices.BinarySearchFunc(s.history, from+1, func(c keyChange, stamp uint64) int { return cmp.Compare(c.Version, stamp) })
-			news = append(news, s.history[at:]...)
 			if from < s.compactedAt {
 				s.mu.Unlock()
 				return 410, nil
 			}
+			changes = append(changes, s.changesAfter(from)...)
 		}
 		s.mu.Unlock()
-		if len(news) > 0 {
-			return jsonResponse(200, map[string]any{"epoch": epoch, "news": news})
+		if len(changes) > 0 {
+			return jsonResponse(200, watchResponse{revision, changes})
 		}
 		left := time.Until(deadline)
 		if left <= 0 {
-			return jsonResponse(200, map[string]any{"epoch": from, "news": news})
+			return jsonResponse(200, nothing)
 		}
 		select {
 		case <-changed:
 		case <-time.After(left):
-			return jsonResponse(200, map[string]any{"epoch": from, "news": news})
+			return jsonResponse(200, nothing)
 		case <-ctx.Done():
 			return 0, nil
 		}
 	}
 }
+
+// changesAfter lists the changes after a revision. The service's lock is held by the
+// caller.
+func (s *StateService) changesAfter(revision uint64) []keyChange {
+	at, _ := slices.BinarySearchFunc(s.history, revision+1, func(c keyChange, version uint64) int { return cmp.Compare(c.Version, version) })
+	return s.history[at:]
+}
--- a/internal/emulator/unplaced.go
+++ b/internal/emulator/unplaced.go
@@ -2,51 +2,38 @@
 
 import (
 	"maps"
-	"math"
 	"slices"
 	"time"
 
 	"madderslip/internal/protocol"
 )
 
-// freeCapacity is what a machine that is well has left; nothing, if it is not. The world's lock
-// is held.
-func (m *Machine) freeCapacity() (room [3]float64) {
-	if m.removed || m.crashed || m.hung || m.partitioned || m.cannotReceive || m.cannotSend || m.failsTasks || m.rebooting || !m.preemptionAt.IsZero() || time.Now().Before(m.upAt) {
-		return room
+// freeCapacity is what a machine that is well has left; nothing, if it is not. The world's
+// lock is held by the caller.
+func (m *Machine) freeCapacity() resources {
+	inContact := m.responsive() && !m.cannotReceive && !m.cannotSend
+	if !inContact || m.failsTasks || m.booting() || !m.preemptionAt.IsZero() {
+		return resources{}
 	}
-	machineType := m.world.typeOf(m.machineType)
-	room = [3]float64{machineType.CPUs, machineType.GPUs, machineType.MemoryGB}
-	for name, task := range m.tasks {
-		jobID, _, _ := protocol.ParseTaskName(name)
-		if j := m.world.jobs[jobID]; j != nil && task.phase != protocol.TaskExited {
-			room = [3]float64{room[0] - j.Spec.CPUs, room[1] - j.Spec.GPUs, room[2] - j.Spec.MemoryGB}
-		}
-	}
-	return room
+	return m.world.capacityOf(m.machineType).minus(m.allocated())
 }
 
-// capacityFor tells how many of a job's tasks would fit what is free, in the zone where most do
-// if they have to share one. The world's lock is held.
-func (w *World) capacityFor(s *protocol.Submission) int {
-	byZone, all := make(map[string]int), 0
+// capacityFor is how many of a job's tasks would fit what is free, in the zone where most
+// do if they have to share one. The world's lock is held by the caller.
+func (w *World) capacityFor(spec *protocol.Submission) int {
+	byZone, total := make(map[string]int), 0
 	for _, machine := range w.machines {
-		if (len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, machine.machineType)) || (s.Zone != "" && s.Zone != machine.zone) || (machine.spot && !s.AllowSpot) {
+		if !machine.suits(spec) {
 			continue
 		}
-		room, count := machine.freeCapacity(), math.Inf(1)
-		for k, need := range [3]float64{s.CPUs, s.GPUs, s.MemoryGB} {
-			if need > 0 {
-				count = min(count, math.Floor((room[k]+1e-6)/need))
-			}
-		}
-		if count > 0 {
-			byZone[machine.zone] += int(min(count, float64(s.Tasks)))
-			all += int(min(count, float64(s.Tasks)))
+		if count := machine.freeCapacity().countOf(taskResources(spec)); count > 0 {
+			tasks := int(min(count, float64(spec.Tasks)))
+			byZone[machine.zone] += tasks
+			total += tasks
 		}
 	}
-	if !s.SameZone {
-		return all
+	if !spec.SameZone {
+		return total
 	}
 	most := 0
 	for _, count := range byZone {
@@ -55,27 +42,26 @@
 	return most
 }
 
-// trackUnplaced notes, once all troubles are over, since when a job waits with no task
-// on any machine while one that fits has room and its team is under its limit. The
-// world's lock is held.
+// trackUnplaced records, once all faults have ended, since when a job waits with no task
+// on any machine while one that fits has capacity and its team is under its limit. The
+// world's lock is held by the caller.
 func (w *World) trackUnplaced(use map[string][2]float64) {
-	there := make(map[string]bool)
+	placed := make(map[string]bool)
 	for _, machine := range w.machines {
 		for name, task := range machine.tasks {
-			if ref, _, _ := protocol.ParseTaskName(name); !machine.removed && task.phase != protocol.TaskExited {
-				there[ref] = true
+			if jobID, _, _ := protocol.ParseTaskName(name); !machine.removed && task.phase != protocol.TaskExited {
+				placed[jobID] = true
 			}
 		}
 	}
 	for jobID, job := range w.jobs {
-		need := 1
-		if job.Spec.Shape == protocol.ShapeGang {
-			need = job.Spec.Tasks
+		tasksNeeded := 1
+		if job.isGang() {
+			tasksNeeded = job.Spec.Tasks
 		}
-		limit, u := w.Teams[job.Spec.Team], use[job.Spec.Team]
-		over := (limit.MaxCPUs > 0 && u[0]+job.Spec.CPUs*float64(need) > limit.MaxCPUs+1e-6) || (limit.MaxGPUs > 0 && u[1]+job.Spec.GPUs*float64(need) > limit.MaxGPUs+1e-6)
+		mayRun := !placed[jobID] && !job.allTasksDone() && !w.needNotRun(job) && w.teamAllows(job, tasksNeeded, use)
 		switch {
-		case w.faultsEndedAt.IsZero(), there[jobID], job.allTasksDone(), over, w.needNotRun(job), w.capacityFor(&job.Spec) < need:
+		case w.faultsEndedAt.IsZero() || !mayRun || w.capacityFor(&job.Spec) < tasksNeeded:
 			job.unplacedSince = time.Time{}
 		case job.unplacedSince.IsZero():
 			job.unplacedSince = time.Now()
@@ -83,7 +69,14 @@
 	}
 }
 
-// Waiting lists the jobs that have waited for longer beside room that they fit.
+// teamAllows reports whether so many more tasks of a job keep its team within its limits.
+// The world's lock is held by the caller.
+func (w *World) teamAllows(job *Job, tasks int, use map[string][2]float64) bool {
+	used, count := use[job.Spec.Team], float64(tasks)
+	return !exceedsLimit(w.Teams[job.Spec.Team], used[0]+job.Spec.CPUs*count, used[1]+job.Spec.GPUs*count)
+}
+
+// Waiting lists the jobs that have waited for longer beside capacity that they fit.
 func (w *World) Waiting(longer time.Duration) (jobIDs []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/userfaults.go
+++ b/internal/emulator/userfaults.go
@@ -11,36 +11,45 @@
 	"madderslip/internal/protocol"
 )
 
-// concurrentReadRounds is how often users ask each node in a close look.
+// concurrentReadRounds is how often users ask each controller when they read
+// concurrently.
 const concurrentReadRounds = 4
 
-// readConcurrently has users ask about a job at all nodes within milliseconds, again and again, and
-// repeat its submission; hasty ones cancel it in between. The world's lock is held.
-func (w *World) readConcurrently(jobID, why string) {
-	if !w.activeFaults["close looks"] {
+// Reasons for which users read a job concurrently; they are part of the random draws.
+const (
+	readAccepted  = "accepted"
+	readEnded     = "ended"
+	readCancelled = "cancelled"
+)
+
+// readConcurrently has users ask about a job at all controllers within milliseconds, again
+// and again, and repeat its submission; some cancel it in between if it was just accepted.
+// The world's lock is held by the caller.
+func (w *World) readConcurrently(jobID, reason string) {
+	if !w.hasFault(faultConcurrentReads) {
 		return
 	}
-	job := w.jobs[jobID]
-	body := submissionBody(&job.Spec)
-	w.recordEvent("%s: users look closely, %s", jobID, why)
+	body := submissionBody(&w.jobs[jobID].Spec)
+	w.recordEvent("%s: users look closely, %s", jobID, reason)
 	for _, node := range w.controllers {
-		for i := range concurrentReadRounds {
-			n := fmt.Sprint(i)
-			after := time.Duration(i)*3*time.Millisecond + w.between(50*time.Microsecond, 3*time.Millisecond, "look", jobID, why, node, n)
-			again, off := w.chance(25, "again", jobID, why, node, n), w.activeFaults["hasty users"] && why == "accepted" && i == 1 && w.chance(10, "off", jobID, node)
-			if off {
+		for round := range concurrentReadRounds {
+			roundKey := fmt.Sprint(round)
+			delay := time.Duration(round)*3*time.Millisecond + w.between(50*time.Microsecond, 3*time.Millisecond, "look", jobID, reason, node, roundKey)
+			resubmits := w.chance(25, "again", jobID, reason, node, roundKey)
+			mayCancel := w.hasFault(faultCancelOnAccept) && reason == readAccepted && round == 1
+			cancels := mayCancel && w.chance(10, "off", jobID, node)
+			if cancels {
 				w.cancelRequested[jobID] = true
 			}
 			go func() {
-				if !wait(w.ctx, after) {
+				if !wait(w.ctx, delay) {
 					return
 				}
-				switch asked := time.Now(); {
-				case off:
+				switch {
+				case cancels:
 					w.Cancel(node, jobID)
-				case again:
-					status, raw := w.Ask(node, "POST", "/submissions", body, 5*time.Second)
-					w.checkAnswer(jobID, asked, status, raw, status == 200 || status == 201)
+				case resubmits:
+					w.resubmit(node, jobID, body, true)
 				default:
 					w.Query(node, jobID)
 				}
@@ -49,130 +58,166 @@
 	}
 }
 
-// jobFinished is the moment at which the last task of a job completes: its users look, and
-// two of five call it off. The world's lock is held.
+// resubmit repeats a submission. A success counts as the job's acceptance if its user
+// waits for one.
+func (w *World) resubmit(node, jobID string, body []byte, awaited bool) {
+	asked := time.Now()
+	status, response := w.Ask(node, "POST", submissionsPath, body, submitTimeout)
+	w.checkAnswer(jobID, asked, status, response, awaited && isSuccess(status))
+}
+
+// jobFinished is the moment at which the last task of a job completes: its users read, and
+// two of five cancel it. The world's lock is held by the caller.
 func (w *World) jobFinished(job *Job) {
 	if !job.allTasksDone() {
 		return
 	}
 	job.finishedAt = time.Now()
 	jobID := job.Spec.JobID
-	w.readConcurrently(jobID, "ended")
-	if w.activeFaults["cancel at end"] && !job.acceptedAt.IsZero() && w.chance(40, "at end", jobID) {
-		node := w.controllers[int(w.roll("at end", jobID)%uint64(len(w.controllers)))]
-		after := w.between(time.Microsecond, 4*time.Millisecond, "at end", jobID)
-		w.cancelRequested[jobID] = true
-		go func() {
-			if wait(w.ctx, after) {
-				w.RequestUntilAnswered(node, func(node string) int { return w.Cancel(node, jobID) })
-			}
-		}()
+	w.readConcurrently(jobID, readEnded)
+	if w.hasFault(faultCancelOnEnd) && !job.acceptedAt.IsZero() && w.chance(40, "at end", jobID) {
+		node := w.drawController("at end", jobID)
+		w.cancelAfter(w.between(time.Microsecond, 4*time.Millisecond, "at end", jobID), node, jobID)
 	}
 }
 
-// CancelRunning has users cancel so many of the jobs that run, within a fifth of a second, and
-// tells which, and up to eight of their machines.
+// cancelAfter has a user cancel a job after a while, and repeat that until there is a
+// definite answer. The world's lock is held by the caller.
+func (w *World) cancelAfter(delay time.Duration, node, jobID string) {
+	w.cancelRequested[jobID] = true
+	go func() {
+		if wait(w.ctx, delay) {
+			w.RequestUntilAnswered(node, func(node string) int { return w.Cancel(node, jobID) })
+		}
+	}()
+}
+
+// mostHostsNamed is how many machines of cancelled jobs CancelRunning names.
+const mostHostsNamed = 8
+
+// CancelRunning has users cancel so many of the jobs that run, within a fifth of a second,
+// and returns which, and up to eight of their machines.
 func (w *World) CancelRunning(count int) (jobIDs, hosts []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	on := make(map[string][]string)
-	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-		machine := w.machines[host]
-		for name, task := range machine.tasks {
-			jobID, _, _ := protocol.ParseTaskName(name)
-			job := w.jobs[jobID]
-			if job != nil && !machine.removed && task.occupiesMachine() && !job.acceptedAt.IsZero() && !w.cancelRequested[jobID] && !slices.Contains(on[jobID], host) {
-				on[jobID] = append(on[jobID], host)
-			}
-		}
-	}
-	for _, jobID := range slices.Sorted(maps.Keys(on)) {
+	hostsOf := w.hostsOfCancellableJobs()
+	for _, jobID := range slices.Sorted(maps.Keys(hostsOf)) {
 		if len(jobIDs) == count {
 			break
 		}
 		jobIDs = append(jobIDs, jobID)
-		for _, host := range on[jobID] {
-			if len(hosts) < 8 && !slices.Contains(hosts, host) {
+		for _, host := range hostsOf[jobID] {
+			if len(hosts) < mostHostsNamed && !slices.Contains(hosts, host) {
 				hosts = append(hosts, host)
 			}
 		}
-		w.cancelRequested[jobID] = true
-		node, after := w.controllers[int(w.roll("off", jobID)%uint64(len(w.controllers)))], w.between(0, 200*time.Millisecond, "off", jobID)
-		go func() {
-			if wait(w.ctx, after) {
-				w.RequestUntilAnswered(node, func(node string) int { return w.Cancel(node, jobID) })
-			}
-		}()
+		node := w.drawController("off", jobID)
+		w.cancelAfter(w.between(0, 200*time.Millisecond, "off", jobID), node, jobID)
 	}
 	return jobIDs, hosts
 }
 
-// sendInvalidRequests sends what users should not, for as long as that trouble lasts: repeats of
-// submissions, also of jobs that are over, cancellations of jobs that are done, jobs that
-// fit no machine, exceed their team's limit or lack a field.
-func (w *World) sendInvalidRequests() {
-	for k := 0; wait(w.ctx, 300*time.Millisecond+61*time.Nanosecond); k++ {
-		w.mu.Lock()
-		if !w.activeFaults["odd requests"] || len(w.controllers) == 0 {
-			w.mu.Unlock()
+// hostsOfCancellableJobs lists the machines of every accepted job that runs and that no
+// user has asked to cancel, in order. The world's lock is held by the caller.
+func (w *World) hostsOfCancellableJobs() map[string][]string {
+	hostsOf := make(map[string][]string)
+	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
+		machine := w.machines[host]
+		if machine.removed {
 			continue
 		}
-		n := fmt.Sprint(k)
-		node := w.controllers[int(w.roll("odd", n)%uint64(len(w.controllers)))]
-		var known []*Job
-		for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
-			if j := w.jobs[jobID]; !j.acceptedAt.IsZero() {
-				known = append(known, j)
+		for name, task := range machine.tasks {
+			jobID, _, _ := protocol.ParseTaskName(name)
+			job := w.jobs[jobID]
+			cancellable := job != nil && !job.acceptedAt.IsZero() && !w.cancelRequested[jobID]
+			if cancellable && task.occupiesMachine() && !slices.Contains(hostsOf[jobID], host) {
+				hostsOf[jobID] = append(hostsOf[jobID], host)
 			}
 		}
-		var job *Job
-		if len(known) > 0 {
-			job = known[int(w.roll("odd job", n)%uint64(len(known)))]
+	}
+	return hostsOf
+}
+
+// sendInvalidRequests sends what users should not, for as long as that fault lasts: repeats
+// of submissions, also of jobs that are over, cancellations of jobs that are done, jobs
+// that fit no machine, exceed their team's limit or lack a field.
+func (w *World) sendInvalidRequests() {
+	for number := 0; wait(w.ctx, 300*time.Millisecond+61*time.Nanosecond); number++ {
+		w.mu.Lock()
+		if !w.hasFault(faultInvalidRequests) || len(w.controllers) == 0 {
+			w.mu.Unlock()
+			continue
 		}
+		key := fmt.Sprint(number)
+		node := w.drawController("odd", key)
+		job := w.drawAcceptedJob("odd job", key)
 		done := job != nil && job.lastPhase == protocol.JobDone
 		w.mu.Unlock()
 		go func() {
 			switch {
-			case k%3 == 0:
-				w.submitInvalid(node, k)
-			case done && k%3 == 1:
-				w.Cancel(node, job.Spec.JobID) // which it will not be, and told says so
+			case number%3 == 0:
+				w.submitInvalid(node, number)
+			case done && number%3 == 1:
+				w.Cancel(node, job.Spec.JobID) // a job that is done stays so, which checkAnswer checks
 			case job != nil:
-				asked := time.Now()
-				status, raw := w.Ask(node, "POST", "/submissions", submissionBody(&job.Spec), 5*time.Second)
-				w.checkAnswer(job.Spec.JobID, asked, status, raw, false)
+				w.resubmit(node, job.Spec.JobID, submissionBody(&job.Spec), false)
 			}
 		}()
 	}
 }
 
-// submitInvalid submits a job that no node may accept.
-func (w *World) submitInvalid(node string, k int) {
-	s := protocol.Submission{JobID: fmt.Sprintf("wk-9%05d", k), Class: "odd", Team: "open", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "img-1", ImageGB: 1}
-	lacks := ""
-	switch fields := []string{"samePlace", "spread", "loaner", "snapshotEveryS", "snapshotS", "expectS", "cards", "rank", "owner"}; k / 3 % 4 {
+// drawAcceptedJob draws one of the jobs that were accepted, nil without one. The world's
+// lock is held by the caller.
+func (w *World) drawAcceptedJob(parts ...string) *Job {
+	var accepted []*Job
+	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
+		if job := w.jobs[jobID]; !job.acceptedAt.IsZero() {
+			accepted = append(accepted, job)
+		}
+	}
+	if len(accepted) == 0 {
+		return nil
+	}
+	return accepted[int(w.roll(parts...)%uint64(len(accepted)))]
+}
+
+// requiredFields are fields that a submission may not lack, as the protocol spells them.
+var requiredFields = []string{"samePlace", "spread", "loaner", "snapshotEveryS", "snapshotS", "expectS", "cards", "rank", "owner"}
+
+// invalidSubmission is a submission that no controller may accept, by its number, and the
+// field that it lacks, if that is why.
+func invalidSubmission(number int) (spec protocol.Submission, lacks string) {
+	spec = protocol.Submission{JobID: fmt.Sprintf("wk-9%05d", number), Class: "odd", Team: "open", Shape: protocol.ShapeArray,
+		PriorityClass: "normal", Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "img-1", ImageGB: 1}
+	switch number / 3 % 4 {
 	case 0:
-		s.CPUs = 1e4
+		spec.CPUs = 1e4 // more than any machine has
 	case 1:
-		s.Team, s.Shape, s.Tasks = "tight", protocol.ShapeGang, 50
+		spec.Team, spec.Shape, spec.Tasks = "tight", protocol.ShapeGang, 50 // more than its team's limit
 	case 2:
-		if s.Team = "nobody"; k%2 == 0 {
-			s.Team, s.Dependencies = "open", []string{fmt.Sprintf("wk-8%05d", k)} // never submitted
+		if spec.Team = "nobody"; number%2 == 0 {
+			spec.Team, spec.Dependencies = "open", []string{fmt.Sprintf("wk-8%05d", number)} // never submitted
 		}
 	default:
-		lacks = fields[k/12%len(fields)]
+		lacks = requiredFields[number/12%len(requiredFields)]
 	}
-	body := submissionBody(&s)
+	return spec, lacks
+}
+
+// submitInvalid submits a job that no controller may accept.
+func (w *World) submitInvalid(node string, number int) {
+	spec, lacks := invalidSubmission(number)
+	body := submissionBody(&spec)
 	if lacks != "" {
-		var all map[string]any
-		_ = json.Unmarshal(body, &all)
-		delete(all, lacks)
-		body, _ = json.Marshal(all)
+		var fields map[string]any
+		_ = json.Unmarshal(body, &fields)
+		delete(fields, lacks)
+		body, _ = json.Marshal(fields)
 	}
-	status, raw := w.Ask(node, "POST", "/submissions", body, 5*time.Second)
-	if status == 200 || status == 201 {
+	status, response := w.Ask(node, "POST", submissionsPath, body, submitTimeout)
+	if isSuccess(status) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.recordViolation("accepted", "%s, which can't run or lacks a field (%q): %s", s.JobID, lacks, bytes.TrimSpace(raw))
+		w.recordViolation(ruleAccepted, "%s, which can't run or lacks a field (%q): %s", spec.JobID, lacks, bytes.TrimSpace(response))
 	}
 }
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -9,23 +9,46 @@
 	"madderslip/internal/transport"
 )
 
-// submissionBody is a submission as users send it: every field that may not be left out is there.
-func submissionBody(s *protocol.Submission) []byte {
-	raw, _ := json.Marshal(s)
-	var all map[string]any
-	_ = json.Unmarshal(raw, &all)
-	for key, value := range map[string]any{"samePlace": s.SameZone, "spread": s.SpreadZones, "loaner": s.AllowSpot, "snapshotEveryS": s.CheckpointIntervalS, "snapshotS": s.CheckpointS} {
-		all[key] = value
-	}
-	raw, _ = json.Marshal(all)
-	return raw
+// submissionsPath is where controllers take submissions.
+const submissionsPath = "/submissions"
+
+// How long users wait for an answer.
+const (
+	submitTimeout = 5 * time.Second
+	queryTimeout  = 2 * time.Second
+)
+
+// isSuccess reports whether a status is that of a submission that was accepted, now or
+// before, or of a job's status.
+func isSuccess(status int) bool { return status == 200 || status == 201 }
+
+// isRejection reports whether a status denies that a job exists or may.
+func isRejection(status int) bool { return status == 400 || status == 404 || status == 422 }
+
+// isFinal reports whether a job stays in a phase for good.
+func isFinal(phase string) bool { return phase == protocol.JobDone || phase == protocol.JobCancelled }
+
+// submissionBody is a submission as users send it: every field that may not be left out is
+// there, also those whose value is empty.
+func submissionBody(spec *protocol.Submission) []byte {
+	body, _ := json.Marshal(spec)
+	var fields map[string]any
+	_ = json.Unmarshal(body, &fields)
+	fields["samePlace"] = spec.SameZone
+	fields["spread"] = spec.SpreadZones
+	fields["loaner"] = spec.AllowSpot
+	fields["snapshotEveryS"] = spec.CheckpointIntervalS
+	fields["snapshotS"] = spec.CheckpointS
+	body, _ = json.Marshal(fields)
+	return body
 }
 
-// Submit sends a job to a node and waits for the answer.
+// Submit has a user submit a job to a controller. It waits for the answer and returns its
+// status, 0 without one.
 func (w *World) Submit(node string, job *Job) int {
 	w.mu.Lock()
-	if old := w.jobs[job.Spec.JobID]; old != nil {
-		job = old
+	if known := w.jobs[job.Spec.JobID]; known != nil {
+		job = known
 	} else {
 		job.tasksDone = make(map[int]bool)
 		w.jobs[job.Spec.JobID] = job
@@ -33,41 +56,44 @@
 	w.mu.Unlock()
 	body := submissionBody(&job.Spec)
 	asked := time.Now()
-	status, raw := w.Ask(node, "POST", "/submissions", body, 5*time.Second)
-	w.checkAnswer(job.Spec.JobID, asked, status, raw, status == 200 || status == 201)
+	status, response := w.Ask(node, "POST", submissionsPath, body, submitTimeout)
+	w.checkAnswer(job.Spec.JobID, asked, status, response, isSuccess(status))
 	return status
 }
 
-// Cancel asks a node to cancel a job.
+// Cancel has a user ask a controller to cancel a job. It returns the answer's status, 0
+// without one.
 func (w *World) Cancel(node, jobID string) int {
 	w.mu.Lock()
 	w.cancelRequested[jobID] = true
 	w.mu.Unlock()
 	asked := time.Now()
-	status, raw := w.Ask(node, "POST", "/submissions/"+jobID+"/abort", nil, 5*time.Second)
-	w.checkAnswer(jobID, asked, status, raw, false)
+	status, response := w.Ask(node, "POST", submissionsPath+"/"+jobID+"/abort", nil, submitTimeout)
+	w.checkAnswer(jobID, asked, status, response, false)
 	return status
 }
 
-// Query asks a node for a job; phase is empty without an answer.
-func (w *World) Query(node, jobID string) (status int, a protocol.JobStatus) {
+// Query has a user ask a controller for a job; the phase is empty and the status 0 without
+// an answer.
+func (w *World) Query(node, jobID string) (status int, job protocol.JobStatus) {
 	asked := time.Now()
-	status, raw := w.Ask(node, "GET", "/submissions/"+jobID, nil, 2*time.Second)
-	w.checkAnswer(jobID, asked, status, raw, false)
-	_ = json.Unmarshal(raw, &a)
-	return status, a
+	status, response := w.Ask(node, "GET", submissionsPath+"/"+jobID, nil, queryTimeout)
+	w.checkAnswer(jobID, asked, status, response, false)
+	_ = json.Unmarshal(response, &job)
+	return status, job
 }
 
-// RequestUntilAnswered repeats a request as a user does, at one node after the other, for up
-// to a minute, until it has a definite answer.
+// RequestUntilAnswered repeats a request as a user does, at one controller after the
+// other, for up to a minute, until it has a definite answer. It returns that one's status,
+// 0 without one.
 func (w *World) RequestUntilAnswered(node string, request func(node string) int) int {
 	w.mu.Lock()
-	names := slices.Clone(w.controllers)
+	controllers := slices.Clone(w.controllers)
 	w.mu.Unlock()
 	began := time.Now()
-	for i := slices.Index(names, node); time.Since(began) < time.Minute; i++ {
-		switch status := request(names[max(i, 0)%len(names)]); status {
-		case 200, 201, 400, 404, 422:
+	for i := slices.Index(controllers, node); time.Since(began) < time.Minute; i++ {
+		status := request(controllers[max(i, 0)%len(controllers)])
+		if isSuccess(status) || isRejection(status) {
 			return status
 		}
 		if !wait(w.ctx, time.Second+137*time.Microsecond) {
@@ -77,26 +103,28 @@
 	return 0
 }
 
-// Ask makes a user's request.
-func (w *World) Ask(node, method, target string, body []byte, timeout time.Duration) (int, []byte) {
+// Ask makes a user's request, which is in no zone. The status is 0 if no answer comes
+// within the timeout.
+func (w *World) Ask(node, method, target string, body []byte, timeout time.Duration) (status int, response []byte) {
 	w.mu.Lock()
 	handler := w.handlers[node]
 	if w.zonesPartitioned(w.controllerZones[node], "") {
-		handler = nil // users are in no zone
+		handler = nil
 	}
-	there, back := w.between(100*time.Microsecond, time.Millisecond, node, target), w.between(100*time.Microsecond, time.Millisecond, node, target)
+	requestDelay := w.between(100*time.Microsecond, time.Millisecond, node, target)
+	responseDelay := w.between(100*time.Microsecond, time.Millisecond, node, target)
 	w.mu.Unlock()
-	if handler == nil || !wait(w.ctx, there) {
+	if handler == nil || !wait(w.ctx, requestDelay) {
 		return 0, nil
 	}
-	got := make(chan transport.Response, 1)
-	go handler(method, target, body, func(r transport.Response) { got <- r })
+	received := make(chan transport.Response, 1)
+	go handler(method, target, body, func(answer transport.Response) { received <- answer })
 	select {
-	case r := <-got:
-		if !wait(w.ctx, back) {
+	case answer := <-received:
+		if !wait(w.ctx, responseDelay) {
 			return 0, nil
 		}
-		return r.Status, r.Body
+		return answer.Status, answer.Body
 	case <-time.After(timeout):
 		return 0, nil
 	case <-w.ctx.Done():
@@ -105,43 +133,50 @@
 }
 
 // checkAnswer checks an answer against what users were told before they asked. What
-// they were told while the question was on its way cannot be held against it.
-func (w *World) checkAnswer(jobID string, asked time.Time, status int, raw []byte, accepted bool) {
+// they were told while the question was on its way cannot be held against it. The answer
+// to a submission that is a success is the job's acceptance.
+func (w *World) checkAnswer(jobID string, asked time.Time, status int, response []byte, accepted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	job := w.jobs[jobID]
 	if job == nil {
 		if status == 200 {
-			w.recordViolation("invented", "%s", jobID)
+			w.recordViolation(ruleInvented, "%s", jobID)
 		}
 		return
 	}
 	w.checkAcceptance(job, asked, status)
 	if accepted && job.acceptedAt.IsZero() {
 		job.acceptedAt = time.Now()
-		w.readConcurrently(jobID, "accepted")
+		w.readConcurrently(jobID, readAccepted)
 	}
-	if (status == 404 || status == 400 || status == 422) && !job.acceptedAt.IsZero() && !job.acceptedAt.After(asked) {
-		w.recordViolation("forgotten", "%s got %d", jobID, status)
+	if isRejection(status) && !job.acceptedAt.IsZero() && !job.acceptedAt.After(asked) {
+		w.recordViolation(ruleForgotten, "%s got %d", jobID, status)
 	}
-	var a protocol.JobStatus
-	if (status != 200 && status != 201) || json.Unmarshal(raw, &a) != nil {
-		return
+	var answer protocol.JobStatus
+	if isSuccess(status) && json.Unmarshal(response, &answer) == nil {
+		w.checkPhaseAnswer(job, answer.Phase, asked)
 	}
-	final := func(p string) bool { return p == protocol.JobDone || p == protocol.JobCancelled }
-	if final(job.lastPhase) && a.Phase != job.lastPhase && (final(a.Phase) || !job.lastPhaseAt.After(asked)) {
-		w.recordViolation("went_back", "%s was %s, is %s", jobID, job.lastPhase, a.Phase)
+}
+
+// checkPhaseAnswer checks the phase that a user is told of a job and remembers it. The
+// world's lock is held by the caller.
+func (w *World) checkPhaseAnswer(job *Job, phase string, asked time.Time) {
+	jobID := job.Spec.JobID
+	knownBefore := !job.lastPhaseAt.After(asked)
+	if isFinal(job.lastPhase) && phase != job.lastPhase && (isFinal(phase) || knownBefore) {
+		w.recordViolation(ruleWentBack, "%s was %s, is %s", jobID, job.lastPhase, phase)
 	}
-	w.checkPhase(jobID, a.Phase, asked)
-	if a.Phase == protocol.JobDone && len(job.tasksDone) < job.Spec.Tasks {
-		w.recordViolation("not_done", "%s has %d of %d", jobID, len(job.tasksDone), job.Spec.Tasks)
+	w.checkCancelledPhase(jobID, phase, asked)
+	if phase == protocol.JobDone && len(job.tasksDone) < job.Spec.Tasks {
+		w.recordViolation(ruleNotDone, "%s has %d of %d", jobID, len(job.tasksDone), job.Spec.Tasks)
 	}
-	if a.Phase == protocol.JobCancelled && job.cancelledAt.IsZero() {
+	if phase == protocol.JobCancelled && job.cancelledAt.IsZero() {
 		job.cancelledAt = time.Now()
 		w.recordEvent("%s is cancelled", jobID)
-		w.readConcurrently(jobID, "cancelled")
+		w.readConcurrently(jobID, readCancelled)
 	}
-	if !final(job.lastPhase) && a.Phase != job.lastPhase {
-		job.lastPhase, job.lastPhaseAt = a.Phase, time.Now()
+	if !isFinal(job.lastPhase) && phase != job.lastPhase {
+		job.lastPhase, job.lastPhaseAt = phase, time.Now()
 	}
 }
