--- a/internal/emulator/dependencies.go
+++ b/internal/emulator/dependencies.go
@@ -1,115 +1,132 @@
 package emulator
 
 import (
+	"slices"
 	"time"
 
 	"madderslip/internal/protocol"
 )
 
-// dependenciesDone tells that all jobs that one needs are done. The world's lock is held.
+// dependenciesDone reports whether all jobs that one needs are done. The world's lock is
+// held by the caller.
 func (w *World) dependenciesDone(job *Job) bool {
 	for _, jobID := range job.Spec.Dependencies {
-		if need := w.jobs[jobID]; need == nil || !need.allTasksDone() {
+		if dependency := w.jobs[jobID]; dependency == nil || !dependency.allTasksDone() {
 			return false
 		}
 	}
 	return true
 }
 
-// eligibleAt is when a job could first have begun: when it was accepted, or when the last
-// job that it needs was done. The world's lock is held.
+// eligibleAt is when a job could first have started: when it was accepted, or when the last
+// job that it needs was done. The world's lock is held by the caller.
 func (w *World) eligibleAt(job *Job) time.Time {
 	at := job.acceptedAt
 	for _, jobID := range job.Spec.Dependencies {
-		if need := w.jobs[jobID]; need != nil && need.finishedAt.After(at) {
-			at = need.finishedAt
+		if dependency := w.jobs[jobID]; dependency != nil && dependency.finishedAt.After(at) {
+			at = dependency.finishedAt
 		}
 	}
 	return at
 }
 
-// cancelledDependency tells whether the user of any job that one needs, directly or through
-// others, has asked to cancel it, and since when a user knows that it is cancelled (zero:
-// none does). What was answered with done goes on. The world's lock is held.
-func (w *World) cancelledDependency(jobID string) (asked bool, told time.Time) {
+// dependenciesOf lists the known jobs that one needs, directly or through others. The
+// world's lock is held by the caller.
+func (w *World) dependenciesOf(jobID string) []*Job {
+	var dependencies []*Job
 	seen := map[string]bool{jobID: true}
-	todo := []string{jobID}
-	for len(todo) > 0 {
-		job := w.jobs[todo[len(todo)-1]]
-		todo = todo[:len(todo)-1]
+	unvisited := []string{jobID}
+	for len(unvisited) > 0 {
+		job := w.jobs[unvisited[len(unvisited)-1]]
+		unvisited = unvisited[:len(unvisited)-1]
 		if job == nil {
 			continue
 		}
-		for _, need := range job.Spec.Dependencies {
-			before := w.jobs[need]
-			if seen[need] || before == nil {
-				continue
-			}
-			seen[need] = true
-			todo = append(todo, need)
-			if w.cancelRequested[need] && before.lastPhase != protocol.JobDone {
-				asked = true
-			}
-			if at := before.cancelledAt; w.cancelRequested[need] && !at.IsZero() && (told.IsZero() || at.Before(told)) {
-				told = at
+		for _, id := range job.Spec.Dependencies {
+			if dependency := w.jobs[id]; dependency != nil && !seen[id] {
+				seen[id] = true
+				unvisited = append(unvisited, id)
+				dependencies = append(dependencies, dependency)
 			}
 		}
 	}
-	return asked, told
+	return dependencies
 }
 
-// cancelled tells that a job need not run any more: its user cancelled it, or one before it.
-// The world's lock is held.
+// cancelledDependency reports whether the user of any job that one needs has asked to
+// cancel it, and since when a user knows that one is cancelled (zero: none does). A job
+// that was answered with done stays so, and what needs it goes on. The world's lock is held
+// by the caller.
+func (w *World) cancelledDependency(jobID string) (requested bool, confirmedAt time.Time) {
+	for _, dependency := range w.dependenciesOf(jobID) {
+		if !w.cancelRequested[dependency.Spec.JobID] {
+			continue
+		}
+		if dependency.lastPhase != protocol.JobDone {
+			requested = true
+		}
+		at := dependency.cancelledAt
+		if !at.IsZero() && (confirmedAt.IsZero() || at.Before(confirmedAt)) {
+			confirmedAt = at
+		}
+	}
+	return requested, confirmedAt
+}
+
+// cancelled reports whether a user has asked to cancel a job or one that it needs. The
+// world's lock is held by the caller.
 func (w *World) cancelled(jobID string) bool {
 	if w.cancelRequested[jobID] {
 		return true
 	}
-	asked, _ := w.cancelledDependency(jobID)
-	return asked
+	requested, _ := w.cancelledDependency(jobID)
+	return requested
 }
 
-// needNotRun tells that a job does not have to run: nobody accepted it, it fails, it is
-// cancelled, or jobs that it needs are not done. The world's lock is held.
-func (w *World) needNotRun(j *Job) bool {
-	return j.Fail || j.acceptedAt.IsZero() || !w.dependenciesDone(j) || w.cancelled(j.Spec.JobID)
+// needNotRun reports whether a job does not have to run: nobody accepted it, it fails, it
+// is cancelled, or jobs that it needs are not done. The world's lock is held by the caller.
+func (w *World) needNotRun(job *Job) bool {
+	return job.Fail || job.acceptedAt.IsZero() || !w.dependenciesDone(job) || w.cancelled(job.Spec.JobID)
 }
 
-// checkCancelledPhase checks what a user was told of a job against what is known of those before
-// it. The world's lock is held.
+// checkCancelledPhase checks the phase that a user is told of a job against what is known
+// of the jobs that it needs. The world's lock is held by the caller.
 func (w *World) checkCancelledPhase(jobID, phase string, asked time.Time) {
-	off, told := w.cancelledDependency(jobID)
-	if phase == protocol.JobCancelled && !w.cancelRequested[jobID] && !off {
+	requested, confirmedAt := w.cancelledDependency(jobID)
+	if phase == protocol.JobCancelled && !w.cancelRequested[jobID] && !requested {
 		w.recordViolation(ruleWentBack, "%s cancelled by nobody", jobID)
 	}
-	if phase != protocol.JobCancelled && phase != protocol.JobDone && !told.IsZero() && asked.Sub(told) > w.Workers.CancelDeadline {
-		w.recordViolation(ruleOrphaned, "%s is called %s, a job before it was called cancelled %v before", jobID, phase, asked.Sub(told).Round(time.Millisecond))
+	since := asked.Sub(confirmedAt)
+	if !isFinal(phase) && !confirmedAt.IsZero() && since > w.Workers.CancelDeadline {
+		w.recordViolation(ruleOrphaned, "%s is called %s, a job before it was called cancelled %v before", jobID, phase, since.Round(time.Millisecond))
 	}
 }
 
 // checkAcceptance checks that all that an accepted job names was submitted, and that a
 // job was not refused for naming others that were accepted before it was submitted. The
-// world's lock is held.
+// world's lock is held by the caller.
 func (w *World) checkAcceptance(job *Job, asked time.Time, status int) {
-	all := true
+	allAccepted := true
 	for _, jobID := range job.Spec.Dependencies {
-		need := w.jobs[jobID]
-		if need == nil && (status == 200 || status == 201) {
+		dependency := w.jobs[jobID]
+		if dependency == nil && isSuccess(status) {
 			w.recordViolation(ruleInvented, "%s needs %s, which nobody submitted", job.Spec.JobID, jobID)
 		}
-		all = all && need != nil && !need.acceptedAt.IsZero() && need.acceptedAt.Before(asked)
+		allAccepted = allAccepted && dependency != nil && !dependency.acceptedAt.IsZero() && dependency.acceptedAt.Before(asked)
 	}
-	if len(job.Spec.Dependencies) > 0 && all && status == 422 {
+	if len(job.Spec.Dependencies) > 0 && allAccepted && status == 422 {
 		w.recordViolation(ruleForgotten, "%s got 422, and all that it needs was accepted", job.Spec.JobID)
 	}
 }
 
-// Endless tells that a job, or one that it needs, does not end by itself.
+// Endless reports whether a job, or one that it needs, does not end by itself.
 func (w *World) Endless(jobID string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.endless(jobID)
 }
 
+// endless is Endless for callers that hold the world's lock.
 func (w *World) endless(jobID string) bool {
 	job := w.jobs[jobID]
 	if job == nil || w.cancelled(jobID) || job.allTasksDone() {
@@ -118,10 +135,5 @@
 	if job.Fail || job.Spec.Shape == protocol.ShapeService {
 		return true
 	}
-	for _, need := range job.Spec.Dependencies {
-		if w.endless(need) {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(job.Spec.Dependencies, w.endless)
 }
--- a/internal/emulator/loopback.go
+++ b/internal/emulator/loopback.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"sync/atomic"
 	"syscall"
 	"time"
@@ -14,46 +15,49 @@
 	"madderslip/internal/transport"
 )
 
-// The same world over loopback: real HTTP on the real clock, for measurements that are
-// too long for a test. Every worker has an address of its own in 127.0.0.0/8; one
-// listener, bound to the loopback device, takes the calls to all of them.
-
-// Traffic counts what went over one kind of link; it is safe for concurrent use.
+// Traffic counts the requests over one kind of link and the bytes that the world's end of
+// it gets in and sends out; it is safe for concurrent use.
 type Traffic struct{ Requests, In, Out atomic.Int64 }
 
+// add counts one request.
 func (t *Traffic) add(in, out int) {
 	t.Requests.Add(1)
 	t.In.Add(int64(in))
 	t.Out.Add(int64(out))
 }
 
-// Loopback is a world with addresses.
+// Loopback is a world over loopback: real HTTP on the real clock, for measurements that
+// are too long for a test. Every worker has an address of its own in 127.0.0.0/8; one
+// listener, bound to the loopback device, takes the calls to all of them.
 type Loopback struct {
 	W          *World
 	StateAddr  string
 	CloudAddr  string
 	State      Traffic // calls of the state service
-	Cloud      Traffic // of the cloud
-	Commands   Traffic // direct calls of workers
-	Reports    Traffic // workers' reports: Out is what workers send
-	Users      Traffic
+	Cloud      Traffic // calls of the cloud
+	Commands   Traffic // controllers' calls of workers
+	Reports    Traffic // workers' heartbeats: Out is what workers send
+	Users      Traffic // users' requests: Out is what users send
 	workerPort int
 	client     *http.Client
 	servers    []*http.Server
 }
 
-// NewLoopback opens the world's addresses. Its workers live at 127.1.X.Y.
+// NewLoopback opens the world's addresses and sets its Address. Its workers live at
+// 127.1.X.Y. The caller closes it.
 func NewLoopback(ctx context.Context, w *World) (*Loopback, error) {
 	l := &Loopback{W: w, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 20_000, IdleConnTimeout: time.Minute, DisableCompression: true}}}
-	var err error
-	if l.StateAddr, err = l.serve(ctx, "127.0.0.1:0", l.handle(&l.State, func(r *http.Request, body []byte) (int, []byte) {
+	callState := func(r *http.Request, body []byte) (int, []byte) {
 		return w.State.handle(r.Context(), r.Method, r.URL.RequestURI(), body)
-	})); err != nil {
-		return nil, err
 	}
-	if l.CloudAddr, err = l.serve(ctx, "127.0.0.1:0", l.handle(&l.Cloud, func(r *http.Request, body []byte) (int, []byte) {
+	callCloud := func(r *http.Request, body []byte) (int, []byte) {
 		return w.handleCloud(r.Method, r.URL.RequestURI(), body)
-	})); err != nil {
+	}
+	var err error
+	if l.StateAddr, err = l.serve(ctx, "127.0.0.1:0", l.handle(&l.State, callState)); err != nil {
+		return nil, err
+	}
+	if l.CloudAddr, err = l.serve(ctx, "127.0.0.1:0", l.handle(&l.Cloud, callCloud)); err != nil {
 		return nil, err
 	}
 	workers, err := l.serve(ctx, "0.0.0.0:0", l.handle(&l.Commands, l.serveWorker))
@@ -64,14 +68,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := fmt.Sscan(port, &l.workerPort); err != nil {
+	if l.workerPort, err = strconv.Atoi(port); err != nil {
 		return nil, err
 	}
 	w.Address = l.address
 	return l, nil
 }
 
-// Close ends the servers.
+// Close ends the servers; calls under way are cut short.
 func (l *Loopback) Close() {
 	for _, s := range l.servers {
 		_ = s.Close()
@@ -89,44 +93,45 @@
 	return err
 }
 
-func (l *Loopback) serve(ctx context.Context, addr string, h http.Handler) (string, error) {
-	lc := net.ListenConfig{Control: bindToLoopback}
-	ln, err := lc.Listen(ctx, "tcp4", addr)
+// serve has a handler answer calls at an address and returns the one it got.
+func (l *Loopback) serve(ctx context.Context, addr string, handler http.Handler) (string, error) {
+	config := net.ListenConfig{Control: bindToLoopback}
+	listener, err := config.Listen(ctx, "tcp4", addr)
 	if err != nil {
 		return "", err
 	}
-	s := &http.Server{Handler: h}
-	l.servers = append(l.servers, s)
-	go func() { _ = s.Serve(ln) }()
-	return ln.Addr().String(), nil
+	server := &http.Server{Handler: handler}
+	l.servers = append(l.servers, server)
+	go func() { _ = server.Serve(listener) }()
+	return listener.Addr().String(), nil
 }
 
-// handle answers calls by do and counts them; none that has no status gets a response.
-func (l *Loopback) handle(t *Traffic, do func(*http.Request, []byte) (int, []byte)) http.Handler {
+// handle answers calls by do and counts them. A call whose status is 0 gets no response.
+func (l *Loopback) handle(traffic *Traffic, do func(*http.Request, []byte) (int, []byte)) http.Handler {
 	return http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
-		status, answer := do(r, body)
+		status, response := do(r, body)
 		if status == 0 {
-			panic(http.ErrAbortHandler) // no answer at all
+			panic(http.ErrAbortHandler)
 		}
-		t.add(len(body), len(answer))
+		traffic.add(len(body), len(response))
 		out.Header().Set("Content-Type", "application/json")
 		out.WriteHeader(status)
-		_, _ = out.Write(answer)
+		_, _ = out.Write(response)
 	})
 }
 
-// address is a worker's: 127.1.X.Y by the machine's number.
+// address is a worker's address: 127.1.X.Y by the machine's number.
 func (l *Loopback) address(host string) string {
-	n := 0
-	_, _ = fmt.Sscanf(host, "vm-%d", &n)
-	return fmt.Sprintf("127.1.%d.%d:%d", n/250, 1+n%250, l.workerPort)
+	number := 0
+	_, _ = fmt.Sscanf(host, "vm-%d", &number)
+	return fmt.Sprintf("127.1.%d.%d:%d", number/250, 1+number%250, l.workerPort)
 }
 
-// serveWorker finds the machine that a call was sent to by the address that took it.
+// serveWorker has the worker answer a call whose address took it.
 func (l *Loopback) serveWorker(r *http.Request, body []byte) (int, []byte) {
 	local, _ := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	tcp, ok := local.(*net.TCPAddr)
@@ -135,36 +140,39 @@
 	}
 	ip := tcp.IP.To4()
 	host := fmt.Sprintf("vm-%06d", int(ip[2])*250+int(ip[3])-1)
-	status, out, err := l.W.callWorker(r.Context(), "", host, r.URL.Path, body, 0)
+	status, response, err := l.W.callWorker(r.Context(), "", host, r.URL.Path, body, 0)
 	if err != nil {
 		return 0, nil
 	}
-	return status, out
+	return status, response
 }
 
+// nodeTimeout is how long a controller may take for a response over loopback.
+const nodeTimeout = 5 * time.Second
+
 // AddNode connects a controller by its public address.
 func (l *Loopback) AddNode(name, addr string) {
 	l.W.SetNode(name, func(method, target string, body []byte, reply func(transport.Response)) {
-		t := &l.Users
+		traffic := &l.Users
 		if target == heartbeatPath {
-			t = &l.Reports
+			traffic = &l.Reports
 		}
-		ctx, cancel := context.WithTimeout(l.W.ctx, 5*time.Second)
+		ctx, cancel := context.WithTimeout(l.W.ctx, nodeTimeout)
 		defer cancel()
-		req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+target, bytes.NewReader(body))
+		request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+target, bytes.NewReader(body))
 		if err != nil {
 			return
 		}
-		resp, err := l.client.Do(req)
+		response, err := l.client.Do(request)
 		if err != nil {
-			return // as if no answer came
+			return // as if no response came
 		}
-		defer func() { _ = resp.Body.Close() }()
-		out, err := io.ReadAll(resp.Body)
+		defer func() { _ = response.Body.Close() }()
+		out, err := io.ReadAll(response.Body)
 		if err != nil {
 			return
 		}
-		t.add(len(out), len(body))
-		reply(transport.Response{Status: resp.StatusCode, Body: out})
+		traffic.add(len(out), len(body))
+		reply(transport.Response{Status: response.StatusCode, Body: out})
 	})
 }
--- a/internal/emulator/partition.go
+++ b/internal/emulator/partition.go
@@ -5,102 +5,112 @@
 	"time"
 )
 
-// partitions is what the world knows of them, guarded by its lock.
+// partitions is what the world knows of paused controllers and of zones that are cut off,
+// guarded by its lock.
 type partitions struct {
-	controllerZones map[string]string        // of each controller
-	incarnations    map[string]int           // which process of a controller runs
-	paused          map[string]chan struct{} // closed when the controller goes on
-	heldAcrossZones map[string][]func()      // what a cut zone holds back, by zone
-	zoneHealed      chan struct{}            // closed when a zone's cut ends
+	controllerZones map[string]string
+	incarnations    map[string]int           // by controller, which of its processes runs
+	paused          map[string]chan struct{} // by controller, closed when it resumes
+	heldAcrossZones map[string][]func()      // by zone, what its partition holds back
+	zoneHealed      chan struct{}            // closed when a zone's partition ends
 }
 
+// newPartitions is a region without partitions.
 func newPartitions() partitions {
-	return partitions{controllerZones: make(map[string]string), incarnations: make(map[string]int), paused: make(map[string]chan struct{}),
-		heldAcrossZones: make(map[string][]func()), zoneHealed: make(chan struct{})}
+	return partitions{
+		controllerZones: make(map[string]string),
+		incarnations:    make(map[string]int),
+		paused:          make(map[string]chan struct{}),
+		heldAcrossZones: make(map[string][]func()),
+		zoneHealed:      make(chan struct{}),
+	}
 }
 
-// SetZone says in which zone a controller stands.
+// SetZone sets in which zone a controller is; without one it is in the region.
 func (w *World) SetZone(node, zone string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.controllerZones[node] = zone
 }
 
-// setPaused has a controller stand still, or go on.
+// setPaused pauses a controller, or has it resume. The world's lock is held by the caller.
 func (w *World) setPaused(node string, on bool) {
-	switch held := w.paused[node]; {
-	case on && held == nil:
+	switch resumed := w.paused[node]; {
+	case on && resumed == nil:
 		w.paused[node] = make(chan struct{})
-	case !on && held != nil:
-		close(held)
+	case !on && resumed != nil:
+		close(resumed)
 		delete(w.paused, node)
 	}
 }
 
-// WaitWhilePaused waits for as long as a controller stands still. What waits goes on one after
-// the other, by what was drawn when each began to wait: all at the same instant they
-// would be in an order that nobody could repeat.
+// WaitWhilePaused waits for as long as a controller is paused, or until the context ends.
+// What waits goes on one after the other, by what was drawn when each began to wait: all
+// at the same instant they would be in an order that nobody could repeat.
 func (w *World) WaitWhilePaused(ctx context.Context, node string) {
-	late := time.Duration(0)
+	delay := time.Duration(0)
 	for {
 		w.mu.Lock()
-		held := w.paused[node]
-		if held != nil && late == 0 {
-			late = w.between(time.Microsecond, 3*time.Millisecond, "stand", node)
+		resumed := w.paused[node]
+		if resumed != nil && delay == 0 {
+			delay = w.between(time.Microsecond, 3*time.Millisecond, "stand", node)
 		}
 		w.mu.Unlock()
-		if held == nil {
+		if resumed == nil {
 			return
 		}
 		select {
-		case <-held:
+		case <-resumed:
 		case <-ctx.Done():
 			return
 		}
-		if !wait(ctx, late) {
+		if !wait(ctx, delay) {
 			return
 		}
 	}
 }
 
-// deliverIfAlive wraps what a controller is asked: it hears nothing while it stands still,
-// and a process that has ended meanwhile hears nothing any more.
-func (w *World) deliverIfAlive(name string, life int, h func()) {
-	w.WaitWhilePaused(w.ctx, name)
+// deliverIfAlive hands a request to a controller: once it resumes if it is paused, and not
+// at all if the process has ended by then.
+func (w *World) deliverIfAlive(node string, incarnation int, deliver func()) {
+	w.WaitWhilePaused(w.ctx, node)
 	w.mu.Lock()
-	same := w.incarnations[name] == life
+	alive := w.incarnations[node] == incarnation
 	w.mu.Unlock()
-	if same {
-		h()
+	if alive {
+		deliver()
 	}
 }
 
-// zonesPartitioned tells whether a cut lies between two zones; the empty one is the region,
-// in which users, cloud and state service are.
-func (w *World) zonesPartitioned(a, b string) bool {
-	cutOff := func(zone string) bool { return zone != "" && w.hasFaultOn(faultZonePartition, zone) }
-	return a != b && (cutOff(a) || cutOff(b))
+// zonesPartitioned reports whether a partition lies between two zones; the empty one is
+// the region, in which users, cloud and state service are. The world's lock is held by the
+// caller.
+func (w *World) zonesPartitioned(a, b string) bool { return a != b && (w.isCutOff(a) || w.isCutOff(b)) }
+
+// isCutOff reports whether a zone is cut off from everything; the region never is. The
+// world's lock is held by the caller.
+func (w *World) isCutOff(zone string) bool {
+	return zone != "" && w.hasFaultOn(faultZonePartition, zone)
 }
 
-// heldDeliveryGap is how far apart the messages arrive that a cut held back.
-const heldDeliveryGap = 67 * time.Nanosecond
+// reachable reports whether no partition lies between a worker and a controller. The
+// world's lock is held by the caller.
+func (m *Machine) reachable(node string) bool {
+	return !m.world.zonesPartitioned(m.zone, m.world.controllerZones[node])
+}
 
-// deliverHeld has messages that were held back arrive one after the other: all at the same
-// instant they would be in an order that nobody could repeat. Each is called with the
-// world's lock held.
-func (w *World) deliverHeld(held []func()) {
-	for i, late := range held {
-		go func() {
-			if wait(w.ctx, time.Duration(i+1)*heldDeliveryGap) {
-				w.mu.Lock()
-				defer w.mu.Unlock()
-				late()
-			}
-		}()
+// holdUntilHealed keeps a message between two zones until the partition of one that is cut
+// off ends. The world's lock is held by the caller, and as deliver is called.
+func (w *World) holdUntilHealed(a, b string, deliver func()) {
+	zone := a
+	if !w.isCutOff(a) {
+		zone = b
 	}
+	w.heldAcrossZones[zone] = append(w.heldAcrossZones[zone], deliver)
 }
 
-// healZone ends the cut of a zone: what was held back arrives, in order.
+// healZone ends the partition of a zone: what was held back arrives, in order. The world's
+// lock is held by the caller.
 func (w *World) healZone(zone string) {
 	held := w.heldAcrossZones[zone]
 	delete(w.heldAcrossZones, zone)
@@ -109,23 +119,32 @@
 	w.zoneHealed = make(chan struct{})
 }
 
-// holdUntilHealed keeps a message until the cut of a zone is over.
-func (w *World) holdUntilHealed(a, b string, late func()) {
-	zone := a
-	if zone == "" || !w.hasFaultOn(faultZonePartition, zone) {
-		zone = b
+// heldDeliveryGap is how far apart the messages arrive that were held back.
+const heldDeliveryGap = 67 * time.Nanosecond
+
+// deliverHeld has messages that were held back arrive one after the other: all at the same
+// instant they would be in an order that nobody could repeat. The world's lock is held as
+// each is called.
+func (w *World) deliverHeld(held []func()) {
+	for i, deliver := range held {
+		go func() {
+			if wait(w.ctx, time.Duration(i+1)*heldDeliveryGap) {
+				w.mu.Lock()
+				defer w.mu.Unlock()
+				deliver()
+			}
+		}()
 	}
-	w.heldAcrossZones[zone] = append(w.heldAcrossZones[zone], late)
 }
 
-// waitForZoneLink waits for as long as a cut lies between a controller and a zone. It
-// returns false if the context ends first.
+// waitForZoneLink waits for as long as a partition lies between a controller and a zone.
+// It returns false if the context ends first.
 func (w *World) waitForZoneLink(ctx context.Context, node, zone string) bool {
 	for {
 		w.mu.Lock()
-		apart, healed := w.zonesPartitioned(w.controllerZones[node], zone), w.zoneHealed
+		partitioned, healed := w.zonesPartitioned(w.controllerZones[node], zone), w.zoneHealed
 		w.mu.Unlock()
-		if !apart {
+		if !partitioned {
 			return true
 		}
 		select {
@@ -135,8 +154,3 @@
 		}
 	}
 }
-
-// reachable tells whether a worker and a controller reach one another.
-func (m *Machine) reachable(node string) bool {
-	return !m.world.zonesPartitioned(m.zone, m.world.controllerZones[node])
-}
--- a/internal/emulator/rules_test.go
+++ b/internal/emulator/rules_test.go
@@ -11,118 +11,136 @@
 	"madderslip/internal/transport"
 )
 
-// TestChecksCanFail breaks each rule on purpose: a check that can't fail
-// guards nothing.
-func TestChecksCanFail(t *testing.T) {
-	job := func(ref string, tasks int) *Job {
-		return &Job{Run: time.Hour, Spec: protocol.Submission{JobID: ref, Team: "t", Shape: protocol.ShapeArray, Tasks: tasks, CPUs: 2, Image: "i"}}
-	}
-	start := func(w *World, host, task string, attempt uint64) {
-		w.mu.Lock()
-		w.machines[host].runCommands([]protocol.Command{protocol.StartCommand(task, attempt)})
-		w.mu.Unlock()
-		time.Sleep(2 * time.Second)
-	}
-	says := func(w *World, answers ...string) {
-		w.SetNode("n", func(_, target string, _ []byte, reply func(transport.Response)) {
-			if target == "/v1/report" {
-				reply(transport.Response{Status: 503})
-				return
-			}
-			status, body := 200, answers[0]
-			if body == "404" {
-				status = 404
+// testJob is an array of tasks of 2 CPUs that run for an hour.
+func testJob(jobID string, tasks int) *Job {
+	return &Job{Run: time.Hour, Spec: protocol.Submission{JobID: jobID, Team: "t", Shape: protocol.ShapeArray, Tasks: tasks, CPUs: 2, Image: "i"}}
+}
+
+// startTask has a worker start a task, and waits until it runs.
+func startTask(w *World, host, task string, attempt uint64) {
+	w.mu.Lock()
+	w.machines[host].runCommands([]protocol.Command{protocol.StartCommand(task, attempt)})
+	w.mu.Unlock()
+	time.Sleep(2 * time.Second)
+}
+
+// confirmCancellation is as if a user had been told that a job is cancelled; then it waits
+// until beyond the deadline.
+func confirmCancellation(w *World, jobID string) {
+	w.mu.Lock()
+	w.jobs[jobID].cancelledAt = time.Now()
+	w.mu.Unlock()
+	time.Sleep(10 * time.Second)
+}
+
+// answerUsers connects a controller that takes no heartbeats and answers users' requests
+// with one body after the other; "404" is that status.
+func answerUsers(w *World, answers ...string) {
+	w.SetNode("n", func(_, target string, _ []byte, reply func(transport.Response)) {
+		if target == heartbeatPath {
+			reply(transport.Response{Status: 503})
+			return
+		}
+		status, body := 200, answers[0]
+		if body == "404" {
+			status = 404
+		}
+		answers = answers[1:]
+		reply(transport.Response{Status: status, Body: []byte(body)})
+	})
+}
+
+// acceptInvalidRequests connects a controller that accepts every submission while users
+// send invalid ones.
+func acceptInvalidRequests(w *World) {
+	w.SetNode("n", func(_, target string, _ []byte, reply func(transport.Response)) {
+		status := 503
+		if target == submissionsPath {
+			status = 201
+		}
+		reply(transport.Response{Status: status, Body: []byte(`{"phase":"pending"}`)})
+	})
+	w.SetFault("odd requests", true)
+	time.Sleep(5 * time.Second)
+}
+
+// readOldStateConcurrently submits a job to one of two controllers while users read
+// concurrently: the other answers what is older, milliseconds after the acceptance.
+func readOldStateConcurrently(w *World) {
+	w.SetFault("close looks", true)
+	for _, name := range []string{"n", "m"} {
+		w.SetNode(name, func(method, _ string, _ []byte, reply func(transport.Response)) {
+			if method == "POST" && name == "n" {
+				reply(transport.Response{Status: 201, Body: []byte(`{"phase":"pending"}`)})
+			} else {
+				reply(transport.Response{Status: 404, Body: []byte(`{}`)})
 			}
-			answers = answers[1:]
-			reply(transport.Response{Status: status, Body: []byte(body)})
 		})
 	}
-	cases := map[string]func(w *World){
-		"ran_twice": func(w *World) {
-			w.jobs["wk-1"] = job("wk-1", 2)
-			start(w, "vm-000001", "wk-1/0", 1)
-			start(w, "vm-000002", "wk-1/0", 2)
-		},
-		"wrong_place": func(w *World) {
-			j := job("wk-1", 2)
-			j.Spec.SpreadZones = true
-			w.jobs["wk-1"] = j
-			start(w, "vm-000001", "wk-1/0", 1)
-			start(w, "vm-000002", "wk-1/1", 1)
-		},
-		"quota": func(w *World) {
-			w.jobs["wk-1"] = job("wk-1", 2)
-			start(w, "vm-000001", "wk-1/0", 1)
-			start(w, "vm-000002", "wk-1/1", 1)
-		},
-		"ran_cancelled": func(w *World) {
-			w.jobs["wk-1"] = job("wk-1", 1)
-			start(w, "vm-000001", "wk-1/0", 1)
-			w.mu.Lock()
-			w.jobs["wk-1"].cancelledAt = time.Now()
-			w.mu.Unlock()
-			time.Sleep(10 * time.Second)
-		},
-		"forgotten": func(w *World) {
-			says(w, `{"phase":"pending"}`, "404")
-			w.Submit("n", job("wk-1", 1))
+	w.Submit("n", testJob("wk-3", 1))
+	time.Sleep(time.Second)
+}
+
+// TestEveryRuleCanBreak breaks each rule on purpose: a check that can't fail guards
+// nothing.
+func TestEveryRuleCanBreak(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		want    string // that a violation contains
+		breakIt func(w *World)
+	}{
+		{"a task starts on two machines", "ran_twice:", func(w *World) {
+			w.jobs["wk-1"] = testJob("wk-1", 2)
+			startTask(w, "vm-000001", "wk-1/0", 1)
+			startTask(w, "vm-000002", "wk-1/0", 2)
+		}},
+		{"a job that spreads has all tasks in a zone", "wrong_place:", func(w *World) {
+			job := testJob("wk-1", 2)
+			job.Spec.SpreadZones = true
+			w.jobs["wk-1"] = job
+			startTask(w, "vm-000001", "wk-1/0", 1)
+			startTask(w, "vm-000002", "wk-1/1", 1)
+		}},
+		{"a team uses more than its limit", "quota:", func(w *World) {
+			w.jobs["wk-1"] = testJob("wk-1", 2)
+			startTask(w, "vm-000001", "wk-1/0", 1)
+			startTask(w, "vm-000002", "wk-1/1", 1)
+		}},
+		{"a cancelled task goes on", "ran_cancelled:", func(w *World) {
+			w.jobs["wk-1"] = testJob("wk-1", 1)
+			startTask(w, "vm-000001", "wk-1/0", 1)
+			confirmCancellation(w, "wk-1")
+		}},
+		{"a cancelled task goes on after its machine hung", "ran_cancelled: wk-2", func(w *World) {
+			w.jobs["wk-2"] = testJob("wk-2", 1)
+			startTask(w, "vm-000001", "wk-2/0", 1)
+			w.Set("vm-000001", "hang")
+			confirmCancellation(w, "wk-2")
+		}},
+		{"an accepted job is unknown", "forgotten:", func(w *World) {
+			answerUsers(w, `{"phase":"pending"}`, "404")
+			w.Submit("n", testJob("wk-1", 1))
 			w.Query("n", "wk-1")
-		},
-		"invented": func(w *World) {
-			says(w, `{"phase":"pending"}`)
+		}},
+		{"an accepted job is unknown to another controller", "forgotten: wk-3", readOldStateConcurrently},
+		{"a job that nobody submitted is known", "invented:", func(w *World) {
+			answerUsers(w, `{"phase":"pending"}`)
 			w.Query("n", "wk-9")
-		},
-		"not_done": func(w *World) {
-			says(w, `{"phase":"pending"}`, `{"phase":"done"}`)
-			w.Submit("n", job("wk-1", 1))
+		}},
+		{"a job is called done whose task was not", "not_done:", func(w *World) {
+			answerUsers(w, `{"phase":"pending"}`, `{"phase":"done"}`)
+			w.Submit("n", testJob("wk-1", 1))
 			w.Query("n", "wk-1")
-		},
-		"went_back": func(w *World) {
-			says(w, `{"phase":"cancelled"}`, `{"phase":"running"}`)
-			w.jobs["wk-1"] = job("wk-1", 1)
+		}},
+		{"a cancelled job is called running", "went_back:", func(w *World) {
+			answerUsers(w, `{"phase":"cancelled"}`, `{"phase":"running"}`)
+			w.jobs["wk-1"] = testJob("wk-1", 1)
 			w.Cancel("n", "wk-1")
 			w.Query("n", "wk-1")
-		},
-	}
-	// A task goes on after its machine hung.
-	cases["ran_cancelled: wk-2"] = func(w *World) {
-		w.jobs["wk-2"] = job("wk-2", 1)
-		start(w, "vm-000001", "wk-2/0", 1)
-		w.Set("vm-000001", "hang")
-		w.mu.Lock()
-		w.jobs["wk-2"].cancelledAt = time.Now()
-		w.mu.Unlock()
-		time.Sleep(10 * time.Second)
-	}
-	// What can't run, or lacks a field, is accepted.
-	cases["accepted"] = func(w *World) {
-		w.SetNode("n", func(_, target string, _ []byte, reply func(transport.Response)) {
-			status := 503
-			if target == "/submissions" {
-				status = 201
-			}
-			reply(transport.Response{Status: status, Body: []byte(`{"phase":"pending"}`)})
-		})
-		w.SetFault("odd requests", true)
-		time.Sleep(5 * time.Second)
-	}
-	// Close looks: another node answers what is older, milliseconds after an acceptance.
-	cases["forgotten: wk-3"] = func(w *World) {
-		w.SetFault("close looks", true)
-		for _, name := range []string{"n", "m"} {
-			w.SetNode(name, func(method, _ string, _ []byte, reply func(transport.Response)) {
-				if method == "POST" && name == "n" {
-					reply(transport.Response{Status: 201, Body: []byte(`{"phase":"pending"}`)})
-				} else {
-					reply(transport.Response{Status: 404, Body: []byte(`{}`)})
-				}
-			})
-		}
-		w.Submit("n", job("wk-3", 1))
-		time.Sleep(time.Second)
-	}
-	for rule, breakIt := range cases {
-		t.Run(rule, func(t *testing.T) {
+		}},
+		{"what can't run or lacks a field is accepted", "accepted:", acceptInvalidRequests},
+	} {
+		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
 				defer func() { cancel(); time.Sleep(2 * time.Hour) }()
@@ -133,11 +151,8 @@
 				if got := w.Broken(); len(got) > 0 {
 					t.Fatalf("broken before: %v", got)
 				}
-				breakIt(w)
-				if !strings.Contains(rule, ":") {
-					rule += ":"
-				}
-				if got := w.Broken(); len(got) == 0 || !strings.Contains(strings.Join(got, " "), rule) {
+				c.breakIt(w)
+				if got := w.Broken(); len(got) == 0 || !strings.Contains(strings.Join(got, " "), c.want) {
 					t.Fatalf("not noticed: %v", got)
 				}
 			})
@@ -145,9 +160,10 @@
 	}
 }
 
-// Once all is calm, a job that waits beside room that it fits is noticed, one whose team
-// is at its limit or that fits nowhere is not; and so is a start after a cancellation.
-func TestWaitingAndVainStartsAreNoticed(t *testing.T) {
+// Once all faults have ended, a job that waits beside capacity that it fits is noticed, one
+// whose team is at its limit or that fits nowhere is not; and so is a start after a
+// cancellation.
+func TestUnplacedJobsAndWastedStartsAreNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer func() { cancel(); time.Sleep(2 * time.Hour) }()
@@ -168,12 +184,12 @@
 		w.mu.Unlock()
 		time.Sleep(2 * time.Minute)
 		if got := w.Waiting(90 * time.Second); len(got) != 0 {
-			t.Errorf("before all is calm: %v", got)
+			t.Errorf("before all faults have ended: %v", got)
 		}
 		w.EndFaults(0)
 		time.Sleep(2 * time.Minute)
 		if got := strings.Join(w.Waiting(90*time.Second), " "); got != "wk-1 wk-4" {
-			t.Errorf("waiting beside room: %s", got)
+			t.Errorf("waiting beside capacity: %s", got)
 		}
 		w.mu.Lock()
 		w.jobs["wk-1"].cancelledAt = time.Now()
--- a/internal/emulator/servedshare.go
+++ b/internal/emulator/servedshare.go
@@ -3,7 +3,6 @@
 import (
 	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"madderslip/internal/protocol"
@@ -20,101 +19,113 @@
 	return s.Was / s.Could
 }
 
+// plus is the sum of two shares of the same measure.
+func (s ServedShare) plus(other ServedShare) ServedShare {
+	return ServedShare{s.Could + other.Could, s.Was + other.Was}
+}
+
+// normalized is the share with 1 for what could have been: a class of one shape adds up, a
+// team's classes count alike whatever their measure.
+func (s ServedShare) normalized() ServedShare {
+	if s.Could > 0 {
+		return ServedShare{1, s.Was / s.Could}
+	}
+	return s
+}
+
 // replicaGrace is from when on a replica counts as missed: a machine may have to boot.
 const replicaGrace = 25 * time.Second
 
-// countReplicas adds a moment to the replica time that services have had. The world's
-// lock is held.
-func (w *World) countReplicas(moment time.Duration) {
+// countReplicas adds an interval to the replica time that services have had. The world's
+// lock is held by the caller.
+func (w *World) countReplicas(interval time.Duration) {
 	running := make(map[string]int)
 	for _, machine := range w.machines {
+		if machine.removed || machine.hung || machine.crashed {
+			continue
+		}
 		for name, task := range machine.tasks {
-			if ref, _, _ := protocol.ParseTaskName(name); !machine.removed && !machine.hung && !machine.crashed && task.phase == protocol.TaskRunning {
-				running[ref]++
+			if task.phase == protocol.TaskRunning {
+				jobID, _, _ := protocol.ParseTaskName(name)
+				running[jobID]++
 			}
 		}
 	}
 	for _, job := range w.jobs {
 		if job.Spec.Shape == protocol.ShapeService && !w.needNotRun(job) && time.Since(w.eligibleAt(job)) > replicaGrace {
-			job.replicaTime.Could += float64(job.Spec.Tasks) * moment.Seconds()
-			job.replicaTime.Was += float64(min(running[job.Spec.JobID], job.Spec.Tasks)) * moment.Seconds()
+			job.replicaTime.Could += float64(job.Spec.Tasks) * interval.Seconds()
+			job.replicaTime.Was += float64(min(running[job.Spec.JobID], job.Spec.Tasks)) * interval.Seconds()
 		}
 	}
 }
 
-// largestJobs tells which jobs are a class's largest: whose tasks together take at least
-// nine tenths of the CPUs that its largest job's do. The world's lock is held.
+// largestJobs are the largest jobs of each class: those whose tasks together take at least
+// nine tenths of the CPUs that the very largest one's do. The world's lock is held by the
+// caller.
 func (w *World) largestJobs() map[*Job]bool {
-	size := func(j *Job) float64 { return j.Spec.CPUs * float64(j.Spec.Tasks) }
+	size := func(job *Job) float64 { return job.Spec.CPUs * float64(job.Spec.Tasks) }
 	most := make(map[string]float64)
-	for _, j := range w.jobs {
-		most[j.Spec.Class] = max(most[j.Spec.Class], size(j))
+	for _, job := range w.jobs {
+		most[job.Spec.Class] = max(most[job.Spec.Class], size(job))
 	}
-	out := make(map[*Job]bool)
-	for _, j := range w.jobs {
-		out[j] = size(j) >= 0.9*most[j.Spec.Class]
+	largest := make(map[*Job]bool)
+	for _, job := range w.jobs {
+		largest[job] = size(job) >= 0.9*most[job.Spec.Class]
 	}
-	return out
+	return largest
 }
 
-// Unbegun lists the jobs, of those that are their class's largest, that had not begun so
-// long after they were accepted, by reference. Those that fail or that their users
-// cancelled do not count.
+// Unbegun lists the jobs, of those that are their class's largest, that had not started so
+// long after they were accepted, in the order of their IDs. Those that fail or that their
+// users cancelled do not count.
 func (w *World) Unbegun(within time.Duration) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var out []string
+	var unbegun []string
 	largest := w.largestJobs()
 	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
 		job := w.jobs[jobID]
 		if !largest[job] || w.needNotRun(job) {
 			continue
 		}
-		end := job.startedAt
-		if end.IsZero() {
-			end = time.Now()
+		waitedUntil := job.startedAt
+		if waitedUntil.IsZero() {
+			waitedUntil = time.Now()
 		}
-		if end.Sub(w.eligibleAt(job)) > within {
-			out = append(out, jobID)
+		if waitedUntil.Sub(w.eligibleAt(job)) > within {
+			unbegun = append(unbegun, jobID)
 		}
 	}
-	return out
+	return unbegun
 }
 
-// Served tells by class, by team ("team NAME") and of a class's largest jobs alone
-// ("largest of CLASS") what was served so far: of services the replica time, counted
+// Served is, by class, by team ("team NAME") and of a class's largest jobs alone
+// ("largest of CLASS"), what was served so far: of services the replica time, counted
 // from some time after they were accepted; of arrays and gangs the tasks done, of jobs
 // that were accepted at least early ago. Jobs that fail or that their users cancelled do
 // not count.
 func (w *World) Served(early time.Duration) map[string]ServedShare {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := make(map[string]ServedShare)
+	served := make(map[string]ServedShare)
 	largest := w.largestJobs()
 	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
 		job := w.jobs[jobID]
-		s := job.replicaTime
-		if w.needNotRun(job) {
+		isService := job.Spec.Shape == protocol.ShapeService
+		if w.needNotRun(job) || (!isService && time.Since(w.eligibleAt(job)) < early) {
 			continue
 		}
-		if job.Spec.Shape != protocol.ShapeService {
-			if time.Since(w.eligibleAt(job)) < early {
-				continue
-			}
-			s = ServedShare{float64(job.Spec.Tasks), float64(len(job.tasksDone))}
+		share := job.replicaTime
+		if !isService {
+			share = ServedShare{float64(job.Spec.Tasks), float64(len(job.tasksDone))}
 		}
-		names := []string{job.Spec.Class}
+		class := job.Spec.Class
+		served[class] = served[class].plus(share)
 		if largest[job] {
-			names = append(names, "largest of "+job.Spec.Class)
-		}
-		for _, name := range append(names, "team "+job.Spec.Team) {
-			// A class of one shape adds up; a team's classes count alike whatever their measure.
-			if strings.HasPrefix(name, "team ") && s.Could > 0 {
-				s = ServedShare{1, s.Was / s.Could}
-			}
-			sum := out[name]
-			out[name] = ServedShare{sum.Could + s.Could, sum.Was + s.Was}
+			served["largest of "+class] = served["largest of "+class].plus(share)
 		}
+		team := "team " + job.Spec.Team
+		served[team] = served[team].plus(share.normalized())
 	}
-	return out
+	return served
 }
