--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -4,7 +4,7 @@
 // the same seed: every delay and every loss is drawn from the seed and what it happens to,
 // never from the order in which goroutines run.
 //
-// It injects faults by the names that scripts give them (SetFault for the world, Set for a
-// machine) and checks the rules of the protocol itself, so that a test fails when one is
+// It injects faults by the names that scripts give them (SetFault for the world,
+// SetMachineFault for a machine) and checks the rules of the protocol itself, so that a test fails when one is
 // broken (Broken). It must not import what it tests: no package of the controllers.
 package emulator
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -105,7 +105,7 @@
 
 // SetFault begins or ends a fault of the whole world, or of the one controller or zone
 // that its name ends in, such as "severed n1"; the constants of this file say what each
-// does. Faults of machines are Set's.
+// does. Faults of machines are SetMachineFault's.
 func (w *World) SetFault(name string, on bool) {
 	w.mu.Lock()
 	was := w.activeFaults[name]
@@ -145,13 +145,13 @@
 	}
 	for _, host := range hosts {
 		for _, what := range []string{machineResumes, machineHeals, machineWell, machineReceives, machineSends} {
-			w.Set(host, what)
+			w.SetMachineFault(host, what)
 		}
 	}
 }
 
-// FaultyMachines lists the faults that are on, in order.
-func (w *World) FaultyMachines() []string {
+// ActiveFaults lists the faults that are on, in order.
+func (w *World) ActiveFaults() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.DeleteFunc(slices.Sorted(maps.Keys(w.activeFaults)), func(name string) bool { return !w.activeFaults[name] })
--- a/internal/emulator/job.go
+++ b/internal/emulator/job.go
@@ -35,8 +35,8 @@
 // the caller.
 func (j *Job) allTasksDone() bool { return len(j.tasksDone) == j.Spec.Tasks }
 
-// Known is a job that was accepted, for checks once a test's work is over.
-type Known struct {
+// AcceptedJob is a job that was accepted, for checks once a test's work is over.
+type AcceptedJob struct {
 	Ref   string
 	Shape protocol.Shape
 	Tasks int
@@ -44,13 +44,13 @@
 }
 
 // Accepted lists the jobs that users were told are accepted, in the order of their IDs.
-func (w *World) Accepted() []Known {
+func (w *World) Accepted() []AcceptedJob {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var accepted []Known
+	var accepted []AcceptedJob
 	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
 		if job := w.jobs[jobID]; !job.acceptedAt.IsZero() {
-			accepted = append(accepted, Known{jobID, job.Spec.Shape, job.Spec.Tasks, job.Fail})
+			accepted = append(accepted, AcceptedJob{jobID, job.Spec.Shape, job.Spec.Tasks, job.Fail})
 		}
 	}
 	return accepted
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -217,9 +217,10 @@
 	return outcomeDelivered
 }
 
-// Peer carries a message between controllers, if their links are up. A message to a
-// controller that is severed or in another zone gets lost.
-func (w *World) Peer(ctx context.Context, from, to string, raw []byte, deliver func(context.Context, []byte) error) error {
+// SendToPeer carries a message between controllers, if their links are up. A message to a
+// controller that is severed or beyond a partition gets lost: the call ends with its
+// context.
+func (w *World) SendToPeer(ctx context.Context, from, to string, raw []byte, deliver func(context.Context, []byte) error) error {
 	w.mu.Lock()
 	refused := w.hasFaultOn(faultPeersRefuse, from) || w.hasFaultOn(faultPeersRefuse, to)
 	lost := w.zonesPartitioned(w.controllerZones[from], w.controllerZones[to]) || w.hasFaultOn(faultSevered, from) || w.hasFaultOn(faultSevered, to)
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -45,10 +45,12 @@
 }
 
 // AddMachines starts machines of the first type, not spot ones, that are up at once.
-func (w *World) AddMachines(count int, zone string) { w.AddKind(count, w.Types[0].Name, zone, false) }
+func (w *World) AddMachines(count int, zone string) {
+	w.AddMachinesOfType(count, w.Types[0].Name, zone, false)
+}
 
-// AddKind starts machines of a type that are up at once.
-func (w *World) AddKind(count int, machineType, zone string, spot bool) {
+// AddMachinesOfType starts machines of a type that are up at once.
+func (w *World) AddMachinesOfType(count int, machineType, zone string, spot bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for range count {
@@ -166,9 +168,6 @@
 	return hosts
 }
 
-// Rented lists the machines that are rented now, in order.
-func (w *World) Rented() []string { return w.Hosts(false) }
-
 // InZone lists the machines of a zone that are rented and have not crashed, in order.
 func (w *World) InZone(zone string) []string {
 	return slices.DeleteFunc(w.Hosts(false), func(host string) bool {
@@ -179,8 +178,8 @@
 	})
 }
 
-// Up counts the machines whose worker obeys a fencing token.
-func (w *World) Up() int {
+// RegisteredWorkers counts the machines whose worker obeys a fencing token.
+func (w *World) RegisteredWorkers() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	up := 0
--- a/internal/emulator/machinefaults.go
+++ b/internal/emulator/machinefaults.go
@@ -27,20 +27,20 @@
 	machineReboots        = "reboot" // it begins again under its name
 )
 
-// machineFaults are what Set knows.
+// machineFaults are what SetMachineFault knows.
 var machineFaults = []string{machineHangs, machineResumes, machinePartitioned, machineHeals, machineFailsTasks, machineSlow, machineWell,
 	machineCannotReceive, machineReceives, machineCannotSend, machineSends, machinePreemptionSoon, machineTaken, machineCrashes, machineReboots}
 
-// IsMachineFault reports whether Set knows a name.
+// IsMachineFault reports whether SetMachineFault knows a name.
 func IsMachineFault(what string) bool { return slices.Contains(machineFaults, what) }
 
 // preemptionNotice is how long before it takes a machine away the cloud says that it
 // does. It keeps to half of that or up to one and a half times it.
 const preemptionNotice = 20 * time.Second
 
-// Set begins or ends a fault of a machine, by the name that scripts give it. A machine
-// that was returned has no faults, one that crashed can only be taken away.
-func (w *World) Set(host, what string) {
+// SetMachineFault begins or ends a fault of a machine, by the name that scripts give it. A
+// machine that was returned has no faults, one that crashed can only be taken away.
+func (w *World) SetMachineFault(host, what string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	machine := w.machines[host]
--- a/internal/emulator/rules_test.go
+++ b/internal/emulator/rules_test.go
@@ -114,7 +114,7 @@
 		{"a cancelled task goes on after its machine hung", "ran_cancelled: wk-2", func(w *World) {
 			w.jobs["wk-2"] = testJob("wk-2", 1)
 			startTask(w, "vm-000001", "wk-2/0", 1)
-			w.Set("vm-000001", "hang")
+			w.SetMachineFault("vm-000001", "hang")
 			confirmCancellation(w, "wk-2")
 		}},
 		{"an accepted job is unknown", "forgotten:", func(w *World) {
@@ -183,12 +183,12 @@
 		}
 		w.mu.Unlock()
 		time.Sleep(2 * time.Minute)
-		if got := w.Waiting(90 * time.Second); len(got) != 0 {
+		if got := w.UnplacedLongerThan(90 * time.Second); len(got) != 0 {
 			t.Errorf("before all faults have ended: %v", got)
 		}
 		w.EndFaults(0)
 		time.Sleep(2 * time.Minute)
-		if got := strings.Join(w.Waiting(90*time.Second), " "); got != "wk-1 wk-4" {
+		if got := strings.Join(w.UnplacedLongerThan(90*time.Second), " "); got != "wk-1 wk-4" {
 			t.Errorf("waiting beside capacity: %s", got)
 		}
 		w.mu.Lock()
--- a/internal/emulator/servedshare.go
+++ b/internal/emulator/servedshare.go
@@ -9,26 +9,26 @@
 )
 
 // ServedShare is what was served of all that could have been, in the class's own measure.
-type ServedShare struct{ Could, Was float64 }
+type ServedShare struct{ Possible, Served float64 }
 
 // Share is the part that was served; 1 where nothing could have been.
 func (s ServedShare) Share() float64 {
-	if s.Could == 0 {
+	if s.Possible == 0 {
 		return 1
 	}
-	return s.Was / s.Could
+	return s.Served / s.Possible
 }
 
 // plus is the sum of two shares of the same measure.
 func (s ServedShare) plus(other ServedShare) ServedShare {
-	return ServedShare{s.Could + other.Could, s.Was + other.Was}
+	return ServedShare{s.Possible + other.Possible, s.Served + other.Served}
 }
 
 // normalized is the share with 1 for what could have been: a class of one shape adds up, a
 // team's classes count alike whatever their measure.
 func (s ServedShare) normalized() ServedShare {
-	if s.Could > 0 {
-		return ServedShare{1, s.Was / s.Could}
+	if s.Possible > 0 {
+		return ServedShare{1, s.Served / s.Possible}
 	}
 	return s
 }
@@ -53,8 +53,8 @@
 	}
 	for _, job := range w.jobs {
 		if job.Spec.Shape == protocol.ShapeService && !w.needNotRun(job) && time.Since(w.eligibleAt(job)) > replicaGrace {
-			job.replicaTime.Could += float64(job.Spec.Tasks) * interval.Seconds()
-			job.replicaTime.Was += float64(min(running[job.Spec.JobID], job.Spec.Tasks)) * interval.Seconds()
+			job.replicaTime.Possible += float64(job.Spec.Tasks) * interval.Seconds()
+			job.replicaTime.Served += float64(min(running[job.Spec.JobID], job.Spec.Tasks)) * interval.Seconds()
 		}
 	}
 }
@@ -75,13 +75,13 @@
 	return largest
 }
 
-// Unbegun lists the jobs, of those that are their class's largest, that had not started so
-// long after they were accepted, in the order of their IDs. Those that fail or that their
-// users cancelled do not count.
-func (w *World) Unbegun(within time.Duration) []string {
+// LargestNotStarted lists the jobs, of those that are their class's largest, that had not
+// started so long after they were accepted, in the order of their IDs. Those that fail or
+// that their users cancelled do not count.
+func (w *World) LargestNotStarted(within time.Duration) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var unbegun []string
+	var notStarted []string
 	largest := w.largestJobs()
 	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
 		job := w.jobs[jobID]
@@ -93,10 +93,10 @@
 			waitedUntil = time.Now()
 		}
 		if waitedUntil.Sub(w.eligibleAt(job)) > within {
-			unbegun = append(unbegun, jobID)
+			notStarted = append(notStarted, jobID)
 		}
 	}
-	return unbegun
+	return notStarted
 }
 
 // Served is, by class, by team ("team NAME") and of a class's largest jobs alone
--- a/internal/emulator/unplaced.go
+++ b/internal/emulator/unplaced.go
@@ -76,8 +76,9 @@
 	return !exceedsLimit(w.Teams[job.Spec.Team], used[0]+job.Spec.CPUs*count, used[1]+job.Spec.GPUs*count)
 }
 
-// Waiting lists the jobs that have waited for longer beside capacity that they fit.
-func (w *World) Waiting(longer time.Duration) (jobIDs []string) {
+// UnplacedLongerThan lists the jobs that have waited for longer beside capacity that they
+// fit, in the order of their IDs.
+func (w *World) UnplacedLongerThan(longer time.Duration) (jobIDs []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
--- a/internal/emulator/usage.go
+++ b/internal/emulator/usage.go
@@ -66,5 +66,5 @@
 	return count
 }
 
-// Tasks counts the tasks of all jobs that are on machines.
-func (w *World) Tasks() int { return w.Running("") }
+// RunningTasks counts the tasks of all jobs that are on machines.
+func (w *World) RunningTasks() int { return w.Running("") }
--- a/internal/emulator/userfaults.go
+++ b/internal/emulator/userfaults.go
@@ -62,7 +62,7 @@
 // waits for one.
 func (w *World) resubmit(node, jobID string, body []byte, awaited bool) {
 	asked := time.Now()
-	status, response := w.Ask(node, "POST", submissionsPath, body, submitTimeout)
+	status, response := w.userRequest(node, "POST", submissionsPath, body, submitTimeout)
 	w.checkAnswer(jobID, asked, status, response, awaited && isSuccess(status))
 }
 
@@ -214,7 +214,7 @@
 		delete(fields, lacks)
 		body, _ = json.Marshal(fields)
 	}
-	status, response := w.Ask(node, "POST", submissionsPath, body, submitTimeout)
+	status, response := w.userRequest(node, "POST", submissionsPath, body, submitTimeout)
 	if isSuccess(status) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -56,7 +56,7 @@
 	w.mu.Unlock()
 	body := submissionBody(&job.Spec)
 	asked := time.Now()
-	status, response := w.Ask(node, "POST", submissionsPath, body, submitTimeout)
+	status, response := w.userRequest(node, "POST", submissionsPath, body, submitTimeout)
 	w.checkAnswer(job.Spec.JobID, asked, status, response, isSuccess(status))
 	return status
 }
@@ -68,7 +68,7 @@
 	w.cancelRequested[jobID] = true
 	w.mu.Unlock()
 	asked := time.Now()
-	status, response := w.Ask(node, "POST", submissionsPath+"/"+jobID+"/abort", nil, submitTimeout)
+	status, response := w.userRequest(node, "POST", submissionsPath+"/"+jobID+"/abort", nil, submitTimeout)
 	w.checkAnswer(jobID, asked, status, response, false)
 	return status
 }
@@ -77,7 +77,7 @@
 // an answer.
 func (w *World) Query(node, jobID string) (status int, job protocol.JobStatus) {
 	asked := time.Now()
-	status, response := w.Ask(node, "GET", submissionsPath+"/"+jobID, nil, queryTimeout)
+	status, response := w.userRequest(node, "GET", submissionsPath+"/"+jobID, nil, queryTimeout)
 	w.checkAnswer(jobID, asked, status, response, false)
 	_ = json.Unmarshal(response, &job)
 	return status, job
@@ -103,9 +103,9 @@
 	return 0
 }
 
-// Ask makes a user's request, which is in no zone. The status is 0 if no answer comes
-// within the timeout.
-func (w *World) Ask(node, method, target string, body []byte, timeout time.Duration) (status int, response []byte) {
+// userRequest makes a request of a user, who is in no zone. The status is 0 if no answer
+// comes within the timeout.
+func (w *World) userRequest(node, method, target string, body []byte, timeout time.Duration) (status int, response []byte) {
 	w.mu.Lock()
 	handler := w.handlers[node]
 	if w.zonesPartitioned(w.controllerZones[node], "") {
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -41,14 +41,14 @@
 	per := func(count int64) float64 { return round(float64(count) / s) }
 	kb := func(bytes int64) float64 { return round(float64(bytes) / 1024 / s) }
 	workers := float64(r.cfg.Workers)
-	out := &Result{Workers: r.cfg.Workers, Controllers: r.cfg.Controllers, Seconds: round(s), Running: r.w.Tasks(),
+	out := &Result{Workers: r.cfg.Workers, Controllers: r.cfg.Controllers, Seconds: round(s), Running: r.w.RunningTasks(),
 		Starts: per(b.begun - a.begun), Wanted: r.cfg.Load.StartsPerS + r.cfg.Load.UrgentPerS,
 		Changes: per(int64(b.changes - a.changes)), Refused: per(int64(b.refused - a.refused)), Requests: per(b.requests - a.requests),
 		StateInKB: kb(b.stateIn - a.stateIn), StateOutKB: kb(b.stateOut - a.stateOut),
 		Reports: per(b.reports - a.reports), Commands: per(b.commands - a.commands),
 		WorkerOutKB: round(float64(b.reportOut-a.reportOut+b.commandOut-a.commandOut) / 1024 / s / workers),
 		WorkerInKB:  round(float64(b.reportIn-a.reportIn+b.commandIn-a.commandIn) / 1024 / s / workers),
-		Submitted:   b.submitted - a.submitted, Accepted: b.accepted - a.accepted, UpWorkers: int(r.w.Up())}
+		Submitted:   b.submitted - a.submitted, Accepted: b.accepted - a.accepted, UpWorkers: int(r.w.RegisteredWorkers())}
 	if starts := b.begun - a.begun; starts > 0 {
 		out.ChangesPerStart = round(float64(b.changes-a.changes) / float64(starts))
 	}
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -127,7 +127,7 @@
 	}
 	const batch = 100
 	for left := r.cfg.Workers; left > 0 && ctx.Err() == nil; left -= batch {
-		r.w.AddKind(min(left, batch), "m", zones[left/batch%len(zones)], false)
+		r.w.AddMachinesOfType(min(left, batch), "m", zones[left/batch%len(zones)], false)
 		time.Sleep(20 * time.Millisecond)
 	}
 	go r.load(ctx)
@@ -151,7 +151,7 @@
 
 func (r *run) say(what string) {
 	changes := r.w.State.Counts().Changes
-	fmt.Fprintf(r.says, "%s: %d tasks begun, %d running, %d changes of state, %d of %d jobs accepted\n", what, r.begun.Load(), r.w.Tasks(), changes, r.accepted.Load(), r.submitted.Load())
+	fmt.Fprintf(r.says, "%s: %d tasks begun, %d running, %d changes of state, %d of %d jobs accepted\n", what, r.begun.Load(), r.w.RunningTasks(), changes, r.accepted.Load(), r.submitted.Load())
 }
 
 // started is told of each task that begins, under the world's lock.
@@ -256,7 +256,7 @@
 	case "reboot":
 		hosts := r.w.Hosts(false)
 		for _, host := range hosts[:int(t.Part*float64(len(hosts)))] {
-			r.w.Set(host, "reboot")
+			r.w.SetMachineFault(host, "reboot")
 		}
 	case "crash":
 		c := r.all[r.rng.IntN(len(r.all))]
--- a/internal/simtest/calm.go
+++ b/internal/simtest/calm.go
@@ -76,7 +76,7 @@
 
 // noneWaits checks that no job waits beside room that it fits.
 func (c *cluster) noneWaits() error {
-	if refs := c.w.Waiting(waitsWithin); len(refs) > 0 {
+	if refs := c.w.UnplacedLongerThan(waitsWithin); len(refs) > 0 {
 		return fmt.Errorf("waits: %s for %v, beside room", strings.Join(refs, ", "), waitsWithin)
 	}
 	return nil
@@ -154,7 +154,7 @@
 			return fmt.Errorf("leaked: %s: %s", key, why)
 		}
 	}
-	if hosts := c.w.Rented(); len(hosts) > 0 {
+	if hosts := c.w.Hosts(false); len(hosts) > 0 {
 		return fmt.Errorf("leaked: %v are rented and unused", hosts)
 	}
 	for _, name := range c.names {
--- a/internal/simtest/cluster.go
+++ b/internal/simtest/cluster.go
@@ -122,7 +122,7 @@
 	if err != nil {
 		return err
 	}
-	return p.c.w.Peer(ctx, p.from, p.to, raw, func(ctx context.Context, raw []byte) error {
+	return p.c.w.SendToPeer(ctx, p.from, p.to, raw, func(ctx context.Context, raw []byte) error {
 		p.c.mu.Lock()
 		other, older := p.c.nodes[p.to], p.c.older[p.to]
 		p.c.mu.Unlock()
--- a/internal/simtest/held.go
+++ b/internal/simtest/held.go
@@ -59,14 +59,14 @@
 // onlyApart tells that no trouble is on but those that part one controller from
 // the state service or from the other controllers.
 func (c *cluster) onlyApart() bool {
-	return !slices.ContainsFunc(c.w.FaultyMachines(), func(name string) bool {
+	return !slices.ContainsFunc(c.w.ActiveFaults(), func(name string) bool {
 		return !strings.HasPrefix(name, "refuse ") && !strings.HasPrefix(name, "alone ")
 	})
 }
 
 // served tells that a controller runs and the state service serves it.
 func (c *cluster) served(name string) bool {
-	return slices.Contains(c.live(), name) && !slices.Contains(c.w.FaultyMachines(), "refuse "+name)
+	return slices.Contains(c.live(), name) && !slices.Contains(c.w.ActiveFaults(), "refuse "+name)
 }
 
 // eachHired reads from the hires which shard each machine is in.
--- a/internal/simtest/script.go
+++ b/internal/simtest/script.go
@@ -213,7 +213,7 @@
 		if typ == "" {
 			typ = c.w.Types[0].Name
 		}
-		c.w.AddKind(n, typ, arg(2), arg(4) == "cheap")
+		c.w.AddMachinesOfType(n, typ, arg(2), arg(4) == "cheap")
 	case "controllers": // controllers COUNT: see controllersOf
 	case "hold": // hold TEAM: from now on its limit is what controllers were given last
 		c.judge.Lock()
@@ -237,7 +237,7 @@
 			hosts = c.w.InZone(arg(2))
 		}
 		for _, host := range hosts[:(len(hosts)*percent+99)/100] {
-			c.w.Set(host, "die")
+			c.w.SetMachineFault(host, "die")
 		}
 	case "spare": // spare COUNT: what the cloud has left to rent
 		n, _ := strconv.Atoi(arg(1))
@@ -281,12 +281,12 @@
 		if ref, ok := strings.CutPrefix(arg(1), "@"); ok { // @REF: the machine of a task of the job's
 			host = c.w.HostOf(ref)
 		}
-		c.w.Set(host, arg(2))
+		c.w.SetMachineFault(host, arg(2))
 	case "reboot": // reboot PERCENT: so many of the machines begin again at once
 		percent, _ := strconv.Atoi(arg(1))
 		hosts := c.w.Hosts(false)
 		for _, host := range hosts[:(len(hosts)*percent+99)/100] {
-			c.w.Set(host, "reboot")
+			c.w.SetMachineFault(host, "reboot")
 		}
 	case "stream": // stream COUNT for TIME: so many jobs of one task a second, a quarter of them cancelled
 		return c.stream(f[1:])
@@ -294,7 +294,7 @@
 		return c.polls(f[1:])
 	case "wave": // wave notice|take: the cloud wants its cheap machines back
 		for _, host := range c.w.Hosts(true) {
-			c.w.Set(host, arg(1))
+			c.w.SetMachineFault(host, arg(1))
 		}
 	case "calm":
 		return c.calm()
--- a/internal/simtest/served.go
+++ b/internal/simtest/served.go
@@ -24,13 +24,13 @@
 	var starved []string
 	for _, name := range slices.Sorted(maps.Keys(served)) {
 		if s := served[name]; s.Share() < least {
-			starved = append(starved, fmt.Sprintf("%s was served %.2f of %.0f", name, s.Share(), s.Could))
+			starved = append(starved, fmt.Sprintf("%s was served %.2f of %.0f", name, s.Share(), s.Possible))
 		}
 	}
 	if len(starved) > 0 {
 		return fmt.Errorf("starved: %s", strings.Join(starved, ", "))
 	}
-	if late := c.w.Unbegun(beginWithin); len(late) > 0 {
+	if late := c.w.LargestNotStarted(beginWithin); len(late) > 0 {
 		return fmt.Errorf("starved: %s, of the largest of their class, did not begin within %v", strings.Join(late, ", "), beginWithin)
 	}
 	return nil
