--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -24,9 +24,10 @@
 	maxDelay = 3 * time.Millisecond
 )
 
+// errConnectionReset is what a caller gets whose call or response was lost.
 var errConnectionReset = errors.New("connection reset")
 
-// Link is a controller's network.
+// Link is a controller's network to the state service, the cloud and workers.
 type Link struct {
 	W    *World
 	Node string
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -171,8 +171,8 @@
 
 // recordViolation records that a rule was broken, once for the same details. The world's
 // lock is held by the caller.
-func (w *World) recordViolation(rule rule, format string, details ...any) {
-	text := string(rule) + ": " + fmt.Sprintf(format, details...)
+func (w *World) recordViolation(broken rule, format string, details ...any) {
+	text := string(broken) + ": " + fmt.Sprintf(format, details...)
 	if !slices.Contains(w.violations, text) {
 		w.recordEvent("BROKEN %s", text)
 		w.violations = append(w.violations, text)
--- a/internal/emulator/statestore_api.go
+++ b/internal/emulator/statestore_api.go
@@ -9,6 +9,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"madderslip/internal/protocol"
 )
 
 // minLeaseMs is the shortest time to live of a lease, in milliseconds.
@@ -34,17 +36,17 @@
 		return 503, nil
 	case !s.requestLimiter.Allow():
 		return 429, nil
-	case method == "GET" && u.Path == "/watch":
+	case method == "GET" && u.Path == protocol.PathWatch:
 		s.mu.Unlock() // for as long as the watch waits
 		defer s.mu.Lock()
 		return s.watch(ctx, u.Query())
-	case method == "GET" && u.Path == "/keys":
+	case method == "GET" && u.Path == protocol.PathKeys:
 		return s.list(u.Query())
-	case method == "GET" && strings.HasPrefix(u.Path, "/keys/"):
-		return s.get(strings.TrimPrefix(u.Path, "/keys/"))
-	case u.Path == "/multi":
+	case method == "GET" && strings.HasPrefix(u.Path, protocol.PathKeys+"/"):
+		return s.get(strings.TrimPrefix(u.Path, protocol.PathKeys+"/"))
+	case u.Path == protocol.PathTransactions:
 		return s.commit(body)
-	case u.Path == "/grants":
+	case u.Path == protocol.PathLeases:
 		return s.grantLease(body)
 	case strings.HasSuffix(u.Path, "/extend"):
 		id, _ := strconv.ParseUint(strings.Split(u.Path, "/")[2], 10, 64)
@@ -130,7 +132,7 @@
 	return jsonResponse(200, leaseResponse{id})
 }
 
-// transaction is the body of a call of /multi.
+// transaction is the body of a call of PathTransactions.
 type transaction struct {
 	Compares []struct {
 		Key     string `json:"key"`
