--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -71,7 +71,7 @@
 // caller.
 func (m *Machine) expireLease() {
 	if !m.leaseRenewedAt.IsZero() && time.Since(m.leaseRenewedAt) > m.byWorkerClock(m.world.Workers.LeaseDuration) {
-		m.world.recordEvent("%s lease over, session %d", m.host, m.agentEpoch+1)
+		m.world.recordEvent("%s lease over, agent epoch %d", m.host, m.agentEpoch+1)
 		m.dropTasks()
 		m.agentEpoch++
 		m.sequence, m.leaseRenewedAt = 0, time.Now()
--- a/internal/emulator/machinefaults.go
+++ b/internal/emulator/machinefaults.go
@@ -131,7 +131,7 @@
 
 // take has the cloud take the machine away. The world's lock is held by the caller.
 func (m *Machine) take() {
-	m.world.recordEvent("%s taken", m.host)
+	m.world.recordEvent("%s taken away", m.host)
 	m.world.removeMachine(m)
 }
 
@@ -144,7 +144,7 @@
 	m.crashed, m.stoppedAt = true, time.Now()
 	m.dropTasks()
 	delete(m.world.heldDeliveries, m.host)
-	m.world.recordEvent("%s dies", m.host)
+	m.world.recordEvent("%s crashes", m.host)
 }
 
 // reboot has a machine begin again within a moment, under its name: its tasks are
@@ -153,7 +153,7 @@
 // caller.
 func (m *Machine) reboot() {
 	w := m.world
-	w.recordEvent("%s begins again", m.host)
+	w.recordEvent("%s reboots", m.host)
 	m.dropTasks()
 	m.boots++
 	m.agentEpoch, m.sequence, m.fencingToken, m.rebooting = 1, 0, 0, true
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -112,7 +112,7 @@
 	for _, team := range slices.Sorted(maps.Keys(use)) {
 		limit, used := w.allowance(team, use[team]), use[team]
 		if exceedsLimit(limit, used[0], used[1]) {
-			w.recordViolation(ruleQuota, "%s uses %v of %v CPUs and %v cards", team, used, limit.MaxCPUs, limit.MaxGPUs)
+			w.recordViolation(ruleQuota, "%s uses %v of %v CPUs and %v GPUs", team, used, limit.MaxCPUs, limit.MaxGPUs)
 		}
 	}
 }
@@ -165,7 +165,7 @@
 		w.recordViolation(ruleWrongPlace, "%s has %d tasks in %s", spec.JobID, inZone, machine.zone)
 	}
 	if !machine.suits(spec) {
-		w.recordViolation(ruleWrongPlace, "%s on %s: %s in %s, cheap %v", spec.JobID, machine.host, machine.machineType, machine.zone, machine.spot)
+		w.recordViolation(ruleWrongPlace, "%s on %s: %s in %s, spot %v", spec.JobID, machine.host, machine.machineType, machine.zone, machine.spot)
 	}
 }
 
