--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -1,210 +1,158 @@
 package emulator
 
 import (
-	"context"
+	"maps"
 	"slices"
 	"strings"
 	"time"
 )
 
-// Faults of whole processes and zones: a controller that stands still while
-// clocks run on, a zone that is cut off from everything, a machine that dies and
-// stays listed for a while.
-
-// faults is what the world knows of them, guarded by its lock.
-type faults struct {
-	zoneOf map[string]string        // of each controller
-	lives  map[string]int           // which process of a controller runs
-	frozen map[string]chan struct{} // closed when the controller goes on
-	behind map[string][]func()      // what a cut zone holds back, by zone
-	healed chan struct{}            // closed when a zone's cut ends
-}
-
-func newFaults() faults {
-	return faults{zoneOf: make(map[string]string), lives: make(map[string]int), frozen: make(map[string]chan struct{}),
-		behind: make(map[string][]func()), healed: make(chan struct{})}
-}
-
-// SetZone says in which zone a controller stands.
-func (w *World) SetZone(node, zone string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.zoneOf[node] = zone
-}
-
-// freeze has a controller stand still, or go on.
-func (w *World) freeze(node string, on bool) {
-	switch held := w.frozen[node]; {
-	case on && held == nil:
-		w.frozen[node] = make(chan struct{})
-	case !on && held != nil:
-		close(held)
-		delete(w.frozen, node)
-	}
-}
-
-// WaitWhilePaused waits for as long as a controller stands still. What waits goes on one after
-// the other, by what was drawn when each began to wait: all at the same instant they
-// would be in an order that nobody could repeat.
-func (w *World) WaitWhilePaused(ctx context.Context, node string) {
-	late := time.Duration(0)
-	for {
-		w.mu.Lock()
-		held := w.frozen[node]
-		if held != nil && late == 0 {
-			late = w.between(time.Microsecond, 3*time.Millisecond, "stand", node)
-		}
-		w.mu.Unlock()
-		if held == nil {
-			return
-		}
-		select {
-		case <-held:
-		case <-ctx.Done():
-			return
-		}
-		if !wait(ctx, late) {
-			return
-		}
-	}
-}
+// Names of the faults as scripts write them. Those below are of the whole world.
+const (
+	// faultStateOutage: the state service is down.
+	faultStateOutage = "outage"
+	// faultStateSlow: the state service takes up to 2.5 s for a response.
+	faultStateSlow = "slow"
+	// faultStateLossy: its responses get lost, and transactions are applied late or twice.
+	faultStateLossy = "lossy"
+	// faultLateWrites: two in five transactions get no response and are carried out 2 to
+	// 12 s later, after newer ones.
+	faultLateWrites = "late writes"
+	// faultUnansweredWrites: two in five transactions are carried out at once, and only
+	// their response is lost.
+	faultUnansweredWrites = "unanswered writes"
+	// faultNoWriteAnswered: every transaction is carried out and no response arrives.
+	faultNoWriteAnswered = "swallow"
+	// faultLateHeartbeats: of two in five of the workers' heartbeats a copy arrives again,
+	// from 2 s to well over a lease later.
+	faultLateHeartbeats = "late reports"
+	// faultStaleHeartbeats: copies of two in five of the workers' heartbeats are kept, and
+	// reach every controller as a shard gets a new fencing token.
+	faultStaleHeartbeats = "reports for next"
+	// faultConcurrentReads: users ask at all controllers within milliseconds, and repeat
+	// the submission, when a job was accepted, has ended or was cancelled.
+	faultConcurrentReads = "close looks"
+	// faultCancelOnAccept: of those that read concurrently at an acceptance some cancel at
+	// once.
+	faultCancelOnAccept = "hasty users"
+	// faultCancelOnEnd: two in five of the jobs that end are cancelled at that moment.
+	faultCancelOnEnd = "cancel at end"
+	// faultInvalidRequests: users repeat submissions, cancel what is done, send what can't
+	// run.
+	faultInvalidRequests = "odd requests"
+	// faultCloudDown: the cloud answers 503.
+	faultCloudDown = "cloud"
+	// faultNoCapacity: the cloud has no machines.
+	faultNoCapacity = "stingy"
+	// faultHalfCapacity: the cloud gives half of the machines asked for.
+	faultHalfCapacity = "half"
+	// faultSlowBoots: most of the machines rented take five times as long to come up.
+	faultSlowBoots = "slow boots"
+	// faultNoBoots: none of the machines rented ever comes up.
+	faultNoBoots = "no boots"
+	// faultFastBoots: all machines are up within a second.
+	faultFastBoots = "fast boots"
+	// faultCloudLossy: responses of the cloud get lost, and some requests are carried out
+	// late.
+	faultCloudLossy = "lost"
+)
 
-// alive wraps what a controller is asked: it hears nothing while it stands still,
-// and a process that has ended meanwhile hears nothing any more.
-func (w *World) alive(name string, life int, h func()) {
-	w.WaitWhilePaused(w.ctx, name)
-	w.mu.Lock()
-	same := w.lives[name] == life
-	w.mu.Unlock()
-	if same {
-		h()
-	}
-}
+// Names of the faults of one controller or zone: each is followed by a space and the
+// controller's or the zone's name.
+const (
+	// faultStateRefuses: the state service refuses one controller alone.
+	faultStateRefuses = "refuse"
+	// faultSevered: a controller loses the state service and the other controllers, not
+	// its workers and users.
+	faultSevered = "severed"
+	// faultControllerDeaf: a controller reaches no worker and hears none.
+	faultControllerDeaf = "deaf"
+	// faultPaused: a controller stands still while clocks run on.
+	faultPaused = "freeze"
+	// faultZonePartition: a zone is cut off from everything; what is sent across is held
+	// and arrives afterwards.
+	faultZonePartition = "zone"
+	// faultPeersRefuse: the other controllers reach a controller as little as it reaches
+	// them.
+	faultPeersRefuse = "alone"
+)
 
-// apart tells whether a cut lies between two zones; the empty one is the region,
-// in which users, cloud and state service are.
-func (w *World) apart(a, b string) bool {
-	return a != b && ((a != "" && w.trouble["zone "+a]) || (b != "" && w.trouble["zone "+b]))
-}
+// worldFaults are the faults of the whole world.
+var worldFaults = []string{faultStateOutage, faultStateSlow, faultStateLossy, faultLateWrites, faultUnansweredWrites, faultNoWriteAnswered,
+	faultLateHeartbeats, faultStaleHeartbeats, faultConcurrentReads, faultCancelOnAccept, faultCancelOnEnd, faultInvalidRequests,
+	faultCloudDown, faultNoCapacity, faultHalfCapacity, faultSlowBoots, faultNoBoots, faultFastBoots, faultCloudLossy}
 
-// heldGap is how far apart the messages arrive that a cut held back.
-const heldGap = 67 * time.Nanosecond
+// targetedFaults are the faults of one controller or zone.
+var targetedFaults = []string{faultStateRefuses, faultSevered, faultControllerDeaf, faultPaused, faultZonePartition, faultPeersRefuse}
 
-// arrive has messages that were held back arrive one after the other: all at the same
-// instant they would be in an order that nobody could repeat. Each is called with the
-// world's lock held.
-func (w *World) arrive(held []func()) {
-	for i, late := range held {
-		go func() {
-			if wait(w.ctx, time.Duration(i+1)*heldGap) {
-				w.mu.Lock()
-				defer w.mu.Unlock()
-				late()
-			}
-		}()
+// IsFault reports whether SetFault knows a name. A fault of one controller or zone is
+// known for each of the targets.
+func IsFault(name string, targets []string) bool {
+	if slices.Contains(worldFaults, name) {
+		return true
 	}
+	fault, target, targeted := strings.Cut(name, " ")
+	return targeted && slices.Contains(targetedFaults, fault) && slices.Contains(targets, target)
 }
 
-// heal ends the cut of a zone: what was held back arrives, in order.
-func (w *World) heal(zone string) {
-	held := w.behind[zone]
-	delete(w.behind, zone)
-	w.arrive(held)
-	close(w.healed)
-	w.healed = make(chan struct{})
-}
+// hasFault reports whether a fault of the whole world is on. The world's lock is held by
+// the caller.
+func (w *World) hasFault(fault string) bool { return w.activeFaults[fault] }
 
-// hold keeps a message until the cut of a zone is over.
-func (w *World) hold(a, b string, late func()) {
-	zone := a
-	if zone == "" || !w.trouble["zone "+zone] {
-		zone = b
-	}
-	w.behind[zone] = append(w.behind[zone], late)
-}
+// hasFaultOn reports whether a fault of one controller or zone is on. The world's lock is
+// held by the caller.
+func (w *World) hasFaultOn(fault, target string) bool { return w.activeFaults[fault+" "+target] }
 
-// across waits for as long as a cut lies between a controller and a zone. It
-// returns false if the context ends first.
-func (w *World) across(ctx context.Context, node, zone string) bool {
-	for {
-		w.mu.Lock()
-		apart, healed := w.apart(w.zoneOf[node], zone), w.healed
-		w.mu.Unlock()
-		if !apart {
-			return true
-		}
-		select {
-		case <-healed:
-		case <-ctx.Done():
-			return false
-		}
+// SetFault begins or ends a fault of the whole world, or of the one controller or zone
+// that its name ends in, such as "severed n1"; the constants of this file say what each
+// does. Faults of machines are SetMachineFault's.
+func (w *World) SetFault(name string, on bool) {
+	w.mu.Lock()
+	was := w.activeFaults[name]
+	w.activeFaults[name] = on
+	w.recordEvent("%s %v", name, on)
+	if was != on {
+		w.applyTargetedFault(name, on)
 	}
-}
-
-// deadListed is how long a machine that died is listed as running.
-const deadListed = 30 * time.Second
-
-// die ends a machine at once. The cloud goes on listing it until it is returned.
-func (m *Machine) die() {
-	m.dead, m.goneAt = true, time.Now()
-	m.kill()
-	delete(m.w.held, m.host)
-	m.w.note("%s dies", m.host)
-}
-
-// reboot has a machine begin again within a moment, under its name: its tasks are
-// gone, and its worker counts from the start. Late copies of what it said last come
-// after that and look newer than all that it says now.
-func (m *Machine) reboot() {
-	w := m.w
-	w.note("%s begins again", m.host)
-	m.kill()
-	m.life++
-	m.session, m.seq, m.token, m.away = 1, 0, 0, true
-	if late := m.said; late != nil {
-		for range w.between(0, 3, "copies", m.host) {
-			m.later(w.between(10*time.Millisecond, 9*time.Second, "copy", m.host), late)
-		}
+	w.mu.Unlock()
+	if name == faultStateOutage {
+		w.State.setOutage(on)
 	}
-	m.later(w.between(20*time.Millisecond, time.Second, "reboot", m.host), func() {
-		m.away, m.lease = false, time.Now()
-		m.poke()
-	})
 }
 
-// listedAs is the phase that the cloud's list shows.
-func (m *Machine) listedAs(asOf time.Time) string {
+// applyTargetedFault does what the beginning and the end of a pause or partition does at
+// once. The world's lock is held by the caller.
+func (w *World) applyTargetedFault(name string, on bool) {
+	fault, target, _ := strings.Cut(name, " ")
 	switch {
-	case m.dead && asOf.Sub(m.goneAt) > deadListed:
-		return "failed"
-	case m.up.After(asOf):
-		return "booting"
+	case fault == faultPaused:
+		w.setPaused(target, on)
+	case fault == faultZonePartition && !on:
+		w.healZone(target)
 	}
-	return "running"
 }
 
-// zoneTrouble takes the troubles of this file.
-func (w *World) zoneTrouble(name string, on bool) {
-	what, which, _ := strings.Cut(name, " ")
-	switch what {
-	case "freeze":
-		w.freeze(which, on)
-	case "zone":
-		if !on {
-			w.heal(which)
+// EndFaults ends all faults, those of machines too, and leaves the cloud at least so many
+// machines to rent.
+func (w *World) EndFaults(spare int) {
+	w.mu.Lock()
+	w.spareMachines, w.faultsEndedAt = max(w.spareMachines, spare), time.Now()
+	faults := slices.Sorted(maps.Keys(w.activeFaults))
+	hosts := slices.Sorted(maps.Keys(w.machines))
+	w.mu.Unlock()
+	for _, name := range faults {
+		w.SetFault(name, false)
+	}
+	for _, host := range hosts {
+		for _, what := range []string{machineResumes, machineHeals, machineWell, machineReceives, machineSends} {
+			w.SetMachineFault(host, what)
 		}
 	}
 }
 
-// reached tells whether a worker and a controller reach one another.
-func (m *Machine) reached(node string) bool { return !m.w.apart(m.zone, m.w.zoneOf[node]) }
-
-// InZone lists the machines of a zone that are rented and alive.
-func (w *World) InZone(zone string) []string {
-	return slices.DeleteFunc(w.Hosts(false), func(host string) bool {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		m := w.machines[host]
-		return m.zone != zone || m.dead
-	})
+// ActiveFaults lists the faults that are on, in order.
+func (w *World) ActiveFaults() []string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return slices.DeleteFunc(slices.Sorted(maps.Keys(w.activeFaults)), func(name string) bool { return !w.activeFaults[name] })
 }
--- /dev/null
+++ b/internal/emulator/unplaced.go
@@ -0,0 +1,90 @@
+package emulator
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"madderslip/internal/protocol"
+)
+
+// freeCapacity is what a machine that is well has left; nothing, if it is not. The world's
+// lock is held by the caller.
+func (m *Machine) freeCapacity() resources {
+	inContact := m.responsive() && !m.cannotReceive && !m.cannotSend
+	if !inContact || m.failsTasks || m.booting() || !m.preemptionAt.IsZero() {
+		return resources{}
+	}
+	return m.world.capacityOf(m.machineType).minus(m.allocated())
+}
+
+// capacityFor is how many of a job's tasks would fit what is free, in the zone where most
+// do if they have to share one. The world's lock is held by the caller.
+func (w *World) capacityFor(spec *protocol.Submission) int {
+	byZone, total := make(map[string]int), 0
+	for _, machine := range w.machines {
+		if !machine.suits(spec) {
+			continue
+		}
+		if count := machine.freeCapacity().countOf(taskResources(spec)); count > 0 {
+			tasks := int(min(count, float64(spec.Tasks)))
+			byZone[machine.zone] += tasks
+			total += tasks
+		}
+	}
+	if !spec.SameZone {
+		return total
+	}
+	most := 0
+	for _, count := range byZone {
+		most = max(most, count)
+	}
+	return most
+}
+
+// trackUnplaced records, once all faults have ended, since when a job waits with no task
+// on any machine while one that fits has capacity and its team is under its limit. The
+// world's lock is held by the caller.
+func (w *World) trackUnplaced(use map[string]protocol.Resources) {
+	placed := make(map[string]bool)
+	for _, machine := range w.machines {
+		for name, task := range machine.tasks {
+			if jobID, _, _ := protocol.ParseTaskName(name); !machine.removed && task.phase != protocol.TaskExited {
+				placed[jobID] = true
+			}
+		}
+	}
+	for jobID, job := range w.jobs {
+		tasksNeeded := 1
+		if job.isGang() {
+			tasksNeeded = job.Spec.Tasks
+		}
+		mayRun := !placed[jobID] && !job.allTasksDone() && !w.needNotRun(job) && w.teamAllows(job, tasksNeeded, use)
+		switch {
+		case w.faultsEndedAt.IsZero() || !mayRun || w.capacityFor(&job.Spec) < tasksNeeded:
+			job.unplacedSince = time.Time{}
+		case job.unplacedSince.IsZero():
+			job.unplacedSince = time.Now()
+		}
+	}
+}
+
+// teamAllows reports whether so many more tasks of a job keep its team within its limits.
+// The world's lock is held by the caller.
+func (w *World) teamAllows(job *Job, tasks int, use map[string]protocol.Resources) bool {
+	used, count := use[job.Spec.Team], float64(tasks)
+	return !exceedsLimit(w.Teams[job.Spec.Team], used.CPUs+job.Spec.CPUs*count, used.GPUs+job.Spec.GPUs*count)
+}
+
+// UnplacedLongerThan lists the jobs that have waited for longer beside capacity that they
+// fit, in the order of their IDs.
+func (w *World) UnplacedLongerThan(longer time.Duration) (jobIDs []string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
+		if j := w.jobs[jobID]; !j.unplacedSince.IsZero() && time.Since(j.unplacedSince) > longer {
+			jobIDs = append(jobIDs, jobID)
+		}
+	}
+	return jobIDs
+}
--- a/internal/loadtest/fault.go
+++ b/internal/loadtest/fault.go
@@ -22,7 +22,7 @@
 	case faultReboot:
 		hosts := m.world.Hosts(false)
 		for _, host := range hosts[:int(fault.Part*float64(len(hosts)))] {
-			m.world.Set(host, "reboot")
+			m.world.SetMachineFault(host, "reboot")
 		}
 	case faultCrash:
 		m.crash(ctx, fault)
