--- a/logmessages_test.go
+++ b/logmessages_test.go
@@ -41,6 +41,51 @@
 	}
 }
 
+// TestOtherPagesQuoteLoggedMessages demands that each table of messages on another operators'
+// page begins its rows with a message that the code logs. Such rows stayed behind when
+// messages were renamed.
+func TestOtherPagesQuoteLoggedMessages(t *testing.T) {
+	calls, _ := collectModule(t)
+	pages, err := filepath.Glob(filepath.Join(moduleRoot, "docs", "operators", "*.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	quotes := 0
+	for _, page := range append(pages, filepath.Join(moduleRoot, "docs", "OPERATIONS.md")) {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, quote := range quotedMessages(string(text)) {
+			quotes++
+			if !slices.ContainsFunc(calls, func(call logCall) bool { return call.message == quote.message }) {
+				t.Errorf("%s:%d: nothing logs the message %q", page, quote.line, quote.message)
+			}
+		}
+	}
+	if quotes == 0 {
+		t.Error("no page quotes a message: the tables are not read")
+	}
+}
+
+// quotedMessages returns the first text in backquotes of each row of the tables whose first
+// column is message.
+func quotedMessages(text string) (quotes []pageRow) {
+	inTable := false
+	for i, line := range strings.Split(text, "\n") {
+		if !strings.HasPrefix(line, "|") {
+			inTable = false
+			continue
+		}
+		first := tableCells(line)[0]
+		if quoted := backquoted(first); inTable && len(quoted) > 0 {
+			quotes = append(quotes, pageRow{message: quoted[0], line: i + 1})
+		}
+		inTable = inTable || first == "message"
+	}
+	return quotes
+}
+
 // logCall is one call that logs.
 type logCall struct {
 	message, level string
