--- a/internal/coordination/replica/claim.go
+++ b/internal/coordination/replica/claim.go
@@ -11,20 +11,61 @@
 	"madderslip/internal/storage/records"
 )
 
-// SortedSlots lists a claim's placements by task and host.
+// Claim is a claimed chunk of a job: its record, the version of it that is being committed,
+// and what the controller remembers about it.
+type Claim struct {
+	Key              string
+	JobID            string
+	Chunk            int
+	Record           *records.Claim // nil while the first version is being committed
+	Version          uint64
+	Pending          *records.Claim       // the version being committed; nil: none
+	Spec             *protocol.Submission // the job's; nil until the job is known
+	Evictions        map[int]time.Time    // tasks to be stopped, and since when
+	RetryAt          time.Time            // earliest next commit after a conflict
+	PreemptedFor     map[SlotKey]string   // tasks stopped for the guarantee of a job of another team
+	HaltedAttempt    uint64               // gang: the attempt that is being ended; 0: none
+	CheckAt          time.Time            // not reconciled before
+	CompletionSeenAt time.Time            // when the first completion not recorded yet was seen
+	UnplacedSince    time.Time            // since when a pass over the queue has placed none of it
+
+	// Written by View.Reindex alone.
+	Slots       map[SlotKey]*Slot
+	Tally       Tally
+	Shard       string // that the claim is indexed under; empty: none
+	generation  uint32
+	specChanged bool
+}
+
+// Latest returns the version being committed, or else the committed one.
+func (c *Claim) Latest() *records.Claim {
+	if c.Pending != nil {
+		return c.Pending
+	}
+	return c.Record
+}
+
+// Halted reports whether a gang's present attempt is being ended. The attempt's number
+// decides: with several owners not each of them observes the end of an attempt's last task,
+// and a flag that outlived its attempt would end the next one too.
+func (c *Claim) Halted() bool {
+	return c.Record != nil && c.HaltedAttempt != 0 && c.HaltedAttempt == c.Record.LastAttempt
+}
+
+// SortedSlots lists a claim's slots by task and host.
 func (c *Claim) SortedSlots() []*Slot {
-	slots := slices.SortedFunc(maps.Keys(c.Slots), func(a, b SlotKey) int {
+	keys := slices.SortedFunc(maps.Keys(c.Slots), func(a, b SlotKey) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), strings.Compare(a.Host, b.Host))
 	})
-	places := make([]*Slot, len(slots))
-	for i, at := range slots {
-		places[i] = c.Slots[at]
+	slots := make([]*Slot, len(keys))
+	for i, key := range keys {
+		slots[i] = c.Slots[key]
 	}
-	return places
+	return slots
 }
 
-// OccupyingCount counts the tasks of a claim that take room: those that have exited do not,
-// though their end may be recorded later.
+// OccupyingCount counts the tasks of a claim that use capacity: those that have exited do
+// not, though their end may be recorded later.
 func (c *Claim) OccupyingCount() int {
 	count := 0
 	for _, slot := range c.Slots {
@@ -35,7 +76,17 @@
 	return count
 }
 
-// ReservedCount counts the placements by which a claim stands in the team's use.
+// PlacedCount counts the placements of a claim's committed version.
+func (c *Claim) PlacedCount() int {
+	if c.Record == nil {
+		return 0
+	}
+	return len(c.Record.Placements)
+}
+
+// ReservedCount counts the placements for which a claim is charged to its team. Of the
+// committed version and the one being committed the larger counts: tasks on their way in
+// may be there already, and tasks on their way out may stay.
 func (c *Claim) ReservedCount() int {
 	if c.Pending != nil {
 		return max(c.PlacedCount(), len(c.Pending.Placements))
@@ -43,7 +94,7 @@
 	return c.PlacedCount()
 }
 
-// CommittedCount counts the placements that a claim has however the commit under way ends.
+// CommittedCount counts the placements that a claim has however the commit in progress ends.
 func (c *Claim) CommittedCount() int {
 	if c.Pending != nil {
 		return min(c.PlacedCount(), len(c.Pending.Placements))
@@ -51,58 +102,10 @@
 	return c.PlacedCount()
 }
 
-// TaskName is the name of a placement's task.
+// TaskName returns the name of a placement's task.
 func (c *Claim) TaskName(p *records.Placement) string {
 	if slot := c.Slots[SlotKey{p.Task, p.Host}]; slot != nil {
 		return slot.TaskName
 	}
 	return protocol.TaskName(c.JobID, p.Task)
 }
-
-// PlacedCount counts the placements of a claim's committed version.
-func (c *Claim) PlacedCount() int {
-	if c.Record == nil {
-		return 0
-	}
-	return len(c.Record.Placements)
-}
-
-// Claim is a claimed chunk; pend is the version being committed, if any.
-type Claim struct {
-	Key              string
-	JobID            string
-	Chunk            int
-	Record           *records.Claim // nil while the first version is being committed
-	Version          uint64
-	Pending          *records.Claim
-	Spec             *protocol.Submission
-	Evictions        map[int]time.Time  // tasks to be stopped, and since when
-	RetryAt          time.Time          // earliest next commit after a conflict
-	PreemptedFor     map[SlotKey]string // tasks stopped for the guarantee of a job of another team
-	HaltedAttempt    uint64             // gang: the attempt that is being ended
-	CheckAt          time.Time          // not to be looked at before
-	CompletionSeenAt time.Time          // when the first completion not yet booked was seen
-	UnplacedSince    time.Time          // since when a pass over the queue has found none of it placed
-
-	// Kept by reindex.
-	Slots       map[SlotKey]*Slot
-	generation  uint32
-	Tally       Tally
-	Shard       string
-	specChanged bool
-}
-
-// Latest is the version being committed, or else the committed one.
-func (c *Claim) Latest() *records.Claim {
-	if c.Pending != nil {
-		return c.Pending
-	}
-	return c.Record
-}
-
-// Halted tells whether a gang's present attempt is being ended. The attempt's
-// number decides: with several owners not each of them sees an attempt's last
-// task go, and a mark that outlived its attempt would end the next one too.
-func (c *Claim) Halted() bool {
-	return c.Record != nil && c.HaltedAttempt != 0 && c.HaltedAttempt == c.Record.LastAttempt
-}
--- a/internal/coordination/replica/gangs.go
+++ b/internal/coordination/replica/gangs.go
@@ -11,22 +11,25 @@
 // has ended.
 const gangRetryPause = 20 * time.Second
 
-// GangReservation is the search for room across shards for one gang.
+// GangReservation is the reservation of capacity across shards for one gang. The leader
+// makes it, the owners of the shards add their holds.
 type GangReservation struct {
 	Record  records.GangReservation
-	Version uint64
-	Writing bool
+	Version uint64               // 0: there is no record
+	Writing bool                 // a change of the record is in progress
 	Holds   map[string]*GangHold // by shard
-	RetryAt time.Time            // not sought anew before
+	RetryAt time.Time            // not made again before
 }
 
+// GangHold is the capacity that one shard's owner keeps free for a gang.
 type GangHold struct {
 	Record  records.GangHold
-	Version uint64
-	Writing bool
-	Pending map[string]int // what is being recorded as held
+	Version uint64         // 0: there is no record
+	Writing bool           // a change of the record is in progress
+	Pending map[string]int // tasks by host, as being recorded
 }
 
+// GangReservation returns a job's reservation, and makes an empty one if there is none.
 func (v *View) GangReservation(jobID string) *GangReservation {
 	reservation := v.GangReservations[jobID]
 	if reservation == nil {
@@ -36,18 +39,21 @@
 	return reservation
 }
 
+// ApplyGangReservation applies a gang reservation's record. A nil record means that the
+// reservation was released, or that the lease of the leader that made it has expired.
 func (v *View) ApplyGangReservation(jobID string, record *records.GangReservation, version uint64) {
 	reservation := v.GangReservation(jobID)
 	if record == nil {
-		// Gone with its purpose, or with the leader's lease.
 		reservation.Version, reservation.RetryAt = 0, time.Now().Add(gangRetryPause)
 		return
 	}
 	reservation.Record, reservation.Version = *record, version
 }
 
-func (v *View) ApplyGangHold(key string, record *records.GangHold, version uint64) {
-	jobID, shard, _ := strings.Cut(key, "/")
+// ApplyGangHold applies the record of one shard's hold. name is the job's and the shard's,
+// with a slash between them.
+func (v *View) ApplyGangHold(name string, record *records.GangHold, version uint64) {
+	jobID, shard, _ := strings.Cut(name, "/")
 	reservation := v.GangReservation(jobID)
 	hold := reservation.Holds[shard]
 	if hold == nil {
--- a/internal/coordination/replica/images.go
+++ b/internal/coordination/replica/images.go
@@ -11,16 +11,27 @@
 // ImageParts is into how many records the images of a shard's machines are divided.
 const ImageParts = 4
 
+// Estimates, in bytes, of what the parts of an image record take once encoded.
+const (
+	imageRecordBytes = 64 // the record itself
+	imageNameBytes   = 30 // an image's entry, beside its name
+	imageHostBytes   = 6  // a host's entry, beside its name
+	imageIndexBytes  = 4  // one image of a host
+)
+
+// imagePart returns the record in which a host's images are listed.
 func imagePart(host string) int {
-	h := fnv.New32a()
-	h.Write([]byte(host))
-	return int(h.Sum32() % ImageParts)
+	hash := fnv.New32a()
+	hash.Write([]byte(host))
+	return int(hash.Sum32() % ImageParts)
 }
 
+// ImagesOfPart returns the record of one part of a shard's machines and their images. It
+// stops before the machine with which the record would exceed a limit of bytes.
 func ImagesOfPart(shard *Shard, part, limit int) *records.ImageLocations {
-	rec := &records.ImageLocations{Hosts: make(map[string][]int)}
+	record := &records.ImageLocations{Hosts: make(map[string][]int)}
 	index := make(map[string]int)
-	size := 64
+	size := imageRecordBytes
 	for _, machine := range shard.Machines {
 		if len(machine.Images) == 0 || imagePart(machine.Host) != part {
 			continue
@@ -29,22 +40,23 @@
 		for _, cached := range machine.Images {
 			i, ok := index[cached.Name]
 			if !ok {
-				i = len(rec.Names)
+				i = len(record.Names)
 				index[cached.Name] = i
-				rec.Names, rec.SizesGB = append(rec.Names, cached.Name), append(rec.SizesGB, cached.SizeGB)
-				size += len(cached.Name) + 30
+				record.Names, record.SizesGB = append(record.Names, cached.Name), append(record.SizesGB, cached.SizeGB)
+				size += len(cached.Name) + imageNameBytes
 			}
 			list = append(list, i)
 		}
-		if size += len(machine.Host) + 6 + 4*len(list); size > limit {
+		if size += len(machine.Host) + imageHostBytes + imageIndexBytes*len(list); size > limit {
 			break
 		}
-		rec.Hosts[machine.Host] = list
+		record.Hosts[machine.Host] = list
 	}
-	return rec
+	return record
 }
 
-// SameImages compares what is held, not in which order it was used.
+// SameImages reports whether two records list the same images on the same hosts. In which
+// order a host used them does not count.
 func SameImages(a, b *records.ImageLocations) bool {
 	if b == nil || len(a.Hosts) != len(b.Hosts) {
 		return b == nil && len(a.Hosts) == 0
@@ -62,7 +74,8 @@
 	return true
 }
 
-// ApplyImages tells machines what they hold, unless this process knows better.
+// ApplyImages applies an image record to the machines that it lists, except those whose
+// images this process tracks itself. A nil record changes nothing.
 func (v *View) ApplyImages(key string, record *records.ImageLocations) {
 	if record == nil {
 		return
@@ -75,7 +88,8 @@
 	}
 }
 
-// recallImages looks a machine's images up in the records.
+// recallImages reads a machine's images from the records, unless the machine is no longer
+// in use or this process owns its shard and so knows better.
 func (v *View) recallImages(machine *Machine) {
 	record := v.ImageRecords[records.ImagePrefix+machine.Record.Shard+"/"+strconv.Itoa(imagePart(machine.Host))]
 	if record == nil || machine.Record.State != "" || v.Shard(machine.Record.Shard).FencingToken != 0 {
--- a/internal/coordination/replica/index.go
+++ b/internal/coordination/replica/index.go
@@ -14,115 +14,72 @@
 // claims are, and what a team uses. They are derived from the claims and kept up to date by
 // Reindex alone; Recount compares them with a count from scratch.
 
-// Slot is a task that is, or may be, on a machine: a placement of a claim,
-// committed or being committed.
-type Slot struct {
-	Claim      *Claim
-	Task       int
-	Attempt    uint64
-	TaskName   string
-	Host       *HostUse
-	generation uint32
-}
-
-// Exited tells that the machine reports the task as ended, whether that is recorded or not.
-func (p *Slot) Exited(machine *Machine) bool {
-	status := machine.Agent.Tasks[p.TaskName]
-	return status != nil && status.Attempt == p.Attempt && status.Phase == protocol.TaskExited
-}
-
-// SlotKey tells a claim's places apart.
-type SlotKey struct {
-	Task int
-	Host string
-}
-
-// HostUse is what claims place on a host. A claim may be read before the
-// machine it names, so this stands apart from the machine.
-type HostUse struct {
-	Name    string
-	Machine *Machine         // nil until the machine is known
-	Slots   map[string]*Slot // by task name
-}
-
-func (v *View) HostUse(host string) *HostUse {
-	h := v.Hosts[host]
-	if h == nil {
-		h = &HostUse{Name: host, Slots: make(map[string]*Slot)}
-		v.Hosts[host] = h
-	}
-	return h
-}
-
-func (h *HostUse) Invalidate() {
-	if h.Machine != nil {
-		h.Machine.Capacity.Stale, h.Machine.Capacity.DetailsStale = true, true
-	}
-}
-
-// TeamShard is a team's use of one shard.
+// TeamShard identifies a team's use of one shard.
 type TeamShard struct{ Team, Shard string }
 
-// Tally is what a claim adds to the sums: the use of its team, by shard.
+// Tally is what a claim adds to the sums of its team's use.
 type Tally struct {
-	Key     TeamShard
-	Use     quota.Resources
-	Counted bool
-	// stays tells that it does not end by itself: replicas of services.
-	Permanent bool
-	Committed quota.Resources // what is placed in any case, however a commit under way ends
+	Key       TeamShard
+	Use       quota.Resources
+	Counted   bool            // the claim is in the sums
+	Permanent bool            // it does not end by itself: replicas of services
+	Committed quota.Resources // what is placed however a commit in progress ends
 }
 
-// Reindex brings the indexes in line with a claim. It is called after every
-// change of the claim's record, of the version being committed, of its job's
-// description, and of whether the claim is there at all.
+// Reindex brings the indexes in line with a claim. It is called after every change of the
+// claim's record, of the version being committed, of its job's description, and of whether
+// the claim exists.
 func (v *View) Reindex(claim *Claim) {
 	claim.generation++
 	exists := v.Claims[claim.Key] == claim
 	if exists {
-		if claim.Slots == nil {
-			claim.Slots = make(map[SlotKey]*Slot)
-		}
-		for _, record := range [2]*records.Claim{claim.Record, claim.Pending} {
-			if record != nil {
-				for i := range record.Placements {
-					v.enterSlot(claim, &record.Placements[i])
-				}
-			}
-		}
-	}
-	for id, slot := range claim.Slots {
-		if slot.generation == claim.generation {
-			continue
-		}
-		delete(claim.Slots, id)
-		delete(claim.PreemptedFor, id)
-		if slot.Host.Slots[slot.TaskName] == slot { // else another try of the same claim has put its own there
-			delete(slot.Host.Slots, slot.TaskName)
-		}
-		slot.Host.Invalidate()
-		if len(slot.Host.Slots) == 0 && slot.Host.Machine == nil {
-			delete(v.Hosts, slot.Host.Name)
-		}
+		v.enterSlots(claim)
 	}
+	v.removeOldSlots(claim)
 	v.updateTally(claim, exists)
 	if job := v.Jobs[claim.JobID]; job != nil {
 		v.Unplaced[claim.JobID] = job
 	}
-	if record := claim.Latest(); claim.Spec != nil && claim.Spec.Shape != protocol.ShapeArray && record != nil && record.TaskCount > record.CompletedCount()+len(record.Placements) {
-		v.Urgent = true // tasks of it wait
+	if claim.hasUrgentTasks() {
+		v.Urgent = true
 	}
 	if exists {
 		v.MarkDirty(claim)
 	}
 }
 
+// hasUrgentTasks reports whether tasks of a claim are without a machine that should not
+// wait. Arrays may.
+func (c *Claim) hasUrgentTasks() bool {
+	record := c.Latest()
+	if c.Spec == nil || c.Spec.Shape == protocol.ShapeArray || record == nil {
+		return false
+	}
+	return record.TaskCount > record.CompletedCount()+len(record.Placements)
+}
+
+// enterSlots enters the placements of a claim's committed version and of the one being
+// committed.
+func (v *View) enterSlots(claim *Claim) {
+	if claim.Slots == nil {
+		claim.Slots = make(map[SlotKey]*Slot)
+	}
+	for _, record := range [2]*records.Claim{claim.Record, claim.Pending} {
+		if record != nil {
+			for i := range record.Placements {
+				v.enterSlot(claim, &record.Placements[i])
+			}
+		}
+	}
+}
+
+// enterSlot enters one placement of a claim.
 func (v *View) enterSlot(claim *Claim, p *records.Placement) {
-	id := SlotKey{p.Task, p.Host}
-	slot := claim.Slots[id]
+	key := SlotKey{p.Task, p.Host}
+	slot := claim.Slots[key]
 	if slot == nil {
 		slot = &Slot{Claim: claim, Task: p.Task, TaskName: protocol.TaskName(claim.JobID, p.Task), Host: v.HostUse(p.Host)}
-		claim.Slots[id] = slot
+		claim.Slots[key] = slot
 		slot.Host.Slots[slot.TaskName] = slot
 		slot.Host.Invalidate()
 	}
@@ -133,48 +90,41 @@
 	slot.generation = claim.generation
 }
 
-// updateTally puts a claim's present share into the sums in place of its earlier.
-func (v *View) updateTally(claim *Claim, exists bool) {
-	claim.specChanged = false
-	if claim.Tally.Counted {
-		v.UseByShard[claim.Tally.Key] = v.UseByShard[claim.Tally.Key].Difference(claim.Tally.Use)
-		v.UseByTeam[claim.Tally.Key.Team] = v.UseByTeam[claim.Tally.Key.Team].Difference(claim.Tally.Use)
-		v.CommittedUse[claim.Tally.Key.Team] = v.CommittedUse[claim.Tally.Key.Team].Minus(claim.Tally.Committed)
-		if claim.Tally.Permanent {
-			v.ServiceUse[claim.Tally.Key.Team] = v.ServiceUse[claim.Tally.Key.Team].Minus(claim.Tally.Use)
+// removeOldSlots removes the slots of a claim that no present version of it has.
+func (v *View) removeOldSlots(claim *Claim) {
+	for key, slot := range claim.Slots {
+		if slot.generation == claim.generation {
+			continue
+		}
+		delete(claim.Slots, key)
+		delete(claim.PreemptedFor, key)
+		// Another attempt at the same claim may have entered its own slot there.
+		if slot.Host.Slots[slot.TaskName] == slot {
+			delete(slot.Host.Slots, slot.TaskName)
+		}
+		slot.Host.Invalidate()
+		if len(slot.Host.Slots) == 0 && slot.Host.Machine == nil {
+			delete(v.Hosts, slot.Host.Name)
 		}
 	}
+}
+
+// updateTally replaces a claim's earlier share of the sums, and its place in the shards'
+// sets of claims, by the present one.
+func (v *View) updateTally(claim *Claim, exists bool) {
+	claim.specChanged = false
+	v.subtractTally(claim)
 	claim.Tally = Tally{}
-	record := claim.Record
-	if record == nil {
-		record = claim.Pending
-	}
-	shard, wide := "", false
+	record := claim.firstCommitted()
+	shard, crossShard := "", false
 	if exists && record != nil {
-		shard, wide = record.Shard, record.Shard == ""
+		shard, crossShard = record.Shard, record.Shard == ""
 		if claim.Spec != nil {
-			// Of a version being committed and the committed one the larger counts: what
-			// is on its way up may be there, what is on its way down may stay.
-			claim.Tally = Tally{TeamShard{claim.Spec.Team, record.Shard}, TaskResources(claim.Spec).Times(float64(claim.ReservedCount())), true, claim.Spec.Shape == protocol.ShapeService, TaskResources(claim.Spec).Times(float64(claim.CommittedCount()))}
-			v.CommittedUse[claim.Spec.Team] = v.CommittedUse[claim.Spec.Team].Plus(claim.Tally.Committed)
-			if claim.Tally.Permanent {
-				v.ServiceUse[claim.Spec.Team] = v.ServiceUse[claim.Spec.Team].Plus(claim.Tally.Use)
-			}
-			v.UseByShard[claim.Tally.Key] = v.UseByShard[claim.Tally.Key].Plus(claim.Tally.Use)
-			v.UseByTeam[claim.Tally.Key.Team] = v.UseByTeam[claim.Tally.Key.Team].Plus(claim.Tally.Use)
-		}
-	}
-	if claim.Shard != shard {
-		if s := v.Shards[claim.Shard]; s != nil {
-			delete(s.Claims, claim)
-			delete(s.Dirty, claim)
-		}
-		if shard != "" {
-			v.Shard(shard).Claims[claim] = struct{}{}
+			v.addTally(claim, shard)
 		}
-		claim.Shard = shard
 	}
-	if wide {
+	v.moveToShard(claim, shard)
+	if crossShard {
 		v.CrossShardClaims[claim] = struct{}{}
 	} else {
 		delete(v.CrossShardClaims, claim)
@@ -186,7 +136,64 @@
 	}
 }
 
-// MarkDirty has a claim looked at in the next pass.
+// firstCommitted returns the committed version, or else the one being committed.
+func (c *Claim) firstCommitted() *records.Claim {
+	if c.Record != nil {
+		return c.Record
+	}
+	return c.Pending
+}
+
+// subtractTally removes a claim's share from the sums.
+func (v *View) subtractTally(claim *Claim) {
+	tally := claim.Tally
+	if !tally.Counted {
+		return
+	}
+	team := tally.Key.Team
+	v.UseByShard[tally.Key] = v.UseByShard[tally.Key].Difference(tally.Use)
+	v.UseByTeam[team] = v.UseByTeam[team].Difference(tally.Use)
+	v.CommittedUse[team] = v.CommittedUse[team].Minus(tally.Committed)
+	if tally.Permanent {
+		v.ServiceUse[team] = v.ServiceUse[team].Minus(tally.Use)
+	}
+}
+
+// addTally adds a claim's share to the sums.
+func (v *View) addTally(claim *Claim, shard string) {
+	perTask, team := TaskResources(claim.Spec), claim.Spec.Team
+	tally := Tally{
+		Key:       TeamShard{team, shard},
+		Use:       perTask.Times(float64(claim.ReservedCount())),
+		Counted:   true,
+		Permanent: claim.Spec.Shape == protocol.ShapeService,
+		Committed: perTask.Times(float64(claim.CommittedCount())),
+	}
+	claim.Tally = tally
+	v.CommittedUse[team] = v.CommittedUse[team].Plus(tally.Committed)
+	if tally.Permanent {
+		v.ServiceUse[team] = v.ServiceUse[team].Plus(tally.Use)
+	}
+	v.UseByShard[tally.Key] = v.UseByShard[tally.Key].Plus(tally.Use)
+	v.UseByTeam[team] = v.UseByTeam[team].Plus(tally.Use)
+}
+
+// moveToShard moves a claim to a shard's set of claims, or out of any if shard is empty.
+func (v *View) moveToShard(claim *Claim, shard string) {
+	if claim.Shard == shard {
+		return
+	}
+	if previous := v.Shards[claim.Shard]; previous != nil {
+		delete(previous.Claims, claim)
+		delete(previous.Dirty, claim)
+	}
+	if shard != "" {
+		v.Shard(shard).Claims[claim] = struct{}{}
+	}
+	claim.Shard = shard
+}
+
+// MarkDirty has a claim reconciled in the next pass.
 func (v *View) MarkDirty(claim *Claim) {
 	if claim.Shard != "" {
 		shard := v.Shard(claim.Shard)
@@ -194,14 +201,14 @@
 		shard.Changed = true
 		return
 	}
-	if _, wide := v.CrossShardClaims[claim]; wide {
+	if _, crossShard := v.CrossShardClaims[claim]; crossShard {
 		for _, shard := range v.Shards {
 			shard.Dirty[claim], shard.Changed = struct{}{}, true
 		}
 	}
 }
 
-// MarkAllDirty has all of a shard's claims looked at.
+// MarkAllDirty has all of a shard's claims reconciled in the next pass.
 func (v *View) MarkAllDirty(shard *Shard) {
 	for claim := range shard.Claims {
 		v.MarkDirty(claim)
@@ -212,10 +219,11 @@
 	shard.SweptAt, shard.Changed = time.Now(), true
 }
 
-// TakeDirtyClaims takes the claims of a shard that are to be looked at now, in
-// the order of their keys. Those whose time has not come stay marked.
+// TakeDirtyClaims removes the marks of those claims of a shard that are to be reconciled
+// now, and returns the claims in the order of their keys. Those whose RetryAt or CheckAt
+// has not come stay marked.
 func (v *View) TakeDirtyClaims(shard *Shard, now time.Time) []*Claim {
-	var out []*Claim
+	var due []*Claim
 	for claim := range shard.Dirty {
 		if v.Claims[claim.Key] != claim || (claim.Shard != "" && claim.Shard != shard.Name) {
 			delete(shard.Dirty, claim)
@@ -228,8 +236,8 @@
 		if claim.Shard == "" && !v.TouchesShard(claim, shard.Name) {
 			continue
 		}
-		out = append(out, claim)
+		due = append(due, claim)
 	}
-	slices.SortFunc(out, func(a, b *Claim) int { return strings.Compare(a.Key, b.Key) })
-	return out
+	slices.SortFunc(due, func(a, b *Claim) int { return strings.Compare(a.Key, b.Key) })
+	return due
 }
--- /dev/null
+++ b/internal/coordination/replica/nodes.go
@@ -0,0 +1,51 @@
+package replica
+
+import (
+	"slices"
+	"time"
+
+	"madderslip/internal/protocol"
+	"madderslip/internal/storage/records"
+)
+
+// NodeInfo is a live controller, as its own record describes it.
+type NodeInfo struct {
+	Version           uint64
+	Since             time.Time // when this process first saw the record
+	QuotaVersion      int       // of the quota protocol that it supports
+	DependencyVersion int       // of the job dependencies that it supports
+	TeamsHash         uint64    // of the team limits in its settings
+}
+
+// ReportedLoad is a shard's load with the time at which its owner worked it out or it was
+// received.
+type ReportedLoad struct {
+	Load protocol.ShardLoad
+	At   time.Time
+}
+
+// ApplyNode applies a controller's record. A nil record means that its lease has expired.
+func (v *View) ApplyNode(name string, record *records.Node, version uint64) {
+	if record == nil {
+		delete(v.Nodes, name)
+	} else {
+		node := v.Nodes[name]
+		if node.Version == 0 {
+			node.Since = time.Now()
+		}
+		node.Version, node.TeamsHash = version, record.TeamsHash
+		node.QuotaVersion, node.DependencyVersion = record.QuotaVersion, record.DependencyVersion
+		v.Nodes[name] = node
+	}
+	v.observer.NodesChanged()
+}
+
+// LiveNodes lists the controllers whose lease holds, by name.
+func (v *View) LiveNodes() []string {
+	names := make([]string, 0, len(v.Nodes))
+	for name := range v.Nodes {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
--- a/internal/coordination/replica/provisions.go
+++ b/internal/coordination/replica/provisions.go
@@ -6,7 +6,23 @@
 	"madderslip/internal/storage/records"
 )
 
-// ApplyProvision takes a hire's record. Once it names the machines it is their
+// Provision is a request for machines to which the cloud's answer is not recorded yet.
+type Provision struct {
+	Name          string
+	Record        records.Provision
+	Version       uint64
+	Busy          bool      // a call or a commit for it is in progress
+	RetryAt       time.Time // not tried again before
+	AnsweredHosts []string  // machines that the cloud has named, until the cache is complete
+}
+
+// MachineGroup is the machines that one provision's record stands for.
+type MachineGroup struct {
+	Hosts   []string
+	Version uint64
+}
+
+// ApplyProvision applies a provision's record. Once it names the machines it is their
 // record, until one is returned and gets a record of its own.
 func (v *View) ApplyProvision(name string, record *records.Provision, version uint64) {
 	delete(v.Groups, name)
@@ -20,23 +36,9 @@
 		v.Groups[name] = MachineGroup{record.Hosts, version}
 		for i, host := range record.Hosts {
 			if v.Machines[host] == nil {
-				v.ApplyMachine(host, &records.Machine{Shard: record.ShardOf(i), Type: record.Type, Zone: record.Zone, Spot: record.Spot, RentedAtMs: record.RequestedAtMs}, 0)
+				machine := &records.Machine{Shard: record.ShardOf(i), Type: record.Type, Zone: record.Zone, Spot: record.Spot, RentedAtMs: record.RequestedAtMs}
+				v.ApplyMachine(host, machine, 0)
 			}
 		}
 	}
 }
-
-// MachineGroup is the machines that one record stands for.
-type MachineGroup struct {
-	Hosts   []string
-	Version uint64
-}
-
-type Provision struct {
-	Name          string
-	Record        records.Provision
-	Version       uint64
-	Busy          bool
-	RetryAt       time.Time
-	AnsweredHosts []string // machines that the cloud has named, until the cache is complete
-}
--- /dev/null
+++ b/internal/coordination/replica/slot.go
@@ -0,0 +1,56 @@
+package replica
+
+import "madderslip/internal/protocol"
+
+// Slot is a task that is, or may be, on a machine: a placement of a claim, committed or
+// being committed.
+type Slot struct {
+	Claim      *Claim
+	Task       int
+	Attempt    uint64
+	TaskName   string
+	Host       *HostUse
+	generation uint32 // the claim's when Reindex last found the placement
+}
+
+// Exited reports whether the machine's agent reports the task as ended, recorded or not.
+func (s *Slot) Exited(machine *Machine) bool {
+	status := machine.Agent.Tasks[s.TaskName]
+	return status != nil && status.Attempt == s.Attempt && status.Phase == protocol.TaskExited
+}
+
+// isReplica reports whether the task is a replica of a service.
+func (s *Slot) isReplica() bool {
+	return s.Claim.Spec != nil && s.Claim.Spec.Shape == protocol.ShapeService
+}
+
+// SlotKey identifies a slot within its claim.
+type SlotKey struct {
+	Task int
+	Host string
+}
+
+// HostUse is what claims place on a host. It stands apart from the machine because a claim
+// may be read before the machine that it names.
+type HostUse struct {
+	Name    string
+	Machine *Machine         // nil until the machine is known
+	Slots   map[string]*Slot // by task name
+}
+
+// HostUse returns the use of a host, and makes it if there is none yet.
+func (v *View) HostUse(host string) *HostUse {
+	use := v.Hosts[host]
+	if use == nil {
+		use = &HostUse{Name: host, Slots: make(map[string]*Slot)}
+		v.Hosts[host] = use
+	}
+	return use
+}
+
+// Invalidate marks the machine's cached capacity as outdated.
+func (h *HostUse) Invalidate() {
+	if h.Machine != nil {
+		h.Machine.Capacity.Stale, h.Machine.Capacity.DetailsStale = true, true
+	}
+}
--- a/internal/coordination/replica/claims.go
+++ b/internal/coordination/replica/view_claims.go
@@ -8,10 +8,10 @@
 	"madderslip/internal/storage/records"
 )
 
-// TouchesShard tells whether a claim has placements on a shard's machines. One
-// without any is minded by the first shard, so that it is tidied up.
+// TouchesShard reports whether a claim has placements on a shard's machines. A claim without
+// any counts for the first shard, so that one owner clears it.
 func (v *View) TouchesShard(claim *Claim, shard string) bool {
-	record := claim.Latest() // the first version may still be on its way; without this a pass crashed
+	record := claim.Latest() // nil while the first version is being committed
 	if record == nil || len(record.Placements) == 0 {
 		return v.ShardNames()[0] == shard
 	}
@@ -21,17 +21,19 @@
 	})
 }
 
+// ClaimsOfTeam lists a team's claims in a shard, in no order.
 func (v *View) ClaimsOfTeam(shard *Shard, team string) []*Claim {
-	var out []*Claim
+	var claims []*Claim
 	for claim := range shard.Claims {
 		if claim.Spec != nil && claim.Spec.Team == team {
-			out = append(out, claim)
+			claims = append(claims, claim)
 		}
 	}
-	return out
+	return claims
 }
 
-// ClaimOf is the claim of a job's chunk, one that is being made included.
+// ClaimOf returns the claim of a job's chunk, one that is being committed for the first time
+// included, or nil.
 func (v *View) ClaimOf(job *Job, chunk int) *Claim {
 	if claim := job.Claims[chunk]; claim != nil {
 		return claim
@@ -39,7 +41,7 @@
 	return v.Claims[job.ClaimKey(chunk)]
 }
 
-// ZonesOf lists the zones of a claim's placements, a zone for each.
+// ZonesOf lists the zones of a claim's placements, one for each placement.
 func (v *View) ZonesOf(claim *Claim) []string {
 	var zones []string
 	if claim.Record == nil {
@@ -53,9 +55,9 @@
 	return zones
 }
 
-// SetSpec gives a claim its job's description. The record of a job that is over may have
-// none: a try under way at a job that another shard has finished lost its own by that,
-// and the process ended when the try failed.
+// SetSpec gives a claim its job's description. A nil description changes nothing: the record
+// of a job that is over may have none, and a commit in progress for a job that another shard
+// has finished needs the claim's own when it fails.
 func (v *View) SetSpec(claim *Claim, spec *protocol.Submission) {
 	if spec != nil && claim.Spec != spec {
 		claim.Spec, claim.specChanged = spec, true
@@ -63,12 +65,13 @@
 	}
 }
 
-// SetPending says which version of a claim is being committed, if any.
+// SetPending sets the version of a claim that is being committed; nil: none.
 func (v *View) SetPending(claim *Claim, next *records.Claim) {
 	claim.Pending = next
 	v.Reindex(claim)
 }
 
+// ApplyClaim applies a claim's record. A nil record means that the claim was removed.
 func (v *View) ApplyClaim(key string, record *records.Claim, version uint64) {
 	jobID, chunk, err := records.ParseClaimKey(key)
 	if err != nil {
@@ -86,17 +89,7 @@
 		claim = &Claim{Key: key, JobID: jobID, Chunk: chunk}
 		v.Claims[key] = claim
 	}
-	// Also when this node has a try of its own under way and another shard's
-	// claim arrives: left unattached, the winner's tasks would look like strays
-	// to this node and be stopped once it takes that shard over.
-	if job != nil && job.Record != nil {
-		v.Attach(job, claim)
-	} else {
-		if v.OrphanClaims[jobID] == nil {
-			v.OrphanClaims[jobID] = make(map[string]*Claim)
-		}
-		v.OrphanClaims[jobID][key] = claim
-	}
+	v.attachOrOrphan(job, claim)
 	claim.Record, claim.Version = record, version
 	claim.CompletionSeenAt = time.Time{}
 	if len(record.Placements) > 0 {
@@ -104,17 +97,33 @@
 	}
 	v.Reindex(claim)
 	if job != nil && job.Chunks > 1 && record.IsComplete() {
-		for _, o := range job.Claims {
-			v.MarkDirty(o) // the job may be over
+		for _, other := range job.Claims {
+			v.MarkDirty(other) // the job may be over
 		}
 	}
 }
 
+// attachOrOrphan attaches a claim to its job, or keeps it for when the job is read. This is
+// done also when this controller has a commit of its own in progress and another shard's
+// claim arrives: left unattached, the other's tasks would look orphaned to this controller,
+// which would stop them once it takes over that shard.
+func (v *View) attachOrOrphan(job *Job, claim *Claim) {
+	if job != nil && job.Record != nil {
+		v.Attach(job, claim)
+		return
+	}
+	if v.OrphanClaims[claim.JobID] == nil {
+		v.OrphanClaims[claim.JobID] = make(map[string]*Claim)
+	}
+	v.OrphanClaims[claim.JobID][claim.Key] = claim
+}
+
+// DropClaim removes a claim from the view, and its job if that is over.
 func (v *View) DropClaim(claim *Claim) {
 	delete(v.Claims, claim.Key)
 	v.Reindex(claim)
 	if set := v.OrphanClaims[claim.JobID]; set != nil {
-		// An empty set that stayed had its job looked up in every pass, for ever.
+		// An empty set that stayed would have its job looked up in every pass.
 		if delete(set, claim.Key); len(set) == 0 {
 			delete(v.OrphanClaims, claim.JobID)
 		}
@@ -127,18 +136,19 @@
 	}
 }
 
-// PlacementOf finds the claim of a reported task and its placement on a host.
+// PlacementOf returns the claim of a task that a machine reports, and its placement there.
+// Either is nil if there is none.
 func (v *View) PlacementOf(machine *Machine, task string) (*Claim, *records.Placement) {
 	host := machine.Host
 	if slot := machine.Use.Slots[task]; slot != nil && slot.Claim.Pending == nil {
 		return slot.Claim, &records.Placement{Task: slot.Task, Attempt: slot.Attempt, Host: host}
 	}
-	jobID, num, ok := protocol.ParseTaskName(task)
+	jobID, taskNumber, ok := protocol.ParseTaskName(task)
 	job := v.Jobs[jobID]
 	if !ok || job == nil || job.ChunkSize == 0 {
 		return nil, nil
 	}
-	claim := job.Claims[num/job.ChunkSize]
+	claim := job.Claims[taskNumber/job.ChunkSize]
 	if claim == nil {
 		return nil, nil
 	}
@@ -147,7 +157,7 @@
 			continue
 		}
 		for i := range record.Placements {
-			if record.Placements[i].Task == num && record.Placements[i].Host == host {
+			if record.Placements[i].Task == taskNumber && record.Placements[i].Host == host {
 				return claim, &record.Placements[i]
 			}
 		}
--- a/internal/coordination/replica/jobs.go
+++ b/internal/coordination/replica/view_jobs.go
@@ -8,7 +8,11 @@
 	"madderslip/internal/storage/records"
 )
 
-// IsCancelled tells that a job's cancellation is committed.
+// maxFinalJobs bounds the finished jobs answered from memory; older ones are read from the
+// state service.
+const maxFinalJobs = 200_000
+
+// IsCancelled reports whether a job's cancellation is committed.
 func (v *View) IsCancelled(jobID string) bool {
 	if job := v.Jobs[jobID]; job != nil && job.Record != nil {
 		return job.Record.State == protocol.JobCancelled
@@ -16,10 +20,10 @@
 	return v.FinalJobs[jobID].State == protocol.JobCancelled
 }
 
-// JobState is what the cache says of a job that does not wait for others.
+// JobState returns the state of a job that is not blocked, as far as cached.
 func (v *View) JobState(jobID string) dag.State {
-	if f, ok := v.FinalJobs[jobID]; ok {
-		return dependencyState(f.State)
+	if final, ok := v.FinalJobs[jobID]; ok {
+		return dependencyState(final.State)
 	}
 	if job := v.Jobs[jobID]; job != nil && job.Record != nil {
 		return dependencyState(job.Record.State)
@@ -27,6 +31,7 @@
 	return dag.Unknown
 }
 
+// dependencyState returns what a job's recorded state means to those that depend on it.
 func dependencyState(state string) dag.State {
 	switch state {
 	case protocol.JobDone:
@@ -37,8 +42,8 @@
 	return dag.Unfinished
 }
 
-// ApplyBlockedJob takes a version of a job's record into the graph, and tells whether that is
-// all: a job that waits is nowhere else.
+// ApplyBlockedJob applies a version of a job's record to the graph of dependencies. It
+// reports whether that is all: a blocked job is nowhere else.
 func (v *View) ApplyBlockedJob(jobID string, record *records.Job, version uint64) bool {
 	if record.State != records.JobBlocked {
 		v.Dependencies.ObserveState(jobID, dependencyState(record.State), time.Now())
@@ -52,71 +57,83 @@
 	return true
 }
 
+// ApplyJob applies a job's record. Job records are never removed, so a nil record changes
+// nothing.
 func (v *View) ApplyJob(jobID string, record *records.Job, version uint64) {
-	job := v.Jobs[jobID]
 	if record == nil {
-		return // job records are kept for ever
+		return
 	}
 	if v.ApplyBlockedJob(jobID, record, version) {
 		return
 	}
+	job := v.Jobs[jobID]
 	if job == nil {
 		if record.IsFinal() && !v.HasClaims(jobID) && !v.mayHaveClaims(record, version) {
 			v.rememberFinal(jobID, record, version)
 			return
 		}
-		job = &Job{ID: jobID, Claims: make(map[int]*Claim), SeenAt: time.Now(), LeftUntil: make(map[int]time.Time)}
-		v.Jobs[jobID] = job
-		if record.Spec != nil && record.Spec.GPUs > 0 && !record.IsFinal() {
-			v.GPUJobSeenAt = job.SeenAt
-		}
+		job = v.addJob(jobID, record)
 	}
+	v.setJobRecord(job, record, version)
+	v.attachOrphans(job)
+	v.observer.JobChanged(job)
+	for _, claim := range job.Claims {
+		v.SetSpec(claim, job.Spec())
+		v.MarkDirty(claim)
+	}
+	v.forgetIfOver(job)
+}
+
+// addJob adds a job that the view does not have yet.
+func (v *View) addJob(jobID string, record *records.Job) *Job {
+	job := &Job{ID: jobID, Claims: make(map[int]*Claim), SeenAt: time.Now(), LeftUntil: make(map[int]time.Time)}
+	v.Jobs[jobID] = job
+	if record.Spec != nil && record.Spec.GPUs > 0 && !record.IsFinal() {
+		v.GPUJobSeenAt = job.SeenAt
+	}
+	return job
+}
+
+// setJobRecord replaces a job's record and what follows from it. A record without a
+// description keeps that of the one before.
+func (v *View) setJobRecord(job *Job, record *records.Job, version uint64) {
 	if record.Spec == nil && job.Record != nil && job.Record.Spec != nil {
-		c := *record
-		c.Spec = job.Record.Spec
-		record = &c
+		described := *record
+		described.Spec = job.Record.Spec
+		record = &described
 	}
 	job.Record, job.Version = record, version
-	v.Unplaced[jobID] = job
+	v.Unplaced[job.ID] = job
 	v.Urgent = v.Urgent || (record.Spec != nil && record.Spec.Shape != protocol.ShapeArray)
 	if record.IsFinal() && job.FinalAt.IsZero() {
-		job.FinalAt = time.Now()
-		// What counts is when its user was told, not when this process heard of it:
-		// with every restart in between the machine that kept its tasks was given
-		// the full time again.
-		if at := time.UnixMilli(record.CancelledAtMs); record.CancelledAtMs != 0 && at.Before(job.FinalAt) {
-			job.FinalAt = at
-		}
+		job.setFinal(record, time.Now())
 	}
 	if record.State == protocol.JobCancelled {
-		v.CancelledJobs[jobID] = job
+		v.CancelledJobs[job.ID] = job
 	}
-	if record.Spec != nil {
-		// From the record: every controller must cut a job the same way.
-		job.ChunkSize = max(1, record.ChunkSize)
-		job.Chunks = (record.Spec.Tasks + job.ChunkSize - 1) / job.ChunkSize
-	}
-	for key, claim := range v.OrphanClaims[jobID] {
+	job.setChunks(record)
+}
+
+// attachOrphans attaches the claims that were read before their job.
+func (v *View) attachOrphans(job *Job) {
+	for key, claim := range v.OrphanClaims[job.ID] {
 		v.Attach(job, claim)
-		delete(v.OrphanClaims[jobID], key)
+		delete(v.OrphanClaims[job.ID], key)
 	}
-	delete(v.OrphanClaims, jobID)
-	v.observer.JobChanged(job)
-	for _, claim := range job.Claims {
-		v.SetSpec(claim, job.Spec())
-		v.MarkDirty(claim)
-	}
-	v.forgetIfOver(job)
+	delete(v.OrphanClaims, job.ID)
 }
 
+// HasClaims reports whether claims of a job were read before the job.
 func (v *View) HasClaims(jobID string) bool { return len(v.OrphanClaims[jobID]) > 0 }
 
+// Attach makes a claim one of its job's.
 func (v *View) Attach(job *Job, claim *Claim) {
 	job.Claims[claim.Chunk] = claim
 	v.SetSpec(claim, job.Spec())
 }
 
-// rememberFinal keeps only a small entry of a final job.
+// rememberFinal keeps a small entry of a final job, in place of any other if there are too
+// many.
 func (v *View) rememberFinal(jobID string, record *records.Job, version uint64) {
 	if len(v.FinalJobs) >= maxFinalJobs {
 		for old := range v.FinalJobs {
@@ -128,23 +145,14 @@
 	v.FinalJobs[jobID] = FinalJob{State: record.State, Tasks: record.Tasks, Version: version}
 }
 
-// maxFinalJobs bounds the finished jobs answered from memory; older ones are
-// read from the state service.
-const maxFinalJobs = 200_000
-
-type FinalJob struct {
-	State   string
-	Tasks   int
-	Version uint64
-}
-
-// mayHaveClaims tells that a job's cancellation is known ahead of the watch, which may
-// yet bring claims of it. Forgotten at once, the job had to be read again for them, which
-// nobody can in an outage, and they were minded by nobody.
+// mayHaveClaims reports whether a job's cancellation is known ahead of the watch, which may
+// yet bring claims of it. Such a job is kept: in an outage it cannot be read again for
+// them, and its claims would be reconciled by no controller.
 func (v *View) mayHaveClaims(record *records.Job, version uint64) bool {
 	return v.Loaded && record.State == protocol.JobCancelled && version > v.Revision
 }
 
+// forgetIfOver drops a job that is final and has no claims left.
 func (v *View) forgetIfOver(job *Job) {
 	if v.mayHaveClaims(job.Record, job.Version) {
 		v.EarlyCancellations[job.ID] = job
@@ -157,6 +165,7 @@
 	}
 }
 
+// SpecOfTask returns the description of a task's job, or nil if the job is not known.
 func (v *View) SpecOfTask(task string) *protocol.Submission {
 	jobID, _, ok := protocol.ParseTaskName(task)
 	if job := v.Jobs[jobID]; ok && job != nil && job.Record != nil {
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -50,7 +50,7 @@
 	}
 	grace`},
 	{"an account counts under the present token only", "coordination/replica/machine.go", `return m.Agent.Heartbeat != nil && shard.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= shard.FencingToken`, `return m.Agent.Heartbeat != nil && shard.FencingToken != 0`},
-	{"command outcome unknown", "coordination/replica/machine.go", `slices.ContainsFunc(m.Commands.Unknown, func(u UnknownStart) bool { return u.Task == task && u.Attempt == try })`, `false`},
+	{"command outcome unknown", "coordination/replica/commandqueue.go", `slices.ContainsFunc(m.Commands.Unknown, func(start UnknownStart) bool { return start.Task == task && start.Attempt == attempt })`, `false`},
 	{"a machine that keeps a cancelled task is fenced", "coordination/controller/probes.go", `		c.enforceCancellations(now)
 `, ``},
 	{"fenced without a record if need be", "coordination/controller/cancellations.go", `return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == "" && !c.isRefusedAlone(now)`, `return false`},
@@ -62,7 +62,7 @@
 	if t.Age > limit {`},
 	{"who hears nobody begins nothing", "coordination/controller/reconcile.go", `if !c.hearsNobody(now) && `, `if `},
 	{"all cancellations are repeated", "coordination/controller/peers.go", `c.nextRepeated = jobID`, `c.nextRepeated = ""`},
-	{"the bound counts from the record", "coordination/replica/jobs.go", `record.CancelledAtMs != 0 && at.Before(job.FinalAt)`, `false && at.Before(job.FinalAt)`},
+	{"the bound counts from the record", "coordination/replica/job.go", `record.CancelledAtMs != 0 && at.Before(j.FinalAt)`, `false && at.Before(j.FinalAt)`},
 	{"team limits are conditions", "coordination/controller/limits.go", `return append(compares, kv.Compare{Key: key, Version: usage.Version}), []kv.Op`, `return compares, []kv.Op`},
 	{"a start needs its limit as it was", "coordination/controller/limits.go", `	compares = append(compares, c.view.Quota.LimitCompares(team)...)`, ``},
 	{"a start needs the bookings as they were", "coordination/controller/limits.go", `has && grows {`, `has && grows && false {`},
@@ -92,9 +92,9 @@
 		case err == nil &&`},
 	{"what could not be read anew is not answered", "coordination/controller/commit.go", `if !read && prio == kv.PriorityUser {`, `if false && !read {`},
 	{"a cancellation is told once its claims are known", "coordination/controller/replies.go", `if answer.Phase != protocol.JobCancelled || c.view.Revision >= version {`, `if true {`},
-	{"claims may come after their job's cancellation", "coordination/replica/jobs.go", `return v.Loaded && record.State == protocol.JobCancelled && version > v.Revision`, `return false`},
+	{"claims may come after their job's cancellation", "coordination/replica/view_jobs.go", `return v.Loaded && record.State == protocol.JobCancelled && version > v.Revision`, `return false`},
 	{"done needs all chunks", "coordination/controller/claims.go", `(other != claim && !other.Record.IsComplete())`, `false`},
-	{"a job that waits is in no queue", "coordination/replica/jobs.go", `	if v.ApplyBlockedJob(jobID, record, version) {
+	{"a job that waits is in no queue", "coordination/replica/view_jobs.go", `	if v.ApplyBlockedJob(jobID, record, version) {
 		return
 	}
 `, ``},
@@ -135,7 +135,7 @@
 `, `			_ = again
 `},
 	{"the lead is known by its record", "coordination/controller/leadership.go", `c.leadership.isSelf = record.Node == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli(); c.leadership.isSelf {`, `c.leadership.isSelf = record.NodeName == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli() && !c.leadership.campaigning; c.leadership.isSelf {`},
-	{"no empty set of claims without a job", "coordination/replica/claims.go", `if delete(set, claim.Key); len(set) == 0 {`, `if delete(set, claim.Key); false {`},
+	{"no empty set of claims without a job", "coordination/replica/view_claims.go", `if delete(set, claim.Key); len(set) == 0 {`, `if delete(set, claim.Key); false {`},
 	{"leases are kept behind a cut", "coordination/controller/leases.go", `	if heartbeat.FencingToken > shard.Version || !failover.MayExtendLease`, `	if true || heartbeat.FencingToken > shard.Version || !failover.MayExtendLease`},
 	{"a zone that seems cut off is not fenced", "coordination/controller/failuredetection.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
 	{"no lease is kept for a cancelled task", "coordination/controller/leases.go", `heartbeat.Tasks[i].Phase != protocol.TaskExited && (`, `false && (`},
