--- a/internal/coordination/controller/reconcile.go
+++ b/internal/coordination/controller/reconcile.go
@@ -10,8 +10,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// reconcileClaims works through the claims of a shard: what has ended is booked, what
-// should run is started, what should not is stopped.
+// reconcileClaims compares the claims of a shard that have changed with what the machines
+// show: ended tasks are recorded, missing ones started, unwanted ones stopped.
 func (c *Controller) reconcileClaims(shard *replica.Shard, now time.Time) {
 	for _, claim := range c.view.TakeDirtyClaims(shard, now) {
 		job := c.view.Jobs[claim.JobID]
@@ -22,89 +22,165 @@
 	}
 }
 
-// outcome is what has become of a placement.
+// outcome is the state of a placement as far as it is proven.
 type outcome int
 
 const (
-	outcomeRunning outcome = iota // it is, or may be, on its machine
-	outcomePending                // the same, and something is to be done about it
-	outcomeCompleted
-	outcomeGone
+	outcomeRunning   outcome = iota // the task is, or may be, on its machine
+	outcomePending                  // the same, and the placement must be checked again
+	outcomeCompleted                // the task has completed
+	outcomeGone                     // the task is not on its machine and can't start there any more
 )
 
+// claimReconciliation is the result of comparing a claim with what the machines show.
+type claimReconciliation struct {
+	next    *records.Claim // the claim without the placements that have ended
+	changed bool           // next differs from the committed version
+	urgent  bool           // next is committed without waiting for further completions
+	recheck bool           // the claim is to be checked again soon
+}
+
+// reconcileClaim classifies a claim's placements, sends the commands that follow, and
+// commits what has changed.
 func (c *Controller) reconcileClaim(shard *replica.Shard, job *replica.Job, claim *replica.Claim, now time.Time) {
-	next := claim.Record.Clone()
-	next.Placements = next.Placements[:0]
-	changed, pressing, uneasy := false, c.isLimited(claim.Spec) && (!c.view.Quota.IsAllotted(claim.Spec.Team) || c.view.Quota.IsDemanded(claim.Spec.Team)), job.Record.IsFinal()
-	if claim.Spec.Shape == protocol.ShapeGang && len(claim.Record.Placements) > 0 && len(claim.Record.Placements)+claim.Record.CompletedCount() < claim.Record.TaskCount {
-		claim.HaltedAttempt = claim.Record.LastAttempt // it was placed whole, so a task has been lost
+	result := c.newReconciliation(job, claim)
+	if hasLostGangTask(claim) {
+		claim.HaltedAttempt = claim.Record.LastAttempt
 	}
 	for i := range claim.Record.Placements {
-		placement := &claim.Record.Placements[i]
-		if machine := c.view.Machines[placement.Host]; claim.Record.Shard == "" && machine != nil && machine.Record.Shard != shard.Name {
-			next.Placements = append(next.Placements, *placement) // its own shard's owner judges it
-			continue
-		}
-		switch c.classifyPlacement(shard, job, claim, placement, now) {
-		case outcomeCompleted:
-			next.MarkCompleted(placement.Task)
-			delete(claim.Evictions, placement.Task)
-			changed = true
-		case outcomeGone:
-			if _, moved := claim.Evictions[placement.Task]; !moved && claim.Spec.Shape == protocol.ShapeService && !job.Record.IsFinal() {
-				c.log.Info("service replica lost", "task", protocol.TaskName(claim.JobID, placement.Task), "attempt", placement.Attempt, "host", placement.Host)
-			}
-			delete(claim.Evictions, placement.Task)
-			changed, pressing = true, true
-			if claim.Spec.Shape == protocol.ShapeGang && len(claim.Record.Placements) > 1 {
-				claim.HaltedAttempt = claim.Record.LastAttempt
-			}
-		case outcomePending:
-			uneasy = true
-			next.Placements = append(next.Placements, *placement)
-		default:
-			next.Placements = append(next.Placements, *placement)
-		}
+		c.reconcilePlacement(shard, job, claim, &claim.Record.Placements[i], result, now)
 	}
 	c.sendPendingCommands(shard)
-	if claim.Spec.Shape == protocol.ShapeGang && next.CompletedCount() > 0 && !next.IsComplete() {
-		// A gang completes together: if one task is done, every one is.
-		for t := next.FirstTask; t < next.FirstTask+next.TaskCount; t++ {
-			next.MarkCompleted(t)
-		}
-		changed = true
+	if claim.Spec.Shape == protocol.ShapeGang {
+		result.completeGang()
 	}
-	if next.IsComplete() && claim.Spec.Shape != protocol.ShapeService && !job.Record.IsFinal() {
-		if c.finishJob(shard, job, claim, next) {
+	if result.next.IsComplete() && claim.Spec.Shape != protocol.ShapeService && !job.Record.IsFinal() {
+		if c.finishJob(shard, job, claim, result.next) {
 			return
 		}
-		pressing, uneasy = true, true // the job's other chunks wait for this one
+		result.urgent, result.recheck = true, true // the job's other chunks wait for this one
 	}
-	if job.Record.IsFinal() && len(next.Placements) == 0 {
+	if job.Record.IsFinal() && len(result.next.Placements) == 0 {
 		c.dropClaim(shard, claim)
 		return
 	}
-	if changed {
-		if claim.CompletionSeenAt.IsZero() {
-			claim.CompletionSeenAt = now
-		}
-		// A completion alone can wait a little for others: until it is booked
-		// its worker goes on listing it, and its room counts as free already.
-		// One write for each of some hundred tasks a second is beyond the
-		// state service's budget.
-		if (pressing || now.Sub(claim.CompletionSeenAt) >= c.policy.CompletionBatchDelay) && c.updateClaim(shard, claim, next, kv.PriorityCompletion, nil) {
+	if result.changed {
+		if c.commitReconciled(shard, claim, result, now) {
 			return
 		}
-		uneasy = true
+		result.recheck = true
 	}
-	if uneasy {
+	if result.recheck {
 		claim.CheckAt = now.Add(recheckDelay)
 		shard.Dirty[claim] = struct{}{}
 	}
 }
 
-// classifyPlacement decides a placement's fate from proof alone: the worker's own account
-// under the current token with no command outstanding, or a machine that the
+// newReconciliation returns a reconciliation with none of the claim's placements yet. What
+// ends is committed at once where other shards wait for it within the team's limit.
+func (c *Controller) newReconciliation(job *replica.Job, claim *replica.Claim) *claimReconciliation {
+	next := claim.Record.Clone()
+	next.Placements = next.Placements[:0]
+	team := claim.Spec.Team
+	urgent := c.isLimited(claim.Spec) && (!c.view.Quota.IsAllotted(team) || c.view.Quota.IsDemanded(team))
+	return &claimReconciliation{next: next, urgent: urgent, recheck: job.Record.IsFinal()}
+}
+
+// hasLostGangTask reports whether a gang that was placed whole has lost a task, so that its
+// attempt must end.
+func hasLostGangTask(claim *replica.Claim) bool {
+	placed := len(claim.Record.Placements)
+	return claim.Spec.Shape == protocol.ShapeGang && placed > 0 && placed+claim.Record.CompletedCount() < claim.Record.TaskCount
+}
+
+// reconcilePlacement adds a placement, or its end, to a claim's reconciliation.
+func (c *Controller) reconcilePlacement(shard *replica.Shard, job *replica.Job, claim *replica.Claim, placement *records.Placement, result *claimReconciliation, now time.Time) {
+	if c.isOfOtherShard(shard, claim, placement) {
+		result.next.Placements = append(result.next.Placements, *placement)
+		return
+	}
+	switch c.classifyPlacement(shard, job, claim, placement, now) {
+	case outcomeCompleted:
+		result.next.MarkCompleted(placement.Task)
+		delete(claim.Evictions, placement.Task)
+		result.changed = true
+	case outcomeGone:
+		c.endPlacement(job, claim, placement)
+		result.changed, result.urgent = true, true
+	case outcomePending:
+		result.recheck = true
+		result.next.Placements = append(result.next.Placements, *placement)
+	default:
+		result.next.Placements = append(result.next.Placements, *placement)
+	}
+}
+
+// isOfOtherShard reports whether a placement of a gang across shards is on a machine of
+// another shard, whose owner reconciles it.
+func (c *Controller) isOfOtherShard(shard *replica.Shard, claim *replica.Claim, placement *records.Placement) bool {
+	machine := c.view.Machines[placement.Host]
+	return claim.Record.Shard == "" && machine != nil && machine.Record.Shard != shard.Name
+}
+
+// endPlacement updates a claim for a placement whose task is gone. With one task of a gang
+// the attempt of all of them ends.
+func (c *Controller) endPlacement(job *replica.Job, claim *replica.Claim, placement *records.Placement) {
+	if _, evicted := claim.Evictions[placement.Task]; !evicted && claim.Spec.Shape == protocol.ShapeService && !job.Record.IsFinal() {
+		c.log.Info("service replica lost", "task", protocol.TaskName(claim.JobID, placement.Task), "attempt", placement.Attempt, "host", placement.Host)
+	}
+	delete(claim.Evictions, placement.Task)
+	if claim.Spec.Shape == protocol.ShapeGang && len(claim.Record.Placements) > 1 {
+		claim.HaltedAttempt = claim.Record.LastAttempt
+	}
+}
+
+// completeGang marks every task of a gang completed if one is: a gang completes together.
+func (r *claimReconciliation) completeGang() {
+	if r.next.CompletedCount() == 0 || r.next.IsComplete() {
+		return
+	}
+	for task := r.next.FirstTask; task < r.next.FirstTask+r.next.TaskCount; task++ {
+		r.next.MarkCompleted(task)
+	}
+	r.changed = true
+}
+
+// commitReconciled commits a reconciled claim and reports whether a commit has begun. A
+// completion alone is held back for a while so that one write records several: until then
+// its agent goes on listing it, and its capacity already counts as free. One write for each
+// of some hundred tasks a second exceeds the state service's budget.
+func (c *Controller) commitReconciled(shard *replica.Shard, claim *replica.Claim, result *claimReconciliation, now time.Time) bool {
+	if claim.CompletionSeenAt.IsZero() {
+		claim.CompletionSeenAt = now
+	}
+	if !result.urgent && now.Sub(claim.CompletionSeenAt) < c.policy.CompletionBatchDelay {
+		return false
+	}
+	return c.updateClaim(shard, claim, result.next, kv.PriorityCompletion, nil)
+}
+
+// placedTask is a placement and what its machine shows of it.
+type placedTask struct {
+	shard     *replica.Shard
+	claim     *replica.Claim
+	placement *records.Placement
+	machine   *replica.Machine
+	name      string
+	status    *protocol.TaskStatus // of any attempt; nil: the machine does not show the task
+}
+
+// isShown reports whether the machine shows the placement's attempt of the task.
+func (t *placedTask) isShown() bool {
+	return t.status != nil && t.status.Attempt == t.placement.Attempt
+}
+
+// hasExited reports whether the machine shows that the placement's attempt has exited.
+func (t *placedTask) hasExited() bool {
+	return t.isShown() && t.status.Phase == protocol.TaskExited
+}
+
+// classifyPlacement determines a placement's outcome from proof alone: the agent's own
+// status under the current fencing token with no command outstanding, or a machine that the
 // cloud has taken back. Silence proves nothing.
 func (c *Controller) classifyPlacement(shard *replica.Shard, job *replica.Job, claim *replica.Claim, placement *records.Placement, now time.Time) outcome {
 	machine := c.view.Machines[placement.Host]
@@ -112,19 +188,11 @@
 		return outcomeRunning
 	}
 	name := claim.TaskName(placement)
-	status := machine.Agent.Tasks[name]
-	if status != nil && status.Attempt == placement.Attempt && status.Phase == protocol.TaskExited && status.Cause == protocol.CauseDone {
-		// Done it is for ever, but an account under an earlier token does not prove
-		// that it is off the machine: its worker's session may have ended since, and
-		// another owner of the shard may have started it again there. Freed on such
-		// an account, a limited team's use was lowered while the task ran.
-		if !machine.ShowsToken(shard) && !machine.Lifecycle.Gone && machine.Record.State != records.MachineGone {
-			return outcomePending
-		}
-		c.recordCompletion(job, claim.Spec, machine, name, now)
-		return outcomeCompleted
+	task := &placedTask{shard: shard, claim: claim, placement: placement, machine: machine, name: name, status: machine.Agent.Tasks[name]}
+	if task.hasExited() && task.status.Cause == protocol.CauseDone {
+		return c.classifyCompleted(job, task, now)
 	}
-	if machine.Lifecycle.Gone || machine.Record.State == records.MachineGone {
+	if hasLeft(machine) {
 		return outcomeGone
 	}
 	if machine.Agent.Heartbeat == nil {
@@ -132,63 +200,117 @@
 	}
 	grace, stop := c.shouldStop(claim, placement, now)
 	switch {
-	case status != nil && status.Attempt == placement.Attempt && status.Phase == protocol.TaskExited:
-		if !machine.ShowsToken(shard) {
-			return outcomePending
-		}
-		if machine.HasUnconfirmedStart(name, placement.Attempt) {
-			shard.RequestNewToken(machine)
-			return outcomePending
-		}
-		if status.Cause == protocol.CauseGangTimeout && !stop {
-			// It had waited too long for the others, whose images may take longer
-			// still. They go on waiting for it: once reaped it starts again, in the
-			// same attempt and on the same machine. To end the attempt instead threw
-			// away what the others had fetched.
-			return outcomePending
-		}
-		c.recordTaskEnd(job, machine, status, now)
-		return outcomeGone
-	case status != nil && status.Attempt == placement.Attempt:
+	case task.hasExited():
+		return c.classifyExited(job, task, stop, now)
+	case task.isShown():
 		if !stop {
 			return outcomeRunning
 		}
-		if now.Sub(machine.Commands.StopSentAt[name]) > resendInterval && (status.Phase != protocol.TaskCheckpointing || grace == 0) {
-			machine.Commands.StopSentAt[name] = now
-			c.queueCommands(shard, machine, protocol.StopCommand(name, placement.Attempt, grace))
-		}
+		c.sendStop(task, grace, now)
 		return outcomePending
-	case status != nil: // another attempt of it is still there
+	case task.status != nil: // another attempt of it is still there
 		return outcomePending
 	case !machine.ShowsToken(shard):
 		return outcomePending
 	case stop, c.isOverLimit(claim.Spec), machine.Detector.Reachability.CannotReceive(), c.cannotReport(machine, now) && !c.isStateDown(now):
-		// Also what a limit lowered since leaves no room for: what runs may go on, what is
-		// not there may not begin. A machine that does not hear would not begin it, and one
-		// that does not report would lose it with its lease, which is more than an outage
-		// lets begin elsewhere.
-		if machine.HasUnconfirmedStart(name, placement.Attempt) {
-			shard.RequestNewToken(machine)
-			return outcomePending
-		}
-		return outcomeGone // it never started, and now never will
-	}
-	// Committed but not there: started by no one, or lost with the worker's
-	// session. The same attempt may start again, for nothing else can hold it, unless
-	// its job may have been cancelled where this node can't hear of it.
-	if !c.hearsNobody(now) && !slices.ContainsFunc(machine.Commands.Pending, isStartOf(name)) && !slices.ContainsFunc(machine.Commands.InFlight, isStartOf(name)) &&
-		now.Sub(machine.Commands.StartSentAt[name]) > resendInterval && machine.Record.State == "" {
-		machine.Commands.StartSentAt[name] = now
-		c.queueCommands(shard, machine, protocol.StartCommand(name, placement.Attempt))
+		// Under a limit lowered since, what runs may go on, but nothing more may start. A
+		// machine that cannot receive would not start the task, and one that cannot report
+		// would lose it with its lease, which is more than an outage lets start elsewhere.
+		return task.classifyNotStarted()
 	}
+	c.sendStart(task, now)
 	return outcomePending
 }
 
+// hasLeft reports whether the cloud has taken a machine back.
+func hasLeft(machine *replica.Machine) bool {
+	return machine.Lifecycle.Gone || machine.Record.State == records.MachineGone
+}
+
+// classifyCompleted classifies a placement whose task has completed. Completion is final,
+// but a status under an earlier fencing token does not prove that the task is off the
+// machine: the agent's epoch may have ended since, and another owner of the shard may have
+// started the task again there. The token prevents a limited team's use from being lowered
+// while the task runs.
+func (c *Controller) classifyCompleted(job *replica.Job, task *placedTask, now time.Time) outcome {
+	if !task.machine.ShowsToken(task.shard) && !hasLeft(task.machine) {
+		return outcomePending
+	}
+	c.recordCompletion(job, task.claim.Spec, task.machine, task.name, now)
+	return outcomeCompleted
+}
+
+// classifyExited classifies a placement whose task has exited without completing.
+func (c *Controller) classifyExited(job *replica.Job, task *placedTask, stop bool, now time.Time) outcome {
+	if !task.machine.ShowsToken(task.shard) {
+		return outcomePending
+	}
+	if task.machine.HasUnconfirmedStart(task.name, task.placement.Attempt) {
+		task.shard.RequestNewToken(task.machine)
+		return outcomePending
+	}
+	if task.status.Cause == protocol.CauseGangTimeout && !stop {
+		// The task waited too long for the others, whose images may take longer still.
+		// Once reaped it starts again, in the same attempt and on the same machine: ending
+		// the attempt would throw away the images that the others have fetched.
+		return outcomePending
+	}
+	c.recordTaskEnd(job, task.machine, task.status, now)
+	return outcomeGone
+}
+
+// classifyNotStarted classifies a placement that its machine does not show and that must
+// not start any more: it is gone once no start of it can arrive late.
+func (t *placedTask) classifyNotStarted() outcome {
+	if t.machine.HasUnconfirmedStart(t.name, t.placement.Attempt) {
+		t.shard.RequestNewToken(t.machine)
+		return outcomePending
+	}
+	return outcomeGone
+}
+
+// sendStop queues the stop of a task, again after resendInterval. A task that writes its
+// checkpoint is left to it while it has grace.
+func (c *Controller) sendStop(task *placedTask, grace time.Duration, now time.Time) {
+	commands := &task.machine.Commands
+	mayInterrupt := task.status.Phase != protocol.TaskCheckpointing || grace == 0
+	if now.Sub(commands.StopSentAt[task.name]) > resendInterval && mayInterrupt {
+		commands.StopSentAt[task.name] = now
+		c.queueCommands(task.shard, task.machine, protocol.StopCommand(task.name, task.placement.Attempt, grace))
+	}
+}
+
+// sendStart queues the start of a task that is committed but not on its machine: it was
+// never started, or was lost with the agent's epoch. The same attempt may start again, since
+// nothing else can hold it, unless its job may have been cancelled where this node can't
+// hear of it.
+func (c *Controller) sendStart(task *placedTask, now time.Time) {
+	commands := &task.machine.Commands
+	if !c.hearsNobody(now) && !task.hasQueuedStart() && now.Sub(commands.StartSentAt[task.name]) > resendInterval && task.machine.Record.State == "" {
+		commands.StartSentAt[task.name] = now
+		c.queueCommands(task.shard, task.machine, protocol.StartCommand(task.name, task.placement.Attempt))
+	}
+}
+
+// hasQueuedStart reports whether a start of the task is queued or being sent.
+func (t *placedTask) hasQueuedStart() bool {
+	return slices.ContainsFunc(t.machine.Commands.Pending, isStartOf(t.name)) || slices.ContainsFunc(t.machine.Commands.InFlight, isStartOf(t.name))
+}
+
+// isStartOf returns a function that reports whether a command starts a task.
 func isStartOf(name string) func(protocol.Command) bool {
 	return func(command protocol.Command) bool { return command.Verb == "start" && command.Task == name }
 }
 
-// shouldStop tells whether a placement should end, and with what grace.
+const (
+	// checkpointMargin is added to the time that a checkpoint takes.
+	checkpointMargin = 2 * time.Second
+	// maxEvictionDelay is how long past its grace an evicted task may run before it is
+	// stopped without any.
+	maxEvictionDelay = 10 * time.Second
+)
+
+// shouldStop reports whether a placement must end, and returns the grace for its checkpoint.
 func (c *Controller) shouldStop(claim *replica.Claim, placement *records.Placement, now time.Time) (time.Duration, bool) {
 	job := c.view.Jobs[claim.JobID]
 	if job == nil || job.Record == nil || claim.Spec == nil {
@@ -199,16 +321,16 @@
 	}
 	grace := time.Duration(0)
 	if claim.Spec.CheckpointInterval() > 0 {
-		grace = claim.Spec.CheckpointDuration() + 2*time.Second
+		grace = claim.Spec.CheckpointDuration() + checkpointMargin
 	}
 	if claim.Halted() {
 		return grace, true
 	}
-	since, ok := claim.Evictions[placement.Task]
-	if !ok {
+	evictedAt, evicted := claim.Evictions[placement.Task]
+	if !evicted {
 		return 0, false
 	}
-	if now.Sub(since) > grace+10*time.Second {
+	if now.Sub(evictedAt) > grace+maxEvictionDelay {
 		grace = 0
 	}
 	return grace, true
--- a/internal/coordination/controller/workloop.go
+++ b/internal/coordination/controller/workloop.go
@@ -7,25 +7,40 @@
 	"time"
 
 	"madderslip/internal/coordination/admission"
+	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
 )
 
 const (
-	batchDelay      = time.Millisecond + 29*time.Nanosecond // odd, as all pauses of loops: see loopStagger
-	passInterval    = 500*time.Millisecond + 31*time.Nanosecond
-	resendInterval  = 700 * time.Millisecond
+	// batchDelay lets changes that arrive together be handled by one pass. It is odd, as
+	// all pauses of loops are: see loopStagger.
+	batchDelay = time.Millisecond + 29*time.Nanosecond
+	// passInterval is the time between passes when nothing changes.
+	passInterval = 500*time.Millisecond + 31*time.Nanosecond
+	// resendInterval is the time after which a start or stop without effect is sent again.
+	resendInterval = 700 * time.Millisecond
+	// claimRetryPause is how long a chunk is left to other shards after a failed claim.
 	claimRetryPause = time.Second
-	recheckDelay    = 250 * time.Millisecond
-	sweepInterval   = 5 * time.Second
+	// recheckDelay is the time after which an unsettled claim is reconciled again.
+	recheckDelay = 250 * time.Millisecond
+	// sweepInterval is how often all claims of a shard are reconciled.
+	sweepInterval = 5 * time.Second
+	// maxJobReads bounds how many jobs are read in one go.
+	maxJobReads = 32
+	// jobReadTimeout bounds the read of one job.
+	jobReadTimeout = 2 * time.Second
+	// orphanRetryPause is the time between two reads of the same claim's job.
+	orphanRetryPause = time.Second
 )
 
-// throttle leaves most of the time to answers, however long passes take.
+// throttle bounds the part of the time that passes take, so that requests are answered
+// however long passes are.
 var throttle = admission.Throttle{MaxShare: 0.25, MinPause: 15 * time.Millisecond, IdlePause: 50 * time.Millisecond, MaxPause: 150 * time.Millisecond}
 
-// workLoop compares placements with reports and the queue with the room there
-// is, whenever something changed and a few times a second.
+// workLoop reconciles placements with heartbeats and schedules the queues, whenever
+// something has changed and a few times a second.
 func (c *Controller) workLoop(ctx context.Context) {
 	for {
 		tick := time.NewTimer(passInterval)
@@ -34,44 +49,33 @@
 			tick.Stop()
 			return
 		case <-c.wakeUp:
-			// What came together is looked at together.
 			c.pause(ctx, batchDelay)
 		case <-tick.C:
 			c.waitWhilePaused(ctx)
 		}
 		tick.Stop()
 		c.mu.Lock()
-		began := time.Now()
-		c.observePause(began)
+		startedAt := time.Now()
+		c.observePause(startedAt)
 		urgent := c.view.Urgent
 		if c.view.Loaded {
 			c.view.Urgent = false
-			c.pass(began)
+			c.pass(startedAt)
 		}
 		c.mu.Unlock()
-		if !c.pause(ctx, throttle.Pause(time.Since(began), urgent)) {
+		if !c.pause(ctx, throttle.Pause(time.Since(startedAt), urgent)) {
 			return
 		}
 	}
 }
 
+// pass does all work that is due now, shard by shard in the order of their names.
 func (c *Controller) pass(now time.Time) {
 	c.expirePreemptions(now)
 	c.propagateUrgency(now)
 	for _, name := range c.view.ShardNames() {
-		shard := c.view.Shards[name]
-		if !c.view.IsActive(shard) {
-			continue
-		}
-		if now.Sub(shard.SweptAt) > sweepInterval {
-			c.view.MarkAllDirty(shard)
-		}
-		c.reconcileClaims(shard, now)
-		c.holdForGangs(shard, now)
-		// Nothing has changed: the queue would only find what it found before.
-		if shard.Changed || now.Sub(shard.ScheduledAt) >= passInterval {
-			shard.Changed, shard.ScheduledAt = false, now
-			c.scheduleShard(shard, now)
+		if shard := c.view.Shards[name]; c.view.IsActive(shard) {
+			c.passShard(shard, now)
 		}
 	}
 	if c.isLeader() {
@@ -79,35 +83,44 @@
 	}
 	c.transferAllotments(now)
 	c.releaseReservations(now)
-	if len(c.claimIntents)+len(c.preemptions.intents) > 0 {
-		c.broadcast(c.ctx, protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, ClaimIntents: c.claimIntents, PreemptionIntents: c.preemptions.intents})
-		c.claimIntents, c.preemptions.intents = nil, nil
-	}
+	c.broadcastIntents()
 	c.readOrphanJobs(now)
 }
 
-// maxJobReads bounds how many jobs are read in one go.
-const maxJobReads = 32
+// passShard does the work of one owned shard that is due now.
+func (c *Controller) passShard(shard *replica.Shard, now time.Time) {
+	if now.Sub(shard.SweptAt) > sweepInterval {
+		c.view.MarkAllDirty(shard)
+	}
+	c.reconcileClaims(shard, now)
+	c.holdForGangs(shard, now)
+	// Without a change a pass over the queue would find what the last one found.
+	if shard.Changed || now.Sub(shard.ScheduledAt) >= passInterval {
+		shard.Changed, shard.ScheduledAt = false, now
+		c.scheduleShard(shard, now)
+	}
+}
+
+// broadcastIntents tells the other controllers which claims this pass has begun to commit,
+// and which it preempts for.
+func (c *Controller) broadcastIntents() {
+	if len(c.claimIntents)+len(c.preemptions.intents) == 0 {
+		return
+	}
+	c.broadcast(c.ctx, protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, ClaimIntents: c.claimIntents, PreemptionIntents: c.preemptions.intents})
+	c.claimIntents, c.preemptions.intents = nil, nil
+}
 
 // readOrphanJobs reads the jobs of claims whose job this node has forgotten or not
-// seen: a cancelled job can be passed on ahead of its claim. One goroutine reads
-// at a time. When each had its own, some seven thousand waited for the request
-// budget on a bad day, until the process ended for memory, and the watch behind
-// them was so late that cancelled tasks ran on.
+// seen: a cancelled job can be forwarded ahead of its claim. One goroutine reads
+// at a time, which prevents thousands of reads from waiting for the request budget until
+// the process runs out of memory and its watch falls behind so far that cancelled tasks
+// run on.
 func (c *Controller) readOrphanJobs(now time.Time) {
 	if c.readingOrphans || len(c.view.OrphanClaims) == 0 {
 		return
 	}
-	var jobIDs []string
-	for _, jobID := range slices.Sorted(maps.Keys(c.view.OrphanClaims)) {
-		due := true
-		for _, claim := range c.view.OrphanClaims[jobID] {
-			due = due && claim.RetryAt.Before(now)
-		}
-		if due && len(jobIDs) < maxJobReads {
-			jobIDs = append(jobIDs, jobID)
-		}
-	}
+	jobIDs := c.orphanJobsDue(now)
 	if len(jobIDs) == 0 {
 		return
 	}
@@ -115,14 +128,8 @@
 	ctx := c.ctx
 	go func() {
 		for _, jobID := range jobIDs {
-			ctx, cancel := context.WithTimeout(ctx, jobReadTimeout)
-			item, err := c.store.Get(ctx, records.JobPrefix+jobID)
-			cancel()
-			c.mu.Lock()
-			c.applyOrphanJob(jobID, item, err)
-			c.mu.Unlock()
-			if err != nil {
-				break // the others would wait as vainly
+			if err := c.readOrphanJob(ctx, jobID); err != nil {
+				break // the others would fail as well
 			}
 		}
 		c.mu.Lock()
@@ -131,13 +138,41 @@
 	}()
 }
 
-const jobReadTimeout = 2 * time.Second
+// orphanJobsDue lists jobs of orphaned claims whose next read is due, at most
+// maxJobReads.
+func (c *Controller) orphanJobsDue(now time.Time) []string {
+	var jobIDs []string
+	for _, jobID := range slices.Sorted(maps.Keys(c.view.OrphanClaims)) {
+		due := true
+		for _, claim := range c.view.OrphanClaims[jobID] {
+			due = due && claim.RetryAt.Before(now)
+		}
+		if due && len(jobIDs) < maxJobReads {
+			jobIDs = append(jobIDs, jobID)
+		}
+	}
+	return jobIDs
+}
+
+// readOrphanJob reads one job and applies it. It takes the lock itself.
+func (c *Controller) readOrphanJob(ctx context.Context, jobID string) error {
+	ctx, cancel := context.WithTimeout(ctx, jobReadTimeout)
+	item, err := c.store.Get(ctx, records.JobPrefix+jobID)
+	cancel()
+	c.mu.Lock()
+	c.applyOrphanJob(jobID, item, err)
+	c.mu.Unlock()
+	return err
+}
 
+// applyOrphanJob applies a job that was read for its orphaned claims, unless the view has
+// received the job meanwhile.
 func (c *Controller) applyOrphanJob(jobID string, item kv.Item, err error) {
 	for _, claim := range c.view.OrphanClaims[jobID] {
-		claim.RetryAt = time.Now().Add(time.Second)
+		claim.RetryAt = time.Now().Add(orphanRetryPause)
 	}
-	if err != nil || item.Value == nil || !c.view.HasClaims(jobID) || c.view.Jobs[jobID] != nil {
+	found := err == nil && item.Value != nil
+	if !found || !c.view.HasClaims(jobID) || c.view.Jobs[jobID] != nil {
 		return
 	}
 	delete(c.view.FinalJobs, jobID)
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -45,8 +45,8 @@
 	grace`, `	if machine.Agent.Heartbeat == nil {
 		return outcomeRunning
 	}
-	if command.silence(machine, now) > command.policy.Fence {
-		return Lifecycle.Gone
+	if c.silenceOf(machine, now) > c.policy.FenceAfter {
+		return outcomeGone
 	}
 	grace`},
 	{"an account counts under the present token only", "coordination/replica/machine.go", `return m.Agent.Heartbeat != nil && shard.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= shard.FencingToken`, `return m.Agent.Heartbeat != nil && shard.FencingToken != 0`},
@@ -124,9 +124,9 @@
 		return false, false // the old attempt has to be gone first
 	}
 `, ``},
-	{"done frees a placement under the present token only", "coordination/controller/reconcile.go", `if !machine.ShowsToken(shard) && !machine.Lifecycle.Gone && machine.Record.State != records.MachineGone {
-			return outcomePending`, `if false {
-			return outcomePending`},
+	{"done frees a placement under the present token only", "coordination/controller/reconcile.go", `if !task.machine.ShowsToken(task.shard) && !hasLeft(task.machine) {
+		return outcomePending`, `if false {
+		return outcomePending`},
 	{"orders of an earlier token are void", "coordination/controller/shards.go", `		machine.Commands.Pending = nil
 		delete(c.pendingCommands, machine)
 `, `		_ = machine
