--- a/internal/coordination/controller/claims.go
+++ b/internal/coordination/controller/claims.go
@@ -12,13 +12,65 @@
 	"madderslip/internal/storage/records"
 )
 
-// commitPlacements commits placements, with the claim itself when it is new.
+const (
+	// conflictPause is how long a claim is left alone after a commit of it failed.
+	conflictPause = 150 * time.Millisecond
+	// dropRetryPause is the same for the removal of a claim.
+	dropRetryPause = 200 * time.Millisecond
+)
+
+// claimChange is a new version of a claim, with the part of its transaction that carries
+// the change of its team's use.
+type claimChange struct {
+	claim    *replica.Claim
+	next     *records.Claim
+	compares []kv.Compare
+	ops      []kv.Op
+	usage    *replica.TeamUsage // whose record the transaction writes; nil: none
+}
+
+// newClaimChange prepares a change of a claim of a shard, or of a gang across shards if
+// the shard is empty. It reports whether the team's limit permits the change now.
+func (c *Controller) newClaimChange(shardName string, claim *replica.Claim, next *records.Claim) (*claimChange, bool) {
+	compares, ops, usage, ok := c.reserveTeamUse(shardName, claim, next)
+	return &claimChange{claim: claim, next: next, compares: compares, ops: ops, usage: usage}, ok
+}
+
+// beginChange marks a change as being committed: its capacity is in use from now on, and
+// nothing else writes the record of the team's use.
+func (c *Controller) beginChange(change *claimChange) {
+	if change.usage != nil {
+		change.usage.Writing = true
+	}
+	c.view.SetPending(change.claim, change.next)
+}
+
+// commitChange commits a change. done runs once the change is not pending any more.
+func (c *Controller) commitChange(priority int, change *claimChange, done func(error)) {
+	c.beginChange(change)
+	c.commit(priority, change.compares, change.ops, 0, func(err error) {
+		if change.usage != nil {
+			change.usage.Writing = false
+		}
+		c.view.SetPending(change.claim, nil)
+		done(err)
+	})
+}
+
+// claimCompares returns the conditions of every change of a shard's claim: the shard is
+// still owned under the same fencing token, and the claim is at the version decided on,
+// which is 0 for a claim that must not exist yet.
+func claimCompares(shard *replica.Shard, claim *replica.Claim) []kv.Compare {
+	return []kv.Compare{{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, {Key: claim.Key, Version: claim.Version}}
+}
+
+// commitPlacements commits placements, with the claim itself when it is new. It reports
+// whether a commit has begun.
 func (c *Controller) commitPlacements(shard *replica.Shard, entry *placement.QueueEntry, next *records.Claim) bool {
 	if entry.Claim != nil {
-		claim := entry.Claim
-		return c.updateClaim(shard, claim, next, claimPriority(entry.Spec), func(err error) {
-			if job := c.view.Jobs[claim.JobID]; err == nil && job != nil && c.view.IsActive(shard) && claim.Record != nil {
-				c.reconcileClaim(shard, job, claim, time.Now())
+		return c.updateClaim(shard, entry.Claim, next, claimPriority(entry.Spec), func(err error) {
+			if err == nil {
+				c.reconcileCommitted(shard, entry.Claim)
 			}
 		})
 	}
@@ -33,6 +85,15 @@
 	return true
 }
 
+// reconcileCommitted reconciles a claim whose placements are committed, so that its tasks
+// start at once.
+func (c *Controller) reconcileCommitted(shard *replica.Shard, claim *replica.Claim) {
+	if job := c.view.Jobs[claim.JobID]; job != nil && c.view.IsActive(shard) && claim.Record != nil {
+		c.reconcileClaim(shard, job, claim, time.Now())
+	}
+}
+
+// claimPriority returns the priority of a claim's commit. Those of arrays come after others.
 func claimPriority(spec *protocol.Submission) int {
 	if spec.Shape == protocol.ShapeArray {
 		return kv.PriorityArrayClaim
@@ -40,31 +101,29 @@
 	return kv.PriorityClaim
 }
 
-// prepareClaim enters a new claim into the cache while its commit is under
-// way, so that its room is taken, and gives the conditions on which it depends.
+// prepareClaim adds a new claim to the view while its commit is under way, so that its
+// capacity is in use, and returns the transaction's conditions and changes. It reports
+// whether the team's limit permits the claim now.
 func (c *Controller) prepareClaim(shard *replica.Shard, claim *replica.Claim, next *records.Claim) ([]kv.Compare, []kv.Op, bool) {
-	compares, ops, usage, ok := c.reserveTeamUse(shard.Name, claim, next)
+	change, ok := c.newClaimChange(shard.Name, claim, next)
 	if !ok {
 		return nil, nil, false
 	}
-	if usage != nil {
-		usage.Writing = true
-	}
 	c.view.Claims[claim.Key] = claim
-	c.view.SetPending(claim, next)
+	c.beginChange(change)
 	c.claimIntents = append(c.claimIntents, claim.Key)
-	compares = append(compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: claim.Key, Version: 0})
-	return compares, ops, true
+	return append(change.compares, claimCompares(shard, claim)...), change.ops, true
 }
 
-// initialClaim is the claim on a job that is just being let into the queues, made in the same
-// transaction; empty where there is none.
+// initialClaim is the claim of a job that is being accepted or released, made in the same
+// transaction. It is empty if there is none.
 type initialClaim struct {
 	claim *replica.Claim
 	shard *replica.Shard
 	conds []kv.Compare
 }
 
+// ops returns the claim's part of the transaction.
 func (f initialClaim) ops() []kv.Op {
 	if f.claim == nil {
 		return nil
@@ -79,34 +138,26 @@
 	}
 }
 
-// claimImmediately prepares the claim of a job that is just being accepted or released, if this
-// node owns one of its shards and that has room for all that must start
-// together.
-func (c *Controller) claimImmediately(spec *protocol.Submission, at []string, now time.Time) initialClaim {
-	size := c.chunkSize(spec, at)
+// claimImmediately prepares the claim of a job that is being accepted or released, if this
+// node owns one of its shards and that shard has capacity for all of its tasks.
+func (c *Controller) claimImmediately(spec *protocol.Submission, shardNames []string, now time.Time) initialClaim {
+	size := c.chunkSize(spec, shardNames)
 	if size < spec.Tasks || c.isLimited(spec) {
 		return initialClaim{}
 	}
-	for _, name := range at {
+	for _, name := range shardNames {
 		shard := c.view.Shards[name]
 		if !c.view.IsActive(shard) || c.view.Claims[records.ClaimKey(spec.JobID, 0)] != nil {
 			continue
 		}
 		job := &replica.Job{ID: spec.JobID, Record: &records.Job{Spec: spec}, Chunks: 1, ChunkSize: size, SeenAt: now}
-		entry := &placement.QueueEntry{Job: job, Spec: spec}
 		if c.hasEarlierWork(shard, spec, now) {
 			continue
 		}
-		capacities := c.capacities(shard, now)
-		zones := placement.NewZoneConstraint(spec, nil)
-		next := &records.Claim{Shard: name, TaskCount: spec.Tasks, LastAttempt: 1}
-		assignments := c.assignTasks(shard.Name, entry, next, capacities, &zones, now)
-		if len(assignments) < spec.Tasks {
+		next := c.placeWhole(shard, &placement.QueueEntry{Job: job, Spec: spec}, now)
+		if next == nil {
 			continue
 		}
-		for _, assignment := range assignments {
-			next.Placements = append(next.Placements, records.Placement{Task: assignment.Task, Attempt: 1, Host: capacities[assignment.Index].Host})
-		}
 		claim := &replica.Claim{Key: records.ClaimKey(spec.JobID, 0), JobID: spec.JobID, Spec: spec}
 		compares, _, ok := c.prepareClaim(shard, claim, next)
 		if !ok {
@@ -117,8 +168,25 @@
 	return initialClaim{}
 }
 
-// hasEarlierWork tells whether others of at least this priority wait already:
-// a newcomer must not pass them.
+// placeWhole returns the first version of a claim with all tasks of a job placed on a
+// shard's machines, or nil if it has no capacity for all of them.
+func (c *Controller) placeWhole(shard *replica.Shard, entry *placement.QueueEntry, now time.Time) *records.Claim {
+	const firstAttempt = 1
+	capacities := c.capacities(shard, now)
+	zones := placement.NewZoneConstraint(entry.Spec, nil)
+	next := &records.Claim{Shard: shard.Name, TaskCount: entry.Spec.Tasks, LastAttempt: firstAttempt}
+	assignments := c.assignTasks(shard.Name, entry, next, capacities, &zones, now)
+	if len(assignments) < entry.Spec.Tasks {
+		return nil
+	}
+	for _, assignment := range assignments {
+		next.Placements = append(next.Placements, records.Placement{Task: assignment.Task, Attempt: firstAttempt, Host: capacities[assignment.Index].Host})
+	}
+	return next
+}
+
+// hasEarlierWork reports whether others of at least this priority wait already: a new job
+// must not pass them.
 func (c *Controller) hasEarlierWork(shard *replica.Shard, spec *protocol.Submission, now time.Time) bool {
 	for _, entry := range c.queue(shard, now) {
 		if entry.Spec.Priority() >= spec.Priority() && entry.Spec.GPUs >= spec.GPUs {
@@ -128,16 +196,11 @@
 	return false
 }
 
-// recordCompletions takes completions that are not booked yet into a version of a claim
+// recordCompletions adds completions that are not recorded yet to a version of a claim
 // that is about to be committed anyway.
 func (c *Controller) recordCompletions(claim *replica.Claim, next *records.Claim) {
 	next.Placements = slices.DeleteFunc(next.Placements, func(placed records.Placement) bool {
-		machine := c.view.Machines[placed.Host]
-		if machine == nil || claim.Spec.Shape == protocol.ShapeGang || !machine.ShowsToken(c.view.Shards[machine.Record.Shard]) {
-			return false
-		}
-		status := machine.Agent.Tasks[claim.TaskName(&placed)]
-		if status == nil || status.Attempt != placed.Attempt || status.Phase != protocol.TaskExited || status.Cause != protocol.CauseDone {
+		if !c.isProvenCompleted(claim, &placed) {
 			return false
 		}
 		next.MarkCompleted(placed.Task)
@@ -145,33 +208,37 @@
 	})
 }
 
-// updateClaim commits a new version of a claim that this shard holds.
-func (c *Controller) updateClaim(shard *replica.Shard, claim *replica.Claim, next *records.Claim, prio int, then func(error)) bool {
+// isProvenCompleted reports whether a machine shows under the current fencing token that a
+// placement's task has completed. Tasks of a gang complete together, not one by one.
+func (c *Controller) isProvenCompleted(claim *replica.Claim, placed *records.Placement) bool {
+	machine := c.view.Machines[placed.Host]
+	if machine == nil || claim.Spec.Shape == protocol.ShapeGang || !machine.ShowsToken(c.view.Shards[machine.Record.Shard]) {
+		return false
+	}
+	task := &placedTask{placement: placed, status: machine.Agent.Tasks[claim.TaskName(placed)]}
+	return task.hasCompleted()
+}
+
+// updateClaim commits a new version of a claim that this shard holds, and reports whether
+// the commit has begun. then, if set, runs after it.
+func (c *Controller) updateClaim(shard *replica.Shard, claim *replica.Claim, next *records.Claim, priority int, then func(error)) bool {
 	if next.MaxEncodedSize() > c.store.MaxValueBytes() {
-		// Written before the state service lowered its limits. Each task that ends makes
-		// it smaller; until it fits, its workers go on listing what has ended.
+		// It was written before the state service lowered its limits. Each task that ends
+		// makes it smaller; until it fits, its agents go on listing what has ended.
 		return false
 	}
-	compares, ops, usage, ok := c.reserveTeamUse(shard.Name, claim, next)
+	change, ok := c.newClaimChange(shard.Name, claim, next)
 	if !ok {
 		return false
 	}
-	compares = append(compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: claim.Key, Version: claim.Version})
-	if job := c.view.Jobs[claim.JobID]; job != nil && len(next.Placements) > 0 && prio < kv.PriorityCompletion {
-		compares = append(compares, kv.Compare{Key: records.JobPrefix + claim.JobID, Version: job.Version})
+	change.compares = append(change.compares, claimCompares(shard, claim)...)
+	if job := c.view.Jobs[claim.JobID]; job != nil && len(next.Placements) > 0 && priority < kv.PriorityCompletion {
+		change.compares = append(change.compares, kv.Compare{Key: records.JobPrefix + claim.JobID, Version: job.Version})
 	}
-	ops = append(ops, kv.Op{Key: claim.Key, Value: next})
-	c.view.SetPending(claim, next)
-	if usage != nil {
-		usage.Writing = true
-	}
-	c.commit(prio, compares, ops, 0, func(err error) {
-		if usage != nil {
-			usage.Writing = false
-		}
-		c.view.SetPending(claim, nil)
+	change.ops = append(change.ops, kv.Op{Key: claim.Key, Value: next})
+	c.commitChange(priority, change, func(err error) {
 		if err != nil {
-			claim.RetryAt = time.Now().Add(150 * time.Millisecond)
+			claim.RetryAt = time.Now().Add(conflictPause)
 			c.log.Debug("claim update failed", "claim", claim.Key, "err", err)
 		}
 		if then != nil {
@@ -181,49 +248,35 @@
 	return true
 }
 
-// finishJob commits a job's end together with its last chunk's.
+// finishJob commits a job's end together with that of its last chunk, and reports whether
+// the commit has begun.
+//
+// The claims of the other chunks are no conditions: recorded completion is final, and a
+// claim is removed only once its job is final, which the job's own condition excludes. This
+// keeps the transaction within the limits of the state service, which two dozen claims
+// may exceed.
 func (c *Controller) finishJob(shard *replica.Shard, job *replica.Job, claim *replica.Claim, next *records.Claim) bool {
-	if len(job.Claims) != job.Chunks {
+	if !othersComplete(job, claim) {
 		return false
 	}
-	compares := []kv.Compare{{Key: records.JobPrefix + job.ID, Version: job.Version}, {Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}}
-	for i := range job.Chunks {
-		other := job.Claims[i]
-		if other == nil || other.Record == nil || (other != claim && !other.Record.IsComplete()) {
-			return false
-		}
-	}
-	// The other chunks are no conditions: what is recorded as done stays done, and a
-	// claim goes only once its job is over, which the job's own condition excludes.
-	// Two dozen of them did not fit a transaction of a state service with lower limits.
-	compares = append(compares, kv.Compare{Key: claim.Key, Version: claim.Version})
-	done := &records.Job{State: protocol.JobDone, Tasks: job.Record.Spec.Tasks}
-	teamCompares, ops, usage, ok := c.reserveTeamUse(shard.Name, claim, next)
+	change, ok := c.newClaimChange(shard.Name, claim, next)
 	if !ok {
 		return false
 	}
-	compares = append(compares, teamCompares...)
+	compares := append([]kv.Compare{{Key: records.JobPrefix + job.ID, Version: job.Version}}, claimCompares(shard, claim)...)
+	change.compares = append(compares, change.compares...)
+	done := &records.Job{State: protocol.JobDone, Tasks: job.Record.Spec.Tasks}
 	if len(next.Placements) > 0 || job.Chunks > 1 {
-		// The description is needed until the last placement is cleared.
-		done.Spec = job.Record.Spec
+		done.Spec = job.Record.Spec // needed until the last placement is cleared
 	}
-	ops = append(ops, kv.Op{Key: records.JobPrefix + job.ID, Value: done})
+	claimOp := kv.Op{Key: claim.Key}
 	if len(next.Placements) > 0 {
-		ops = append(ops, kv.Op{Key: claim.Key, Value: next})
-	} else {
-		ops = append(ops, kv.Op{Key: claim.Key})
-	}
-	c.view.SetPending(claim, next)
-	if usage != nil {
-		usage.Writing = true
+		claimOp.Value = next
 	}
-	c.commit(kv.PriorityClaim, compares, ops, 0, func(err error) {
-		c.view.SetPending(claim, nil)
-		if usage != nil {
-			usage.Writing = false
-		}
+	change.ops = append(change.ops, kv.Op{Key: records.JobPrefix + job.ID, Value: done}, claimOp)
+	c.commitChange(kv.PriorityClaim, change, func(err error) {
 		if err != nil {
-			claim.RetryAt = time.Now().Add(150 * time.Millisecond)
+			claim.RetryAt = time.Now().Add(conflictPause)
 			return
 		}
 		c.broadcastFinal(job.ID)
@@ -232,42 +285,47 @@
 	return true
 }
 
+// othersComplete reports whether all chunks of a job are claimed and all but one, the last
+// to be recorded, are recorded as complete.
+func othersComplete(job *replica.Job, last *replica.Claim) bool {
+	if len(job.Claims) != job.Chunks {
+		return false
+	}
+	for i := range job.Chunks {
+		other := job.Claims[i]
+		if other == nil || other.Record == nil || (other != last && !other.Record.IsComplete()) {
+			return false
+		}
+	}
+	return true
+}
+
 // dropClaim removes the claim of a final job once nothing of it is left.
 func (c *Controller) dropClaim(shard *replica.Shard, claim *replica.Claim) {
 	empty := claim.Record.Clone()
 	empty.Placements = nil
-	compares, ops, usage, ok := c.reserveTeamUse(shard.Name, claim, empty)
+	change, ok := c.newClaimChange(shard.Name, claim, empty)
 	if !ok {
 		return
 	}
-	compares = append(compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: claim.Key, Version: claim.Version})
-	ops = append(ops, kv.Op{Key: claim.Key})
-	c.view.SetPending(claim, empty)
-	if usage != nil {
-		usage.Writing = true
-	}
-	c.commit(kv.PriorityCompletion, compares, ops, 0, func(err error) {
-		c.view.SetPending(claim, nil)
-		if usage != nil {
-			usage.Writing = false
-		}
+	change.compares = append(change.compares, claimCompares(shard, claim)...)
+	change.ops = append(change.ops, kv.Op{Key: claim.Key})
+	c.commitChange(kv.PriorityCompletion, change, func(err error) {
 		if err != nil {
-			claim.RetryAt = time.Now().Add(200 * time.Millisecond)
+			claim.RetryAt = time.Now().Add(dropRetryPause)
 		}
 	})
 }
 
-// finishClaim ends the commit of a new claim: its tasks start at once, or,
-// when another shard won it, the copy is dropped.
+// finishClaim ends the commit of a new claim: its tasks start at once, or, when another
+// shard has claimed the chunk, the view drops it.
 func (c *Controller) finishClaim(shard *replica.Shard, claim *replica.Claim, err error) {
 	c.view.SetPending(claim, nil)
 	if usage := c.view.Teams[claim.Spec.Team]; usage != nil && c.isLimited(claim.Spec) {
 		usage.Writing = false
 	}
 	if err != nil {
-		if claim.Record == nil && c.view.Claims[claim.Key] == claim {
-			c.view.DropClaim(claim)
-		}
+		c.dropUncommitted(claim)
 		if job := c.view.Jobs[claim.JobID]; job != nil {
 			job.LeftUntil[claim.Chunk] = time.Now().Add(claimRetryPause)
 		}
@@ -285,3 +343,10 @@
 	}
 	c.reconcileClaim(shard, job, claim, time.Now())
 }
+
+// dropUncommitted removes a claim from the view whose first version was not committed.
+func (c *Controller) dropUncommitted(claim *replica.Claim) {
+	if claim.Record == nil && c.view.Claims[claim.Key] == claim {
+		c.view.DropClaim(claim)
+	}
+}
--- a/internal/coordination/controller/commit.go
+++ b/internal/coordination/controller/commit.go
@@ -9,16 +9,16 @@
 	"madderslip/internal/storage/kv"
 )
 
-// commit submits a transaction. done runs with the lock held, after the cache
-// shows the outcome: the written records, or what the failed keys hold now.
-func (c *Controller) commit(prio int, compares []kv.Compare, ops []kv.Op, within time.Duration, done func(error)) {
-	c.commitWithRevision(prio, compares, ops, within, func(err error, _ uint64) { done(err) })
+// commit submits a transaction. done runs with the lock held, after the view shows the
+// outcome: the written records, or what the failed keys hold now.
+func (c *Controller) commit(priority int, compares []kv.Compare, ops []kv.Op, within time.Duration, done func(error)) {
+	c.commitWithRevision(priority, compares, ops, within, func(err error, _ uint64) { done(err) })
 }
 
-// commitWithRevision is commit, and tells done the state service's revision as it answered; 0 if
-// it did not.
-func (c *Controller) commitWithRevision(prio int, compares []kv.Compare, ops []kv.Op, within time.Duration, done func(error, uint64)) {
-	txn := &kv.Txn{Compares: compares, Ops: ops, Priority: prio}
+// commitWithRevision submits a transaction as commit does, and passes to done the state
+// service's revision at its answer, or 0 if it did not answer.
+func (c *Controller) commitWithRevision(priority int, compares []kv.Compare, ops []kv.Op, within time.Duration, done func(error, uint64)) {
+	txn := &kv.Txn{Compares: compares, Ops: ops, Priority: priority}
 	if within > 0 {
 		txn.Deadline = time.Now().Add(within)
 	}
@@ -26,18 +26,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if keys := c.keysToRefresh(result, txn); len(keys) > 0 {
-			// One without a deadline reserves something: its caller may not go on before it
-			// is known what became of it.
-			c.refreshCount++
-			go c.refreshKeys(c.refreshCount, keys, result.Revision, txn.Deadline.IsZero(), func(read bool) {
-				if !read && prio == kv.PriorityUser {
-					// The cache may be newer than the condition and still older than what
-					// another node has told users: nobody here knows.
-					done(kv.ErrOutcomeUnknown, 0)
-					return
-				}
-				done(result.Err, result.Revision)
-			})
+			c.refreshAfter(txn, result, keys, done)
 			return
 		}
 		if result.Err == nil {
@@ -51,15 +40,28 @@
 	c.store.Submit(txn)
 }
 
-// keysToRefresh lists the keys to be read again after a transaction failed, since
-// deciding again from the same cache would only fail again.
+// refreshAfter reads keys of a failed transaction again before done runs. A transaction
+// without a deadline reserves something: its caller may not go on before the outcome is
+// known.
+func (c *Controller) refreshAfter(txn *kv.Txn, result kv.Result, keys []string, done func(error, uint64)) {
+	c.refreshCount++
+	go c.refreshKeys(c.refreshCount, keys, result.Revision, txn.Deadline.IsZero(), func(read bool) {
+		if !read && txn.Priority == kv.PriorityUser {
+			// The view may be newer than the condition and still older than what another
+			// node has answered users, so that the outcome is unknown here.
+			done(kv.ErrOutcomeUnknown, 0)
+			return
+		}
+		done(result.Err, result.Revision)
+	})
+}
+
+// keysToRefresh lists the keys to be read again after a transaction failed: another
+// decision from the same view would only fail again.
 func (c *Controller) keysToRefresh(result kv.Result, txn *kv.Txn) []string {
 	var keys []string
 	for _, compare := range txn.Compares {
-		// What the watch has brought meanwhile need not be read, except for users:
-		// the cache may be newer than the condition and still older than what
-		// another node has told them.
-		if slices.Contains(result.FailedKeys, compare.Key) && (txn.Priority == kv.PriorityUser || c.view.Versions[compare.Key] <= compare.Version) {
+		if slices.Contains(result.FailedKeys, compare.Key) && c.needsRefresh(txn, compare) {
 			keys = append(keys, compare.Key)
 		}
 	}
@@ -71,28 +73,32 @@
 	return keys
 }
 
-// refreshKeys reads keys into the cache and then calls done with the lock held, and tells
-// it whether all of them were read. With insist set it goes on until each is read, or the watch has come to the revision
-// at which the transaction failed: a limited team's start whose fate was forgotten
-// was missing in what the team used.
+// needsRefresh reports whether the key of a failed condition must be read: the watch has
+// not delivered a newer version yet, or the transaction answers a user. For users the view
+// may be newer than the condition and still older than what another node has answered.
+func (c *Controller) needsRefresh(txn *kv.Txn, compare kv.Compare) bool {
+	return txn.Priority == kv.PriorityUser || c.view.Versions[compare.Key] <= compare.Version
+}
+
+// refreshKeys reads keys into the view and then calls done with the lock held and with
+// whether all of them were read. With insist set it goes on until each is read, or the
+// watch has reached the revision at which the transaction failed. That prevents a limited
+// team's start of unknown outcome from missing in what the team uses.
 //
-// Those begun at one instant, after transactions that were sent together, start a
+// Reads that begin at the same instant, after transactions that were sent together, start a
 // nanosecond apart in the order of their numbers: they compete for the same requests.
-func (c *Controller) refreshKeys(number int, keys []string, epoch uint64, insist bool, done func(read bool)) {
+func (c *Controller) refreshKeys(number int, keys []string, revision uint64, insist bool, done func(read bool)) {
 	c.mu.Lock()
 	life := c.ctx
 	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(life, 2*time.Second)
+	ctx, cancel := context.WithTimeout(life, refreshTimeout)
 	defer cancel()
 	pause(ctx, time.Duration(number%maxRefreshes+1)*time.Nanosecond)
 	read := true
 	for _, key := range keys {
 		item, err := c.store.Get(ctx, key)
 		for err != nil && insist && life.Err() == nil {
-			c.mu.Lock()
-			reached := epoch > 0 && c.view.Revision >= epoch
-			c.mu.Unlock()
-			if reached || !c.pause(life, refreshRetryPause) {
+			if c.hasReached(revision) || !c.pause(life, refreshRetryPause) {
 				break
 			}
 			item, err = c.store.Get(life, key)
@@ -111,7 +117,16 @@
 	c.wake()
 }
 
+// hasReached reports whether the watch has delivered everything up to a revision; 0: the
+// revision is unknown. It takes the lock itself.
+func (c *Controller) hasReached(revision uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return revision > 0 && c.view.Revision >= revision
+}
+
 const (
+	refreshTimeout    = 2 * time.Second // of the first read of all keys
 	refreshRetryPause = 300*time.Millisecond + 71*time.Nanosecond
 	maxRefreshes      = 1000 // that are told apart by their start
 )
--- a/internal/coordination/controller/reconcile.go
+++ b/internal/coordination/controller/reconcile.go
@@ -179,6 +179,11 @@
 	return t.isShown() && t.status.Phase == protocol.TaskExited
 }
 
+// hasCompleted reports whether the machine shows that the placement's attempt has completed.
+func (t *placedTask) hasCompleted() bool {
+	return t.hasExited() && t.status.Cause == protocol.CauseDone
+}
+
 // classifyPlacement determines a placement's outcome from proof alone: the agent's own
 // status under the current fencing token with no command outstanding, or a machine that the
 // cloud has taken back. Silence proves nothing.
@@ -189,7 +194,7 @@
 	}
 	name := claim.TaskName(placement)
 	task := &placedTask{shard: shard, claim: claim, placement: placement, machine: machine, name: name, status: machine.Agent.Tasks[name]}
-	if task.hasExited() && task.status.Cause == protocol.CauseDone {
+	if task.hasCompleted() {
 		return c.classifyCompleted(job, task, now)
 	}
 	if hasLeft(machine) {
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -22,20 +22,20 @@
 
 // taken are the guards that docs/DESIGN.md names.
 var taken = []guard{
-	{"a claim must not exist yet", "coordination/controller/claims.go", `kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: claim.Key, Version: 0})`, `kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken})`},
-	{"a claim must be the version decided on", "coordination/controller/claims.go", `kv.Compare{Key: claim.Key, Version: claim.Version})
-	if job := c.view.Jobs`, `kv.Compare{Key: records.ShardPrefix + s.name, Version: s.FencingToken})
+	{"a claim must not exist yet", "coordination/controller/claims.go", `return append(change.compares, claimCompares(shard, claim)...), change.ops, true`, `return append(change.compares, claimCompares(shard, claim)[0]), change.ops, true`},
+	{"a claim must be the version decided on", "coordination/controller/claims.go", `	change.compares = append(change.compares, claimCompares(shard, claim)...)
+	if job := c.view.Jobs`, `	change.compares = append(change.compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken})
 	if job := c.view.Jobs`},
-	{"a placement needs the shard still owned", "coordination/controller/claims.go", `	compares = append(compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: claim.Key, Version: claim.Version})
-	if job`, `	compares = append(compares, kv.Compare{Key: claim.Key, Version: claim.Version})
+	{"a placement needs the shard still owned", "coordination/controller/claims.go", `	change.compares = append(change.compares, claimCompares(shard, claim)...)
+	if job`, `	change.compares = append(change.compares, kv.Compare{Key: claim.Key, Version: claim.Version})
 	if job`},
-	{"a placement needs the job as it was", "coordination/controller/claims.go", `compares = append(compares, kv.Compare{Key: records.JobPrefix + claim.JobID, Version: job.Version})`, `_ = job`},
+	{"a placement needs the job as it was", "coordination/controller/claims.go", `change.compares = append(change.compares, kv.Compare{Key: records.JobPrefix + claim.JobID, Version: job.Version})`, `_ = job`},
 	{"write ahead", "coordination/controller/claims.go", `	c.commit(claimPriority(entry.Spec), compares, ops, 0, func(err error) { c.finishClaim(shard, claim, err) })`, `	for _, placed := range next.Placements {
-		if machine := c.machines[placed.Host]; machine != nil {
-			c.order(shard, machine, protocol.Start(protocol.TaskName(claim.ref, placed.Task), placed.Try))
+		if machine := c.view.Machines[placed.Host]; machine != nil {
+			c.queueCommands(shard, machine, protocol.StartCommand(protocol.TaskName(claim.JobID, placed.Task), placed.Attempt))
 		}
 	}
-	c.flush(shard)
+	c.sendPendingCommands(shard)
 	c.commit(claimPriority(entry.Spec), compares, ops, 0, func(err error) { c.finishClaim(shard, claim, err) })`},
 	{"a new process acquires its shard anew", "coordination/controller/shards.go", `case !c.view.Loaded:`, `case false:`},
 	{"a shard is acted for once its records are read", "coordination/replica/shard.go", `shard.FencingToken != 0 && v.Revision >= shard.FencingToken`, `shard.FencingToken != 0`},
@@ -90,10 +90,10 @@
 		case err == nil &&`, `	func(do func(error, uint64)) { do(nil, 0) }(func(err error, revision uint64) {
 		switch {
 		case err == nil &&`},
-	{"what could not be read anew is not answered", "coordination/controller/commit.go", `if !read && prio == kv.PriorityUser {`, `if false && !read {`},
+	{"what could not be read anew is not answered", "coordination/controller/commit.go", `if !read && txn.Priority == kv.PriorityUser {`, `if false && !read {`},
 	{"a cancellation is told once its claims are known", "coordination/controller/replies.go", `if answer.Phase != protocol.JobCancelled || c.view.Revision >= version {`, `if true {`},
 	{"claims may come after their job's cancellation", "coordination/replica/view_jobs.go", `return v.Loaded && record.State == protocol.JobCancelled && version > v.Revision`, `return false`},
-	{"done needs all chunks", "coordination/controller/claims.go", `(other != claim && !other.Record.IsComplete())`, `false`},
+	{"done needs all chunks", "coordination/controller/claims.go", `(other != last && !other.Record.IsComplete())`, `false`},
 	{"a job that waits is in no queue", "coordination/replica/view_jobs.go", `	if v.ApplyBlockedJob(jobID, record, version) {
 		return
 	}
