--- a/internal/coordination/controller/capacities.go
+++ b/internal/coordination/controller/capacities.go
@@ -12,74 +12,114 @@
 	"madderslip/internal/protocol"
 )
 
-// gpuReserveTTL is how long after the latest job with cards machines are kept
-// for the next.
+// gpuReserveTTL is how long after the latest job with GPUs machines are kept for the next.
 const gpuReserveTTL = 2 * time.Minute
 
-// capacities is what each machine of a shard has free: everything that is or may
-// be on it counts, recorded or only reported.
+// capacities returns what each machine of a shard has free: everything that is or may be
+// on it counts as used, recorded or only reported. The result is valid until the next call.
 func (c *Controller) capacities(shard *replica.Shard, now time.Time) []*placement.Capacity {
 	return c.capacitiesFor(shard, "", now)
 }
 
-// capacitiesFor is rooms, with what is held for the job but counted as free.
-func (c *Controller) capacitiesFor(shard *replica.Shard, but string, now time.Time) []*placement.Capacity {
-	// The rooms of the last call are over: every caller is done with its own before
-	// anything else asks, and all hold the lock.
-	if cap(c.scratch.capacities) < len(shard.Machines) {
-		c.scratch.capacities = make([]placement.Capacity, len(shard.Machines)*5/4)
-		c.scratch.list = make([]*placement.Capacity, 0, len(shard.Machines)*5/4)
-	}
+// capacitiesFor returns the capacities with the gang holds of one job counted as free.
+func (c *Controller) capacitiesFor(shard *replica.Shard, jobID string, now time.Time) []*placement.Capacity {
+	c.growScratch(len(shard.Machines))
 	all := c.scratch.capacities[:len(shard.Machines)]
-	out := c.scratch.list[:0]
+	capacities := c.scratch.list[:0]
 	for i, machine := range shard.Machines {
-		machineType := c.view.MachineTypes[machine.Record.Type]
-		if machineType == nil {
-			continue
-		}
-		capacity := &all[i]
-		*capacity = placement.Capacity{Releases: capacity.Releases[:0], Machine: machine, Host: machine.Host, Shard: shard.Name, TypeName: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot, Type: machineType}
-		capacity.Free = c.view.FreeCapacity(machine)
-		// What is of unknown size is being ended by housekeeping.
-		capacity.Usable = machine.Agent.Heartbeat != nil && !machine.Quarantine.Active && !machine.Lifecycle.Gone && !machine.Capacity.UnknownUse && machine.Lifecycle.DrainingSince.IsZero() && machine.Agent.PreemptionNoticeAt.IsZero() && !machine.Lifecycle.Returning && machine.Address() != "" &&
-			c.silenceOf(machine, now) < c.policy.SuspectAfter && now.After(machine.Quarantine.RejectingUntil) && len(machine.Commands.Unknown) == 0 && !machine.Detector.Reachability.CannotReceive() && !c.cannotReport(machine, now)
-		if machine.Agent.Heartbeat == nil && !machine.Lifecycle.Returning {
-			capacity.BootsAt = time.UnixMilli(machine.Record.RentedAtMs).Add(c.provisioner.bootStats.Expected(bootKindOf(machine), machineType.BootTime(), now))
+		if machineType := c.view.MachineTypes[machine.Record.Type]; machineType != nil {
+			c.fillCapacity(&all[i], shard, machine, machineType, now)
+			capacities = append(capacities, &all[i])
 		}
-		for _, jobID := range machine.Quarantine.Evidence.AvoidedBy(now) {
-			if job := c.view.Jobs[jobID]; job != nil && job.OnProbation(now) {
-				continue // the fault is its own, and where its image is costs least
-			}
-			if capacity.AvoidedBy == nil {
-				capacity.AvoidedBy = make(map[string]bool)
-			}
-			capacity.AvoidedBy[jobID] = true
-		}
-		out = append(out, capacity)
 	}
 	if len(c.view.GangReservations) > 0 {
-		byHost := make(map[string]*placement.Capacity, len(out))
-		for _, capacity := range out {
-			byHost[capacity.Host] = capacity
-		}
-		c.chargeGangHolds(shard, but, byHost)
+		c.chargeGangHolds(shard, jobID, capacitiesByHost(capacities))
 	}
 	if now.Sub(c.view.GPUJobSeenAt) < gpuReserveTTL {
-		cards := 0
-		for _, capacity := range out {
-			if capacity.Type.GPUs > 0 {
-				cards++
-			}
+		c.keepGPUMachines(capacities)
+	}
+	return capacities
+}
+
+// growScratch makes the reused memory large enough for so many machines. The capacities of
+// the last call are over then: every caller is done with its own before anything else asks,
+// and all hold the lock.
+func (c *Controller) growScratch(machines int) {
+	if cap(c.scratch.capacities) < machines {
+		c.scratch.capacities = make([]placement.Capacity, machines*5/4)
+		c.scratch.list = make([]*placement.Capacity, 0, machines*5/4)
+	}
+}
+
+// fillCapacity sets a capacity to what a machine has free.
+func (c *Controller) fillCapacity(capacity *placement.Capacity, shard *replica.Shard, machine *replica.Machine, machineType *protocol.MachineType, now time.Time) {
+	*capacity = placement.Capacity{Releases: capacity.Releases[:0], Machine: machine, Host: machine.Host, Shard: shard.Name, TypeName: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot, Type: machineType}
+	capacity.Free = c.view.FreeCapacity(machine) // also finds out about use of unknown size, for acceptsTasks
+	capacity.Usable = c.acceptsTasks(machine, now)
+	if machine.Agent.Heartbeat == nil && !machine.Lifecycle.Returning {
+		capacity.BootsAt = time.UnixMilli(machine.Record.RentedAtMs).Add(c.provisioner.bootStats.Expected(bootKindOf(machine), machineType.BootTime(), now))
+	}
+	for _, avoiding := range machine.Quarantine.Evidence.AvoidedBy(now) {
+		if job := c.view.Jobs[avoiding]; job != nil && job.OnProbation(now) {
+			continue // the fault is the job's own, and a task of it costs least where its image is
+		}
+		if capacity.AvoidedBy == nil {
+			capacity.AvoidedBy = make(map[string]bool)
+		}
+		capacity.AvoidedBy[avoiding] = true
+	}
+}
+
+// acceptsTasks reports whether new tasks may be placed on a machine.
+func (c *Controller) acceptsTasks(machine *replica.Machine, now time.Time) bool {
+	return machine.Agent.Heartbeat != nil && machine.Address() != "" && !isLeaving(machine) && !hasUnclearState(machine, now) && c.isReachable(machine, now)
+}
+
+// isLeaving reports whether a machine is being drained or returned, or will be.
+func isLeaving(machine *replica.Machine) bool {
+	lifecycle := &machine.Lifecycle
+	return lifecycle.Gone || lifecycle.Returning || !lifecycle.DrainingSince.IsZero() || !machine.Agent.PreemptionNoticeAt.IsZero()
+}
+
+// hasUnclearState reports whether a machine is quarantined, rejects starts, runs tasks of
+// unknown size, which are being ended, or has starts of unknown outcome.
+func hasUnclearState(machine *replica.Machine, now time.Time) bool {
+	rejecting := !now.After(machine.Quarantine.RejectingUntil)
+	return machine.Quarantine.Active || rejecting || machine.Capacity.UnknownUse || len(machine.Commands.Unknown) > 0
+}
+
+// isReachable reports whether a machine has been heard lately, receives commands, and can
+// report.
+func (c *Controller) isReachable(machine *replica.Machine, now time.Time) bool {
+	return c.silenceOf(machine, now) < c.policy.SuspectAfter && !machine.Detector.Reachability.CannotReceive() && !c.cannotReport(machine, now)
+}
+
+// capacitiesByHost returns an index of capacities by host.
+func capacitiesByHost(capacities []*placement.Capacity) map[string]*placement.Capacity {
+	byHost := make(map[string]*placement.Capacity, len(capacities))
+	for _, capacity := range capacities {
+		byHost[capacity.Host] = capacity
+	}
+	return byHost
+}
+
+// keepGPUMachines keeps idle machines with GPUs for jobs that need the GPUs.
+func (c *Controller) keepGPUMachines(capacities []*placement.Capacity) {
+	gpuMachines := 0
+	for _, capacity := range capacities {
+		if capacity.Type.GPUs > 0 {
+			gpuMachines++
 		}
-		keep := func(share float64) int { return max(c.policy.GPUMachineReserve, int(share*float64(cards))) }
-		placement.KeepGPUMachines(out, keep(c.policy.GPUMachineShare), keep(max(c.policy.GPUMachineShare, c.policy.BestEffortGPUMachineShare)))
 	}
-	return out
+	kept := func(share float64) int {
+		return max(c.policy.GPUMachineReserve, int(share*float64(gpuMachines)))
+	}
+	placement.KeepGPUMachines(capacities, kept(c.policy.GPUMachineShare), kept(max(c.policy.GPUMachineShare, c.policy.BestEffortGPUMachineShare)))
 }
 
-// detailCapacities notes when the tasks on each machine should end and who might be
-// displaced: only a pass with blocked work needs to know. What a machine's
-// tasks come to is kept until something about them changes.
+// detailCapacities adds when the tasks on each machine should end and which may be
+// preempted: only a pass with blocked work needs that. A machine's details are kept until
+// something about its tasks changes.
 func (c *Controller) detailCapacities(capacities []*placement.Capacity, now time.Time) {
 	for _, capacity := range capacities {
 		if capacity.Detailed || capacity.Machine == nil {
@@ -94,6 +134,7 @@
 	}
 }
 
+// detailMachine determines a machine's releases and victims, both in order.
 func (c *Controller) detailMachine(machine *replica.Machine, now time.Time) {
 	machine.Capacity.DetailsStale = false
 	machine.Capacity.Releases, machine.Capacity.Victims = machine.Capacity.Releases[:0], nil // the list may still be in use by a pass
@@ -104,35 +145,38 @@
 		}
 		c.addRelease(machine, slot, now)
 	}
-	// Most likely to be displaced first; the order is the same every time.
+	// The most likely to be preempted come first. The order is total, so that a replay
+	// preempts the same.
 	slices.SortFunc(machine.Capacity.Victims, func(a, b replica.Victim) int {
-		return cmp.Or(cmp.Compare(a.Claim.Spec.Priority(), b.Claim.Spec.Priority()), cmp.Compare(a.LostWork(now), b.LostWork(now)), strings.Compare(a.Claim.Key, b.Claim.Key), cmp.Compare(a.Task, b.Task))
+		return cmp.Or(cmp.Compare(a.Claim.Spec.Priority(), b.Claim.Spec.Priority()), cmp.Compare(a.LostWork(now), b.LostWork(now)),
+			strings.Compare(a.Claim.Key, b.Claim.Key), cmp.Compare(a.Task, b.Task))
 	})
 	slices.SortStableFunc(machine.Capacity.Releases, func(a, b replica.Release) int { return a.At.Compare(b.At) })
 }
 
+// evictionTime is how soon an evicted task is expected to have released its capacity.
+const evictionTime = 300 * time.Millisecond
+
+// addRelease adds to a machine's details when one of its tasks should end, and the task
+// itself to the victims if it can be preempted.
 func (c *Controller) addRelease(machine *replica.Machine, slot *replica.Slot, now time.Time) {
 	claim := slot.Claim
-	began, running := machine.Agent.RunningSince[slot.TaskName]
+	startedAt, running := machine.Agent.RunningSince[slot.TaskName]
 	if !running {
-		began = now
+		startedAt = now
 	}
 	_, evicted := claim.Evictions[slot.Task]
 	if claim.Spec.Shape != protocol.ShapeService {
-		at := began.Add(c.estimateRuntime(claim.Spec))
+		at := startedAt.Add(c.estimateRuntime(claim.Spec))
 		if evicted {
-			at = now.Add(300 * time.Millisecond)
+			at = now.Add(evictionTime)
 		}
 		machine.Capacity.Releases = append(machine.Capacity.Releases, replica.Release{At: at, Spec: claim.Spec})
 	}
-	if evicted {
+	isOfGang := claim.Spec.Shape == protocol.ShapeGang && claim.Spec.Tasks > 1 // stopping one task would end them all
+	isThere := machine.Agent.Tasks[slot.TaskName] != nil                       // else it can't be stopped yet
+	if evicted || isOfGang || !isThere {
 		return
 	}
-	if claim.Spec.Shape == protocol.ShapeGang && claim.Spec.Tasks > 1 {
-		return // stopping one task of a gang would end them all
-	}
-	if machine.Agent.Tasks[slot.TaskName] == nil {
-		return // not there yet: it cannot be stopped
-	}
-	machine.Capacity.Victims = append(machine.Capacity.Victims, replica.Victim{Claim: claim, Task: slot.Task, Host: machine.Host, StartedAt: began})
+	machine.Capacity.Victims = append(machine.Capacity.Victims, replica.Victim{Claim: claim, Task: slot.Task, Host: machine.Host, StartedAt: startedAt})
 }
--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"cmp"
 	"slices"
 	"strconv"
 	"strings"
@@ -104,9 +103,7 @@
 		}
 		at[team] = st
 	}
-	slices.SortStableFunc(queue, func(a, b *placement.QueueEntry) int {
-		return cmp.Or(cmp.Compare(b.Spec.Priority(), a.Spec.Priority()), cmp.Compare(boolToInt(b.WithinGuarantee), boolToInt(a.WithinGuarantee)))
-	})
+	slices.SortStableFunc(queue, comparePrecedence) // no entry starts ahead of its turn yet
 }
 
 // preemptionPolicy says whose work a job may have stopped: that of lower rank, and for what
