--- a/internal/coordination/controller/besteffort.go
+++ b/internal/coordination/controller/besteffort.go
@@ -6,43 +6,49 @@
 	"madderslip/internal/protocol"
 )
 
-// bestEffortCapacity is a shard's room as idle work sees it, but for whether others wait.
+// bestEffortCapacity returns a shard's capacity as best-effort work sees it, Contended left
+// out.
 func (c *Controller) bestEffortCapacity(shard *replica.Shard, capacities []*placement.Capacity) placement.BestEffortCapacity {
-	var r placement.BestEffortCapacity
-	for _, x := range capacities {
-		r.Total += x.Type.CPUs
-		if x.Usable {
-			r.Free += max(0, x.Free.CPUs)
+	var result placement.BestEffortCapacity
+	for _, capacity := range capacities {
+		result.Total += capacity.Type.CPUs
+		if capacity.Usable {
+			result.Free += max(0, capacity.Free.CPUs)
 		}
 	}
 	for claim := range shard.Claims {
 		if claim.Spec == nil || claim.Latest() == nil {
 			continue
 		}
-		cpus := claim.Spec.CPUs * float64(len(claim.Latest().Placements))
 		switch {
 		case claim.Spec.Shape == protocol.ShapeService:
-			r.WarmReserve += cpus
+			result.WarmReserve += claim.Spec.CPUs * float64(len(claim.Latest().Placements))
 		case placement.IsBestEffort(claim.Spec):
-			r.InUse += claim.Spec.CPUs * float64(claim.OccupyingCount())
+			result.InUse += claim.Spec.CPUs * float64(claim.OccupyingCount())
 		}
 	}
-	r.WarmReserve *= c.policy.WarmShare // once: a sum of rounded products depends on the order
-	return r
+	result.WarmReserve *= c.policy.WarmShare // once: a sum of rounded products depends on the order
+	return result
 }
 
-// bestEffortRuns tells that idle work runs in the shard that holds a unit's claim, or in one
-// of this node's.
+// bestEffortRuns reports whether best-effort work runs in the shard that holds an entry's
+// claim or, if the entry is unclaimed, in one of this node's shards.
 func (c *Controller) bestEffortRuns(entry *placement.QueueEntry) bool {
 	for _, shard := range c.view.Shards {
-		if !c.view.IsActive(shard) || (entry.Claim != nil && entry.Claim.Record != nil && entry.Claim.Record.Shard != shard.Name) {
+		isElsewhere := entry.Claim != nil && entry.Claim.Record != nil && entry.Claim.Record.Shard != shard.Name
+		if !c.view.IsActive(shard) || isElsewhere {
 			continue
 		}
 		for claim := range shard.Claims {
-			if claim.Spec != nil && claim.Record != nil && placement.IsBestEffort(claim.Spec) && len(claim.Record.Placements) > 0 {
+			if hasPlacedBestEffort(claim) {
 				return true
 			}
 		}
 	}
 	return false
 }
+
+// hasPlacedBestEffort reports whether a claim is of best-effort work and has tasks placed.
+func hasPlacedBestEffort(claim *replica.Claim) bool {
+	return claim.Spec != nil && claim.Record != nil && placement.IsBestEffort(claim.Spec) && len(claim.Record.Placements) > 0
+}
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -119,7 +119,7 @@
 	{"a gang claimed meanwhile is not placed again", "coordination/controller/gangs.go", `|| !canReserveAcrossShards(job) {
 			c.endGangReservation`, `|| false {
 			c.endGangReservation`},
-	{"a gang's old attempt has to be gone", "coordination/controller/schedule.go", `	if whole && entry.Claim != nil && len(entry.Claim.Record.Placements) > 0 {
+	{"a gang's old attempt has to be gone", "coordination/controller/schedule.go", `	if isGang && entry.Claim != nil && len(entry.Claim.Record.Placements) > 0 {
 		placement.ReleaseAssignments(entry.Spec, assignments, capacities)
 		return false, false // the old attempt has to be gone first
 	}
