--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -14,234 +14,191 @@
 	"madderslip/internal/storage/records"
 )
 
-// usageView is what package quota weighs bookings against.
-type usageView struct{ n *Controller }
+// usageView is the use of capacity against which package quota checks reservations. It
+// implements quota.Usage.
+type usageView struct{ controller *Controller }
 
-func (v usageView) InUse(team string) quota.Resources { return v.n.view.UseByTeam[team] }
+// InUse returns what a team has placed or is placing.
+func (u usageView) InUse(team string) quota.Resources { return u.controller.view.UseByTeam[team] }
 
-func (v usageView) Committed(team string) quota.Resources { return v.n.view.CommittedUse[team] }
+// Committed returns what a team has placed however the commits under way end.
+func (u usageView) Committed(team string) quota.Resources {
+	return u.controller.view.CommittedUse[team]
+}
 
-func (v usageView) PlacedBy(id string) quota.Resources {
-	if claim := v.n.view.Claims[id]; claim != nil && claim.Tally.Counted {
+// PlacedBy returns what a claim has placed.
+func (u usageView) PlacedBy(claimKey string) quota.Resources {
+	if claim := u.controller.view.Claims[claimKey]; claim != nil && claim.Tally.Counted {
 		return claim.Tally.Use
 	}
 	return quota.Resources{}
 }
 
-func (v usageView) TaskUse(task string) quota.Resources {
-	if claim, slot := v.n.findVictim(task); slot != nil && claim.Spec != nil {
+// TaskUse returns what a preempted task still uses, nothing once it is gone.
+func (u usageView) TaskUse(task string) quota.Resources {
+	if claim, slot := u.controller.findVictim(task); slot != nil && claim.Spec != nil {
 		return replica.TaskResources(claim.Spec)
 	}
 	return quota.Resources{}
 }
 
-func (v usageView) OwnerToken(shard string) uint64 {
-	if s := v.n.view.Shards[shard]; v.n.view.IsActive(s) {
-		return s.FencingToken
+// OwnerToken returns the fencing token under which this node owns a shard; 0: it does not.
+func (u usageView) OwnerToken(shardName string) uint64 {
+	if shard := u.controller.view.Shards[shardName]; u.controller.view.IsActive(shard) {
+		return shard.FencingToken
 	}
 	return 0
 }
 
-func (v usageView) HoldsCapacity(id, shard string) bool {
-	jobID, _, _ := records.ParseClaimKey(id)
-	job, plan, reservation := v.n.view.Jobs[jobID], v.n.preemptions.plans[jobID], v.n.preemptions.reservations[id]
-	return job != nil && job.Record != nil && !job.Record.IsFinal() && ((plan != nil && plan.shard == shard) || (reservation != nil && reservation.shard == shard))
+// HoldsCapacity reports whether a claim's job is open and a shard reserves capacity for it,
+// by a plan or by a reservation.
+func (u usageView) HoldsCapacity(claimKey, shardName string) bool {
+	jobID, _, _ := records.ParseClaimKey(claimKey)
+	job := u.controller.view.Jobs[jobID]
+	if job == nil || job.Record == nil || job.Record.IsFinal() {
+		return false
+	}
+	plan, reservation := u.controller.preemptions.plans[jobID], u.controller.preemptions.reservations[claimKey]
+	return (plan != nil && plan.shard == shardName) || (reservation != nil && reservation.shard == shardName)
 }
 
-// findVictim finds what name names; the place is nil once it is gone.
+// findVictim returns the claim and the slot of a preempted task, by the name that
+// replica.Victim gives it. The slot is nil once the task is gone.
 func (c *Controller) findVictim(name string) (*replica.Claim, *replica.Slot) {
 	key, rest, _ := strings.Cut(name, "#")
-	num, host, _ := strings.Cut(rest, "@")
+	number, host, _ := strings.Cut(rest, "@")
 	claim := c.view.Claims[key]
-	id, err := strconv.Atoi(num)
+	task, err := strconv.Atoi(number)
 	if err != nil || claim == nil {
 		return nil, nil
 	}
-	return claim, claim.Slots[replica.SlotKey{Task: id, Host: host}]
+	return claim, claim.Slots[replica.SlotKey{Task: task, Host: host}]
 }
 
-// entitledTasks counts the tasks of a unit that its team may claim on its guarantee now.
+// entitledTasks counts the tasks of an entry that its team may claim on its guarantee now.
 // A gang claims all of them or none.
 func (c *Controller) entitledTasks(entry *placement.QueueEntry) int {
 	if !c.view.Quota.HasGuarantee(entry.Spec.Team) {
 		return 0
 	}
 	waiting := entry.PlaceableTasks()
-	due := c.view.Quota.Standing(entry.Spec.Team, entry.ClaimKey(), usageView{c}).Entitled(replica.TaskResources(entry.Spec))
-	if entry.Spec.Shape == protocol.ShapeGang && due < waiting {
+	entitled := c.view.Quota.Standing(entry.Spec.Team, entry.ClaimKey(), usageView{c}).Entitled(replica.TaskResources(entry.Spec))
+	if entry.Spec.Shape == protocol.ShapeGang && entitled < waiting {
 		return 0
 	}
-	return min(due, waiting)
+	return min(entitled, waiting)
 }
 
-// prioritizeEntitled moves work within its team's guarantee ahead of others' of the same rank.
-// Behind a backlog of borrowers a team waited for its guarantee until they were done.
+// prioritizeEntitled moves work within its team's guarantee ahead of other work of the same
+// priority. This prevents a team from waiting for its guarantee until a backlog of
+// borrowed work is done.
 func (c *Controller) prioritizeEntitled(queue []*placement.QueueEntry) {
 	if !c.preemptions.hasGuarantees {
 		return
 	}
-	at := make(map[string]quota.Standing)
+	standings := make(map[string]quota.Standing)
 	for _, entry := range queue {
 		team := entry.Spec.Team
 		if !c.view.Quota.HasGuarantee(team) {
 			continue
 		}
 		if entry.WithinGuarantee = c.view.Quota.HasReservation(team, entry.ClaimKey()); entry.WithinGuarantee {
-			continue // counted as booked
-		}
-		st, seen := at[team]
-		if !seen {
-			st = c.view.Quota.Standing(team, "", usageView{c})
-		}
-		need, waiting := 1, entry.PlaceableTasks()
-		if entry.Spec.Shape == protocol.ShapeGang {
-			need = waiting
+			continue // counted as reserved
 		}
-		if due := st.Entitled(replica.TaskResources(entry.Spec)); due >= need && due > 0 {
-			entry.WithinGuarantee = true
-			st.Reserved = st.Reserved.Plus(replica.TaskResources(entry.Spec).Times(float64(min(due, waiting))))
+		standing, known := standings[team]
+		if !known {
+			standing = c.view.Quota.Standing(team, "", usageView{c})
 		}
-		at[team] = st
+		standings[team] = entitle(entry, standing)
 	}
 	slices.SortStableFunc(queue, comparePrecedence) // no entry starts ahead of its turn yet
 }
 
-// preemptionPolicy says whose work a job may have stopped: that of lower rank, and for what
-// its team's guarantee still covers what other teams borrow. It counts what is taken
-// so that no lender is pushed below its own guarantee.
-type preemptionPolicy struct {
-	spec       *protocol.Submission
-	entitled   int // tasks that the guarantee covers
-	preemptor  *quota.Preemptor
-	standings  map[string]quota.Standing
-	controller *Controller
-}
-
-func (c *Controller) preemptionPolicyFor(entry *placement.QueueEntry) *preemptionPolicy {
-	policy := &preemptionPolicy{spec: entry.Spec, entitled: c.entitledTasks(entry), controller: c, standings: make(map[string]quota.Standing)}
-	policy.Reset()
-	return policy
-}
-
-// priorityOnlyPolicy consents to the displacement of lower ranks alone.
-func (c *Controller) priorityOnlyPolicy(spec *protocol.Submission) *preemptionPolicy {
-	return &preemptionPolicy{spec: spec, controller: c}
-}
-
-func (p *preemptionPolicy) Reset() {
-	p.preemptor = &quota.Preemptor{ClaimedTask: replica.TaskResources(p.spec), StandingOf: func(team string) quota.Standing {
-		st, ok := p.standings[team]
-		if !ok {
-			st = p.controller.view.Quota.Standing(team, "", usageView{p.controller})
-			p.standings[team] = st
-		}
-		return st
-	}}
-}
-
-// MayPreempt tells whether one more task may be stopped, beside those chosen so far.
-func (p *preemptionPolicy) MayPreempt(v *protocol.Submission, chosen []replica.Victim) bool {
-	if v.Priority() < p.spec.Priority() {
-		return true
-	}
-	if p.entitled == 0 || v.Team == p.spec.Team {
-		return false
-	}
-	beside := quota.Resources{}
-	for i := range chosen {
-		if s := chosen[i].Claim.Spec; s.Team == v.Team && p.isBorrowed(&chosen[i]) {
-			beside = beside.Plus(replica.TaskResources(s))
-		}
-	}
-	return p.preemptor.MayPreempt(v.Team, replica.TaskResources(v), beside)
-}
-
-// isBorrowed tells that a victim is taken for the guarantee, not for its rank.
-func (p *preemptionPolicy) isBorrowed(victim *replica.Victim) bool {
-	return victim.Claim.Spec.Priority() >= p.spec.Priority()
-}
-
-// RecordPreemption notes what was chosen for one task.
-func (p *preemptionPolicy) RecordPreemption(list []replica.Victim) {
-	claims := false
-	for i := range list {
-		if p.isBorrowed(&list[i]) {
-			p.preemptor.RecordPreemption(list[i].Claim.Spec.Team, replica.TaskResources(list[i].Claim.Spec))
-			claims = true
-		}
-	}
-	if claims && p.entitled > 0 {
-		p.entitled--
+// entitle marks an entry that its team's standing entitles, and returns the standing with
+// the entry's tasks reserved.
+func entitle(entry *placement.QueueEntry, standing quota.Standing) quota.Standing {
+	perTask := replica.TaskResources(entry.Spec)
+	need, waiting := entry.MinTasks(), entry.PlaceableTasks()
+	if entitled := standing.Entitled(perTask); entitled >= need && entitled > 0 {
+		entry.WithinGuarantee = true
+		standing.Reserved = standing.Reserved.Plus(perTask.Times(float64(min(entitled, waiting))))
 	}
+	return standing
 }
 
-// guaranteeReservation is a displacement that waits for its claim on the guarantee to be on
-// record, and for the cache to show all that was placed before.
+// guaranteeReservation is a preemption that waits for its reservation on the guarantee to
+// be recorded, and for the view to show all that was placed before.
 type guaranteeReservation struct {
 	shard   string
 	team    string
-	version uint64 // the record's revision; 0 while it is on its way
+	version uint64 // the record's revision; 0 while it is being committed
 	until   time.Time
-	planned []reservedCapacity
-	tasks   int // of the job, for which what is borrowed is taken
+	planned []plannedEviction
+	tasks   int // of the job, for which borrowed work is preempted
 }
 
-type reservedCapacity struct {
+// plannedEviction is an eviction to be executed once its reservation is recorded.
+type plannedEviction struct {
 	host    string
 	victims []replica.Victim
 }
 
-// reserveGuarantee has a displacement booked, if it takes what is borrowed.
-func (c *Controller) reserveGuarantee(s *replica.Shard, entry *placement.QueueEntry, plan []placement.Eviction, policy *preemptionPolicy, now time.Time) {
+// reserveGuarantee commits a reservation for a plan that preempts borrowed work.
+func (c *Controller) reserveGuarantee(shard *replica.Shard, entry *placement.QueueEntry, plan []placement.Eviction, policy *preemptionPolicy, now time.Time) {
 	if plan = limitLenders(plan, policy, c.settings.RecordLimits().MaxTxnOps-1, entry.StartsTogether()); len(plan) == 0 {
 		return
 	}
-	id := entry.ClaimKey()
-	reservation := &guaranteeReservation{shard: s.Name, team: entry.Spec.Team, until: now.Add(preemptionHold)}
-	victims := make(map[string][]string)
-	tasks := 0
+	claimKey := entry.ClaimKey()
+	reservation := &guaranteeReservation{shard: shard.Name, team: entry.Spec.Team, until: now.Add(preemptionHold)}
 	for _, eviction := range plan {
-		reservation.planned = append(reservation.planned, reservedCapacity{eviction.Capacity.Host, eviction.Victims})
-		claims := false
-		for i := range eviction.Victims {
-			if victim := &eviction.Victims[i]; policy.isBorrowed(victim) {
-				victims[victim.Claim.Spec.Team] = append(victims[victim.Claim.Spec.Team], victim.Name())
-				claims = true
-			}
-		}
-		if claims || entry.StartsTogether() {
-			tasks++ // where lower ranks give way alone the guarantee is not asked
+		reservation.planned = append(reservation.planned, plannedEviction{eviction.Capacity.Host, eviction.Victims})
+		if policy.takesBorrowed(eviction) || entry.StartsTogether() {
+			reservation.tasks++ // where lower priorities alone are preempted the guarantee is not needed
 		}
 	}
-	c.preemptions.reservations[id], reservation.tasks = reservation, tasks
-	use := replica.TaskResources(entry.Spec).Times(float64(tasks)).Plus(usageView{c}.PlacedBy(id))
-	compares, ops := c.view.Quota.Reserve(quota.ReservationRequest{Team: reservation.team, ClaimKey: id, Shard: s.Name, FencingToken: s.FencingToken, Use: use, Victims: victims})
-	compares = append(compares, kv.Compare{Key: records.ShardPrefix + s.Name, Version: s.FencingToken}, kv.Compare{Key: records.JobPrefix + entry.Job.ID, Version: entry.Job.Version})
+	c.preemptions.reservations[claimKey] = reservation
+	use := replica.TaskResources(entry.Spec).Times(float64(reservation.tasks)).Plus(usageView{c}.PlacedBy(claimKey))
+	compares, ops := c.view.Quota.Reserve(quota.ReservationRequest{Team: reservation.team, ClaimKey: claimKey, Shard: shard.Name, FencingToken: shard.FencingToken, Use: use, Victims: policy.borrowedByTeam(plan)})
+	compares = append(compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: records.JobPrefix + entry.Job.ID, Version: entry.Job.Version})
 	c.commit(kv.PriorityClaim, compares, ops, 0, func(err error) {
 		if err != nil {
-			c.log.Debug("guarantee reservation failed", "claim", id, "team", reservation.team, "err", err)
-			if c.preemptions.reservations[id] == reservation {
-				delete(c.preemptions.reservations, id)
+			c.log.Debug("guarantee reservation failed", "claim", claimKey, "team", reservation.team, "err", err)
+			if c.preemptions.reservations[claimKey] == reservation {
+				delete(c.preemptions.reservations, claimKey)
 			}
 			return
 		}
 		reservation.version = c.view.Versions[records.ReservationPrefix+reservation.team]
-		s.Changed = true
+		shard.Changed = true
 	})
 }
 
-// limitLenders leaves as many evictions of a plan as take from so many teams: each has a
-// record that the booking's one transaction changes. A plan that only serves whole goes
-// altogether.
-func limitLenders(plan []placement.Eviction, policy *preemptionPolicy, most int, whole bool) []placement.Eviction {
-	lenders := map[string]bool{policy.spec.Team: true}
+// borrowedByTeam lists the names of a plan's borrowed tasks by team.
+func (p *preemptionPolicy) borrowedByTeam(plan []placement.Eviction) map[string][]string {
+	names := make(map[string][]string)
+	for _, eviction := range plan {
+		for i := range eviction.Victims {
+			if victim := &eviction.Victims[i]; p.isBorrowed(victim) {
+				team := victim.Claim.Spec.Team
+				names[team] = append(names[team], victim.Name())
+			}
+		}
+	}
+	return names
+}
+
+// limitLenders returns as many evictions of a plan as preempt work of at most so many
+// teams: the reservation's one transaction changes a record of each. Of a plan that is only
+// of use as a whole it returns all or nothing.
+func limitLenders(plan []placement.Eviction, policy *preemptionPolicy, maxLenders int, whole bool) []placement.Eviction {
+	teams := map[string]bool{policy.spec.Team: true}
 	for i, eviction := range plan {
 		for j := range eviction.Victims {
 			if victim := &eviction.Victims[j]; policy.isBorrowed(victim) {
-				lenders[victim.Claim.Spec.Team] = true
+				teams[victim.Claim.Spec.Team] = true
 			}
 		}
-		if len(lenders) <= most+1 {
+		if len(teams) <= maxLenders+1 {
 			continue
 		}
 		if whole {
@@ -252,63 +209,78 @@
 	return plan
 }
 
-// executeReservation stops what a booking names, once all that was placed before it is
-// known and it still holds. Where it does not the booking goes, and nothing is
-// stopped.
+// executeReservation executes the plan of a reservation, once all that was placed before it
+// is known and if it is still valid. Otherwise the reservation ends and nothing is stopped.
+// It reports whether it has stopped anything.
 func (c *Controller) executeReservation(shard *replica.Shard, entry *placement.QueueEntry, reservation *guaranteeReservation, capacities []*placement.Capacity, now time.Time) bool {
 	if reservation.shard != shard.Name || reservation.version == 0 || c.view.Revision < reservation.version {
 		return false
 	}
 	delete(c.preemptions.reservations, entry.ClaimKey())
-	byHost := make(map[string]*placement.Capacity, len(capacities))
-	for _, capacity := range capacities {
-		byHost[capacity.Host] = capacity
-	}
 	policy := c.preemptionPolicyFor(entry)
-	due := policy.entitled
-	// What is on record for this very job is leaving in its own name.
+	entitled := policy.entitled
+	// The reservation counts its own victims as leaving already.
 	policy.preemptor.StandingOf = func(team string) quota.Standing {
 		return c.view.Quota.StandingExcludingPreemptionsFor(team, entry.ClaimKey(), usageView{c})
 	}
+	plan := reservation.validPlan(policy, capacitiesByHost(capacities))
+	if entitled < reservation.tasks || (entry.StartsTogether() && len(plan) < len(reservation.planned)) {
+		// It ends as a whole and is made anew, so that what is recorded is what is preempted.
+		c.log.Debug("guarantee reservation no longer valid", "claim", entry.ClaimKey(), "team", reservation.team)
+		return false
+	}
+	for _, eviction := range plan {
+		policy.markPreempted(eviction, entry.ClaimKey())
+		c.executeEviction(shard, entry, eviction, now)
+	}
+	return len(plan) > 0
+}
+
+// validPlan returns the evictions of a reservation that may still be executed.
+func (r *guaranteeReservation) validPlan(policy *preemptionPolicy, byHost map[string]*placement.Capacity) []placement.Eviction {
 	var plan []placement.Eviction
-	for _, br := range reservation.planned {
-		capacity := byHost[br.host]
+	for _, planned := range r.planned {
+		capacity := byHost[planned.host]
 		if capacity == nil || !capacity.Usable {
 			continue
 		}
 		eviction := placement.Eviction{Capacity: capacity}
-		for _, victim := range br.victims {
-			if _, going := victim.Claim.Evictions[victim.Task]; victim.Claim.Slots[replica.SlotKey{Task: victim.Task, Host: br.host}] == nil || going || !policy.MayPreempt(victim.Claim.Spec, eviction.Victims) {
-				continue
+		for _, victim := range planned.victims {
+			if isEvictable(&victim, planned.host) && policy.MayPreempt(victim.Claim.Spec, eviction.Victims) {
+				eviction.Victims = append(eviction.Victims, victim)
 			}
-			eviction.Victims = append(eviction.Victims, victim)
 		}
 		if len(eviction.Victims) > 0 {
 			policy.RecordPreemption(eviction.Victims)
 			plan = append(plan, eviction)
 		}
 	}
-	if due < reservation.tasks || (entry.StartsTogether() && len(plan) < len(reservation.planned)) {
-		// It goes as a whole and is made anew: what is on record is what is taken.
-		c.log.Debug("guarantee reservation no longer valid", "claim", entry.ClaimKey(), "team", reservation.team)
-		return false
-	}
-	for _, eviction := range plan {
-		for i := range eviction.Victims {
-			if victim := &eviction.Victims[i]; policy.isBorrowed(victim) {
-				if victim.Claim.PreemptedFor == nil {
-					victim.Claim.PreemptedFor = make(map[replica.SlotKey]string)
-				}
-				victim.Claim.PreemptedFor[replica.SlotKey{Task: victim.Task, Host: victim.Host}] = entry.ClaimKey()
-			}
+	return plan
+}
+
+// isEvictable reports whether a victim is still placed on a host and not being evicted.
+func isEvictable(victim *replica.Victim, host string) bool {
+	_, evicted := victim.Claim.Evictions[victim.Task]
+	return !evicted && victim.Claim.Slots[replica.SlotKey{Task: victim.Task, Host: host}] != nil
+}
+
+// markPreempted records at the borrowed tasks of an eviction for which claim they are
+// stopped.
+func (p *preemptionPolicy) markPreempted(eviction placement.Eviction, claimKey string) {
+	for i := range eviction.Victims {
+		victim := &eviction.Victims[i]
+		if !p.isBorrowed(victim) {
+			continue
 		}
-		c.executeEviction(shard, entry, eviction, now)
+		if victim.Claim.PreemptedFor == nil {
+			victim.Claim.PreemptedFor = make(map[replica.SlotKey]string)
+		}
+		victim.Claim.PreemptedFor[replica.SlotKey{Task: victim.Task, Host: victim.Host}] = claimKey
 	}
-	return len(plan) > 0
 }
 
-// PreemptedFor tells for which chunk's claim on a guarantee this node has a task stopped;
-// empty: for none, whatever else it may be stopped for.
+// PreemptedFor returns the key of the claim on a guarantee for which this node stops a task;
+// empty: none, whatever else it may be stopped for.
 func (c *Controller) PreemptedFor(jobID string, task int, host string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -320,48 +292,63 @@
 	return ""
 }
 
-// releaseReservations frees what jobs have booked and do not use any more, and withdraws
-// the stops for them that were not sent yet.
+// maxReleases bounds the reservations that one transaction releases.
+const maxReleases = 4
+
+// releaseReservations releases what jobs have reserved and do not use any more, and
+// withdraws their evictions whose stop was not sent yet.
 func (c *Controller) releaseReservations(now time.Time) {
-	for id, reservation := range c.preemptions.reservations {
-		jobID, _, _ := records.ParseClaimKey(id)
-		if job := c.view.Jobs[jobID]; (now.After(reservation.until) && reservation.version != 0) || job == nil || job.Record.IsFinal() || !c.view.IsActive(c.view.Shards[reservation.shard]) {
-			delete(c.preemptions.reservations, id)
-		}
-	}
+	c.expireReservations(now)
 	if c.preemptions.releasing {
 		return
 	}
-	ids := slices.DeleteFunc(c.view.Quota.ExpiredReservations(usageView{c}), func(id string) bool {
-		// What is still on its way down counts at its team until it is gone. Taken off
-		// the record before, it was lent a second time.
-		going := false
-		for _, task := range c.view.Quota.PreemptedFor(id) {
-			going = !c.withdrawEviction(task) || going
-		}
-		return going
-	})
-	if len(ids) == 0 {
+	// What is still being stopped counts at its team until it is gone: released before, it
+	// would be lent a second time.
+	claimKeys := slices.DeleteFunc(c.view.Quota.ExpiredReservations(usageView{c}), c.isStopping)
+	if len(claimKeys) == 0 {
 		return
 	}
-	ids = ids[:min(len(ids), 4)]
 	c.preemptions.releasing = true
-	compares, ops := c.view.Quota.Release(ids)
+	compares, ops := c.view.Quota.Release(claimKeys[:min(len(claimKeys), maxReleases)])
 	c.commit(kv.PriorityClaim, compares, ops, 0, func(error) { c.preemptions.releasing = false })
 }
 
-// withdrawEviction takes a stop back that was not sent yet, and tells whether nothing is being
-// stopped there any more.
+// expireReservations drops the reservations that are recorded and have expired, and those
+// whose job is final or whose shard this node does not own any more.
+func (c *Controller) expireReservations(now time.Time) {
+	for claimKey, reservation := range c.preemptions.reservations {
+		jobID, _, _ := records.ParseClaimKey(claimKey)
+		job := c.view.Jobs[jobID]
+		isOver := job == nil || job.Record.IsFinal()
+		hasExpired := now.After(reservation.until) && reservation.version != 0
+		if hasExpired || isOver || !c.view.IsActive(c.view.Shards[reservation.shard]) {
+			delete(c.preemptions.reservations, claimKey)
+		}
+	}
+}
+
+// isStopping withdraws the evictions for a claim as far as possible, and reports whether a
+// task is still being stopped for it.
+func (c *Controller) isStopping(claimKey string) bool {
+	stopping := false
+	for _, task := range c.view.Quota.PreemptedFor(claimKey) {
+		stopping = !c.withdrawEviction(task) || stopping
+	}
+	return stopping
+}
+
+// withdrawEviction withdraws a task's eviction if its stop was not sent yet, and reports
+// whether the task is not being stopped any more.
 func (c *Controller) withdrawEviction(task string) bool {
 	claim, slot := c.findVictim(task)
 	if slot == nil || slot.Host.Machine == nil {
 		return true
 	}
-	since, going := claim.Evictions[slot.Task]
-	if !going {
+	evictedAt, evicted := claim.Evictions[slot.Task]
+	if !evicted {
 		return true
 	}
-	if at := slot.Host.Machine.Commands.StopSentAt[slot.TaskName]; !at.Before(since) {
+	if stopSentAt := slot.Host.Machine.Commands.StopSentAt[slot.TaskName]; !stopSentAt.Before(evictedAt) {
 		return false
 	}
 	delete(claim.Evictions, slot.Task)
--- a/internal/coordination/controller/preemption.go
+++ b/internal/coordination/controller/preemption.go
@@ -6,26 +6,26 @@
 	"time"
 
 	"madderslip/internal/coordination/placement"
+	"madderslip/internal/coordination/quota"
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
 	"madderslip/internal/storage/records"
 )
 
-// preemptionPlan is the room for which a job has displaced others. It is held for the job
-// until it starts there. Without this a gang's next pass could prefer other
-// machines, arrays took the room just made, and the gang displaced again: some
-// twelve thousand tasks of a day were lost in that circle.
+// preemptionPlan is the capacity for which a job has preempted others. It is reserved for
+// the job until it starts there, which prevents other jobs from using that capacity and the
+// job from preempting again and again, also where a later pass prefers other machines.
 type preemptionPlan struct {
 	shard string
 	hosts map[string]int // tasks by host
 	until time.Time
 }
 
-// preemptions is the work that is stopped for other work.
+// preemptions is the state of the work that is stopped for other work.
 type preemptions struct {
 	hasGuarantees bool                             // some team has one
 	plans         map[string]*preemptionPlan       // by job
-	intents       []string                         // claims that others are preempted for, of which the other controllers were not told
+	intents       []string                         // claims that others are preempted for and that were not broadcast yet
 	reservations  map[string]*guaranteeReservation // by claim
 	releasing     bool                             // reservations are being released
 }
@@ -34,11 +34,15 @@
 	return preemptions{plans: make(map[string]*preemptionPlan), reservations: make(map[string]*guaranteeReservation)}
 }
 
-// preemptionHold is how long a job waits for the tasks it displaced to go before it
-// may displace more.
-const preemptionHold = 5 * time.Second
+const (
+	// preemptionHold is how long a job waits for the tasks that it preempts to leave before
+	// it may preempt more.
+	preemptionHold = 5 * time.Second
+	// plannedStart is how soon a job is expected to start on preempted capacity.
+	plannedStart = time.Second
+)
 
-// expirePreemptions drops the plans that have had their time or whose job is over.
+// expirePreemptions drops the plans that have expired or whose job is final.
 func (c *Controller) expirePreemptions(now time.Time) {
 	for jobID, plan := range c.preemptions.plans {
 		if job := c.view.Jobs[jobID]; now.After(plan.until) || job == nil || job.Record.IsFinal() {
@@ -47,28 +51,26 @@
 	}
 }
 
-// reservePreempted sets the planned room of a shard's machines apart.
+// reservePreempted reserves the planned capacity of a shard's machines.
 func (c *Controller) reservePreempted(shard *replica.Shard, capacities []*placement.Capacity, now time.Time) {
-	held := false
 	jobIDs := slices.Sorted(maps.Keys(c.preemptions.plans))
-	for _, jobID := range jobIDs {
-		held = held || c.preemptions.plans[jobID].shard == shard.Name
-	}
-	if !held {
+	isOfShard := func(jobID string) bool { return c.preemptions.plans[jobID].shard == shard.Name }
+	if !slices.ContainsFunc(jobIDs, isOfShard) {
 		return
 	}
 	c.detailCapacities(capacities, now)
 	for _, capacity := range capacities {
 		for _, jobID := range jobIDs {
-			if k := c.preemptions.plans[jobID].hosts[capacity.Host]; k > 0 && capacity.Reservation.JobID == "" {
-				capacity.ReserveFor(c.view.Jobs[jobID].Spec(), jobID, k, now.Add(time.Second))
+			if tasks := c.preemptions.plans[jobID].hosts[capacity.Host]; tasks > 0 && capacity.Reservation.JobID == "" {
+				capacity.ReserveFor(c.view.Jobs[jobID].Spec(), jobID, tasks, now.Add(plannedStart))
 			}
 		}
 	}
 }
 
-// preemptFor displaces work of lower priority for a job that found no room. It
-// returns false when there is nothing, or nothing more, to displace.
+// preemptFor preempts work of lower priority, or work that is borrowed from the guarantee
+// of the entry's team, for an entry without capacity. It reports whether it has stopped
+// anything.
 func (c *Controller) preemptFor(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, now time.Time) bool {
 	if c.preemptions.plans[entry.Job.ID] != nil || !c.mayPreemptHere(shard, entry, now) {
 		return false
@@ -80,9 +82,7 @@
 	c.detailCapacities(capacities, now)
 	policy := c.preemptionPolicyFor(entry)
 	plan := placement.PlanPreemption(entry, capacities, &zones, policy, now)
-	if slices.ContainsFunc(plan, func(eviction placement.Eviction) bool {
-		return slices.ContainsFunc(eviction.Victims, func(victim replica.Victim) bool { return policy.isBorrowed(&victim) })
-	}) {
+	if slices.ContainsFunc(plan, policy.takesBorrowed) {
 		c.reserveGuarantee(shard, entry, plan, policy, now)
 		return false
 	}
@@ -92,49 +92,55 @@
 	return len(plan) > 0
 }
 
-// mayPreemptHere tells whether a shard may displace for a unit. For work that
-// no shard has claimed yet only one of its copies does so at a time: for a gang
-// of eight, five shards each stopped hundreds of tasks.
+// mayPreemptHere reports whether a shard may preempt for an entry. For a chunk that no
+// shard has claimed only one of its shards does so at a time, which prevents each of them
+// from stopping hundreds of tasks for the same gang.
 func (c *Controller) mayPreemptHere(shard *replica.Shard, entry *placement.QueueEntry, now time.Time) bool {
 	if entry.Claim != nil {
 		return true
 	}
-	i := slices.Index(entry.Job.Record.Shards, shard.Name)
-	if i < 0 {
-		i = len(entry.Job.Record.Shards)
+	turn := slices.Index(entry.Job.Record.Shards, shard.Name)
+	if turn < 0 {
+		turn = len(entry.Job.Record.Shards)
 	}
-	return now.Sub(entry.Job.SeenAt) >= time.Duration(i)*preemptionHold
+	return now.Sub(entry.Job.SeenAt) >= time.Duration(turn)*preemptionHold
 }
 
-// executeEviction stops what an eviction names. The room is spoken for in this pass.
-func (c *Controller) executeEviction(s *replica.Shard, entry *placement.QueueEntry, eviction placement.Eviction, now time.Time) {
-	plan := c.preemptions.plans[entry.Job.ID]
-	if plan == nil {
-		plan = &preemptionPlan{shard: s.Name, hosts: make(map[string]int), until: now.Add(preemptionHold)}
-		c.preemptions.plans[entry.Job.ID] = plan
-		if entry.Claim == nil {
-			c.preemptions.intents = append(c.preemptions.intents, records.ClaimKey(entry.Job.ID, entry.Chunk))
-		}
-	}
+// executeEviction stops the tasks of an eviction and reserves their capacity for the entry
+// in this pass.
+func (c *Controller) executeEviction(shard *replica.Shard, entry *placement.QueueEntry, eviction placement.Eviction, now time.Time) {
 	capacity := eviction.Capacity
-	plan.hosts[capacity.Host]++
+	c.planFor(shard, entry, now).hosts[capacity.Host]++
 	for _, victim := range eviction.Victims {
 		c.evict(victim.Claim, victim.Task, now)
 		capacity.Release(victim.Claim.Spec)
 		c.log.Debug("task preempted", "claim", victim.Claim.Key, "task", victim.Task, "host", capacity.Host, "job", entry.Job.ID)
 	}
-	c.sendPendingCommands(s)
+	c.sendPendingCommands(shard)
 	capacity.Allocate(entry.Spec)
 	capacity.ReserveFor(entry.Spec, entry.Job.ID, 0, now)
 	capacity.Victims = placement.WithoutVictims(capacity.Victims, eviction.Victims)
 	for _, victim := range eviction.Victims {
 		if job := c.view.Jobs[victim.Claim.JobID]; job != nil && victim.Claim.Pending == nil && victim.Claim.Record != nil {
-			c.reconcileClaim(s, job, victim.Claim, now)
+			c.reconcileClaim(shard, job, victim.Claim, now)
 		}
 	}
 }
 
-// evict has a placement stopped.
+// planFor returns the plan of an entry's job, a new one if it has none.
+func (c *Controller) planFor(shard *replica.Shard, entry *placement.QueueEntry, now time.Time) *preemptionPlan {
+	plan := c.preemptions.plans[entry.Job.ID]
+	if plan == nil {
+		plan = &preemptionPlan{shard: shard.Name, hosts: make(map[string]int), until: now.Add(preemptionHold)}
+		c.preemptions.plans[entry.Job.ID] = plan
+		if entry.Claim == nil {
+			c.preemptions.intents = append(c.preemptions.intents, records.ClaimKey(entry.Job.ID, entry.Chunk))
+		}
+	}
+	return plan
+}
+
+// evict marks a task of a claim to be stopped, and queues its stop.
 func (c *Controller) evict(claim *replica.Claim, task int, now time.Time) {
 	if claim.Evictions == nil {
 		claim.Evictions = make(map[int]time.Time)
@@ -149,9 +155,9 @@
 	c.view.MarkDirty(claim)
 }
 
-// stopEvicted sends the stop at once: settling waits while a version of the
-// claim is being committed, and under load that took longer than the room made
-// could be held.
+// stopEvicted queues the stop of an evicted task at once. Reconciliation waits while a
+// version of the claim is being committed, which under load may take longer than the
+// preempted capacity is reserved.
 func (c *Controller) stopEvicted(claim *replica.Claim, slot *replica.Slot, now time.Time) {
 	machine := slot.Host.Machine
 	if machine == nil || !c.view.IsActive(c.view.Shards[machine.Record.Shard]) {
@@ -159,7 +165,8 @@
 	}
 	shard := c.view.Shards[machine.Record.Shard]
 	status := machine.Agent.Tasks[slot.TaskName]
-	if status == nil || status.Attempt != slot.Attempt || status.Phase == protocol.TaskExited || !machine.ShowsToken(shard) {
+	isRunning := status != nil && status.Attempt == slot.Attempt && status.Phase != protocol.TaskExited
+	if !isRunning || !machine.ShowsToken(shard) {
 		return
 	}
 	if grace, stop := c.shouldStop(claim, &records.Placement{Task: slot.Task, Attempt: slot.Attempt, Host: machine.Host}, now); stop {
@@ -168,23 +175,103 @@
 	}
 }
 
-// preemptForImage makes room for a service or a gang of one on a machine that
-// holds its image, when all the free room is on machines that would fetch it
-// for longer than the job's start may take.
+// preemptForImage preempts for a service or a gang of one task on a machine that holds its
+// image, when all free capacity is on machines that would fetch the image for longer than
+// the job's start may take. It reports whether it has stopped anything.
 func (c *Controller) preemptForImage(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, now time.Time) bool {
 	if entry.Spec.Shape == protocol.ShapeArray || entry.StartsTogether() {
 		return false
 	}
 	zones := c.zoneConstraint(entry)
-	i := placement.Select(entry.Spec, entry.Job.ID, capacities, &zones, 0, now)
-	if i < 0 || capacities[i].HasImage(entry.Spec.Image) {
+	index := placement.Select(entry.Spec, entry.Job.ID, capacities, &zones, 0, now)
+	if index < 0 || capacities[index].HasImage(entry.Spec.Image) {
 		return false
 	}
-	by := c.startBy(entry, capacities, &zones, now)
-	if !by.After(now) || !now.Add(capacities[i].ImagePullTime(entry.Spec)).After(by) {
+	startBy := c.startBy(entry, capacities, &zones, now)
+	if !startBy.After(now) || !now.Add(capacities[index].ImagePullTime(entry.Spec)).After(startBy) {
 		return false
 	}
 	c.detailCapacities(capacities, now)
-	at, victims := placement.SelectVictims(entry.Spec, entry.Job.ID, capacities, &zones, c.priorityOnlyPolicy(entry.Spec), now)
-	return len(victims) > 0 && capacities[at].HasImage(entry.Spec.Image) && c.preemptFor(shard, entry, capacities, now)
+	best, victims := placement.SelectVictims(entry.Spec, entry.Job.ID, capacities, &zones, c.priorityOnlyPolicy(entry.Spec), now)
+	return len(victims) > 0 && capacities[best].HasImage(entry.Spec.Image) && c.preemptFor(shard, entry, capacities, now)
+}
+
+// preemptionPolicy says whose tasks may be stopped for a job: those of lower priority and,
+// for what its team's guarantee still covers, those that other teams borrow. It counts what
+// is preempted, so that no lender is pushed below its own guarantee. It implements
+// placement.PreemptionPolicy.
+type preemptionPolicy struct {
+	spec       *protocol.Submission
+	entitled   int // tasks that the guarantee covers
+	preemptor  *quota.Preemptor
+	standings  map[string]quota.Standing
+	controller *Controller
+}
+
+// preemptionPolicyFor returns the policy for a queue entry.
+func (c *Controller) preemptionPolicyFor(entry *placement.QueueEntry) *preemptionPolicy {
+	policy := &preemptionPolicy{spec: entry.Spec, entitled: c.entitledTasks(entry), controller: c, standings: make(map[string]quota.Standing)}
+	policy.Reset()
+	return policy
+}
+
+// priorityOnlyPolicy returns a policy that permits the preemption of lower priorities alone.
+func (c *Controller) priorityOnlyPolicy(spec *protocol.Submission) *preemptionPolicy {
+	return &preemptionPolicy{spec: spec, controller: c}
+}
+
+// Reset implements placement.PreemptionPolicy.
+func (p *preemptionPolicy) Reset() {
+	p.preemptor = &quota.Preemptor{ClaimedTask: replica.TaskResources(p.spec), StandingOf: p.standingOf}
+}
+
+// standingOf returns a team's standing as it was when the policy was made.
+func (p *preemptionPolicy) standingOf(team string) quota.Standing {
+	standing, known := p.standings[team]
+	if !known {
+		standing = p.controller.view.Quota.Standing(team, "", usageView{p.controller})
+		p.standings[team] = standing
+	}
+	return standing
+}
+
+// MayPreempt reports whether one more task may be stopped, beside those chosen so far.
+func (p *preemptionPolicy) MayPreempt(victim *protocol.Submission, chosen []replica.Victim) bool {
+	if victim.Priority() < p.spec.Priority() {
+		return true
+	}
+	if p.entitled == 0 || victim.Team == p.spec.Team {
+		return false
+	}
+	beside := quota.Resources{}
+	for i := range chosen {
+		if other := chosen[i].Claim.Spec; other.Team == victim.Team && p.isBorrowed(&chosen[i]) {
+			beside = beside.Plus(replica.TaskResources(other))
+		}
+	}
+	return p.preemptor.MayPreempt(victim.Team, replica.TaskResources(victim), beside)
+}
+
+// isBorrowed reports whether a victim is preempted for the guarantee, not for its priority.
+func (p *preemptionPolicy) isBorrowed(victim *replica.Victim) bool {
+	return victim.Claim.Spec.Priority() >= p.spec.Priority()
+}
+
+// takesBorrowed reports whether an eviction stops any borrowed work.
+func (p *preemptionPolicy) takesBorrowed(eviction placement.Eviction) bool {
+	return slices.ContainsFunc(eviction.Victims, func(victim replica.Victim) bool { return p.isBorrowed(&victim) })
+}
+
+// RecordPreemption counts what is chosen for one task.
+func (p *preemptionPolicy) RecordPreemption(victims []replica.Victim) {
+	usesGuarantee := false
+	for i := range victims {
+		if p.isBorrowed(&victims[i]) {
+			p.preemptor.RecordPreemption(victims[i].Claim.Spec.Team, replica.TaskResources(victims[i].Claim.Spec))
+			usesGuarantee = true
+		}
+	}
+	if usesGuarantee && p.entitled > 0 {
+		p.entitled--
+	}
 }
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -80,7 +80,7 @@
 		return Resources{}`, `	if false {
 		return Resources{}`},
 	{"a booking is carried out once all before it is known", "coordination/controller/guarantees.go", `reservation.version == 0 || c.view.Revision < reservation.version {`, `reservation.version == 0 {`},
-	{"a booking that does not hold any more goes", "coordination/controller/guarantees.go", `if due < reservation.tasks ||`, `if (due < 0) ||`},
+	{"a booking that does not hold any more goes", "coordination/controller/guarantees.go", `if entitled < reservation.tasks ||`, `if (entitled < 0) ||`},
 	{"bookings exclude one another", "coordination/quota/reservations.go", `		compares = append(compares, kv.Compare{Key: key, Version: m.team(name).reservationsVersion})
 `, ``},
 	{"a lender keeps its guarantee", "coordination/quota/guarantee.go", `return p.taken[team]+main.of(beside)+main.of(task) <= p.StandingOf(team).Surplus(p.ClaimedTask)+tolerance`, `return true`},
