--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -1,29 +1,37 @@
 package controller
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
 	"madderslip/internal/coordination/health"
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/records"
 	"madderslip/internal/transport"
 )
 
-// observeHeartbeat takes a worker's account, from a report or a direct answer. It
-// returns false when a newer one was seen before, or it may be of a former life.
+// heartbeatRetrySeconds is when an agent comes back whose heartbeat can't be served now.
+const heartbeatRetrySeconds = 1
+
+// observeHeartbeat records an agent's heartbeat, or its answer to a direct call. It returns
+// false for one that a newer one has overtaken or that may be of an earlier incarnation.
 func (c *Controller) observeHeartbeat(machine *replica.Machine, heartbeat *protocol.Heartbeat) bool {
-	if machine.Agent.Heartbeat != nil && (!replica.IncarnationOf(heartbeat).Supersedes(replica.IncarnationOf(machine.Agent.Heartbeat)) || !replica.IncarnationOf(heartbeat).Valid(machine.Agent.MinToken)) {
-		return false
+	if machine.Agent.Heartbeat != nil {
+		incarnation := replica.IncarnationOf(heartbeat)
+		if !incarnation.Supersedes(replica.IncarnationOf(machine.Agent.Heartbeat)) || !incarnation.Valid(machine.Agent.MinToken) {
+			return false
+		}
 	}
 	c.recordHeartbeat(machine, heartbeat)
 	return true
 }
 
-// recordRestart takes the first account of a machine's later life, an answer to a
-// direct question. Messages of the former life may still come and look newer: one
-// of them could show a task as ended that runs again. So a higher token is shown,
-// and until then nothing that the machine says counts.
+// recordRestart records the first heartbeat of a machine's later incarnation, an answer to
+// a direct call. Messages of the earlier incarnation may still arrive and look newer: one
+// of them could show a task as exited that runs again. So a higher fencing token is
+// published, and until the machine shows it no message of the machine counts.
 func (c *Controller) recordRestart(shard *replica.Shard, machine *replica.Machine, heartbeat *protocol.Heartbeat) {
 	c.log.Info("agent restarted", "host", machine.Host, "sequence", heartbeat.Sequence, "last_sequence", machine.Agent.Heartbeat.Sequence, "agent_epoch", heartbeat.AgentEpoch)
 	machine.Agent.MinToken = max(machine.Agent.MinToken, machine.Agent.Heartbeat.FencingToken, shard.FencingToken)
@@ -34,36 +42,39 @@
 	c.recordHeartbeat(machine, heartbeat)
 }
 
+// recordHeartbeat makes a heartbeat the newest of its machine and marks what it changes.
 func (c *Controller) recordHeartbeat(machine *replica.Machine, heartbeat *protocol.Heartbeat) {
 	now := time.Now()
-	if machine.Agent.Heartbeat == nil {
+	previous, previousTasks := machine.Agent.Heartbeat, machine.Agent.Tasks
+	if previous == nil {
 		c.recordBoot(machine, now)
 	}
-	if machine.Agent.Heartbeat != nil && heartbeat.AgentEpoch > machine.Agent.Heartbeat.AgentEpoch {
+	if previous != nil && heartbeat.AgentEpoch > previous.AgentEpoch {
 		machine.Detector.Reachability.RecordNewEpoch(now)
 	}
-	anew := machine.Agent.Heartbeat == nil || machine.Agent.Heartbeat.FencingToken != heartbeat.FencingToken || machine.Agent.Heartbeat.AgentEpoch != heartbeat.AgentEpoch
-	before := machine.Agent.Tasks
 	if c.silenceOf(machine, now) > c.policy.SuspectAfter {
-		machine.Agent.HeardAgainAt = now // its reports may take a moment longer than its answers
+		machine.Agent.HeardAgainAt = now // its heartbeats may take a moment longer than its answers
 	}
 	machine.Agent.Heartbeat, machine.Agent.LastContact = heartbeat, now
+	c.recordTaskStatuses(machine, heartbeat, now)
+	machine.Commands.Unknown = slices.DeleteFunc(machine.Commands.Unknown, func(start replica.UnknownStart) bool {
+		return heartbeat.FencingToken > start.FencingToken || heartbeat.AgentEpoch > start.AgentEpoch
+	})
+	if heartbeat.PreemptionNoticeS != nil && machine.Agent.PreemptionNoticeAt.IsZero() {
+		machine.Agent.PreemptionNoticeAt = now
+		c.log.Info("spot preemption notice", "host", machine.Host, "seconds", *heartbeat.PreemptionNoticeS)
+	}
+	c.markChangedTasks(machine, previous, previousTasks)
+}
+
+// recordTaskStatuses replaces what a machine's agent showed of its tasks.
+func (c *Controller) recordTaskStatuses(machine *replica.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
 	machine.Agent.Tasks = make(map[string]*protocol.TaskStatus, len(heartbeat.Tasks))
-	news := anew || len(before) != len(heartbeat.Tasks)
 	for i := range heartbeat.Tasks {
 		status := &heartbeat.Tasks[i]
 		machine.Agent.Tasks[status.Task] = status
-		if was := before[status.Task]; was == nil || was.Phase != status.Phase || was.Attempt != status.Attempt {
-			news = true
-		}
 		if status.Phase == protocol.TaskRunning || status.Phase == protocol.TaskWaitingForGang {
-			if _, ok := machine.Agent.RunningSince[status.Task]; !ok {
-				machine.Agent.RunningSince[status.Task] = now
-				c.log.Debug("task running", "task", status.Task, "attempt", status.Attempt, "host", machine.Host)
-				if spec := c.view.SpecOfTask(status.Task); spec != nil {
-					machine.RecordImageUse(spec.Image, spec.ImageGB, c.view.MachineType(machine.Record.Type).ImageCacheGB)
-				}
-			}
+			c.recordRunning(machine, status, now)
 		}
 	}
 	for task := range machine.Agent.RunningSince {
@@ -71,29 +82,49 @@
 			delete(machine.Agent.RunningSince, task)
 		}
 	}
-	machine.Commands.Unknown = slices.DeleteFunc(machine.Commands.Unknown, func(u replica.UnknownStart) bool {
-		return heartbeat.FencingToken > u.FencingToken || heartbeat.AgentEpoch > u.AgentEpoch
-	})
-	if heartbeat.PreemptionNoticeS != nil && machine.Agent.PreemptionNoticeAt.IsZero() {
-		machine.Agent.PreemptionNoticeAt = now
-		c.log.Info("spot preemption notice", "host", machine.Host, "seconds", *heartbeat.PreemptionNoticeS)
+}
+
+// recordRunning records when a task was first seen running, and that its image is there.
+func (c *Controller) recordRunning(machine *replica.Machine, status *protocol.TaskStatus, now time.Time) {
+	if _, known := machine.Agent.RunningSince[status.Task]; known {
+		return
+	}
+	machine.Agent.RunningSince[status.Task] = now
+	c.log.Debug("task running", "task", status.Task, "attempt", status.Attempt, "host", machine.Host)
+	if spec := c.view.SpecOfTask(status.Task); spec != nil {
+		machine.RecordImageUse(spec.Image, spec.ImageGB, c.view.MachineType(machine.Record.Type).ImageCacheGB)
 	}
-	// Only claims about which the report says something new are looked at, and
-	// those it does not mention.
+}
+
+// markChangedTasks marks the claims to be reconciled of which the newest heartbeat shows
+// something else than the previous one: a task's phase or attempt, or its absence. A new
+// token or epoch marks all. If anything has changed, the machine's free capacity is
+// computed anew.
+func (c *Controller) markChangedTasks(machine *replica.Machine, previous *protocol.Heartbeat, previousTasks map[string]*protocol.TaskStatus) {
+	heartbeat := machine.Agent.Heartbeat
+	newEpoch := previous == nil || previous.FencingToken != heartbeat.FencingToken || previous.AgentEpoch != heartbeat.AgentEpoch
 	for name, slot := range machine.Use.Slots {
-		was, is := before[name], machine.Agent.Tasks[name]
-		if anew || is == nil || was == nil || was.Phase != is.Phase || was.Attempt != is.Attempt {
+		if newEpoch || hasStatusChanged(previousTasks[name], machine.Agent.Tasks[name]) {
 			c.view.MarkDirty(slot.Claim)
 		}
 	}
-	if news {
+	changed := newEpoch || len(previousTasks) != len(heartbeat.Tasks) || slices.ContainsFunc(heartbeat.Tasks, func(status protocol.TaskStatus) bool {
+		return hasStatusChanged(previousTasks[status.Task], &status)
+	})
+	if changed {
 		machine.Capacity.Stale, machine.Capacity.DetailsStale = true, true
 		c.view.Shard(machine.Record.Shard).Changed = true
 		c.wake()
 	}
 }
 
-// handleHeartbeat answers a worker.
+// hasStatusChanged reports whether a task is shown in another phase or attempt than
+// before. nil: it is not shown.
+func hasStatusChanged(before, after *protocol.TaskStatus) bool {
+	return before == nil || after == nil || before.Phase != after.Phase || before.Attempt != after.Attempt
+}
+
+// handleHeartbeat answers an agent's heartbeat.
 func (c *Controller) handleHeartbeat(body []byte, reply func(transport.Response)) {
 	heartbeat, err := protocol.ParseHeartbeat(body)
 	if err != nil {
@@ -102,99 +133,125 @@
 	}
 	c.mu.Lock()
 	c.observePause(time.Now())
-	resp := c.respondToHeartbeat(heartbeat)
+	response := c.respondToHeartbeat(heartbeat)
 	c.mu.Unlock()
-	reply(resp)
+	reply(response)
 }
 
+// respondToHeartbeat accepts a heartbeat of a machine that this process acts for, and
+// otherwise tells the agent whom to call or extends its lease.
 func (c *Controller) respondToHeartbeat(heartbeat *protocol.Heartbeat) transport.Response {
 	if !c.view.Loaded {
 		if kept, ok := c.extendLeaseUnread(heartbeat, time.Now()); ok {
 			return kept
 		}
-		return unavailable(1)
+		return unavailable(heartbeatRetrySeconds)
 	}
 	machine := c.view.Machines[heartbeat.Host]
 	if machine == nil {
-		c.noteUnrecorded(heartbeat.Host, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
-		if _, live := c.view.Nodes[c.leadership.node]; live && c.leadership.node != c.settings.NodeName {
-			return redirectTo(c.leadership.node)
-		}
-		return unavailable(1)
+		return c.respondToUnrecorded(heartbeat)
 	}
 	if machine.Record.State != "" {
 		return misdirected
 	}
 	shard := c.view.Shards[machine.Record.Shard]
-	if shard != nil && shard.NewOwner != "" {
+	switch {
+	case shard == nil:
+		return unavailable(heartbeatRetrySeconds)
+	case shard.NewOwner != "":
 		return redirectTo(shard.NewOwner)
+	case shard.FencingToken == 0:
+		return c.respondWithoutToken(shard, heartbeat)
+	case heartbeat.FencingToken > shard.FencingToken:
+		// Another controller owns the shard by now. A 200 would keep the agent here
+		// while its lease expires.
+		return misdirected
 	}
-	if shard == nil || shard.FencingToken == 0 {
-		if shard != nil && shard.Record != nil && shard.Record.Owner != c.settings.NodeName {
-			if kept, ok := c.extendLease(shard, heartbeat, time.Now()); ok {
-				return kept
-			}
-			if _, live := c.view.Nodes[shard.Record.Owner]; live {
-				return redirectTo(shard.Record.Owner)
-			}
-		}
-		return unavailable(1)
+	return c.acceptHeartbeat(shard, machine, heartbeat)
+}
+
+// respondToUnrecorded answers a machine without a record, which the leader alone records.
+func (c *Controller) respondToUnrecorded(heartbeat *protocol.Heartbeat) transport.Response {
+	c.noteUnrecorded(heartbeat.Host, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
+	if _, live := c.view.Nodes[c.leadership.node]; live && c.leadership.node != c.settings.NodeName {
+		return redirectTo(c.leadership.node)
 	}
-	if heartbeat.FencingToken > shard.FencingToken {
-		// Someone else owns the shard by now. A 200 would hold the worker here
-		// while its lease runs out.
-		return misdirected
+	return unavailable(heartbeatRetrySeconds)
+}
+
+// respondWithoutToken answers a machine of a shard whose token this process does not hold.
+func (c *Controller) respondWithoutToken(shard *replica.Shard, heartbeat *protocol.Heartbeat) transport.Response {
+	if shard.Record != nil && shard.Record.Owner != c.settings.NodeName {
+		if kept, ok := c.extendLease(shard, heartbeat, time.Now()); ok {
+			return kept
+		}
+		if _, live := c.view.Nodes[shard.Record.Owner]; live {
+			return redirectTo(shard.Record.Owner)
+		}
 	}
-	doubtful := machine.Agent.Heartbeat != nil && health.MayBeRestarted(replica.IncarnationOf(machine.Agent.Heartbeat), replica.IncarnationOf(heartbeat))
-	if doubtful && !machine.Detector.Probing {
+	return unavailable(heartbeatRetrySeconds)
+}
+
+// acceptHeartbeat records a heartbeat and answers with the commands to clean up.
+func (c *Controller) acceptHeartbeat(shard *replica.Shard, machine *replica.Machine, heartbeat *protocol.Heartbeat) transport.Response {
+	mayBeRestarted := machine.Agent.Heartbeat != nil && health.MayBeRestarted(replica.IncarnationOf(machine.Agent.Heartbeat), replica.IncarnationOf(heartbeat))
+	if mayBeRestarted && !machine.Detector.Probing {
 		c.probeMachine(machine)
 	}
 	answer := protocol.HeartbeatResponse{FencingToken: shard.FencingToken, Commands: []protocol.Command{}}
-	// What a message from who knows when says is no ground for orders, and what was
-	// said before it may be of a former life.
-	if !doubtful && c.observeHeartbeat(machine, heartbeat) {
+	// A heartbeat that may be late is no reason for commands, and the newest one recorded
+	// may be of an earlier incarnation.
+	if !mayBeRestarted && c.observeHeartbeat(machine, heartbeat) {
 		machine.Agent.LastHeartbeat = time.Now()
 	}
-	if !doubtful && c.view.IsActive(shard) {
+	if !mayBeRestarted && c.view.IsActive(shard) {
 		answer.Commands = append(answer.Commands, c.cleanupCommands(shard, machine)...)
 	}
-	b, err := protocol.Encode(answer)
+	body, err := protocol.Encode(answer)
 	if err != nil {
-		return unavailable(1)
+		return unavailable(heartbeatRetrySeconds)
 	}
-	return transport.Response{Status: 200, Body: b}
+	return transport.Response{Status: http.StatusOK, Body: body}
 }
 
-// cleanupCommands is what a report's answer orders: an end to what should not
-// run, and the reaping of what has exited and is booked. Commands in answers
-// are never executed late, which is why reaps go nowhere else.
+// cleanupCommands returns the commands of a heartbeat's answer: a stop for what should not
+// run, and a reap for what has exited and is recorded. Commands in answers are never
+// executed late, which is why reaps are sent in no other way.
 func (c *Controller) cleanupCommands(shard *replica.Shard, machine *replica.Machine) []protocol.Command {
-	var out []protocol.Command
-	if !machine.ShowsToken(shard) && machine.Agent.Heartbeat.FencingToken != 0 && machine.Agent.Heartbeat.FencingToken < shard.FencingToken {
-		// The worker has yet to show the token; wait for its next account.
-		return nil
+	shownToken := machine.Agent.Heartbeat.FencingToken
+	if !machine.ShowsToken(shard) && shownToken != 0 && shownToken < shard.FencingToken {
+		return nil // the agent has yet to show the token: its next heartbeat is waited for
 	}
+	var commands []protocol.Command
 	now := time.Now()
 	for i := range machine.Agent.Heartbeat.Tasks {
 		status := &machine.Agent.Heartbeat.Tasks[i]
 		claim, placement := c.view.PlacementOf(machine, status.Task)
-		if placement != nil && placement.Attempt == status.Attempt {
-			if grace, stop := c.shouldStop(claim, placement, now); stop && status.Phase != protocol.TaskExited && (status.Phase != protocol.TaskCheckpointing || grace == 0) {
-				out = append(out, protocol.StopCommand(status.Task, status.Attempt, grace))
-			} else if !stop && status.Phase == protocol.TaskExited && status.Cause == protocol.CauseGangTimeout && !machine.HasUnconfirmedStart(status.Task, status.Attempt) {
-				out = append(out, protocol.ReapCommand(status.Task, status.Attempt)) // to start again
+		switch {
+		case placement != nil && placement.Attempt == status.Attempt:
+			if command, needed := c.cleanupPlaced(machine, claim, placement, status, now); needed {
+				commands = append(commands, command)
 			}
-			continue
-		}
-		if status.Phase != protocol.TaskExited {
-			out = append(out, protocol.StopCommand(status.Task, status.Attempt, 0))
-			continue
-		}
-		if machine.HasUnconfirmedStart(status.Task, status.Attempt) {
+		case status.Phase != protocol.TaskExited:
+			commands = append(commands, protocol.StopCommand(status.Task, status.Attempt, 0))
+		case machine.HasUnconfirmedStart(status.Task, status.Attempt):
 			shard.RequestNewToken(machine)
-			continue
+		default:
+			commands = append(commands, protocol.ReapCommand(status.Task, status.Attempt))
 		}
-		out = append(out, protocol.ReapCommand(status.Task, status.Attempt))
 	}
-	return out
+	return commands
+}
+
+// cleanupPlaced returns the command for a task that is placed on its machine, if it needs
+// one: a stop, or a reap so that a gang's task which waited too long can start again.
+func (c *Controller) cleanupPlaced(machine *replica.Machine, claim *replica.Claim, placement *records.Placement, status *protocol.TaskStatus, now time.Time) (protocol.Command, bool) {
+	grace, stop := c.shouldStop(claim, placement, now)
+	exited := status.Phase == protocol.TaskExited
+	if stop {
+		savesCheckpoint := status.Phase == protocol.TaskCheckpointing && grace != 0
+		return protocol.StopCommand(status.Task, status.Attempt, grace), !exited && !savesCheckpoint
+	}
+	startsAgain := exited && status.Cause == protocol.CauseGangTimeout && !machine.HasUnconfirmedStart(status.Task, status.Attempt)
+	return protocol.ReapCommand(status.Task, status.Attempt), startsAgain
 }
--- a/internal/coordination/controller/commands.go
+++ b/internal/coordination/controller/commands.go
@@ -1,8 +1,10 @@
 package controller
 
 import (
+	"context"
 	"errors"
 	"maps"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -12,66 +14,98 @@
 	"madderslip/internal/transport"
 )
 
-// queueCommands queues commands for a machine until the next flush.
+// mayCommand reports whether this process may send commands to a machine of a shard.
+func mayCommand(shard *replica.Shard, machine *replica.Machine) bool {
+	return shard != nil && shard.FencingToken != 0 && machine.Record.State == ""
+}
+
+// queueCommands queues commands for a machine until they are next sent.
 func (c *Controller) queueCommands(shard *replica.Shard, machine *replica.Machine, commands ...protocol.Command) {
-	if machine.Record.State != "" || shard.FencingToken == 0 || machine.Address() == "" {
+	if !mayCommand(shard, machine) || machine.Address() == "" {
 		return
 	}
 	machine.Commands.Pending = append(machine.Commands.Pending, commands...)
 	c.pendingCommands[machine] = struct{}{}
 }
 
-// sendPendingCommands sends what has been ordered: the commands for one machine go together.
+// sendPendingCommands sends the queued commands, those for one machine together.
 func (c *Controller) sendPendingCommands(shard *replica.Shard) {
-	machines := slices.SortedFunc(maps.Keys(c.pendingCommands), func(a, b *replica.Machine) int { return strings.Compare(a.Host, b.Host) })
+	machines := slices.SortedFunc(maps.Keys(c.pendingCommands), compareHosts)
 	clear(c.pendingCommands)
 	for _, machine := range machines {
 		c.sendCommands(shard, machine)
 	}
 }
 
+// compareHosts orders machines by host.
+func compareHosts(a, b *replica.Machine) int { return strings.Compare(a.Host, b.Host) }
+
+// commandTimeout bounds a call that sends commands.
 const commandTimeout = 3 * time.Second
 
-// sendCommands delivers the queued commands, one call at a time for each machine.
+// sendCommands sends a machine's queued commands, if any, with the fencing token. Only one
+// call to a machine is under way at a time; what is queued meanwhile follows it.
 func (c *Controller) sendCommands(shard *replica.Shard, machine *replica.Machine) {
 	if machine.Commands.Sending || machine.Agent.Heartbeat == nil {
 		return
 	}
 	machine.Commands.Sending = true
 	machine.Commands.InFlight, machine.Commands.Pending = machine.Commands.Pending, nil
-	body := protocol.CommandRequest{FencingToken: shard.FencingToken, AgentEpoch: machine.Agent.Heartbeat.AgentEpoch, Commands: machine.Commands.InFlight}
-	if body.Commands == nil {
-		body.Commands = []protocol.Command{}
+	request := protocol.CommandRequest{FencingToken: shard.FencingToken, AgentEpoch: machine.Agent.Heartbeat.AgentEpoch, Commands: machine.Commands.InFlight}
+	if request.Commands == nil {
+		request.Commands = []protocol.Command{}
 	}
-	addr, ctx := machine.Address(), c.ctx
-	c.log.Debug("commands sent", "host", machine.Host, "token", body.FencingToken, "commands", body.Commands)
+	address, ctx := machine.Address(), c.ctx
+	c.log.Debug("commands sent", "host", machine.Host, "token", request.FencingToken, "commands", request.Commands)
 	go func() {
 		var heartbeat protocol.Heartbeat
-		status, err := c.callJSON(ctx, addr, "POST", protocol.PathCommands, body, &heartbeat, commandTimeout)
+		status, err := c.callCommands(ctx, address, request, &heartbeat)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.commandsSent(machine, body, &heartbeat, status, err)
+		c.commandsSent(machine, request, &heartbeat, status, err)
 	}()
 }
 
-func (c *Controller) commandsSent(machine *replica.Machine, body protocol.CommandRequest, heartbeat *protocol.Heartbeat, status int, err error) {
+// callCommands sends commands to a machine and reads the heartbeat that it answers with.
+func (c *Controller) callCommands(ctx context.Context, address string, request protocol.CommandRequest, heartbeat *protocol.Heartbeat) (int, error) {
+	return c.callJSON(ctx, address, http.MethodPost, protocol.PathCommands, request, heartbeat, commandTimeout)
+}
+
+// commandsSent records the outcome of a call that sent commands, and sends what was queued
+// meanwhile.
+func (c *Controller) commandsSent(machine *replica.Machine, request protocol.CommandRequest, heartbeat *protocol.Heartbeat, status int, err error) {
 	machine.Commands.Sending = false
 	machine.Commands.InFlight = nil
 	switch {
-	case err != nil && !errors.Is(err, transport.ErrNotSent), err == nil && status != 200 && status != 409:
+	case isCommandOutcomeUnknown(status, err):
 		c.log.Debug("command outcome unknown", "host", machine.Host, "status", status, "err", err)
 		machine.Detector.Reachability.RecordFailure(time.Now(), machine.Agent.LastContact)
-		for _, command := range body.Commands {
-			if command.Verb == "start" {
-				machine.Commands.Unknown = append(machine.Commands.Unknown, replica.UnknownStart{Task: command.Task, Attempt: command.Attempt, FencingToken: body.FencingToken, AgentEpoch: body.AgentEpoch, SentAt: time.Now()})
-			}
-		}
+		recordUnknownStarts(machine, request)
 	case err == nil && heartbeat.Host == machine.Host:
 		machine.Detector.Reachability.RecordAnswer(time.Now())
 		c.observeHeartbeat(machine, heartbeat)
 	}
-	if shard := c.view.Shards[machine.Record.Shard]; len(machine.Commands.Pending) > 0 && shard != nil && shard.FencingToken != 0 && machine.Record.State == "" {
+	if shard := c.view.Shards[machine.Record.Shard]; len(machine.Commands.Pending) > 0 && mayCommand(shard, machine) {
 		c.sendCommands(shard, machine)
 	}
 	c.wake()
 }
+
+// isCommandOutcomeUnknown reports whether the commands of a call may have been executed or
+// may yet be. An agent answers 409 to an outdated token or to another epoch than its own,
+// and executes nothing.
+func isCommandOutcomeUnknown(status int, err error) bool {
+	if err != nil {
+		return !errors.Is(err, transport.ErrNotSent)
+	}
+	return status != http.StatusOK && status != http.StatusConflict
+}
+
+// recordUnknownStarts records the starts of a request of unknown outcome.
+func recordUnknownStarts(machine *replica.Machine, request protocol.CommandRequest) {
+	for _, command := range request.Commands {
+		if command.Verb == protocol.VerbStart {
+			machine.Commands.Unknown = append(machine.Commands.Unknown, replica.UnknownStart{Task: command.Task, Attempt: command.Attempt, FencingToken: request.FencingToken, AgentEpoch: request.AgentEpoch, SentAt: time.Now()})
+		}
+	}
+}
--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 	"time"
 
 	"madderslip/internal/coordination/health"
@@ -9,9 +10,22 @@
 	"madderslip/internal/protocol"
 )
 
-// probeLoop asks silent machines directly and fences those that stay silent.
+const (
+	probeLoopInterval = 300 * time.Millisecond
+	// probeTimeout is no multiple of probeLoopInterval: whether a probe ends before or
+	// after the pass at the same instant would be left to chance.
+	probeTimeout = 1480 * time.Millisecond
+	// unheardFenceFactor is by how much longer a new owner waits for a machine that it has
+	// not heard yet.
+	unheardFenceFactor = 2
+	// ownFaultFenceFactor is by how much longer a machine is waited for while the silence
+	// seems to be this controller's own fault.
+	ownFaultFenceFactor = 3
+)
+
+// probeLoop probes silent machines and fences those that do not answer.
 func (c *Controller) probeLoop(ctx context.Context) {
-	for c.pause(ctx, 300*time.Millisecond) {
+	for c.pause(ctx, probeLoopInterval) {
 		c.mu.Lock()
 		now := time.Now()
 		c.observePause(now)
@@ -30,97 +44,142 @@
 	}
 }
 
+// reconcileMachine probes a machine and fences it, each if it is time.
 func (c *Controller) reconcileMachine(shard *replica.Shard, machine *replica.Machine, now time.Time) {
-	quiet := c.silenceOf(machine, now)
+	silence := c.silenceOf(machine, now)
 	if machine.Agent.Heartbeat == nil {
-		// Not heard by this process yet: it may be booting, or report elsewhere.
-		if machine.ListedAddress != "" && quiet > c.policy.SuspectAfter && !machine.Detector.Probing {
-			c.probeMachine(machine)
-		}
-		if quiet > c.fenceDelay(machine, 2*c.policy.FenceAfter, now) && len(machine.Use.Slots) > 0 && !machine.Lifecycle.Returning {
-			c.log.Info("machine fenced, not heard by its new owner", "host", machine.Host)
-			c.returnMachine(shard, machine)
-		}
+		c.reconcileUnheard(shard, machine, silence, now)
 		return
 	}
-	// A mute one tells only when asked that its lease has ended, with what it ran.
-	if (quiet > c.policy.ProbeAfter || machine.Detector.Reachability.ShouldProbe(now, machine.Agent.LastContact) || (quiet > c.settings.Workers.HeartbeatInterval/2 && c.cannotReport(machine, now))) && !machine.Detector.Probing {
+	if c.shouldProbe(machine, silence, now) {
 		c.probeMachine(machine)
 	}
 	shard.RequestNewToken(machine)
-	if health.Unreachable(machine.Agent.LastHeartbeat, c.hearingSince(machine), now, c.settings.Workers.LeaseDuration) && quiet <= c.policy.SuspectAfter && !machine.Lifecycle.Returning && !c.isOwnFault(shard, now) && !c.isStateDown(now) && machine.RunsNothingPlaced() {
-		// It answers, but its lease ends again and again, with all that it is given.
-		c.log.Info("machine fenced, heartbeats do not arrive", "host", machine.Host)
-		c.returnMachine(shard, machine)
-		return
+	switch {
+	case c.isUnreachable(shard, machine, silence, now):
+		c.fenceMachine(shard, machine, "machine fenced, heartbeats do not arrive")
+	case c.cannotShowToken(shard, machine, now):
+		c.fenceMachine(shard, machine, "machine fenced, cannot receive commands")
+	case c.isSilentTooLong(shard, machine, silence, now):
+		c.fenceMachine(shard, machine, "machine fenced, silent", "silence", silence)
 	}
-	if machine.Detector.Reachability.CannotReceive() && !machine.ShowsToken(shard) && !machine.Lifecycle.Returning && len(machine.Use.Slots) > 0 && !c.isStateDown(now) && machine.RunsNothingPlaced() {
-		// It can't be shown the token, so nothing it says proves anything, and what was
-		// placed there is not there any more: its lease has run out while it did not hear.
-		c.log.Info("machine fenced, cannot receive commands", "host", machine.Host)
-		c.returnMachine(shard, machine)
-		return
+}
+
+// reconcileUnheard does the same for a machine that this process has not heard yet: it may
+// be booting, or call another controller.
+func (c *Controller) reconcileUnheard(shard *replica.Shard, machine *replica.Machine, silence time.Duration, now time.Time) {
+	if machine.ListedAddress != "" && silence > c.policy.SuspectAfter && !machine.Detector.Probing {
+		c.probeMachine(machine)
 	}
-	fence := c.policy.FenceAfter
-	if quiet > c.policy.FenceReplicasAfter && machine.RunsReplicas() {
-		fence = c.policy.FenceReplicasAfter
+	overdue := silence > c.fenceDelay(machine, unheardFenceFactor*c.policy.FenceAfter, now)
+	if overdue && len(machine.Use.Slots) > 0 && !machine.Lifecycle.Returning {
+		c.fenceMachine(shard, machine, "machine fenced, not heard by its new owner")
 	}
-	if !machine.Agent.PreemptionNoticeAt.IsZero() {
-		fence = c.policy.SuspectAfter // it was announced to go
+}
+
+// fenceMachine returns a machine that can't be kept, and logs why.
+func (c *Controller) fenceMachine(shard *replica.Shard, machine *replica.Machine, message string, attributes ...any) {
+	c.log.Info(message, append([]any{"host", machine.Host}, attributes...)...)
+	c.returnMachine(shard, machine)
+}
+
+// shouldProbe reports whether to probe a machine that has been heard before. One that
+// cannot report shows only in an answer that its lease has expired, and what it ran.
+func (c *Controller) shouldProbe(machine *replica.Machine, silence time.Duration, now time.Time) bool {
+	silent := silence > c.policy.ProbeAfter || machine.Detector.Reachability.ShouldProbe(now, machine.Agent.LastContact)
+	due := silent || (silence > c.settings.Workers.HeartbeatInterval/2 && c.cannotReport(machine, now))
+	return due && !machine.Detector.Probing
+}
+
+// isUnreachable reports whether a machine has to be fenced that answers probes while its
+// heartbeats do not arrive: its lease expires again and again, with all that is placed
+// there.
+func (c *Controller) isUnreachable(shard *replica.Shard, machine *replica.Machine, silence time.Duration, now time.Time) bool {
+	answersOnly := health.Unreachable(machine.Agent.LastHeartbeat, c.hearingSince(machine), now, c.settings.Workers.LeaseDuration) && silence <= c.policy.SuspectAfter
+	return answersOnly && !machine.Lifecycle.Returning && !c.isOwnFault(shard, now) && !c.isStateDown(now) && machine.RunsNothingPlaced()
+}
+
+// cannotShowToken reports whether a machine has to be fenced that does not receive the
+// fencing token, so that no heartbeat of it proves anything. What was placed there is gone:
+// its lease expired while it received nothing.
+func (c *Controller) cannotShowToken(shard *replica.Shard, machine *replica.Machine, now time.Time) bool {
+	outdated := machine.Detector.Reachability.CannotReceive() && !machine.ShowsToken(shard) && !machine.Lifecycle.Returning
+	return outdated && len(machine.Use.Slots) > 0 && !c.isStateDown(now) && machine.RunsNothingPlaced()
+}
+
+// isSilentTooLong reports whether a machine has to be fenced for its silence. A probe must
+// have failed since it was last heard: heartbeats alone may be delayed.
+func (c *Controller) isSilentTooLong(shard *replica.Shard, machine *replica.Machine, silence time.Duration, now time.Time) bool {
+	limit := c.silenceLimit(machine, silence, now)
+	unanswered := machine.Detector.UnansweredAt.After(machine.Agent.LastContact)
+	if silence <= limit || machine.Lifecycle.Returning || !unanswered {
+		return false
 	}
-	fence = c.fenceDelay(machine, fence, now)
-	// A direct question must have failed since: reports alone may be held up.
-	if quiet <= fence || machine.Lifecycle.Returning || !machine.Detector.UnansweredAt.After(machine.Agent.LastContact) {
-		return
+	if c.isOwnFault(shard, now) && silence < ownFaultFenceFactor*limit {
+		return false // the shard is given away instead, see isCutOff
 	}
-	if c.isOwnFault(shard, now) && quiet < 3*fence {
-		return // isCutOff deals with it
+	return !c.isStateDown(now) // no return can be recorded then, and the machine may be heard before one can
+}
+
+// silenceLimit returns how long a machine may be silent before it is fenced.
+func (c *Controller) silenceLimit(machine *replica.Machine, silence time.Duration, now time.Time) time.Duration {
+	limit := c.policy.FenceAfter
+	if silence > c.policy.FenceReplicasAfter && machine.RunsReplicas() {
+		limit = c.policy.FenceReplicasAfter
 	}
-	if c.isStateDown(now) {
-		return // nothing can be recorded now; it may be heard before that changes
+	if !machine.Agent.PreemptionNoticeAt.IsZero() {
+		limit = c.policy.SuspectAfter // a spot instance whose end was announced
 	}
-	c.log.Info("machine fenced, silent", "host", machine.Host, "silence", quiet)
-	c.returnMachine(shard, machine)
+	return c.fenceDelay(machine, limit, now)
 }
 
-// probeTimeout is no multiple of the probe loop's period: whether a probe ended
-// before or after the pass at the same instant would be left to chance.
-const probeTimeout = 1480 * time.Millisecond
-
-// probeMachine asks a machine for its account. An answer proves it alive even when
-// its reports do not arrive.
+// probeMachine asks a machine for its heartbeat. An answer proves that the machine is alive
+// even if its heartbeats do not arrive.
 func (c *Controller) probeMachine(machine *replica.Machine) {
 	machine.Detector.Probing = true
-	addr, ctx, began, before := machine.Address(), c.ctx, time.Now(), machine.Agent.Heartbeat
+	address, ctx, sentAt, before := machine.Address(), c.ctx, time.Now(), machine.Agent.Heartbeat
 	go func() {
 		var heartbeat protocol.Heartbeat
-		status, err := c.callJSON(ctx, addr, "GET", protocol.PathStatus, nil, &heartbeat, probeTimeout)
+		status, err := c.callJSON(ctx, address, http.MethodGet, protocol.PathStatus, nil, &heartbeat, probeTimeout)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		machine.Detector.Probing = false
-		if err == nil && status == 200 && heartbeat.Host == machine.Host {
-			machine.Detector.Reachability.RecordAnswer(time.Now())
-			if shard := c.view.Shards[machine.Record.Shard]; before != nil && machine.Agent.Heartbeat != nil && machine.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(&heartbeat)) {
-				c.recordRestart(shard, machine, &heartbeat)
-			} else {
-				c.observeHeartbeat(machine, &heartbeat)
-			}
-			// It answers and has yet to see the token: its worker may be held by an
-			// earlier owner, which the state service and the others do not reach. Once
-			// it has seen the token, no answer of that one counts any more.
-			shard := c.view.Shards[machine.Record.Shard]
-			if c.view.IsActive(shard) && machine.Record.State == "" && heartbeat.FencingToken < shard.FencingToken {
-				c.sendCommands(shard, machine)
-			}
-			if !c.view.IsActive(shard) {
-				c.stopCancelledTasks(machine, &heartbeat)
-			}
-			return
-		}
-		c.observePause(time.Now())
-		if began.After(c.pauses.ResumedAt()) {
-			machine.Detector.UnansweredAt = time.Now() // else nobody was there to hear the answer
-			machine.Detector.Reachability.RecordFailure(machine.Detector.UnansweredAt, machine.Agent.LastContact)
+		if err == nil && status == http.StatusOK && heartbeat.Host == machine.Host {
+			c.recordProbeAnswer(machine, before, &heartbeat)
+		} else {
+			c.recordProbeFailure(machine, sentAt)
 		}
 	}()
 }
+
+// recordProbeAnswer records an answer to a probe. before is the machine's newest heartbeat
+// as the probe was sent.
+func (c *Controller) recordProbeAnswer(machine *replica.Machine, before, heartbeat *protocol.Heartbeat) {
+	machine.Detector.Reachability.RecordAnswer(time.Now())
+	shard := c.view.Shards[machine.Record.Shard]
+	if before != nil && machine.Agent.Heartbeat != nil && machine.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(heartbeat)) {
+		c.recordRestart(shard, machine, heartbeat)
+	} else {
+		c.observeHeartbeat(machine, heartbeat)
+	}
+	if !c.view.IsActive(shard) {
+		c.stopCancelledTasks(machine, heartbeat)
+		return
+	}
+	// The machine answers and has yet to see the token: an earlier owner, which neither the
+	// state service nor the other controllers reach, may still serve its agent. Once the
+	// machine has seen the token, no answer of that owner counts any more.
+	if machine.Record.State == "" && heartbeat.FencingToken < shard.FencingToken {
+		c.sendCommands(shard, machine)
+	}
+}
+
+// recordProbeFailure records that a machine did not answer a probe, unless this process was
+// paused meanwhile and could not receive the answer.
+func (c *Controller) recordProbeFailure(machine *replica.Machine, sentAt time.Time) {
+	c.observePause(time.Now())
+	if sentAt.After(c.pauses.ResumedAt()) {
+		machine.Detector.UnansweredAt = time.Now()
+		machine.Detector.Reachability.RecordFailure(machine.Detector.UnansweredAt, machine.Agent.LastContact)
+	}
+}
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -54,7 +54,7 @@
 	{"a machine that keeps a cancelled task is fenced", "coordination/controller/probes.go", `		c.enforceCancellations(now)
 `, ``},
 	{"fenced without a record if need be", "coordination/controller/cancellations.go", `return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == "" && !c.isRefusedAlone(now)`, `return false`},
-	{"whoever knows stops cancelled tasks", "coordination/controller/probes.go", `c.stopCancelledTasks(machine, &heartbeat)`, `_ = machine`},
+	{"whoever knows stops cancelled tasks", "coordination/controller/probes.go", `c.stopCancelledTasks(machine, heartbeat)`, `_ = machine`},
 	{"and asks again", "coordination/health/misplaced_tasks.go", `t.SinceProbe >= interval`, `t.SinceProbe > 1000*interval`},
 	{"its owner may begin them again", "coordination/health/misplaced_tasks.go", `if t.Finding == Ended || t.Age > limit {`, `if t.Finding == Ended {
 		return false
@@ -140,9 +140,9 @@
 	{"a zone that seems cut off is not fenced", "coordination/controller/failuredetection.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
 	{"no lease is kept for a cancelled task", "coordination/controller/leases.go", `heartbeat.Tasks[i].Phase != protocol.TaskExited && (`, `false && (`},
 	{"silence counts from waking", "coordination/controller/failuredetection.go", `	if woke := c.pauses.ResumedAt(); woke.After(machine.AdoptedAt) {`, `	if woke := c.pauses.ResumedAt(); false && woke.After(machine.AdoptedAt) {`},
-	{"an answer tells that a machine began again", "coordination/controller/probes.go", `machine.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(&heartbeat)) {`, `machine.Record.State == "" && false {`},
+	{"an answer tells that a machine began again", "coordination/controller/probes.go", `machine.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(heartbeat)) {`, `machine.Record.State == "" && false {`},
 	{"accounts of a former life do not count", "coordination/health/incarnation.go", `return floor == 0 || i.FencingToken > floor`, `return floor == 0 || i.FencingToken >= 0`},
-	{"a doubtful report brings no orders", "coordination/controller/agents.go", `	if !doubtful && c.view.IsActive(shard) {`, `	if c.view.IsActive(shard) {`},
+	{"a doubtful report brings no orders", "coordination/controller/agents.go", `	if !mayBeRestarted && c.view.IsActive(shard) {`, `	if c.view.IsActive(shard) {`},
 	{"registration is conditional", "coordination/controller/membership.go", `[]kv.Compare{{Key: key, Version: c.view.Nodes[c.settings.NodeName].Version}}`, `nil`},
 	{"nothing begins under a limit lowered since", "coordination/controller/reconcile.go", `	case stop, c.isOverLimit(claim.Spec), machine.Detector.Reachability.CannotReceive(), c.cannotReport(machine, now) && !c.isStateDown(now):`, `	case stop, machine.Detector.Reachability.CannotReceive(), c.cannotReport(machine, now) && !c.isStateDown(now):`},
 	{"what a mute machine has lost is not begun there again", "coordination/controller/reconcile.go", `machine.Detector.Reachability.CannotReceive(), c.cannotReport(machine, now) && !c.isStateDown(now):`, `machine.Detector.Reachability.CannotReceive():`},
