--- a/internal/coordination/controller/failuredetection.go
+++ b/internal/coordination/controller/failuredetection.go
@@ -7,74 +7,87 @@
 	"madderslip/internal/coordination/replica"
 )
 
-// observePause notes that this process runs. What it slept through is told from others'
-// silence, and logged.
+// observePause records that this process runs. A pause of the process shows afterwards as
+// time in which it heard nobody, and is logged.
 func (c *Controller) observePause(now time.Time) {
-	if still := c.pauses.Observe(now); still > 0 {
-		c.log.Info("process paused", "pause", still)
+	if pause := c.pauses.Observe(now); pause > 0 {
+		c.log.Info("process paused", "pause", pause)
 	}
 }
 
-// detectPartitions works out which zones seem to be cut off.
+// detectPartitions records which zones seem to be partitioned from this controller's.
 func (c *Controller) detectPartitions(now time.Time) {
 	if len(c.settings.Zones) < 2 {
 		return
 	}
-	beat := c.maxHeartbeatGap()
-	var signs []health.MachineSilence
+	silences := c.machineSilences(now)
+	for zone := range health.PartitionedZones(c.settings.Zone, silences, c.maxHeartbeatGap(), c.peerStatuses(now)) {
+		if !c.isPartitioned(zone, now) {
+			c.log.Info("zone partitioned, fencing delayed", "zone", zone)
+		}
+		c.partitionSeenAt[zone] = now
+	}
+}
+
+// machineSilences lists how long each machine is silent, of the shards that this process
+// acts for. It leaves out those that may be booting, and those that have not been due yet
+// since their shard was taken over: counted as heard, the machines of a failed neighbour
+// would hide a partition until their new owner has fenced its own.
+func (c *Controller) machineSilences(now time.Time) []health.MachineSilence {
+	var silences []health.MachineSilence
 	for _, shard := range c.view.Shards {
 		if !c.view.IsActive(shard) {
 			continue
 		}
 		for _, machine := range shard.Machines {
-			// A machine that has not reported to this process may be booting, unless
-			// something was placed there. One that has not done so since its shard was
-			// taken over says nothing until it should have: counted as heard, those of a
-			// dead neighbour hid the cut until their new owner had fenced its own.
-			silent := c.silenceOf(machine, now)
-			if (machine.Agent.Heartbeat != nil || len(machine.Use.Slots) > 0) && (machine.Agent.LastContact.After(machine.AdoptedAt) || silent > beat) {
-				signs = append(signs, health.MachineSilence{Zone: machine.Record.Zone, Silent: silent})
+			silence := c.silenceOf(machine, now)
+			booted := machine.Agent.Heartbeat != nil || len(machine.Use.Slots) > 0
+			due := machine.Agent.LastContact.After(machine.AdoptedAt) || silence > c.maxHeartbeatGap()
+			if booted && due {
+				silences = append(silences, health.MachineSilence{Zone: machine.Record.Zone, Silent: silence})
 			}
 		}
 	}
-	witnesses := make([]health.PeerStatus, 0, len(c.settings.Peers))
-	for _, p := range c.settings.Peers {
-		_, live := c.view.Nodes[p.Node]
-		witnesses = append(witnesses, health.PeerStatus{Zone: p.Zone, Live: live || now.Sub(c.membership.lastContact[p.Node]) < c.policy.NodeLease})
-	}
-	for zone := range health.PartitionedZones(c.settings.Zone, signs, beat, witnesses) {
-		if !c.isPartitioned(zone, now) {
-			c.log.Info("zone partitioned, fencing delayed", "zone", zone)
-		}
-		c.partitionSeenAt[zone] = now
+	return silences
+}
+
+// peerStatuses lists which of the other controllers are alive.
+func (c *Controller) peerStatuses(now time.Time) []health.PeerStatus {
+	statuses := make([]health.PeerStatus, 0, len(c.settings.Peers))
+	for _, peer := range c.settings.Peers {
+		_, live := c.view.Nodes[peer.Node]
+		statuses = append(statuses, health.PeerStatus{Zone: peer.Zone, Live: live || now.Sub(c.membership.lastContact[peer.Node]) < c.policy.NodeLease})
 	}
+	return statuses
 }
 
-// isPartitioned tells whether a zone seems cut off, or seemed so until just now: once
-// the cut is over its workers take a while to come back, and whoever had not yet
-// been heard was fenced for the silence of the whole cut.
+// isPartitioned reports whether a zone seems partitioned, or seemed so less than a lease
+// ago: after a partition its agents take a while to come back, and the delay prevents
+// their machines from being fenced for the length of the whole partition.
 func (c *Controller) isPartitioned(zone string, now time.Time) bool {
 	at, seen := c.partitionSeenAt[zone]
 	return seen && now.Sub(at) < c.settings.Workers.LeaseDuration
 }
 
-// fenceDelay is how long a machine may be silent.
+// fenceDelay returns how long a machine may be silent: usual, or longer while its zone
+// seems partitioned.
 func (c *Controller) fenceDelay(machine *replica.Machine, usual time.Duration, now time.Time) time.Duration {
 	return health.FenceDelay(usual, c.policy.PartitionPatience, c.isPartitioned(machine.Record.Zone, now))
 }
 
-// stateDownAfter is how long nothing may have been executed before users are turned
-// away at once rather than in the end: more than a lease renewal's beat.
+// stateDownAfter is how long the state service may have executed nothing before users are
+// turned away at once rather than in the end: longer than the time between two renewals of
+// a lease.
 const stateDownAfter = 2500 * time.Millisecond
 
-// isStateDown tells that the state service has executed nothing of this node's for
-// a while: an outage, or a fault of the node's own.
+// isStateDown reports whether the state service has executed nothing of this controller's
+// for a while: in an outage, or by a fault of the controller's own.
 func (c *Controller) isStateDown(now time.Time) bool {
 	return now.Sub(c.store.LastSuccess()) > stateDownAfter
 }
 
-// hearsNobody tells that neither the state service nor another controller has spoken
-// to this node for a while: what others have confirmed to users it cannot know.
+// hearsNobody reports whether this controller has heard neither the state service nor
+// another controller for a while, so that it can't know what others have confirmed to users.
 func (c *Controller) hearsNobody(now time.Time) bool {
 	for name := range c.peerClients {
 		if now.Sub(c.membership.lastContact[name]) < peerStatusTTL {
@@ -84,49 +97,51 @@
 	return len(c.peerClients) > 0 && c.isStateDown(now)
 }
 
-// maxHeartbeatGap is the longest that a worker goes without reporting when all is well:
-// its period, give or take a quarter, and a little more.
+// maxHeartbeatGap returns the longest time between two heartbeats of a healthy machine: the
+// heartbeat interval, give or take a quarter, and a little more.
 func (c *Controller) maxHeartbeatGap() time.Duration {
 	return c.settings.Workers.HeartbeatInterval * 13 / 10
 }
 
-// listeningSince is from when on this process was there to hear a machine's reports.
+// listeningSince returns since when this process could receive a machine's heartbeats.
 func (c *Controller) listeningSince(machine *replica.Machine) time.Time {
-	if woke := c.pauses.ResumedAt(); woke.After(machine.AdoptedAt) {
-		return woke
+	if resumed := c.pauses.ResumedAt(); resumed.After(machine.AdoptedAt) {
+		return resumed
 	}
 	return machine.AdoptedAt
 }
 
-// hearingSince is from when on this process has heard a machine, by its answers at least.
+// hearingSince returns since when this process hears a machine, if only by its answers.
 func (c *Controller) hearingSince(machine *replica.Machine) time.Time {
-	if from := c.listeningSince(machine); from.After(machine.Agent.HeardAgainAt) {
-		return from
+	if since := c.listeningSince(machine); since.After(machine.Agent.HeardAgainAt) {
+		return since
 	}
 	return machine.Agent.HeardAgainAt
 }
 
-// cannotReport tells that a machine answers at best, and does not report.
+// cannotReport reports whether a machine's heartbeats do not arrive, though it may answer
+// direct calls.
 func (c *Controller) cannotReport(machine *replica.Machine, now time.Time) bool {
 	return health.CannotReport(machine.Agent.LastHeartbeat, c.hearingSince(machine), now, c.settings.Workers.LeaseDuration)
 }
 
-// silenceOf is how long a machine has given no sign of life to this owner.
+// silenceOf returns how long a machine has given this owner no sign of life. The time in
+// which this process was paused does not count.
 func (c *Controller) silenceOf(machine *replica.Machine, now time.Time) time.Duration {
 	since := machine.Agent.LastContact
-	if from := c.listeningSince(machine); from.After(since) {
-		since = from // its silence while this process stood still is this process's own
+	if listening := c.listeningSince(machine); listening.After(since) {
+		since = listening
 	}
 	return now.Sub(since)
 }
 
-// isOwnFault tells that nearly all of a shard's machines are silent together, which
-// speaks for a fault of this node's own links. Machines that fell silent together
-// do not all look silent for as long: each has its own beat. More than a beat
-// without hearing from nearly all of them tells it, before the first is due for
-// fencing.
+// isOwnFault reports whether nearly all of a shard's machines are silent together, which
+// indicates a fault of this controller's own links. Machines that become silent at one
+// instant do not look silent for the same time, since each has its own heartbeat phase. So
+// a little more than one heartbeat interval is the threshold, which is reached before the
+// first machine is due for fencing. The result is kept for one pass.
 func (c *Controller) isOwnFault(shard *replica.Shard, now time.Time) bool {
-	if !shard.IsolationCheckedAt.Equal(now) { // once for all machines that one pass looks at
+	if !shard.IsolationCheckedAt.Equal(now) {
 		shard.IsolationCheckedAt, shard.SelfIsolated = now, c.leastLoadedPeer() != "" && c.isSelfIsolated(shard, c.maxHeartbeatGap(), now)
 	}
 	return shard.SelfIsolated
--- a/internal/coordination/controller/leadership.go
+++ b/internal/coordination/controller/leadership.go
@@ -7,30 +7,34 @@
 	"madderslip/internal/storage/records"
 )
 
-// leadership is what the leader's record says, and whether this process seeks it.
+// leadership is what the leader's record says, and whether this process campaigns.
 type leadership struct {
 	node        string // empty: no leader
 	version     uint64 // of the record; 0: there is none
-	isSelf      bool   // this very process leads, not an earlier one of the same node
+	isSelf      bool   // this very process is the leader, not an earlier one of the same node
 	campaigning bool   // a commit to become leader is under way
 }
 
-// campaign seeks the lead when nobody has it. The record hangs on the node's
-// lease, so it goes when its holder does.
+// leaderCommitTimeout bounds the commit to become leader.
+const leaderCommitTimeout = 2 * time.Second
+
+// campaign seeks to become leader while there is none. The record hangs on this node's
+// lease, so it is deleted when the lease expires.
 func (c *Controller) campaign() {
 	if c.leadership.version != 0 || c.leadership.campaigning {
 		return
 	}
 	c.leadership.campaigning = true
+	record := &records.Leader{Node: c.settings.NodeName, StartedAtMs: c.startedAt.UnixMilli()}
 	c.commit(kv.PriorityBackground, []kv.Compare{{Key: records.LeaderKey, Version: 0}},
-		[]kv.Op{{Key: records.LeaderKey, Value: &records.Leader{Node: c.settings.NodeName, StartedAtMs: c.startedAt.UnixMilli()}, Lease: c.membership.lease}}, 2*time.Second,
+		[]kv.Op{{Key: records.LeaderKey, Value: record, Lease: c.membership.lease}}, leaderCommitTimeout,
 		func(error) { c.leadership.campaigning = false })
 }
 
-// applyLeader takes the record of who leads. It tells the process as well as the
-// node: one left by an earlier process of this node goes with that one's lease,
-// and one made by this process counts even if its commit's answer was lost. A
-// leader that waited for the answer did not lead, and nobody else could.
+// applyLeader applies the leader's record, which names the process as well as the node. One
+// that an earlier process of this node left is deleted with that one's lease. One made by
+// this process counts even if its commit's answer was lost, which prevents a leader from
+// waiting for that answer while nobody else can lead.
 func (c *Controller) applyLeader(record *records.Leader, version uint64) {
 	c.leadership.node, c.leadership.version, c.leadership.isSelf = "", 0, false
 	if record == nil {
@@ -42,8 +46,13 @@
 	}
 }
 
-// isLeader tells whether this process leads, and knows all that earlier leaders
+// isLeader reports whether this process is the leader and has seen all that earlier leaders
 // recorded.
 func (c *Controller) isLeader() bool {
 	return c.leadership.isSelf && c.membership.lease != 0 && c.view.Revision >= c.leadership.version
 }
+
+// leaderCompare is the condition that this process is still the leader.
+func (c *Controller) leaderCompare() kv.Compare {
+	return kv.Compare{Key: records.LeaderKey, Version: c.leadership.version}
+}
--- a/internal/coordination/controller/membership.go
+++ b/internal/coordination/controller/membership.go
@@ -9,66 +9,98 @@
 	"madderslip/internal/storage/records"
 )
 
-// membershipLoop keeps this node's lease and the record that shows it is alive.
+const (
+	loadPollInterval   = 50 * time.Millisecond  // until all records are read
+	leaseRetryPause    = 300 * time.Millisecond // after no lease was granted
+	registerRetryPause = 200 * time.Millisecond // after a failed registration
+	nodeCommitTimeout  = 2 * time.Second
+	renewalsPerLease   = 3
+)
+
+// membershipLoop keeps this node's lease and the record that shows the node is alive.
 func (c *Controller) membershipLoop(ctx context.Context) {
-	ttl := c.policy.NodeLease
-	key := records.NodePrefix + c.settings.NodeName
-	var permit uint64
 	record := &records.Node{StartedAtMs: c.startedAt.UnixMilli(), DependencyVersion: dependencyVersion}
 	record.QuotaVersion, record.TeamsHash = c.view.Quota.Advertised()
+	var lease uint64
 	for ctx.Err() == nil {
-		c.mu.Lock()
-		loaded, live := c.view.Loaded, c.view.Nodes[c.settings.NodeName]
-		mine := permit != 0 && live.Version != 0 && c.membership.lease == permit
-		c.mu.Unlock()
+		loaded, registered := c.registration(lease)
 		if !loaded {
-			c.pause(ctx, 50*time.Millisecond)
+			c.pause(ctx, loadPollInterval)
 			continue
 		}
-		if permit == 0 {
-			p, err := c.store.GrantLease(ctx, ttl)
+		if lease == 0 {
+			granted, err := c.store.GrantLease(ctx, c.policy.NodeLease)
 			if err != nil {
 				c.log.Info("lease not granted", "err", err)
-				c.pause(ctx, 300*time.Millisecond)
+				c.pause(ctx, leaseRetryPause)
 				continue
 			}
-			permit = p
+			lease = granted
 		}
-		if !mine {
-			wait := make(chan error, 1)
-			c.mu.Lock()
-			// Conditional, like all else: a copy that an earlier process of this node had
-			// sent hung the record on that one's lease again, and this node seemed to have
-			// ended when that lease did.
-			c.commit(kv.PriorityLease, []kv.Compare{{Key: key, Version: c.view.Nodes[c.settings.NodeName].Version}}, []kv.Op{{Key: key, Value: record, Lease: permit}}, 2*time.Second,
-				func(err error) {
-					if err == nil {
-						c.membership.lease = permit
-					}
-					wait <- err
-				})
-			c.mu.Unlock()
-			var err error
-			select {
-			case err = <-wait:
-			case <-ctx.Done():
-				return // the ledger may have ended first
+		if !registered {
+			ended, err := c.registerNode(ctx, record, lease)
+			if ended {
+				return
 			}
 			if err != nil {
 				c.log.Info("node registration failed", "err", err)
 				if errors.Is(err, kv.ErrLeaseExpired) {
-					permit = 0 // the lease ended before it was used
+					lease = 0 // the lease expired before it was used
 				}
-				c.pause(ctx, 200*time.Millisecond)
+				c.pause(ctx, registerRetryPause)
 				continue
 			}
 		}
-		c.pause(ctx, ttl/3)
-		if err := c.store.KeepAlive(ctx, permit); errors.Is(err, kv.ErrLeaseExpired) {
-			c.log.Info("lease expired")
-			permit = 0
-		} else if err != nil {
-			c.log.Debug("lease keep-alive failed", "err", err)
+		c.pause(ctx, c.policy.NodeLease/renewalsPerLease)
+		if !c.keepLeaseAlive(ctx, lease) {
+			lease = 0
 		}
 	}
 }
+
+// registration reports whether the records are read, and whether the node's record hangs on
+// a lease.
+func (c *Controller) registration(lease uint64) (loaded, registered bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	hasRecord := c.view.Nodes[c.settings.NodeName].Version != 0
+	return c.view.Loaded, lease != 0 && hasRecord && c.membership.lease == lease
+}
+
+// registerNode commits the node's record with a lease and waits for the outcome, or for the
+// end of the context, which it reports as ended.
+func (c *Controller) registerNode(ctx context.Context, record *records.Node, lease uint64) (ended bool, err error) {
+	key := records.NodePrefix + c.settings.NodeName
+	outcome := make(chan error, 1)
+	c.mu.Lock()
+	// The condition refuses a late copy that an earlier process of this node sent: it would
+	// hang the record on that process's lease, and this node would seem to have failed when
+	// that lease expires.
+	c.commit(kv.PriorityLease, []kv.Compare{{Key: key, Version: c.view.Nodes[c.settings.NodeName].Version}}, []kv.Op{{Key: key, Value: record, Lease: lease}}, nodeCommitTimeout,
+		func(err error) {
+			if err == nil {
+				c.membership.lease = lease
+			}
+			outcome <- err
+		})
+	c.mu.Unlock()
+	select {
+	case err := <-outcome:
+		return false, err
+	case <-ctx.Done():
+		return true, ctx.Err() // the store may have stopped before it answers
+	}
+}
+
+// keepLeaseAlive renews a lease and reports false once it has expired.
+func (c *Controller) keepLeaseAlive(ctx context.Context, lease uint64) bool {
+	err := c.store.KeepAlive(ctx, lease)
+	if errors.Is(err, kv.ErrLeaseExpired) {
+		c.log.Info("lease expired")
+		return false
+	}
+	if err != nil {
+		c.log.Debug("lease keep-alive failed", "err", err)
+	}
+	return true
+}
--- a/internal/coordination/controller/watch.go
+++ b/internal/coordination/controller/watch.go
@@ -8,43 +8,55 @@
 	"madderslip/internal/storage/kv"
 )
 
-// watchPause spaces watches out: each costs a request of the budget, and
-// urgent news travels between the controllers anyway.
-const watchPause = 90 * time.Millisecond
+const (
+	// watchPause spaces watches out: each costs a request of the budget, and urgent changes
+	// are also sent between the controllers.
+	watchPause      = 90 * time.Millisecond
+	watchTimeout    = 10 * time.Second // for which a watch waits for changes
+	watchRetryPause = 300 * time.Millisecond
+	listRetryPause  = 500 * time.Millisecond
+)
 
-// watchLoop keeps the cache up to date.
+// watchLoop keeps the view up to date: it reads all records, follows their changes, and
+// begins anew when the changes it needs are compacted.
 func (c *Controller) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		items, epoch, err := c.store.List(ctx)
+		items, revision, err := c.store.List(ctx)
 		if err != nil {
 			c.log.Info("records read failed", "err", err)
-			c.pause(ctx, 500*time.Millisecond)
+			c.pause(ctx, listRetryPause)
 			continue
 		}
 		c.mu.Lock()
-		c.view.Relist(items, epoch)
+		c.view.Relist(items, revision)
 		c.mu.Unlock()
-		c.log.Info("records read", "records", len(items), "revision", epoch)
-		for ctx.Err() == nil {
-			items, upTo, err := c.store.Watch(ctx, epoch, 10*time.Second)
-			if errors.Is(err, kv.ErrCompacted) {
-				c.log.Info("watch compacted, reading all records")
-				break
-			}
-			if err != nil {
-				c.log.Debug("watch failed", "err", err)
-				c.pause(ctx, 300*time.Millisecond)
-				continue
-			}
-			c.mu.Lock()
-			for _, item := range items {
-				c.view.ApplyItem(item)
-			}
-			epoch = upTo
-			c.view.ReachRevision(epoch)
-			c.mu.Unlock()
-			c.wake()
-			c.pause(ctx, watchPause)
+		c.log.Info("records read", "records", len(items), "revision", revision)
+		c.followChanges(ctx, revision)
+	}
+}
+
+// followChanges applies the changes after a revision until they are compacted or the
+// context ends.
+func (c *Controller) followChanges(ctx context.Context, revision uint64) {
+	for ctx.Err() == nil {
+		items, upTo, err := c.store.Watch(ctx, revision, watchTimeout)
+		if errors.Is(err, kv.ErrCompacted) {
+			c.log.Info("watch compacted, reading all records")
+			return
 		}
+		if err != nil {
+			c.log.Debug("watch failed", "err", err)
+			c.pause(ctx, watchRetryPause)
+			continue
+		}
+		c.mu.Lock()
+		for _, item := range items {
+			c.view.ApplyItem(item)
+		}
+		revision = upTo
+		c.view.ReachRevision(revision)
+		c.mu.Unlock()
+		c.wake()
+		c.pause(ctx, watchPause)
 	}
 }
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -138,8 +138,8 @@
 	{"no empty set of claims without a job", "coordination/replica/view_claims.go", `if delete(set, claim.Key); len(set) == 0 {`, `if delete(set, claim.Key); false {`},
 	{"leases are kept behind a cut", "coordination/controller/leases.go", `	if heartbeat.FencingToken > shard.Version || !failover.MayExtendLease`, `	if true || heartbeat.FencingToken > shard.Version || !failover.MayExtendLease`},
 	{"a zone that seems cut off is not fenced", "coordination/controller/failuredetection.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
-	{"no lease is kept for a cancelled task", "coordination/controller/leases.go", `heartbeat.Tasks[i].Phase != protocol.TaskExited && (`, `false && (`},
-	{"silence counts from waking", "coordination/controller/failuredetection.go", `	if woke := c.pauses.ResumedAt(); woke.After(machine.AdoptedAt) {`, `	if woke := c.pauses.ResumedAt(); false && woke.After(machine.AdoptedAt) {`},
+	{"no lease is kept for a cancelled task", "coordination/controller/leases.go", `status.Phase != protocol.TaskExited && (`, `false && (`},
+	{"silence counts from waking", "coordination/controller/failuredetection.go", `	if resumed := c.pauses.ResumedAt(); resumed.After(machine.AdoptedAt) {`, `	if resumed := c.pauses.ResumedAt(); false && resumed.After(machine.AdoptedAt) {`},
 	{"an answer tells that a machine began again", "coordination/controller/probes.go", `machine.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(heartbeat)) {`, `machine.Record.State == "" && false {`},
 	{"accounts of a former life do not count", "coordination/health/incarnation.go", `return floor == 0 || i.FencingToken > floor`, `return floor == 0 || i.FencingToken >= 0`},
 	{"a doubtful report brings no orders", "coordination/controller/agents.go", `	if !mayBeRestarted && c.view.IsActive(shard) {`, `	if c.view.IsActive(shard) {`},
@@ -184,8 +184,8 @@
 `, ``},
 	{"questions go by turns with changes", "storage/kv/batch.go", `	if readsDue && !b.lastWasRead {`, `	if readsDue {`},
 	{"questions leave requests under way to changes", "storage/kv/batch.go", `maxReadsInflight = maxInflight / 2`, `maxReadsInflight = maxInflight`},
-	{"every wait ends with the context", "coordination/controller/membership.go", `			case <-ctx.Done():
-				return // the ledger may have ended first
+	{"every wait ends with the context", "coordination/controller/membership.go", `	case <-ctx.Done():
+		return true, ctx.Err() // the store may have stopped before it answers
 `, ``},
 }
 
