--- a/internal/coordination/controller/cloud.go
+++ b/internal/coordination/controller/cloud.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 	"time"
 
 	"golang.org/x/time/rate"
@@ -10,10 +11,10 @@
 	"madderslip/internal/protocol"
 )
 
-// provisioner is what a controller remembers of machines that it asks for and returns.
+// provisioner is what a controller knows of the machines that it provisions and returns.
 type provisioner struct {
-	unrecorded          map[string]unrecordedHost // machines that nobody expected, by host
-	refusedUntil        map[string]time.Time      // by provisioning.OfferKey
+	unrecorded          map[string]unrecordedHost // machines without a record, by host
+	refusedUntil        map[string]time.Time      // by provisioning.OfferKey: when to ask again
 	bootStats           provisioning.BootStats
 	requestCount        int // requests so far, for their names
 	listedAt            time.Time
@@ -26,53 +27,76 @@
 	return provisioner{unrecorded: make(map[string]unrecordedHost), refusedUntil: make(map[string]time.Time)}
 }
 
-// cloudLoop keeps machine types and the machine list up to date, and carries
-// out recorded returns.
+const (
+	// cloudLoopInterval is odd, as the pauses of all loops: see loopStagger.
+	cloudLoopInterval = 150*time.Millisecond + 37*time.Nanosecond
+	cloudCallTimeout  = 4 * time.Second
+	minListInterval   = 10 * time.Second
+	// typesInterval is how often the machine types are fetched; after a failure they are
+	// fetched typesRetryLead sooner.
+	typesInterval  = 30 * time.Second
+	typesRetryLead = 20 * time.Second
+	// machineListQuery asks for the page of the machine list that follows a host.
+	machineListQuery = "?most=500&from="
+	// maxListPages bounds the pages that are read of one machine list.
+	maxListPages = 20
+	// minUnrecordedAge, with twice the lag of the machine list, is from what age on a listed
+	// machine without a record is taken for one whose request's answer was lost.
+	minUnrecordedAge = 10 * time.Second
+	// The cloud's requests are divided: the leader, which provisions for all, has its share
+	// beside an equal part of the rest, for the returns and lists of every controller.
+	leaderCloudShare = 0.5
+	evenCloudShare   = 0.4
+)
+
+// cloudLoop keeps the machine types and the machine list up to date, and carries out
+// recorded returns.
 func (c *Controller) cloudLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
 		now := time.Now()
 		c.shareCloudBudget()
-		needTypes := len(c.view.MachineTypes) == 0 || now.Sub(c.provisioner.typesFetchedAt) > 30*time.Second
-		needList := c.view.Loaded && len(c.view.MachineTypes) > 0 && now.Sub(c.provisioner.listedAt) > max(10*time.Second, c.settings.CloudLimits.ListLag)
+		needTypes := len(c.view.MachineTypes) == 0 || now.Sub(c.provisioner.typesFetchedAt) > typesInterval
+		listDue := now.Sub(c.provisioner.listedAt) > max(minListInterval, c.settings.CloudLimits.ListLag)
+		needList := c.view.Loaded && len(c.view.MachineTypes) > 0 && listDue
 		hosts := c.machinesToReturn(now)
 		c.mu.Unlock()
 		switch {
 		case len(hosts) > 0:
-			// First of all: machinesToReturn marked them as being returned, and a mark
-			// without the call would hold up every later return for good.
+			// First of all: machinesToReturn has marked a call as under way, and the mark
+			// without the call would prevent every later return.
 			go c.executeReturns(ctx, hosts)
 		case needTypes:
 			c.fetchMachineTypes(ctx)
 		case needList:
 			c.listMachines(ctx)
 		}
-		c.pause(ctx, 150*time.Millisecond+37*time.Nanosecond)
+		c.pause(ctx, cloudLoopInterval)
 	}
 }
 
-// shareCloudBudget divides the cloud's calls: half of them for the leader, who hires
-// for all, the rest for the returns and lists of every node.
+// shareCloudBudget sets this controller's part of the cloud's request rate.
 func (c *Controller) shareCloudBudget() {
-	part := 0.4 / float64(max(1, c.settings.NodeCount))
+	part := evenCloudShare / float64(max(1, c.settings.NodeCount))
 	if c.isLeader() {
-		part += 0.5
+		part += leaderCloudShare
 	}
 	c.cloudLimiter.SetLimit(rate.Limit(c.settings.CloudLimits.RequestRate * part))
 }
 
+// fetchMachineTypes reads the machine types from the cloud.
 func (c *Controller) fetchMachineTypes(ctx context.Context) {
 	if c.cloudLimiter.Wait(ctx) != nil {
 		return
 	}
-	var out protocol.MachineTypes
-	status, err := c.callJSON(ctx, c.settings.CloudAddr, "GET", protocol.PathMachineTypes, nil, &out, 4*time.Second)
+	var answer protocol.MachineTypes
+	status, err := c.callJSON(ctx, c.settings.CloudAddr, http.MethodGet, protocol.PathMachineTypes, nil, &answer, cloudCallTimeout)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err != nil || status != 200 || len(out.Types) == 0 {
+	if err != nil || status != http.StatusOK || len(answer.Types) == 0 {
 		c.log.Debug("machine types fetch failed", "status", status, "err", err)
 		if len(c.view.MachineTypes) > 0 {
-			c.provisioner.typesFetchedAt = time.Now().Add(-20 * time.Second)
+			c.provisioner.typesFetchedAt = time.Now().Add(-typesRetryLead)
 		}
 		return
 	}
@@ -82,51 +106,54 @@
 			machine.Capacity.Stale = true
 		}
 	}
-	c.view.MachineTypes = make(map[string]*protocol.MachineType, len(out.Types))
-	for i := range out.Types {
-		c.view.MachineTypes[out.Types[i].Name] = &out.Types[i]
+	c.view.MachineTypes = make(map[string]*protocol.MachineType, len(answer.Types))
+	for i := range answer.Types {
+		c.view.MachineTypes[answer.Types[i].Name] = &answer.Types[i]
 	}
 }
 
-// listMachines finds machines that failed, and some that nobody expected.
+// listMachines reads the cloud's list of machines, page by page, to find those that failed
+// and those without a record.
 func (c *Controller) listMachines(ctx context.Context) {
 	from := ""
-	for range 20 {
+	for range maxListPages {
 		if c.cloudLimiter.Wait(ctx) != nil {
 			return
 		}
-		var out protocol.MachineList
-		status, err := c.callJSON(ctx, c.settings.CloudAddr, "GET", protocol.PathMachines+"?most=500&from="+from, nil, &out, 4*time.Second)
+		var page protocol.MachineList
+		status, err := c.callJSON(ctx, c.settings.CloudAddr, http.MethodGet, protocol.PathMachines+machineListQuery+from, nil, &page, cloudCallTimeout)
 		c.mu.Lock()
 		c.provisioner.listedAt = time.Now()
-		if err == nil && status == 200 {
-			for _, h := range out.Hosts {
-				c.observeListed(h)
-				from = h.Host
+		if err == nil && status == http.StatusOK {
+			for _, listed := range page.Hosts {
+				c.observeListed(listed)
+				from = listed.Host
 			}
 		}
 		c.mu.Unlock()
-		if err != nil || status != 200 || !out.Truncated {
+		if err != nil || status != http.StatusOK || !page.Truncated {
 			return
 		}
 	}
 }
 
-func (c *Controller) observeListed(h protocol.ListedMachine) {
-	machine := c.view.Machines[h.Host]
+// observeListed takes a machine's entry in the cloud's list.
+func (c *Controller) observeListed(listed protocol.ListedMachine) {
+	machine := c.view.Machines[listed.Host]
 	if machine != nil {
-		machine.ListedAddress = h.Address
+		machine.ListedAddress = listed.Address
 	}
 	switch {
 	case machine == nil:
-		// A hire whose answer was lost shows up here. A younger one may still
-		// be about to be recorded by the node that hired it.
-		if c.isLeader() && protocol.Seconds(h.AgeS) > 10*time.Second+2*c.settings.CloudLimits.ListLag {
-			c.noteUnrecorded(h.Host, h.Type, h.Zone, h.Spot)
+		// A request whose answer was lost shows here. A younger machine may still be
+		// recorded by the controller that asked for it.
+		oldEnough := protocol.Seconds(listed.AgeS) > minUnrecordedAge+2*c.settings.CloudLimits.ListLag
+		if c.isLeader() && oldEnough {
+			c.noteUnrecorded(listed.Host, listed.Type, listed.Zone, listed.Spot)
 		}
-	case h.Phase == protocol.MachineFailed && machine.Record.State == "":
+	case listed.Phase == protocol.MachineFailed && machine.Record.State == "":
 		if shard := c.view.Shards[machine.Record.Shard]; c.view.IsActive(shard) {
-			c.log.Info("machine reported failed by the cloud", "host", h.Host)
+			c.log.Info("machine reported failed by the cloud", "host", listed.Host)
 			c.returnMachine(shard, machine)
 		}
 	}
--- a/internal/coordination/controller/consolidation.go
+++ b/internal/coordination/controller/consolidation.go
@@ -13,16 +13,47 @@
 
 const (
 	consolidationInterval = 10 * time.Second
-	consolidationRetry    = 2 * time.Second // after finding no machine worth emptying
+	consolidationRetry    = 2 * time.Second  // after finding no machine worth draining
+	consolidationDelay    = 15 * time.Second // after acquiring a shard
 	drainTimeout          = 25 * time.Second
+	// minWastedShare is the part of a machine's price that has to be wasted for it to be
+	// drained.
+	minWastedShare = 0.6
 )
 
-// consolidate empties the machine whose price is least used, when all that
-// runs there are replicas that other machines of the shard can take at once,
-// their image at hand. Replicas run for hours; without this a few of them
-// keep a costly machine long after the work it was hired for.
+// consolidate drains the machine whose price is used least, if all that runs there are
+// replicas that other machines of the shard can take at once, with their image present.
+// Replicas run for hours, so a few of them would keep a costly machine long after the work
+// that it was provisioned for.
 func (c *Controller) consolidate(shard *replica.Shard, now time.Time) {
-	busy := false
+	draining := c.continueDrains(shard, now)
+	if draining || !c.isConsolidationDue(shard, now) {
+		return
+	}
+	shard.ConsolidationCheckedAt = now
+	capacities := c.capacities(shard, now)
+	c.detailCapacities(capacities, now)
+	spare, reserve := c.consolidationMargin(capacities)
+	slices.SortFunc(capacities, func(a, b *placement.Capacity) int {
+		return cmp.Compare(provisioning.WastedPrice(b), provisioning.WastedPrice(a))
+	})
+	for _, capacity := range capacities {
+		if !isWorthDraining(capacity) || spare-capacity.Free.CPUs < reserve || !c.fitElsewhere(capacity, capacities, now) {
+			continue
+		}
+		c.log.Info("machine draining", "host", capacity.Host, "replicas", len(capacity.Victims))
+		capacity.Machine.Lifecycle.DrainingSince = now
+		shard.DrainedAt = now
+		c.migrateReplicas(capacity.Machine, now)
+		c.wake()
+		return
+	}
+}
+
+// continueDrains goes on draining a shard's machines, gives up those that take too long,
+// and reports whether one is still being drained.
+func (c *Controller) continueDrains(shard *replica.Shard, now time.Time) bool {
+	draining := false
 	for _, machine := range shard.Machines {
 		if machine.Lifecycle.DrainingSince.IsZero() {
 			continue
@@ -32,66 +63,62 @@
 			continue
 		}
 		c.migrateReplicas(machine, now)
-		busy = busy || machine.Record.State == ""
+		draining = draining || machine.Record.State == ""
 	}
-	if busy || now.Sub(shard.DrainedAt) < consolidationInterval || now.Sub(shard.ConsolidationCheckedAt) < consolidationRetry || now.Sub(shard.OwnedSince) < 15*time.Second || len(c.queue(shard, now)) > 0 {
-		return
-	}
-	shard.ConsolidationCheckedAt = now
-	capacities := c.capacities(shard, now)
-	c.detailCapacities(capacities, now)
-	spare, keep := 0.0, 0.0
-	on := make(map[string][]replica.Victim)
-	movable := make(map[string]bool)
+	return draining
+}
+
+// isConsolidationDue reports whether to look for a machine to drain: not too often, and only
+// while nothing waits in the shard's queue.
+func (c *Controller) isConsolidationDue(shard *replica.Shard, now time.Time) bool {
+	tooSoon := now.Sub(shard.DrainedAt) < consolidationInterval || now.Sub(shard.ConsolidationCheckedAt) < consolidationRetry || now.Sub(shard.OwnedSince) < consolidationDelay
+	return !tooSoon && len(c.queue(shard, now)) == 0
+}
+
+// consolidationMargin returns the free CPUs of usable machines, and how many of them have
+// to be left beside a drained machine's: the warm reserve.
+func (c *Controller) consolidationMargin(capacities []*placement.Capacity) (spare, reserve float64) {
 	for _, capacity := range capacities {
-		on[capacity.Host] = capacity.Victims
 		if capacity.Usable {
 			spare += capacity.Free.CPUs
 		}
 		for _, victim := range capacity.Victims {
-			// What is left must hold the warm room and these replicas too.
-			keep += victim.Claim.Spec.CPUs * c.policy.WarmShare
+			reserve += victim.Claim.Spec.CPUs * c.policy.WarmShare
 		}
-		movable[capacity.Host] = capacity.Usable && len(capacity.Victims) > 0 && len(capacity.Releases) == 0 && capacity.Machine.RunsOnlyReplicas()
-	}
-	slices.SortFunc(capacities, func(a, b *placement.Capacity) int {
-		return cmp.Compare(provisioning.WastedPrice(b), provisioning.WastedPrice(a))
-	})
-	for _, from := range capacities {
-		if !movable[from.Host] || provisioning.WastedPrice(from) < 0.6*provisioning.PriceOf(from) || spare-from.Free.CPUs < keep {
-			continue
-		}
-		if !c.fitElsewhere(from, on[from.Host], capacities, now) {
-			continue
-		}
-		c.log.Info("machine draining", "host", from.Host, "replicas", len(on[from.Host]))
-		from.Machine.Lifecycle.DrainingSince = now
-		shard.DrainedAt = now
-		c.migrateReplicas(from.Machine, now)
-		c.wake()
-		return
 	}
+	return spare, reserve
+}
+
+// isWorthDraining reports whether a machine runs nothing but replicas and most of its price
+// is wasted.
+func isWorthDraining(capacity *placement.Capacity) bool {
+	onlyVictims := capacity.Usable && len(capacity.Victims) > 0 && len(capacity.Releases) == 0
+	return onlyVictims && capacity.Machine.RunsOnlyReplicas() && provisioning.WastedPrice(capacity) >= minWastedShare*provisioning.PriceOf(capacity)
 }
 
-// migrateReplicas stops what a machine being emptied still runs, one replica of
-// each service at a time, so that a service goes on while it moves.
+// migrateReplicas evicts what a machine being drained still runs, one replica of each
+// service at a time, so that the service goes on while it moves.
 func (c *Controller) migrateReplicas(machine *replica.Machine, now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(machine.Use.Slots)) {
 		slot := machine.Use.Slots[name]
-		if slot == nil {
-			continue
-		}
-		claim := slot.Claim
-		if claim.Record == nil || claim.Pending != nil || claim.Spec == nil || len(claim.Evictions) > 0 || len(claim.Record.Placements) < claim.Record.TaskCount {
+		if slot == nil || !isMovable(slot.Claim) {
 			continue
 		}
-		c.evict(claim, slot.Task, now)
+		c.evict(slot.Claim, slot.Task, now)
 		c.sendPendingCommands(c.view.Shards[machine.Record.Shard])
 	}
 }
 
-// fitElsewhere tries the moves on a copy of the rooms.
-func (c *Controller) fitElsewhere(from *placement.Capacity, tasks []replica.Victim, capacities []*placement.Capacity, now time.Time) bool {
+// isMovable reports whether a replica of a claim may be evicted: all of its replicas are
+// placed, and nothing is being done about them.
+func isMovable(claim *replica.Claim) bool {
+	unchanging := claim.Record != nil && claim.Pending == nil && claim.Spec != nil && len(claim.Evictions) == 0
+	return unchanging && len(claim.Record.Placements) >= claim.Record.TaskCount
+}
+
+// fitElsewhere reports whether other machines can take all replicas of one, tried on copies
+// of their capacities.
+func (c *Controller) fitElsewhere(from *placement.Capacity, capacities []*placement.Capacity, now time.Time) bool {
 	var others []*placement.Capacity
 	for _, capacity := range capacities {
 		if capacity != from {
@@ -99,23 +126,24 @@
 			others = append(others, &copied)
 		}
 	}
-	// Moves of one service follow one another: each starts from where the
-	// earlier ones went, or a spread service could end with no zone left.
+	// Each move of a service starts from where the earlier ones went, which prevents a
+	// spread service from ending up with no zone left.
 	zones := make(map[*replica.Claim][]string)
-	for _, victim := range tasks {
+	for _, victim := range from.Victims {
+		spec := victim.Claim.Spec
 		if _, ok := zones[victim.Claim]; !ok {
 			zones[victim.Claim] = c.view.ZonesOf(victim.Claim)
 		}
 		if i := slices.Index(zones[victim.Claim], from.Zone); i >= 0 {
 			zones[victim.Claim] = slices.Delete(zones[victim.Claim], i, i+1)
 		}
-		z := placement.NewZoneConstraint(victim.Claim.Spec, zones[victim.Claim])
-		i := placement.Select(victim.Claim.Spec, victim.Claim.JobID, others, &z, 0, now)
-		if i < 0 || !others[i].HasImage(victim.Claim.Spec.Image) {
+		constraint := placement.NewZoneConstraint(spec, zones[victim.Claim])
+		target := placement.Select(spec, victim.Claim.JobID, others, &constraint, 0, now)
+		if target < 0 || !others[target].HasImage(spec.Image) {
 			return false
 		}
-		zones[victim.Claim] = append(zones[victim.Claim], others[i].Zone)
-		others[i].Allocate(victim.Claim.Spec)
+		zones[victim.Claim] = append(zones[victim.Claim], others[target].Zone)
+		others[target].Allocate(spec)
 	}
 	return true
 }
--- a/internal/coordination/controller/images.go
+++ b/internal/coordination/controller/images.go
@@ -9,15 +9,17 @@
 	"madderslip/internal/storage/records"
 )
 
-// Which machine holds which image is recorded, since an owner that does not
-// know sends work to machines that must fetch for many seconds, and did so
-// after every restart of a controller. It is advice, so a shard's machines share
-// a few records: one for each machine took more of the state service's budget
-// than all placements together.
-const imageRecordInterval = 5 * time.Second // one part of a shard is recorded at a time
+// It is recorded which machine holds which image, since an owner that does not know sends
+// work to machines that fetch for many seconds, after every restart of a controller. The
+// records are advice, so a shard's machines share a few of them: one for each machine would
+// take more of the state service's budget than all placements together.
+const (
+	imageRecordInterval = 5 * time.Second // between the parts of a shard
+	imageCommitTimeout  = 5 * time.Second
+)
 
-// recordImages records the images of the next part of a shard's machines, if
-// they have changed.
+// recordImages records the images of the next part of a shard's machines whose images have
+// changed.
 func (c *Controller) recordImages(shard *replica.Shard, now time.Time) {
 	if shard.RecordingImages || now.Sub(shard.ImagesRecordedAt) < imageRecordInterval {
 		return
@@ -31,8 +33,8 @@
 			continue
 		}
 		shard.RecordingImages = true
-		c.commit(kv.PriorityBackground, []kv.Compare{{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, {Key: key, Version: c.view.Versions[key]}},
-			[]kv.Op{{Key: key, Value: record}}, 5*time.Second, func(error) { shard.RecordingImages = false })
+		c.commit(kv.PriorityBackground, []kv.Compare{ownedCompare(shard), {Key: key, Version: c.view.Versions[key]}},
+			[]kv.Op{{Key: key, Value: record}}, imageCommitTimeout, func(error) { shard.RecordingImages = false })
 		return
 	}
 }
--- a/internal/coordination/controller/returns.go
+++ b/internal/coordination/controller/returns.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"maps"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -13,37 +14,59 @@
 	"madderslip/internal/storage/records"
 )
 
-// returnCommitTimeout bounds the time for which a decision to return a machine waits to
-// be recorded: one that waited for an outage to end took away machines that had
-// long been heard again.
-const returnCommitTimeout = 4 * time.Second
+const (
+	// maxReturnsPerCall is the most machines that the cloud takes back in one call.
+	maxReturnsPerCall = 100
+	// returnCommitTimeout bounds how long a decision to return a machine waits to be
+	// recorded, which prevents a decision from outlasting an outage and taking away machines
+	// that are heard again.
+	returnCommitTimeout = 4 * time.Second
+	goneCommitTimeout   = 20 * time.Second
+	goneRetryPause      = 5 * time.Second // until it is recorded again that a machine is gone
+	returnRetryPause    = time.Second     // after a call that failed
+	// returnedPause leaves the record that a machine is gone time to be committed.
+	returnedPause = 25 * time.Second
+)
 
-// returnMachine records that a machine goes back. The record is final: from
+// returnMachine records that a machine goes back to the cloud. The record is final: from
 // then on nothing is placed there, whoever owns the shard.
 func (c *Controller) returnMachine(shard *replica.Shard, machine *replica.Machine) {
-	if machine.Lifecycle.Returning || machine.Record.State != "" || shard.FencingToken == 0 {
+	if machine.Lifecycle.Returning || !mayCommand(shard, machine) {
 		return
 	}
 	machine.Lifecycle.Returning = true
+	c.commitMachineState(shard, machine, records.MachineReturning, kv.PriorityClaim, returnCommitTimeout, func(error) { machine.Lifecycle.Returning = false })
+}
+
+// recordGone records that the cloud has taken a machine back, so that the shard's next owner
+// need not return it again. That would prove the same, so there is no hurry.
+func (c *Controller) recordGone(shard *replica.Shard, machine *replica.Machine) {
+	c.commitMachineState(shard, machine, records.MachineGone, kv.PriorityBackground, goneCommitTimeout, func(error) {})
+}
+
+// commitMachineState commits a machine's record with another state, if the shard is still
+// owned and the record unchanged.
+func (c *Controller) commitMachineState(shard *replica.Shard, machine *replica.Machine, state string, priority int, timeout time.Duration, done func(error)) {
+	key := records.MachinePrefix + machine.Host
 	record := machine.Record
-	record.State = records.MachineReturning
-	c.commit(kv.PriorityClaim, []kv.Compare{{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, {Key: records.MachinePrefix + machine.Host, Version: machine.Version}},
-		[]kv.Op{{Key: records.MachinePrefix + machine.Host, Value: &record}}, returnCommitTimeout, func(error) { machine.Lifecycle.Returning = false })
+	record.State = state
+	c.commit(priority, []kv.Compare{ownedCompare(shard), {Key: key, Version: machine.Version}}, []kv.Op{{Key: key, Value: &record}}, timeout, done)
 }
 
-// machinesToReturn lists the machines whose return is recorded and not carried out.
+// machinesToReturn lists the machines whose return is recorded and not carried out, and
+// marks a call to return them as under way.
 func (c *Controller) machinesToReturn(now time.Time) []string {
-	var hosts []string
 	if !c.view.Loaded || c.provisioner.returning {
 		return nil
 	}
+	var hosts []string
 	for _, host := range slices.Sorted(maps.Keys(c.view.Returns)) {
 		machine := c.view.Returns[host]
 		shard := c.view.Shards[machine.Record.Shard]
 		switch {
 		case !c.view.IsActive(shard) || !now.After(machine.Lifecycle.ReturnRetryAt):
 		case machine.Lifecycle.Gone:
-			machine.Lifecycle.ReturnRetryAt = now.Add(5 * time.Second)
+			machine.Lifecycle.ReturnRetryAt = now.Add(goneRetryPause)
 			c.recordGone(shard, machine)
 		case len(hosts) < maxReturnsPerCall:
 			hosts = append(hosts, machine.Host)
@@ -55,28 +78,15 @@
 	return hosts
 }
 
-// recordGone spares the shard's next owner to return a machine again, which
-// would prove the same: there is no hurry.
-func (c *Controller) recordGone(shard *replica.Shard, machine *replica.Machine) {
-	record := machine.Record
-	record.State = records.MachineGone
-	c.commit(kv.PriorityBackground, []kv.Compare{{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, {Key: records.MachinePrefix + machine.Host, Version: machine.Version}},
-		[]kv.Op{{Key: records.MachinePrefix + machine.Host, Value: &record}}, 20*time.Second, func(error) {})
-}
-
-// maxReturnsPerCall is the most machines that the cloud takes back in one call.
-const maxReturnsPerCall = 100
-
 // callReturn asks the cloud to take machines back.
 func (c *Controller) callReturn(ctx context.Context, hosts []string) (int, error) {
 	if err := c.cloudLimiter.Wait(ctx); err != nil {
 		return 0, err
 	}
-	return c.callJSON(ctx, c.settings.CloudAddr, "POST", protocol.PathReturnMachines, protocol.HostList{Hosts: hosts}, nil, 4*time.Second)
+	return c.callJSON(ctx, c.settings.CloudAddr, http.MethodPost, protocol.PathReturnMachines, protocol.HostList{Hosts: hosts}, nil, cloudCallTimeout)
 }
 
-// markGone notes that the cloud has taken a machine back: it and everything
-// on it are gone.
+// markGone marks a machine as taken back by the cloud: it is gone, with everything on it.
 func (c *Controller) markGone(machine *replica.Machine) {
 	machine.Lifecycle.Gone = true
 	c.view.Shard(machine.Record.Shard).Changed = true
@@ -85,23 +95,26 @@
 	}
 }
 
+// executeReturns returns the machines that machinesToReturn has listed, and records those
+// that are gone.
 func (c *Controller) executeReturns(ctx context.Context, hosts []string) {
 	status, err := c.callReturn(ctx, hosts)
+	returned := err == nil && status == http.StatusOK
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.provisioner.returning = false
 	for _, host := range hosts {
 		machine := c.view.Machines[host]
 		shard := c.view.Shards[machine.Record.Shard]
-		machine.Lifecycle.ReturnRetryAt = time.Now().Add(time.Second)
-		if err == nil && status == 200 {
-			machine.Lifecycle.ReturnRetryAt = time.Now().Add(25 * time.Second) // the record's turn
-		}
-		if err != nil || status != 200 || !c.view.IsActive(shard) || machine.Record.State != records.MachineReturning {
+		if !returned {
+			machine.Lifecycle.ReturnRetryAt = time.Now().Add(returnRetryPause)
 			continue
 		}
-		c.markGone(machine)
-		c.recordGone(shard, machine)
+		machine.Lifecycle.ReturnRetryAt = time.Now().Add(returnedPause)
+		if c.view.IsActive(shard) && machine.Record.State == records.MachineReturning {
+			c.markGone(machine)
+			c.recordGone(shard, machine)
+		}
 	}
 	c.log.Info("machines returned", "hosts", strings.Join(hosts, ","), "status", status, "err", err)
 }
--- a/internal/coordination/controller/scalein.go
+++ b/internal/coordination/controller/scalein.go
@@ -10,10 +10,13 @@
 	"madderslip/internal/protocol"
 )
 
-// fleetLoop works off the difference between the machines there should be and
-// those there are: owners return what is idle, the leader hires.
+// fleetLoopInterval is odd, as the pauses of all loops: see loopStagger.
+const fleetLoopInterval = 700*time.Millisecond + 41*time.Nanosecond
+
+// fleetLoop works off the difference between the machines there should be and those there
+// are: owners return idle machines, the leader provisions new ones.
 func (c *Controller) fleetLoop(ctx context.Context) {
-	for c.pause(ctx, 700*time.Millisecond+41*time.Nanosecond) {
+	for c.pause(ctx, fleetLoopInterval) {
 		c.mu.Lock()
 		if c.view.Loaded && len(c.view.MachineTypes) > 0 {
 			now := time.Now()
@@ -34,83 +37,124 @@
 	}
 }
 
-// scaleIn gives back machines that have had nothing to do for a while and
-// are not part of the warm room, those that never came up, and sick ones.
+// idlePolicy is which idle machines of a shard one pass keeps.
+type idlePolicy struct {
+	inDemand map[replica.MachineKind]bool // kinds that the queue could use
+	held     map[string]bool              // hosts that are held for gangs about to start
+	spare    float64                      // free CPUs of on-demand machines without GPUs
+	reserve  float64                      // CPUs of them that stay free for services
+}
+
+// scaleIn returns machines that have been idle for a while and are not part of the warm
+// reserve, those that do not boot, and quarantined and drained ones.
 func (c *Controller) scaleIn(shard *replica.Shard, now time.Time) {
-	held := make(map[string]bool)
-	services := 0.0
+	policy := idlePolicy{reserve: serviceCPUs(shard) * c.policy.WarmShare, held: c.hostsHeldForGangs(shard)}
+	policy.inDemand = c.kindsInDemand(shard, now)
+	policy.spare = spareCPUs(c.capacities(shard, now))
+	for _, machine := range shard.Machines {
+		switch {
+		case machine.Lifecycle.Returning:
+		case machine.Agent.Heartbeat == nil:
+			c.returnExpiredBoot(shard, machine, now)
+		case c.isInUse(machine, &policy, now):
+			machine.Lifecycle.IdleSince = time.Time{}
+		default:
+			c.returnIdle(shard, machine, &policy, now)
+		}
+	}
+}
+
+// serviceCPUs returns the CPUs of the replicas that a shard has placed.
+func serviceCPUs(shard *replica.Shard) float64 {
+	cpus := 0.0
 	for claim := range shard.Claims {
 		if claim.Record != nil && claim.Spec != nil && claim.Spec.Shape == protocol.ShapeService {
-			services += claim.Spec.CPUs * float64(len(claim.Record.Placements))
+			cpus += claim.Spec.CPUs * float64(len(claim.Record.Placements))
 		}
 	}
+	return cpus
+}
+
+// hostsHeldForGangs returns the machines of a shard that are held for gangs across shards.
+func (c *Controller) hostsHeldForGangs(shard *replica.Shard) map[string]bool {
+	held := make(map[string]bool)
 	for _, reservation := range c.view.GangReservations {
 		if hold := reservation.Holds[shard.Name]; hold != nil && hold.Version != 0 && reservation.Version != 0 {
 			for host := range hold.Record.TasksByHost {
-				held[host] = true // held for a wide job about to start
+				held[host] = true
 			}
 		}
 	}
-	wanted := c.kindsInDemand(shard, now)
+	return held
+}
+
+// spareCPUs returns the free CPUs of usable on-demand machines without GPUs.
+func spareCPUs(capacities []*placement.Capacity) float64 {
 	spare := 0.0
-	capacities := c.capacities(shard, now)
 	for _, capacity := range capacities {
 		if capacity.Usable && !capacity.Spot && capacity.Type.GPUs == 0 {
 			spare += capacity.Free.CPUs
 		}
 	}
-	keep := services * c.policy.WarmShare
-	for _, machine := range shard.Machines {
-		if machine.Lifecycle.Returning {
-			continue
-		}
-		machineType := c.view.MachineType(machine.Record.Type)
-		if machine.Agent.Heartbeat == nil {
-			age := machine.Age(now)
-			if age > c.provisioner.bootStats.Expired(bootKindOf(machine), machineType.BootTime(), now) && now.Sub(machine.AdoptedAt) > machineType.BootTime()+c.settings.Workers.LeaseDuration {
-				c.log.Info("machine boot expired", "host", machine.Host, "type", machine.Record.Type, "zone", machine.Record.Zone, "age", age.Round(time.Second))
-				c.returnMachine(shard, machine)
-			}
-			continue
-		}
-		inDemand := wanted[replica.MachineKind{Type: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot}] && !machine.Quarantine.Active && machine.Lifecycle.DrainingSince.IsZero()
-		if len(machine.Use.Slots) > 0 || inDemand || held[machine.Host] || machine.RunsTasks() || now.Sub(machine.AdoptedAt) < c.policy.IdleMachineTTL {
-			machine.Lifecycle.IdleSince = time.Time{}
-			continue
-		}
-		if machine.Lifecycle.IdleSince.IsZero() {
-			machine.Lifecycle.IdleSince = now
-		}
-		if (machine.Quarantine.Active && now.Sub(machine.Quarantine.ChangedAt) > quarantineGrace) || !machine.Lifecycle.DrainingSince.IsZero() {
-			c.returnMachine(shard, machine)
-			continue
-		}
-		if now.Sub(machine.Lifecycle.IdleSince) < c.policy.IdleMachineTTL {
-			continue
-		}
-		if !machine.Record.Spot && machineType.GPUs == 0 {
-			if spare-machineType.CPUs < keep {
-				continue
-			}
-			spare -= machineType.CPUs
-		}
-		c.log.Info("idle machine returned", "host", machine.Host)
+	return spare
+}
+
+// returnExpiredBoot returns a machine that has not booted in time. One whose shard was just
+// taken over has the time for a boot and a lease to be heard by its new owner.
+func (c *Controller) returnExpiredBoot(shard *replica.Shard, machine *replica.Machine, now time.Time) {
+	machineType := c.view.MachineType(machine.Record.Type)
+	bootTime := machineType.BootTime()
+	age := machine.Age(now)
+	expired := age > c.provisioner.bootStats.Expired(bootKindOf(machine), bootTime, now)
+	if expired && now.Sub(machine.AdoptedAt) > bootTime+c.settings.Workers.LeaseDuration {
+		c.log.Info("machine boot expired", "host", machine.Host, "type", machine.Record.Type, "zone", machine.Record.Zone, "age", age.Round(time.Second))
 		c.returnMachine(shard, machine)
 	}
 }
 
-// kindsInDemand tells which kinds of machine the shard's queue could use. While
-// the state service is short of budget, work waits beside idle machines; to
-// return them and hire others just after would be paid twice.
+// isInUse reports whether a machine runs something, is about to, or was adopted just now.
+func (c *Controller) isInUse(machine *replica.Machine, policy *idlePolicy, now time.Time) bool {
+	inDemand := policy.inDemand[machine.Kind()] && !machine.Quarantine.Active && machine.Lifecycle.DrainingSince.IsZero()
+	wanted := inDemand || policy.held[machine.Host]
+	return len(machine.Use.Slots) > 0 || wanted || machine.RunsTasks() || now.Sub(machine.AdoptedAt) < c.policy.IdleMachineTTL
+}
+
+// returnIdle returns a machine that is not in use: a quarantined or drained one at once,
+// any other once it has been idle for long enough, if the warm reserve can spare it.
+func (c *Controller) returnIdle(shard *replica.Shard, machine *replica.Machine, policy *idlePolicy, now time.Time) {
+	if machine.Lifecycle.IdleSince.IsZero() {
+		machine.Lifecycle.IdleSince = now
+	}
+	quarantined := machine.Quarantine.Active && now.Sub(machine.Quarantine.ChangedAt) > quarantineGrace
+	if quarantined || !machine.Lifecycle.DrainingSince.IsZero() {
+		c.returnMachine(shard, machine)
+		return
+	}
+	if now.Sub(machine.Lifecycle.IdleSince) < c.policy.IdleMachineTTL {
+		return
+	}
+	if machineType := c.view.MachineType(machine.Record.Type); !machine.Record.Spot && machineType.GPUs == 0 {
+		if policy.spare-machineType.CPUs < policy.reserve {
+			return
+		}
+		policy.spare -= machineType.CPUs
+	}
+	c.log.Info("idle machine returned", "host", machine.Host)
+	c.returnMachine(shard, machine)
+}
+
+// kindsInDemand returns which kinds of machine the shard's queue could use. While the state
+// service's budget is short, work waits beside idle machines; to return them and provision
+// others just after would cost twice.
 func (c *Controller) kindsInDemand(shard *replica.Shard, now time.Time) map[replica.MachineKind]bool {
-	wanted := make(map[replica.MachineKind]bool)
+	inDemand := make(map[replica.MachineKind]bool)
 	queue := c.queue(shard, now)
 	for kind := range shard.Kinds {
 		if machineType := c.view.MachineTypes[kind.Type]; machineType != nil {
-			wanted[kind] = slices.ContainsFunc(queue, func(entry *placement.QueueEntry) bool {
+			inDemand[kind] = slices.ContainsFunc(queue, func(entry *placement.QueueEntry) bool {
 				return placement.FitsEmpty(entry.Spec, machineType) && placement.Allowed(entry.Spec, kind.Type, kind.Zone, kind.Spot) && !c.exceedsLimit(entry)
 			})
 		}
 	}
-	return wanted
+	return inDemand
 }
