--- a/internal/coordination/controller/adoption.go
+++ b/internal/coordination/controller/adoption.go
@@ -1,44 +1,50 @@
 package controller
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 	"time"
 
 	"madderslip/internal/coordination/replica"
-	"madderslip/internal/protocol"
 	"madderslip/internal/storage/kv"
 	"madderslip/internal/storage/records"
 )
 
+// unrecordedHost is a machine without a record.
 type unrecordedHost struct {
 	firstSeen time.Time
-	recording bool // being recorded, in this shard
-	shard     string
+	recording bool   // it is being recorded in shard
+	shard     string // empty unless recording
 	kind      replica.MachineKind
 }
 
-// noteUnrecorded notes a machine that nobody expected. The leader alone records such
-// machines: several nodes that choose shards at once, each blind to the others,
-// would all put theirs into the same one.
-func (c *Controller) noteUnrecorded(host, typeName, zone string, loaner bool) {
+const (
+	// answerPatience is how long a machine without a record is left to the answer of a
+	// request, which may just be in transit and names the machine's shard.
+	answerPatience        = 3 * time.Second
+	adoptionCommitTimeout = 5 * time.Second
+)
+
+// noteUnrecorded notes a machine without a record. The leader alone records such machines:
+// several controllers that choose shards at once, none aware of the others, would all put
+// theirs into the same one.
+func (c *Controller) noteUnrecorded(host, typeName, zone string, spot bool) {
 	if _, seen := c.provisioner.unrecorded[host]; !seen && c.isLeader() {
-		c.provisioner.unrecorded[host] = unrecordedHost{firstSeen: time.Now(), kind: replica.MachineKind{Type: typeName, Zone: zone, Spot: loaner}}
+		c.provisioner.unrecorded[host] = unrecordedHost{firstSeen: time.Now(), kind: replica.MachineKind{Type: typeName, Zone: zone, Spot: spot}}
 	}
 }
 
 // adoptMachines records the machines noted, all of a kind together.
 func (c *Controller) adoptMachines(now time.Time) {
+	patience := time.Duration(0)
+	if len(c.view.Provisions) > 0 {
+		patience = answerPatience
+	}
 	hosts := make(map[replica.MachineKind][]string)
-	for host, u := range c.provisioner.unrecorded {
-		// The answer to a hire may just be on its way; it knows better.
-		patience := time.Duration(0)
-		if len(c.view.Provisions) > 0 {
-			patience = 3 * time.Second
-		}
-		if !u.recording && now.Sub(u.firstSeen) >= patience && c.view.MachineTypes[u.kind.Type] != nil {
-			hosts[u.kind] = append(hosts[u.kind], host)
+	for host, unrecorded := range c.provisioner.unrecorded {
+		due := !unrecorded.recording && now.Sub(unrecorded.firstSeen) >= patience
+		if due && c.view.MachineTypes[unrecorded.kind.Type] != nil {
+			hosts[unrecorded.kind] = append(hosts[unrecorded.kind], host)
 		}
 	}
 	for _, kind := range slices.SortedFunc(maps.Keys(hosts), replica.MachineKind.Compare) {
@@ -50,10 +56,38 @@
 	}
 }
 
+// adoptGroup commits one record for machines of a kind.
 func (c *Controller) adoptGroup(kind replica.MachineKind, hosts []string, now time.Time) {
-	c.provisioner.requestCount++
-	name := fmt.Sprintf("%s-%d-%d", c.settings.NodeName, c.startedAt.UnixMilli(), c.provisioner.requestCount)
-	record := &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: len(hosts)}, RequestedAtMs: now.UnixMilli()}
+	record := c.newProvision(kind, now)
+	record.Count = len(hosts)
+	c.allocateAdopted(record, kind, hosts)
+	key := records.ProvisionPrefix + record.Name
+	compares := []kv.Compare{c.leaderCompare(), {Key: key, Version: 0}}
+	ops := []kv.Op{{Key: key, Value: record}}
+	compares, ops = c.excludeAnswers(kind, compares, ops)
+	if len(ops) > c.settings.RecordLimits().MaxTxnOps {
+		c.forgetUnrecorded(hosts) // until fewer requests are without an answer
+		return
+	}
+	c.commit(kv.PriorityLease, compares, ops, adoptionCommitTimeout, func(err error) {
+		if err == nil {
+			c.log.Info("unrecorded machines adopted", "machines", len(hosts), "type", kind.Type, "zone", kind.Zone, "shards", record.Allocations)
+		}
+		c.forgetUnrecorded(hosts)
+	})
+}
+
+// forgetUnrecorded forgets machines noted without a record; they are noted again if they
+// still have none.
+func (c *Controller) forgetUnrecorded(hosts []string) {
+	for _, host := range hosts {
+		delete(c.provisioner.unrecorded, host)
+	}
+}
+
+// allocateAdopted chooses a shard for each machine and enters the machines into a record, by
+// shard.
+func (c *Controller) allocateAdopted(record *records.Provision, kind replica.MachineKind, hosts []string) {
 	byShard := make(map[string][]string)
 	for _, host := range hosts {
 		shard := c.smallestShard(kind.Zone, kind.Type)
@@ -66,68 +100,75 @@
 			record.Hosts = append(record.Hosts, host)
 		}
 	}
-	// A hire that is still without an answer may have rented these. If its answer
-	// is recorded first, this fails. If this comes first, the hire's record gets a
-	// new version, and an answer that was about to be recorded, or is recorded
-	// late, fails: else a machine is put into two shards, with two owners.
-	compares := []kv.Compare{{Key: records.LeaderKey, Version: c.leadership.version}, {Key: records.ProvisionPrefix + name, Version: 0}}
-	ops := []kv.Op{{Key: records.ProvisionPrefix + name, Value: record}}
+}
+
+// excludeAnswers adds to an adoption the requests of its kind that are without an answer:
+// one of them may have brought the machines. If its answer is recorded first, the adoption
+// fails. If the adoption is first, the request's record gets a new version, and an answer
+// that was about to be recorded, or is recorded late, fails. This prevents a machine from
+// being put into two shards with two owners.
+func (c *Controller) excludeAnswers(kind replica.MachineKind, compares []kv.Compare, ops []kv.Op) ([]kv.Compare, []kv.Op) {
 	for _, name := range slices.Sorted(maps.Keys(c.view.Provisions)) {
-		if provision := c.view.Provisions[name]; provision.Version != 0 && provision.Record.Type == kind.Type && provision.Record.Zone == kind.Zone && provision.Record.Spot == kind.Spot {
+		provision := c.view.Provisions[name]
+		if provision.Version != 0 && kindOf(&provision.Record) == kind {
 			again := provision.Record
 			compares = append(compares, kv.Compare{Key: records.ProvisionPrefix + provision.Name, Version: provision.Version})
 			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + provision.Name, Value: &again})
 		}
 	}
-	if len(ops) > c.settings.RecordLimits().MaxTxnOps {
-		for _, host := range hosts {
-			delete(c.provisioner.unrecorded, host) // until fewer hires are without an answer
-		}
-		return
+	return compares, ops
+}
+
+// kindOf returns the kind of machine that a request is for.
+func kindOf(record *records.Provision) replica.MachineKind {
+	return replica.MachineKind{Type: record.Type, Zone: record.Zone, Spot: record.Spot}
+}
+
+// shardSizes is the machines of each shard, there or coming: the CPUs of all, and how many
+// are of one zone and type.
+type shardSizes struct {
+	zone, typeName string
+	cpus           map[string]float64
+	alike          map[string]int
+}
+
+// add counts machines of a kind in a shard.
+func (s *shardSizes) add(shard string, kind replica.MachineKind, count int, cpus float64) {
+	s.cpus[shard] += cpus * float64(count)
+	if kind.Zone == s.zone && kind.Type == s.typeName {
+		s.alike[shard] += count
 	}
-	c.commit(kv.PriorityLease, compares, ops, 5*time.Second, func(err error) {
-		if err == nil {
-			c.log.Info("unrecorded machines adopted", "machines", len(hosts), "type", kind.Type, "zone", kind.Zone, "shards", record.Allocations)
-		}
-		for _, host := range hosts {
-			delete(c.provisioner.unrecorded, host)
-		}
-	})
 }
 
-// smallestShard is the shard with the fewest machines of a zone and type, the
-// one with the least room among equals.
+// isSmaller reports whether a shard has fewer machines of the zone and type than another,
+// or as many and fewer CPUs.
+func (s *shardSizes) isSmaller(shard, other string) bool {
+	return s.alike[shard] < s.alike[other] || (s.alike[shard] == s.alike[other] && s.cpus[shard] < s.cpus[other])
+}
+
+// smallestShard returns the shard with the fewest machines of a zone and type, the one with
+// the fewest CPUs among equals, or "" if there is none. Shards that nobody owns yet count as
+// well, which prevents the first one acquired from getting every machine.
 func (c *Controller) smallestShard(zone, typeName string) string {
-	cpus, like := make(map[string]float64), make(map[string]int)
+	sizes := shardSizes{zone: zone, typeName: typeName, cpus: make(map[string]float64), alike: make(map[string]int)}
 	for _, shard := range c.view.Shards {
-		for k, count := range shard.Kinds {
-			cpus[shard.Name] += c.view.MachineType(k.Type).CPUs * float64(count)
-			if k.Zone == zone && k.Type == typeName {
-				like[shard.Name] += count
-			}
+		for kind, count := range shard.Kinds {
+			sizes.add(shard.Name, kind, count, c.view.MachineType(kind.Type).CPUs)
 		}
 	}
 	for _, provision := range c.view.Provisions {
-		for _, p := range provision.Record.Allocations {
-			cpus[p.Shard] += c.view.MachineType(provision.Record.Type).CPUs * float64(p.Count)
-			if provision.Record.Zone == zone && provision.Record.Type == typeName {
-				like[p.Shard] += p.Count
-			}
+		for _, allocation := range provision.Record.Allocations {
+			sizes.add(allocation.Shard, kindOf(&provision.Record), allocation.Count, c.view.MachineType(provision.Record.Type).CPUs)
 		}
 	}
-	for _, u := range c.provisioner.unrecorded {
-		if u.recording {
-			cpus[u.shard] += c.view.MachineType(u.kind.Type).CPUs
-			if u.kind.Zone == zone && u.kind.Type == typeName {
-				like[u.shard]++
-			}
+	for _, unrecorded := range c.provisioner.unrecorded {
+		if unrecorded.recording {
+			sizes.add(unrecorded.shard, unrecorded.kind, 1, c.view.MachineType(unrecorded.kind.Type).CPUs)
 		}
 	}
 	best := ""
-	// Shards that nobody owns yet count as well: at the first start the first
-	// one to be acquired would otherwise get every machine.
 	for _, name := range c.view.ShardNames() {
-		if best == "" || like[name] < like[best] || (like[name] == like[best] && cpus[name] < cpus[best]) {
+		if best == "" || sizes.isSmaller(name, best) {
 			best = name
 		}
 	}
--- a/internal/coordination/controller/boots.go
+++ b/internal/coordination/controller/boots.go
@@ -7,8 +7,8 @@
 	"madderslip/internal/coordination/replica"
 )
 
-// recordBoot notes a machine's first account. It tells how long the boot took only if the
-// shard was this process's all along.
+// recordBoot records a machine's first heartbeat. It shows how long the boot took only if
+// this process has owned the shard all along.
 func (c *Controller) recordBoot(machine *replica.Machine, now time.Time) {
 	if shard := c.view.Shards[machine.Record.Shard]; c.view.IsActive(shard) && shard.OwnedSince.Before(time.UnixMilli(machine.Record.RentedAtMs)) {
 		c.provisioner.bootStats.Booted(bootKindOf(machine), machine.Age(now), now)
@@ -18,45 +18,45 @@
 	}
 }
 
-// overdueMachines lists the machines of a shard that are late in coming up and do not count
-// for the work that waits. Those that come after all are used, or returned as idle.
-func (c *Controller) overdueMachines(shard *replica.Shard, now time.Time) (out []string) {
-	late, coming := 0, 0
+// overdueMachines lists the machines of a shard whose boot is overdue, a few at a time: they
+// do not count as supply for waiting work. Those that boot after all are used, or returned
+// as idle.
+func (c *Controller) overdueMachines(shard *replica.Shard, now time.Time) (overdue []string) {
+	booting := 0
 	for _, machine := range shard.Machines {
-		// Only those that were rented while this process had the shard: what an earlier
-		// owner has heard is not known here, and a new owner took all for late.
+		// Only those that were provisioned while this process owned the shard: what an
+		// earlier owner heard is not known here, and all machines would seem overdue.
 		if machine.Agent.Heartbeat != nil || machine.Lifecycle.Returning || !shard.OwnedSince.Before(time.UnixMilli(machine.Record.RentedAtMs)) {
 			continue
 		}
-		coming++
+		booting++
 		machineType := c.view.MachineType(machine.Record.Type)
 		if machine.Age(now) < c.provisioner.bootStats.Overdue(bootKindOf(machine), machineType.BootTime(), now) {
 			continue
 		}
-		late++
 		if !machine.Lifecycle.Overdue {
 			machine.Lifecycle.Overdue = true
 			c.provisioner.bootStats.Failed(bootKindOf(machine), now)
 			c.log.Info("machine boot overdue", "host", machine.Host, "type", machine.Record.Type, "zone", machine.Record.Zone, "age", machine.Age(now).Round(time.Second))
 		}
-		out = append(out, machine.Host)
+		overdue = append(overdue, machine.Host)
 	}
-	return out[:provisioning.ReplacementCount(late, coming)]
+	return overdue[:provisioning.ReplacementCount(len(overdue), booting)]
 }
 
-// unreliability is how many times as dear as it is a kind should seem, by what any shard's owner
-// has seen of late.
+// unreliability returns the factor by which a kind of machine seems dearer than it is: the
+// highest that any shard's owner has observed of late.
 func (c *Controller) unreliability(typeName, zone string, now time.Time) float64 {
-	most := c.provisioner.bootStats.Unreliability(provisioning.MachineKind{Type: typeName, Zone: zone}, now)
+	highest := c.provisioner.bootStats.Unreliability(provisioning.MachineKind{Type: typeName, Zone: zone}, now)
 	for _, reported := range c.shardLoads.reported {
 		if now.Sub(reported.At) < peerStatusTTL {
-			most = max(most, reported.Load.Unreliability[typeName+"/"+zone])
+			highest = max(highest, reported.Load.Unreliability[typeName+"/"+zone])
 		}
 	}
-	return most
+	return highest
 }
 
-// bootKindOf is what a machine's boot is expected to be like.
+// bootKindOf returns the kind of machine whose boots are expected to be like a machine's.
 func bootKindOf(machine *replica.Machine) provisioning.MachineKind {
 	return provisioning.MachineKind{Type: machine.Record.Type, Zone: machine.Record.Zone}
 }
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -169,7 +169,7 @@
 	}
 `, ``},
 	{"tries become rarer", "coordination/quarantine/job.go", `j.retryAt = now.Add(wait/2`, `j.retryAt = now.Add(0*wait`},
-	{"late boots do not count", "coordination/controller/boots.go", `return out[:provisioning.ReplacementCount(late, coming)]`, `return out[:0*provisioning.ReplacementCount(late, coming)]`},
+	{"late boots do not count", "coordination/controller/boots.go", `return overdue[:provisioning.ReplacementCount(len(overdue), booting)]`, `return overdue[:0*provisioning.ReplacementCount(len(overdue), booting)]`},
 	{"late ones are replaced a few at a time", "coordination/provisioning/replacement.go", `return min(overdue, 1+booting/bootingPerReplacement)`, `return overdue`},
 	{"boots are judged by who saw them", "coordination/controller/boots.go", ` || !shard.OwnedSince.Before(time.UnixMilli(machine.Record.RentedAtMs)) {
 			continue`, ` {
