--- /dev/null
+++ b/internal/coordination/controller/accept.go
@@ -0,0 +1,87 @@
+package controller
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
+	"madderslip/internal/transport"
+)
+
+// errRecordTooLarge is the answer to a submission whose record the state service refuses.
+var errRecordTooLarge = errors.New("the job's record is larger than the state service takes")
+
+// acceptJob records a job. If this controller owns one of the shards chosen for it and there
+// is capacity, the claim goes into the same transaction and the start follows at once.
+func (c *Controller) acceptJob(spec *protocol.Submission, reply func(transport.Response)) {
+	now := time.Now()
+	if backlog := c.backlog(kv.PriorityUser, now); backlog.Unavailable || backlog.ShouldShed(submitTimeout) {
+		reply(c.retryLater(kv.PriorityUser, now)) // at once: its time would run out in the queue
+		return
+	}
+	shards := c.chooseShards(spec, now)
+	record := &records.Job{Spec: spec, Shards: shards, AcceptedAtMs: now.UnixMilli(), ChunkSize: c.chunkSize(spec, shards)}
+	first := c.claimImmediately(spec, shards, now)
+	c.addQueued(shards, spec)
+	c.recordJob(spec.JobID, record, first, reply)
+}
+
+// addQueued adds a job to what this controller has queued at shards since their last report.
+func (c *Controller) addQueued(shards []string, spec *protocol.Submission) {
+	for _, name := range shards {
+		c.shardLoads.queuedSince[name] += spec.CPUs * float64(spec.Tasks)
+	}
+}
+
+// recordJob records that a job is accepted, with the claim on it if there is one.
+func (c *Controller) recordJob(jobID string, record *records.Job, first initialClaim, reply func(transport.Response)) {
+	until := time.Now().Add(submitTimeout)
+	key := records.JobPrefix + jobID
+	compares := append([]kv.Compare{{Key: key, Version: 0}}, first.conds...)
+	ops := append([]kv.Op{{Key: key, Value: record}}, first.ops()...)
+	c.commit(kv.PriorityUser, compares, ops, submitTimeout, func(err error) {
+		first.finish(c, err)
+		switch {
+		case err == nil:
+			c.log.Debug("job accepted", "job", jobID, "shards", record.Shards, "dependencies", len(record.Dependencies), "claimed", first.claim != nil)
+			c.replyStatus(jobID, http.StatusCreated, time.Until(until), reply)
+			c.broadcastAccepted(key, record)
+		case errors.Is(err, kv.ErrTooLarge) && !errors.Is(err, kv.ErrOutcomeUnknown):
+			reply(badRequest(errRecordTooLarge))
+		case errors.Is(err, kv.ErrCompareFailed):
+			c.resolveAcceptConflict(jobID, record, first, until, reply)
+		default:
+			reply(c.retryLater(kv.PriorityUser, time.Now()))
+		}
+	})
+}
+
+// resolveAcceptConflict answers a submission whose transaction found a record changed: that
+// of the job, which another controller has accepted, or one that the claim depends on.
+func (c *Controller) resolveAcceptConflict(jobID string, record *records.Job, first initialClaim, until time.Time, reply func(transport.Response)) {
+	switch status := c.jobStatus(jobID); {
+	case status.final:
+		c.replyStatus(jobID, http.StatusOK, time.Until(until), reply)
+	case status.known:
+		c.confirmStatus(jobID, submitTimeout/2, func() { reply(unavailable(shortRetry)) }, reply)
+	case first.claim != nil:
+		c.recordUnclaimed(records.JobPrefix+jobID, record, reply)
+	default:
+		reply(c.retryLater(kv.PriorityUser, time.Now()))
+	}
+}
+
+// recordUnclaimed records a job once more, without the claim that failed.
+func (c *Controller) recordUnclaimed(key string, record *records.Job, reply func(transport.Response)) {
+	c.commit(kv.PriorityUser, []kv.Compare{{Key: key, Version: 0}}, []kv.Op{{Key: key, Value: record}}, submitTimeout/2, func(err error) {
+		if err != nil {
+			reply(c.retryLater(kv.PriorityUser, time.Now()))
+			return
+		}
+		c.replyStatus(record.Spec.JobID, http.StatusCreated, submitTimeout/4, reply)
+		c.broadcastJob(key)
+	})
+}
--- a/internal/coordination/controller/admission.go
+++ b/internal/coordination/controller/admission.go
@@ -9,58 +9,66 @@
 	"madderslip/internal/transport"
 )
 
-// peerStatusTTL is how old another controller's word of its backlog may be.
+// peerStatusTTL is how long what another controller reports of itself counts: its backlog,
+// its contact, and whether it reaches the state service.
 const peerStatusTTL = 3 * time.Second
 
-// shareStateBudget takes this node's part of the state service's budgets: by need if all
-// live controllers have said theirs, else evenly.
+// shareStateBudget sets this controller's share of the state service's request budgets: by
+// need if all live controllers have reported theirs lately, else evenly.
 func (c *Controller) shareStateBudget(now time.Time) {
 	names := c.view.LiveNodes()
 	own := slices.Index(names, c.settings.NodeName)
-	waits := make([]int, max(1, len(names)))
-	known := own >= 0
+	backlogs := make([]int, max(1, len(names)))
+	isKnown := own >= 0
 	for i, name := range names {
-		w := c.membership.backlogs[name]
+		reported := c.membership.backlogs[name]
 		if i == own {
-			w.changes, _ = c.store.Backlog(kv.PriorityBackground)
-			w.at = now
+			reported.changes, _ = c.store.Backlog(kv.PriorityBackground)
+			reported.at = now
 		}
-		known = known && now.Sub(w.at) < peerStatusTTL
-		waits[i] = w.changes
+		isKnown = isKnown && now.Sub(reported.at) < peerStatusTTL
+		backlogs[i] = reported.changes
 	}
-	if !known {
-		clear(waits)
+	if !isKnown {
+		clear(backlogs)
 		own = 0
 	}
-	c.store.SetBudgetShare(admission.BudgetShare(waits, own))
+	c.store.SetBudgetShare(admission.BudgetShare(backlogs, own))
 }
 
-// backlog is what waits ahead of a transaction of a priority.
-func (c *Controller) backlog(prio int, now time.Time) admission.Backlog {
-	b := admission.Backlog{Unavailable: c.isStateDown(now)}
-	b.Pending, b.Rate = c.store.Backlog(prio)
-	return b
+// backlog returns what is queued ahead of a transaction of a priority.
+func (c *Controller) backlog(priority int, now time.Time) admission.Backlog {
+	backlog := admission.Backlog{Unavailable: c.isStateDown(now)}
+	backlog.Pending, backlog.Rate = c.store.Backlog(priority)
+	return backlog
 }
 
-// isStateServingOthers tells that the state service serves other controllers and not
-// this one. A node that refuses at once has the fewest open connections, so the
-// load balancer sends it the more users the longer it seems healthy.
+// isStateServingOthers reports whether the state service serves other controllers and not
+// this one. A controller that turns every user away at once has the fewest open connections,
+// so the load balancer sends it ever more of them while it looks healthy.
 func (c *Controller) isStateServingOthers(now time.Time) bool {
 	if !c.isStateDown(now) {
 		return false
 	}
-	for _, at := range c.membership.stateReachableAt {
-		if now.Sub(at) < peerStatusTTL {
+	for _, reachedAt := range c.membership.stateReachableAt {
+		if now.Sub(reachedAt) < peerStatusTTL {
 			return true
 		}
 	}
 	return false
 }
 
-// retryLater turns a user away, and says when to come back.
-func (c *Controller) retryLater(prio int, now time.Time) transport.Response {
+// retryLater returns the response that turns a user away, with when to come back: soon if
+// another controller can serve the user, else when the backlog should be worked off.
+func (c *Controller) retryLater(priority int, now time.Time) transport.Response {
 	if c.isStateServingOthers(now) {
-		return unavailable(1) // at another node, most likely
+		return unavailable(shortRetry)
 	}
-	return unavailable(int(c.backlog(prio, now).RetryAfter(c.random.Float64()) / time.Second))
+	return retryAfter(c.backlog(priority, now), c.random.Float64())
+}
+
+// retryAfter returns the response that turns a user away until a backlog should be worked
+// off. jitter, from 0 to 1, spreads the users over time.
+func retryAfter(backlog admission.Backlog, jitter float64) transport.Response {
+	return unavailable(int(backlog.RetryAfter(jitter) / time.Second))
 }
--- /dev/null
+++ b/internal/coordination/controller/collaborators.go
@@ -0,0 +1,79 @@
+package controller
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+)
+
+// StateStore is the state service as this package uses it. Its errors are those of package
+// kv.
+type StateStore interface {
+	// Get reads one key; the item of a key without a record has no value.
+	Get(ctx context.Context, key string) (kv.Item, error)
+	// List reads all records, as of the revision that it returns.
+	List(ctx context.Context) ([]kv.Item, uint64, error)
+	// Watch returns the changes after a revision, up to the one that it returns, and waits
+	// for them for as long as block if there are none yet.
+	Watch(ctx context.Context, from uint64, block time.Duration) ([]kv.Item, uint64, error)
+	// GrantLease returns a new lease.
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	// KeepAlive extends a lease.
+	KeepAlive(ctx context.Context, lease uint64) error
+	// Submit queues a transaction and returns at once.
+	Submit(txn *kv.Txn)
+	// HasPending returns how many transactions of a priority are queued.
+	HasPending(priority int) int
+	// SetBudgetShare sets this controller's share, from 0 to 1, of the request budgets.
+	SetBudgetShare(share float64)
+	// MaxValueBytes returns how large an encoded record may be.
+	MaxValueBytes() int
+	// ObserveVersion notes the version of a key that was read elsewhere.
+	ObserveVersion(key string, version uint64, exists bool)
+	// LastSuccess returns when the state service last answered.
+	LastSuccess() time.Time
+	// Backlog returns how many changes are queued ahead of a priority, and how many are
+	// sent in a second.
+	Backlog(priority int) (changes int, rate float64)
+	// ReadBacklog returns the same for reads.
+	ReadBacklog() (waiting int, rate float64)
+}
+
+// HTTPClient makes HTTP calls to agents and the cloud.
+type HTTPClient interface {
+	Do(ctx context.Context, addr, method, target string, body []byte) (int, []byte, error)
+}
+
+// PeerClient calls one other controller.
+type PeerClient interface {
+	Call(ctx context.Context, in, out any) error
+}
+
+// callJSON makes an HTTP call. It encodes in, unless that is nil, and decodes the body of an
+// answer of status 200 or 409 into out, unless that is nil. It returns the status, or 0 if
+// there was no answer.
+func (c *Controller) callJSON(ctx context.Context, addr, method, target string, in, out any, timeout time.Duration) (int, error) {
+	var body []byte
+	if in != nil {
+		var err error
+		if body, err = protocol.Encode(in); err != nil {
+			return 0, err
+		}
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	status, answer, err := c.httpClient.Do(ctx, addr, method, target, body)
+	if err != nil {
+		return 0, err
+	}
+	hasResult := len(answer) > 0 && (status == http.StatusOK || status == http.StatusConflict)
+	if out != nil && hasResult {
+		if err := protocol.Decode(answer, out); err != nil {
+			return status, err
+		}
+	}
+	return status, nil
+}
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -14,58 +14,10 @@
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
-	"madderslip/internal/storage/kv"
 )
 
-// callJSON makes an HTTP call with a JSON answer.
-func (c *Controller) callJSON(ctx context.Context, addr, method, target string, in, out any, timeout time.Duration) (int, error) {
-	var body []byte
-	if in != nil {
-		var err error
-		if body, err = protocol.Encode(in); err != nil {
-			return 0, err
-		}
-	}
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	defer cancel()
-	status, resp, err := c.httpClient.Do(ctx, addr, method, target, body)
-	if err != nil {
-		return 0, err
-	}
-	if out != nil && len(resp) > 0 && (status == 200 || status == 409) {
-		if err := protocol.Decode(resp, out); err != nil {
-			return status, err
-		}
-	}
-	return status, nil
-}
-
-// StateStore is the state service as this package uses it.
-type StateStore interface {
-	Get(ctx context.Context, key string) (kv.Item, error)
-	List(ctx context.Context) ([]kv.Item, uint64, error)
-	Watch(ctx context.Context, from uint64, block time.Duration) ([]kv.Item, uint64, error)
-	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
-	KeepAlive(ctx context.Context, permit uint64) error
-	Submit(t *kv.Txn)
-	HasPending(prio int) int
-	SetBudgetShare(part float64)
-	MaxValueBytes() int
-	ObserveVersion(key string, stamp uint64, exists bool)
-	LastSuccess() time.Time
-	Backlog(prio int) (changes int, rate float64)
-	ReadBacklog() (waiting int, rate float64)
-}
-
-// HTTPClient makes HTTP calls to workers and the cloud.
-type HTTPClient interface {
-	Do(ctx context.Context, addr, method, target string, body []byte) (int, []byte, error)
-}
-
-// PeerClient calls one other controller.
-type PeerClient interface {
-	Call(ctx context.Context, in, out any) error
-}
+// tolerance is what rounding may leave of sums that should be equal.
+const tolerance = protocol.ResourceTolerance
 
 // Controller is one controller. Its fields are guarded by mu, but for the collaborators and
 // what is set once; methods that do not take the lock themselves expect it to be held by
@@ -84,7 +36,7 @@
 	waitWhilePaused func(context.Context)
 
 	mu              sync.Mutex
-	ctx             context.Context // of Run
+	ctx             context.Context // of Run: the process's life
 	view            *replica.View
 	membership      membership
 	leadership      leadership
@@ -97,23 +49,25 @@
 	partitionSeenAt map[string]time.Time // by zone: when it last seemed partitioned
 	runtimeRatios   map[string]float64   // by job class: observed run time over the estimate
 	pendingReplies  []pendingReply
-	pendingCommands map[*replica.Machine]struct{} // machines with commands to be sent
-	claimIntents    []string                      // claims under way that the other controllers were not told of
-	nextRepeated    string                        // the cancelled job to be repeated to the others next
-	readingOrphans  bool                          // the jobs of claims without a job are being read
-	refreshCount    int                           // reads of keys after failed transactions, so far
-	gangsSearchedAt time.Time
+	pendingCommands map[*replica.Machine]struct{} // machines with commands to send
+	claimIntents    []string                      // keys of new claims of which the other controllers are not notified yet
+	nextRepeated    string                        // the cancelled job whose turn to be repeated is next
+	readingOrphans  bool                          // the jobs of orphaned claims are being read
+	refreshCount    int                           // reads of keys after failed transactions, so far; it numbers them
+	gangsSearchedAt time.Time                     // when capacity for gangs was last sought
 	scratch         capacityScratch
 }
 
-// membership is what the controllers know of one another beside the records.
+// membership is what the controllers know of one another beside the records, each by the
+// other's name.
 type membership struct {
 	lease            uint64                 // of this process; 0: none
-	lastContact      map[string]time.Time   // when each other controller last spoke
-	stateReachableAt map[string]time.Time   // when each last said that the state service serves it
-	backlogs         map[string]peerBacklog // changes that wait at each, as it last said
+	lastContact      map[string]time.Time   // when each was last in contact
+	stateReachableAt map[string]time.Time   // when each last reported that it reaches the state service
+	backlogs         map[string]peerBacklog // changes queued at each, as it last reported
 }
 
+// newMembership returns an empty membership.
 func newMembership() membership {
 	return membership{
 		lastContact:      make(map[string]time.Time),
@@ -122,12 +76,13 @@
 	}
 }
 
-// shardLoads is how loaded each shard is, to choose where a job queues.
+// shardLoads is how loaded each shard is, from which the shards of a new job are chosen.
 type shardLoads struct {
 	reported    map[string]replica.ReportedLoad // by shard
-	queuedSince map[string]float64              // CPUs this node queued at a shard since its last report
+	queuedSince map[string]float64              // by shard: CPUs that this controller queued there since its last report
 }
 
+// newShardLoads returns empty loads.
 func newShardLoads() shardLoads {
 	return shardLoads{reported: make(map[string]replica.ReportedLoad), queuedSince: make(map[string]float64)}
 }
@@ -138,12 +93,13 @@
 	list       []*placement.Capacity
 }
 
+// peerBacklog is how many changes were queued at another controller at a time.
 type peerBacklog struct {
 	changes int
 	at      time.Time
 }
 
-// Options are a node's collaborators.
+// Options are a controller's settings and collaborators.
 type Options struct {
 	Settings protocol.Settings
 	Policy   policy.Policy
@@ -152,23 +108,34 @@
 	Peers    map[string]PeerClient
 	Log      *slog.Logger
 	Rand     *rand.Rand
-	// Stand, if set, is called before each turn of a loop and waits for as long as
-	// the process is to stand still: tests freeze a controller with it.
+	// WaitWhilePaused, if set, is called before each turn of a loop and returns once the
+	// process is to go on: tests pause a controller with it.
 	WaitWhilePaused func(context.Context)
 }
 
-// Until it is known who leads, the controllers share this part of the cloud's request rate
-// evenly.
-const initialCloudShare = 0.8
-
-const cloudBurst = 3
+const (
+	// initialCloudShare is the part of the cloud's request rate that the controllers share
+	// evenly until the leader is known.
+	initialCloudShare = 0.8
+	// cloudBurst is how many requests to the cloud may follow one another at once.
+	cloudBurst = 3
+)
 
-// New makes a controller; Run starts its loops.
+// New returns a controller; Run starts its loops.
 func New(o Options) *Controller {
+	cloudRate := o.Settings.CloudLimits.RequestRate * initialCloudShare / float64(max(1, o.Settings.NodeCount))
 	controller := &Controller{
-		settings: o.Settings, policy: o.Policy, store: o.Store, httpClient: o.HTTP, peerClients: o.Peers, log: o.Log, random: o.Rand,
-		startedAt: time.Now(), wakeUp: make(chan struct{}, 1), ctx: context.Background(),
-		cloudLimiter:    rate.NewLimiter(rate.Limit(o.Settings.CloudLimits.RequestRate*initialCloudShare/float64(max(1, o.Settings.NodeCount))), cloudBurst),
+		settings:        o.Settings,
+		policy:          o.Policy,
+		store:           o.Store,
+		httpClient:      o.HTTP,
+		peerClients:     o.Peers,
+		log:             o.Log,
+		random:          o.Rand,
+		startedAt:       time.Now(),
+		wakeUp:          make(chan struct{}, 1),
+		ctx:             context.Background(),
+		cloudLimiter:    rate.NewLimiter(rate.Limit(cloudRate), cloudBurst),
 		membership:      newMembership(),
 		shardLoads:      newShardLoads(),
 		preemptions:     newPreemptions(),
@@ -192,11 +159,11 @@
 	return controller
 }
 
-// loopStagger is how far apart the loops start: their periods are multiples of one
-// another, and started together they would wait for the lock together for ever.
+// loopStagger is how far apart the loops start. Their periods are multiples of one another, so
+// loops that start together would compete for the lock in every turn.
 const loopStagger = 1370 * time.Microsecond
 
-// Run starts the loops and returns when the context ends.
+// Run starts the loops and returns when the context has ended and the loops with it.
 func (c *Controller) Run(ctx context.Context) {
 	c.mu.Lock()
 	c.ctx = ctx
@@ -213,7 +180,7 @@
 	wg.Wait()
 }
 
-// wake asks for a pass over the work soon.
+// wake asks for a pass of the work loop soon.
 func (c *Controller) wake() {
 	select {
 	case c.wakeUp <- struct{}{}:
@@ -221,7 +188,7 @@
 	}
 }
 
-// pause waits between two turns of a loop.
+// pause waits between two turns of a loop, and reports whether the loop should go on.
 func (c *Controller) pause(ctx context.Context, d time.Duration) bool {
 	if !pause(ctx, d) {
 		return false
@@ -230,13 +197,14 @@
 	return ctx.Err() == nil
 }
 
+// pause waits for a time, and reports whether the context is still alive then.
 func pause(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
--- a/internal/coordination/controller/dependencies.go
+++ b/internal/coordination/controller/dependencies.go
@@ -2,8 +2,8 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
+	"net/http"
 	"time"
 
 	"madderslip/internal/coordination/dag"
@@ -14,130 +14,115 @@
 	"madderslip/internal/transport"
 )
 
-// Package pipeline decides about jobs that wait for others. The loops here carry its
-// decisions out: a held job's record becomes an ordinary one once all that it needs is
-// done, and a final one once it is cancelled with a job before it. The second is only
-// tidiness: what is cancelled follows from the records that are there already.
+// Package dag decides about jobs that depend on others. The methods here carry its decisions
+// out: a blocked job's record becomes an ordinary one once all that it depends on is done,
+// and a final one once it is cancelled with a job that it depends on. The latter only brings
+// the records up to date: what is cancelled follows from those that exist already.
 
-// dependencyVersion is what controllers of these sources say of themselves.
+// dependencyVersion is the version of job dependencies that this controller announces in its
+// record.
 const dependencyVersion = 1
 
 const (
 	releaseDelay        = 300 * time.Millisecond // after a job has become ready
 	releaseStagger      = 500 * time.Millisecond // between one controller's turn and the next's
-	cancelRecordDelay   = 3 * time.Second
-	cancelRecordStagger = 5 * time.Second
-	maxReleasing        = 24 // at a time
-	maxCancelRecords    = 4  // at a time
-	urgencyInterval     = 2 * time.Second
+	cancelRecordDelay   = 3 * time.Second        // after a job has been cancelled with another
+	cancelRecordStagger = 5 * time.Second        // between one controller's turn and the next's
+	cancelRecordTimeout = 10 * time.Second
+	maxReleasing        = 24              // at a time
+	maxCancelRecords    = 4               // at a time
+	urgencyInterval     = 2 * time.Second // between two passes over the raised jobs while nothing changes
 )
 
-// dependencies is what a node remembers of jobs that wait for others.
+// dependencies is what a controller remembers of jobs that depend on others.
 type dependencies struct {
-	releasing          map[string]bool // a change of their record is under way
-	recordingCancelled int
-	reading            bool // the records of needed jobs are being read
-	raisedJobs         map[string]*replica.Job
-	appliedChanges     uint64 // the graph's changes up to which ranks have been passed on
-	appliedAt          time.Time
+	releasing          map[string]bool         // blocked jobs whose record is being changed
+	recordingCancelled int                     // how many of those changes record a cancellation
+	reading            bool                    // the records of jobs that others depend on are being read
+	raisedJobs         map[string]*replica.Job // jobs that inherit urgency from their dependents
+	appliedChanges     uint64                  // the graph's changes up to which urgency was propagated
+	appliedAt          time.Time               // when it last was
 }
 
 func newDependencies() dependencies {
 	return dependencies{releasing: make(map[string]bool), raisedJobs: make(map[string]*replica.Job)}
 }
 
-// blockedStatus is what the cache says of a job that waits for others.
-func (c *Controller) blockedStatus(jobID string) (answer protocol.JobStatus, version uint64, final, held bool) {
-	blocked, held := c.view.Dependencies.Lookup(jobID)
-	if !held {
-		return answer, 0, false, false
+// blockedStatus returns what the cache says of a blocked job; for any other it is not known.
+func (c *Controller) blockedStatus(jobID string) cachedStatus {
+	blocked, isBlocked := c.view.Dependencies.Lookup(jobID)
+	if !isBlocked {
+		return cachedStatus{}
 	}
-	answer = protocol.JobStatus{JobID: jobID, Phase: protocol.JobPending}
+	status := cachedStatus{answer: protocol.JobStatus{JobID: jobID, Phase: protocol.JobPending}, version: blocked.Revision, known: true}
 	if c.view.Dependencies.IsCancelled(jobID) {
-		answer.Phase, final = protocol.JobCancelled, true
+		status.answer.Phase, status.final = protocol.JobCancelled, true
 	}
-	return answer, blocked.Revision, final, true
+	return status
 }
 
-// isUndecided tells that a job waits, and that a cancellation this node has not read of
-// yet could have cancelled it: its own record does not show that.
+// isUndecided reports whether a job is blocked and may have been cancelled by a cancellation
+// that this controller has not read yet: the job's own record does not show that.
 func (c *Controller) isUndecided(jobID string) bool {
 	graph := c.view.Dependencies
-	_, held := graph.Lookup(jobID)
-	return held && !graph.IsReady(jobID) && !graph.IsCancelled(jobID)
+	_, isBlocked := graph.Lookup(jobID)
+	return isBlocked && !graph.IsReady(jobID) && !graph.IsCancelled(jobID)
 }
 
-// replyWhenRead answers once the watch has come to a revision that the state service had
-// after the question came in: a linearizable read of all the jobs before this one.
-func (c *Controller) replyWhenRead(jobID string, revision uint64, until time.Time, reply func(transport.Response)) {
-	if revision == 0 {
-		reply(unavailable(1))
-		return
-	}
-	c.pendingReplies = append(c.pendingReplies, pendingReply{revision, until, func(read bool) {
-		if !read {
-			reply(unavailable(1))
-			return
-		}
-		c.replyStatus(jobID, 200, time.Until(until), reply)
-	}})
-	c.sendPendingReplies(time.Now())
-}
-
-// allSupportDependencies tells whether every live controller knows held jobs. One that
-// does not would start what it accepts at once.
+// allSupportDependencies reports whether every live controller supports blocked jobs. One
+// that does not would start at once what it accepts.
 func (c *Controller) allSupportDependencies() bool {
-	for _, seen := range c.view.Nodes {
-		if seen.DependencyVersion < dependencyVersion {
+	for _, node := range c.view.Nodes {
+		if node.DependencyVersion < dependencyVersion {
 			return false
 		}
 	}
 	return len(c.view.Nodes) > 0
 }
 
-// acceptDependent accepts a job that names others, once it is certain that each of those
-// was accepted.
+// acceptDependent accepts a job that depends on others, once it is certain that each of
+// those was accepted.
 func (c *Controller) acceptDependent(spec *protocol.Submission, until time.Time, reply func(transport.Response)) {
-	if !c.allSupportDependencies() || time.Until(until) < 200*time.Millisecond {
-		reply(unavailable(1))
+	if !c.allSupportDependencies() || time.Until(until) < minCommitTime {
+		reply(unavailable(shortRetry))
 		return
 	}
 	if missing := c.unknownJobs(spec.Dependencies); len(missing) > 0 {
 		c.proveDependencies(spec, missing, until, reply)
 		return
 	}
-	left, cancelled := c.view.Dependencies.Resolve(spec.Dependencies)
+	unfinished, cancelled := c.view.Dependencies.Resolve(spec.Dependencies)
 	own := *spec
 	own.Dependencies = nil
 	now := time.Now()
 	switch {
 	case cancelled:
 		c.recordJob(own.JobID, &records.Job{State: protocol.JobCancelled, Tasks: own.Tasks, CancelledAtMs: now.UnixMilli()}, initialClaim{}, reply)
-	case len(left) > 0:
-		c.recordJob(own.JobID, &records.Job{State: records.JobBlocked, Spec: &own, Dependencies: left, AcceptedAtMs: now.UnixMilli()}, initialClaim{}, reply)
+	case len(unfinished) > 0:
+		c.recordJob(own.JobID, &records.Job{State: records.JobBlocked, Spec: &own, Dependencies: unfinished, AcceptedAtMs: now.UnixMilli()}, initialClaim{}, reply)
 	default:
 		c.acceptJob(&own, reply)
 	}
 }
 
 // unknownJobs lists those jobs of which the cache has no record. A job's record is never
-// dropped, so a cached one proves for ever that the job was accepted.
+// removed, so a cached one proves that the job was accepted.
 func (c *Controller) unknownJobs(jobIDs []string) (missing []string) {
 	for _, jobID := range jobIDs {
-		if _, _, _, known := c.jobStatus(jobID); !known {
+		if !c.jobStatus(jobID).known {
 			missing = append(missing, jobID)
 		}
 	}
 	return missing
 }
 
-// maxProvedJobs bounds the conditions of one question whether jobs exist. It fits the
-// lowest limits that the service can work with.
+// maxProvedJobs bounds the compares of one transaction that asks whether jobs exist. It fits
+// the lowest limits with which the state service can be used.
 const maxProvedJobs = 12
 
-// proveDependencies asks the state service whether jobs were accepted of which the cache has no
-// record. That none of them was, and the job itself neither, is a 422; those that were
-// are in the cache afterwards.
+// proveDependencies asks the state service whether jobs were accepted of which the cache has
+// no record. If neither any of them was nor the job itself, the submission is rejected; those
+// that were are in the cache afterwards, and the submission is tried again.
 func (c *Controller) proveDependencies(spec *protocol.Submission, missing []string, until time.Time, reply func(transport.Response)) {
 	missing = missing[:min(len(missing), maxProvedJobs)]
 	compares := []kv.Compare{{Key: records.JobPrefix + spec.JobID, Version: 0}}
@@ -147,22 +132,19 @@
 	c.commit(kv.PriorityUser, compares, nil, time.Until(until), func(err error) {
 		switch {
 		case err == nil:
-			body, _ := json.Marshal(map[string]string{"error": "awaits names " + missing[0] + ", which was never accepted"})
-			reply(transport.Response{Status: 422, Body: body})
+			reply(errorResponse(http.StatusUnprocessableEntity, "awaits names "+missing[0]+", which was never accepted"))
 		case !errors.Is(err, kv.ErrCompareFailed):
 			reply(c.retryLater(kv.PriorityUser, time.Now()))
+		case c.jobStatus(spec.JobID).known:
+			c.confirmStatus(spec.JobID, time.Until(until), func() { reply(unavailable(shortRetry)) }, reply)
 		default:
-			if _, _, _, known := c.jobStatus(spec.JobID); known {
-				c.confirmStatus(spec.JobID, time.Until(until), func() { reply(unavailable(1)) }, reply)
-				return
-			}
 			c.acceptDependent(spec, until, reply)
 		}
 	})
 }
 
-// releaseDependents releases the jobs for which the end of one, just committed here, was the
-// last that they needed. Nobody else knows of it yet.
+// releaseDependents releases the jobs for which a job whose end was just committed here was
+// the last unfinished dependency. No other controller has read of that end yet.
 func (c *Controller) releaseDependents(jobID string, now time.Time) {
 	for _, resolved := range c.view.Dependencies.ReadyJobs() {
 		if resolved.LastDependency == jobID {
@@ -171,19 +153,14 @@
 	}
 }
 
-// reconcileDependencies works off the difference between what is decided of jobs that wait and
-// what is on record. Controllers do so by turns; the conditional write decides.
+// reconcileDependencies brings the records of blocked jobs in line with what is decided about
+// them. Each controller waits for its turn, which keeps several from trying at once; the
+// compare of the job's version decides.
 func (c *Controller) reconcileDependencies(now time.Time) {
 	if c.view.Dependencies.Len() == 0 || c.isStateDown(now) {
 		return
 	}
-	turn := time.Duration(0)
-	for _, name := range c.view.LiveNodes() {
-		if name == c.settings.NodeName {
-			break
-		}
-		turn++
-	}
+	turn := c.dependencyTurn()
 	for _, resolved := range c.view.Dependencies.ReadyJobs() {
 		if now.Sub(resolved.Since) >= releaseDelay+turn*releaseStagger {
 			c.releaseJob(resolved.Job, now)
@@ -197,34 +174,52 @@
 	c.readDependencies()
 }
 
-// releaseJob lets a job into the queues all of whose needed jobs are done. They are done in
-// the records, for ever, so the job's own revision is the only condition. The claim goes
-// with it if this node can make it at once.
+// dependencyTurn returns how many live controllers act before this one.
+func (c *Controller) dependencyTurn() time.Duration {
+	turn := time.Duration(0)
+	for _, name := range c.view.LiveNodes() {
+		if name == c.settings.NodeName {
+			break
+		}
+		turn++
+	}
+	return turn
+}
+
+// releaseJob admits a job to the queues all of whose dependencies are done. They stay done in
+// the records, so the job's own revision is the only condition. The claim goes into the same
+// transaction if this controller can make it at once.
 func (c *Controller) releaseJob(blocked dag.Job, now time.Time) {
 	if c.dependencies.releasing[blocked.ID] || len(c.dependencies.releasing) >= maxReleasing || len(c.view.MachineTypes) == 0 {
 		return
 	}
-	at := c.chooseShards(blocked.Spec, now)
-	record := &records.Job{Spec: blocked.Spec, Shards: at, AcceptedAtMs: blocked.AcceptedAt.UnixMilli(), ReleasedAtMs: now.UnixMilli(), ChunkSize: c.chunkSize(blocked.Spec, at)}
+	shards := c.chooseShards(blocked.Spec, now)
+	record := &records.Job{
+		Spec:         blocked.Spec,
+		Shards:       shards,
+		AcceptedAtMs: blocked.AcceptedAt.UnixMilli(),
+		ReleasedAtMs: now.UnixMilli(),
+		ChunkSize:    c.chunkSize(blocked.Spec, shards),
+	}
 	raised := dag.Inherit(blocked.Spec, c.view.Dependencies.Urgency(blocked.ID, c.estimateRuntime), 0)
 	c.dependencies.releasing[blocked.ID] = true
-	c.commitRelease(blocked, record, c.claimImmediately(raised, at, now))
+	c.commitRelease(blocked, record, c.claimImmediately(raised, shards, now))
 }
 
+// commitRelease commits the record that releases a job, and once more without the claim if
+// only that failed.
 func (c *Controller) commitRelease(blocked dag.Job, record *records.Job, first initialClaim) {
 	key := records.JobPrefix + blocked.ID
 	compares := append([]kv.Compare{{Key: key, Version: blocked.Revision}}, first.conds...)
 	ops := append([]kv.Op{{Key: key, Value: record}}, first.ops()...)
-	for _, name := range record.Shards {
-		c.shardLoads.queuedSince[name] += blocked.Spec.CPUs * float64(blocked.Spec.Tasks)
-	}
+	c.addQueued(record.Shards, blocked.Spec)
 	c.commit(kv.PriorityClaim, compares, ops, submitTimeout, func(err error) {
 		first.finish(c, err)
 		if err == nil {
 			c.log.Debug("job released", "job", blocked.ID, "class", blocked.Spec.Class, "shards", record.Shards, "claimed", first.claim != nil)
 			c.broadcastJob(key)
 		} else if errors.Is(err, kv.ErrCompareFailed) && first.claim != nil {
-			if still, held := c.view.Dependencies.Lookup(blocked.ID); held && still.Revision == blocked.Revision {
+			if cached, isBlocked := c.view.Dependencies.Lookup(blocked.ID); isBlocked && cached.Revision == blocked.Revision {
 				c.commitRelease(blocked, record, initialClaim{}) // only the claim failed
 				return
 			}
@@ -233,8 +228,8 @@
 	})
 }
 
-// recordCancelled writes down that a job is cancelled because one before it is. Its
-// users have been told so already.
+// recordCancelled records that a job is cancelled because one that it depends on is. Its
+// users are answered so already.
 func (c *Controller) recordCancelled(blocked dag.Job, since time.Time) {
 	if c.dependencies.releasing[blocked.ID] || c.dependencies.recordingCancelled >= maxCancelRecords {
 		return
@@ -243,14 +238,14 @@
 	c.dependencies.recordingCancelled++
 	key := records.JobPrefix + blocked.ID
 	record := &records.Job{State: protocol.JobCancelled, Tasks: blocked.Spec.Tasks, CancelledAtMs: since.UnixMilli()}
-	c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: blocked.Revision}}, []kv.Op{{Key: key, Value: record}}, 10*time.Second, func(error) {
+	c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: blocked.Revision}}, []kv.Op{{Key: key, Value: record}}, cancelRecordTimeout, func(error) {
 		delete(c.dependencies.releasing, blocked.ID)
 		c.dependencies.recordingCancelled--
 	})
 }
 
-// readDependencies reads the records of needed jobs that this node has forgotten: it keeps a
-// bounded number of those that are over.
+// readDependencies reads the records of jobs that others depend on and that the cache no
+// longer has: it keeps a bounded number of those that are over.
 func (c *Controller) readDependencies() {
 	jobIDs := c.view.Dependencies.UnknownDependencies()
 	if len(jobIDs) == 0 || c.dependencies.reading {
@@ -261,18 +256,9 @@
 	life := c.ctx
 	go func() {
 		for _, jobID := range jobIDs {
-			ctx, cancel := context.WithTimeout(life, jobReadTimeout)
-			item, err := c.store.Get(ctx, records.JobPrefix+jobID)
-			cancel()
-			if err != nil {
+			if c.readDependency(life, jobID) != nil {
 				break
 			}
-			c.mu.Lock()
-			if c.view.JobState(jobID) == dag.Unknown {
-				delete(c.view.Versions, item.Key)
-				c.view.ApplyItem(item)
-			}
-			c.mu.Unlock()
 		}
 		c.mu.Lock()
 		c.dependencies.reading = false
@@ -280,41 +266,65 @@
 	}()
 }
 
-// propagateUrgency gives the jobs that others need the rank and the time of those, and takes
-// them back where nobody needs them any more.
+// readDependency reads a job's record and applies it. It takes the lock itself.
+func (c *Controller) readDependency(ctx context.Context, jobID string) error {
+	ctx, cancel := context.WithTimeout(ctx, jobReadTimeout)
+	item, err := c.store.Get(ctx, records.JobPrefix+jobID)
+	cancel()
+	if err != nil {
+		return err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.view.JobState(jobID) == dag.Unknown {
+		// The version is known although the record was dropped; with it the item would be
+		// ignored.
+		delete(c.view.Versions, item.Key)
+		c.view.ApplyItem(item)
+	}
+	return nil
+}
+
+// propagateUrgency gives the jobs that others depend on the priority and the deadlines of
+// those, and withdraws them where no job depends on them any more.
 func (c *Controller) propagateUrgency(now time.Time) {
-	p := &c.dependencies
-	if p.appliedChanges == c.view.Dependencies.Changes() && (len(p.raisedJobs) == 0 || now.Sub(p.appliedAt) < urgencyInterval) {
+	state := &c.dependencies
+	isUnchanged := state.appliedChanges == c.view.Dependencies.Changes()
+	if isUnchanged && (len(state.raisedJobs) == 0 || now.Sub(state.appliedAt) < urgencyInterval) {
 		return
 	}
-	p.appliedChanges, p.appliedAt = c.view.Dependencies.Changes(), now
+	state.appliedChanges, state.appliedAt = c.view.Dependencies.Changes(), now
 	c.view.Dependencies.InvalidateUrgency()
 	for _, jobID := range c.view.Dependencies.DependencyIDs() {
 		if job := c.view.Jobs[jobID]; job != nil && job.Record != nil {
-			p.raisedJobs[jobID] = job
+			state.raisedJobs[jobID] = job
 		}
 	}
-	for jobID, job := range p.raisedJobs {
+	for jobID, job := range state.raisedJobs {
 		c.inheritUrgency(job)
 		if c.view.Jobs[jobID] != job || (job.Inherited == replica.Inheritance{}) {
-			delete(p.raisedJobs, jobID)
+			delete(state.raisedJobs, jobID)
 		}
 	}
 }
 
-// inheritUrgency works out what an open job has from those that need it.
+// inheritUrgency works out what an open job inherits from those that depend on it, and has
+// its claims reconciled if that has changed.
 func (c *Controller) inheritUrgency(job *replica.Job) {
 	graph := c.view.Dependencies
-	if job.Record.IsFinal() || job.Record.Spec == nil || (graph.DependentCount(job.ID) == 0 && job.Inherited == replica.Inheritance{}) {
+	if job.Record.IsFinal() || job.Record.Spec == nil {
+		return
+	}
+	if graph.DependentCount(job.ID) == 0 && job.Inherited == (replica.Inheritance{}) {
 		return
 	}
 	before := job.Spec()
-	u := graph.Urgency(job.ID, c.estimateRuntime)
-	job.Inherited.FinishBy = u.FinishBy
-	switch raised := dag.Inherit(job.Record.Spec, u, time.Since(job.SeenAt)); {
+	urgency := graph.Urgency(job.ID, c.estimateRuntime)
+	job.Inherited.FinishBy = urgency.FinishBy
+	switch raised := dag.Inherit(job.Record.Spec, urgency, time.Since(job.SeenAt)); {
 	case raised == job.Record.Spec:
 		job.Inherited.From, job.Inherited.Spec = nil, nil
-	case job.Inherited.From == job.Record.Spec && job.Inherited.Spec.PriorityClass == raised.PriorityClass && job.Inherited.Spec.AllowSpot == raised.AllowSpot:
+	case inheritsAlready(job, raised):
 		return
 	default:
 		job.Inherited.From, job.Inherited.Spec = job.Record.Spec, raised
@@ -329,3 +339,11 @@
 	}
 	c.view.Unplaced[job.ID] = job
 }
+
+// inheritsAlready reports whether a job has been raised from its present description to the
+// same priority and use of spot instances. Its description is then kept, since a new one of
+// the same content would have all its claims reconciled.
+func inheritsAlready(job *replica.Job, raised *protocol.Submission) bool {
+	inherited := job.Inherited
+	return inherited.From == job.Record.Spec && inherited.Spec.PriorityClass == raised.PriorityClass && inherited.Spec.AllowSpot == raised.AllowSpot
+}
--- a/internal/coordination/controller/peers.go
+++ b/internal/coordination/controller/peers.go
@@ -14,9 +14,27 @@
 	"madderslip/internal/storage/records"
 )
 
-// peerLoop tells the other controllers this node's load every second.
+const (
+	// peerInterval is the time between two periodic messages. The odd part keeps the loop's
+	// turns apart from those of the other loops.
+	peerInterval = time.Second + 59*time.Nanosecond
+	// peerCallTimeout bounds one call of another controller.
+	peerCallTimeout = 900 * time.Millisecond
+	// stateReachableTTL is for how long after its last success the state service counts as
+	// reached.
+	stateReachableTTL = 1500 * time.Millisecond
+	// loadCacheTTL is how long a shard's load, once worked out, serves its owner.
+	loadCacheTTL = 200 * time.Millisecond
+	// maxRepeatedCancellations bounds the cancellations that are repeated in one message.
+	maxRepeatedCancellations = 100
+	// notifiedTTL is for how long a controller that has confirmed a cancellation counts as
+	// knowing it: it may end and start anew.
+	notifiedTTL = 10 * time.Second
+)
+
+// peerLoop sends the other controllers this one's status every second.
 func (c *Controller) peerLoop(ctx context.Context) {
-	for c.pause(ctx, time.Second+59*time.Nanosecond) {
+	for c.pause(ctx, peerInterval) {
 		c.mu.Lock()
 		c.shareStateBudget(time.Now())
 		message := c.statusMessage()
@@ -25,8 +43,18 @@
 	}
 }
 
+// newPeerMessage returns a message with updates of keys, sent just after the state service
+// was reached.
+func (c *Controller) newPeerMessage(updates ...protocol.KeyUpdate) protocol.PeerMessage {
+	return protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, Updates: updates}
+}
+
+// statusMessage returns the periodic message: this controller's backlog, the cancellations to
+// be repeated, its demands, and the loads of its shards.
 func (c *Controller) statusMessage() protocol.PeerMessage {
-	message := protocol.PeerMessage{From: c.settings.NodeName, StateReachable: time.Since(c.store.LastSuccess()) < 1500*time.Millisecond, Periodic: true}
+	message := c.newPeerMessage()
+	message.StateReachable = time.Since(c.store.LastSuccess()) < stateReachableTTL
+	message.Periodic = true
 	message.PendingChanges, _ = c.store.Backlog(kv.PriorityBackground)
 	message.Updates = c.repeatedCancellations(time.Now())
 	message.Demands, message.DemandsComplete = c.view.Quota.Demands(time.Now()), true
@@ -38,42 +66,37 @@
 	return message
 }
 
-// maxRepeatedCancellations bounds the cancellations that are repeated in one message, notifiedTTL
-// how long a controller that took one is held to know it: it may end and come back.
-const (
-	maxRepeatedCancellations = 100
-	notifiedTTL              = 10 * time.Second
-)
-
-// repeatedCancellations are the cancellations to be told again, by turns. The watch brings them to
-// whoever the state service serves; an owner that it refuses, or that was cut off as a
-// job was cancelled and whose zone healed in an outage, kept its tasks beyond the bound
-// though others knew. With the same hundred told each time the next was never told.
-func (c *Controller) repeatedCancellations(now time.Time) (news []protocol.KeyUpdate) {
+// repeatedCancellations returns the cancellations to be sent once more. The watch brings them
+// to each controller that the state service serves; repeating them prevents an owner that it
+// refuses, or that was cut off as a job was cancelled and whose zone healed in an outage, from
+// keeping the job's tasks beyond the deadline though others know. They take turns, so that
+// each is repeated even if there are more than fit a message
+// (TestAllCancellationsAreRepeated).
+func (c *Controller) repeatedCancellations(now time.Time) (updates []protocol.KeyUpdate) {
 	var jobIDs []string
-	down := c.isStateDown(now)
+	isDown := c.isStateDown(now)
 	for jobID, job := range c.view.CancelledJobs {
-		if down || c.ownerMayMiss(job, now) {
+		if isDown || c.ownerMayMiss(job, now) {
 			jobIDs = append(jobIDs, jobID)
 		}
 	}
 	slices.Sort(jobIDs)
 	at, _ := slices.BinarySearch(jobIDs, c.nextRepeated)
 	for _, jobID := range slices.Concat(jobIDs[at:], jobIDs[:at]) {
-		if len(news) == maxRepeatedCancellations {
+		if len(updates) == maxRepeatedCancellations {
 			c.nextRepeated = jobID
 			break
 		}
 		job := c.view.CancelledJobs[jobID]
 		if raw, err := protocol.Encode(job.Record); err == nil {
-			news = append(news, protocol.KeyUpdate{Key: records.JobPrefix + jobID, Value: raw, Version: job.Version})
+			updates = append(updates, protocol.KeyUpdate{Key: records.JobPrefix + jobID, Value: raw, Version: job.Version})
 		}
 	}
-	return news
+	return updates
 }
 
-// ownerMayMiss tells that an owner of a machine that may keep a cancelled job's tasks has
-// not said lately that the state service serves it.
+// ownerMayMiss reports whether the owner of a machine that may have tasks of a cancelled job
+// has not reported lately that it reaches the state service.
 func (c *Controller) ownerMayMiss(job *replica.Job, now time.Time) bool {
 	for _, claim := range job.Claims {
 		for _, slot := range claim.Slots {
@@ -81,7 +104,10 @@
 				continue
 			}
 			shard := c.view.Shards[slot.Host.Machine.Record.Shard]
-			if shard != nil && shard.Record != nil && shard.Record.Owner != c.settings.NodeName && now.Sub(c.membership.stateReachableAt[shard.Record.Owner]) > peerStatusTTL {
+			if shard == nil || shard.Record == nil || shard.Record.Owner == c.settings.NodeName {
+				continue
+			}
+			if now.Sub(c.membership.stateReachableAt[shard.Record.Owner]) > peerStatusTTL {
 				return true
 			}
 		}
@@ -89,31 +115,33 @@
 	return false
 }
 
+// broadcast sends a message to every other controller and does not wait for their answers.
 func (c *Controller) broadcast(ctx context.Context, message protocol.PeerMessage) {
 	for _, name := range slices.Sorted(maps.Keys(c.peerClients)) {
 		peer := c.peerClients[name]
 		go func() {
-			ctx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
+			ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 			defer cancel()
-			var out protocol.PeerMessage
-			if err := peer.Call(ctx, message, &out); err != nil {
+			var answer protocol.PeerMessage
+			if err := peer.Call(ctx, message, &answer); err != nil {
 				c.log.Debug("peer unreachable", "node", name, "err", err)
-			} else if out.Accepted {
+			} else if answer.Accepted {
 				c.recordNotified(name, message.Updates)
 			}
 		}()
 	}
 }
 
-// recordNotified notes which cancellations another controller has taken.
-func (c *Controller) recordNotified(peer string, news []protocol.KeyUpdate) {
-	if len(news) == 0 {
+// recordNotified notes which cancellations another controller has confirmed. It takes the
+// lock itself.
+func (c *Controller) recordNotified(peer string, updates []protocol.KeyUpdate) {
+	if len(updates) == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range news {
-		if job := c.view.CancelledJobs[strings.TrimPrefix(k.Key, records.JobPrefix)]; job != nil {
+	for _, update := range updates {
+		if job := c.view.CancelledJobs[strings.TrimPrefix(update.Key, records.JobPrefix)]; job != nil {
 			if job.NotifiedAt == nil {
 				job.NotifiedAt = make(map[string]time.Time)
 			}
@@ -122,7 +150,8 @@
 	}
 }
 
-// broadcastJob passes a record of the cache on to the other controllers.
+// broadcastJob sends a cached job's record to the other controllers. If the job has one claim
+// that goes along, which spares the others an attempt in vain to claim the job too.
 func (c *Controller) broadcastJob(key string) {
 	jobID := strings.TrimPrefix(key, records.JobPrefix)
 	job := c.view.Jobs[jobID]
@@ -133,9 +162,8 @@
 	if err != nil {
 		return
 	}
-	message := protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, Updates: []protocol.KeyUpdate{{Key: key, Value: raw, Version: job.Version}}}
+	message := c.newPeerMessage(protocol.KeyUpdate{Key: key, Value: raw, Version: job.Version})
 	for _, claim := range job.Claims {
-		// The claim made in the same breath spares the others a vain attempt.
 		if claim.Record == nil || len(job.Claims) != 1 {
 			continue
 		}
@@ -146,7 +174,8 @@
 	c.broadcast(c.ctx, message)
 }
 
-// broadcastAccepted passes a job just accepted on.
+// broadcastAccepted sends the record of a job just accepted. A blocked job is not in the
+// view's jobs.
 func (c *Controller) broadcastAccepted(key string, record *records.Job) {
 	if record.State == records.JobBlocked {
 		c.broadcastRecord(key, record)
@@ -155,29 +184,29 @@
 	c.broadcastJob(key)
 }
 
-// broadcastRecord passes a record just committed on.
+// broadcastRecord sends a record just committed.
 func (c *Controller) broadcastRecord(key string, record any) {
 	if raw, err := protocol.Encode(record); err == nil {
-		c.broadcast(c.ctx, protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, Updates: []protocol.KeyUpdate{{Key: key, Value: raw, Version: c.view.Versions[key]}}})
+		c.broadcast(c.ctx, c.newPeerMessage(protocol.KeyUpdate{Key: key, Value: raw, Version: c.view.Versions[key]}))
 	}
 }
 
-// broadcastFinal passes a finished job on, since its users ask any node.
+// broadcastFinal sends a finished job's record, since its users ask any controller.
 func (c *Controller) broadcastFinal(jobID string) {
-	f, ok := c.view.FinalJobs[jobID]
+	final, ok := c.view.FinalJobs[jobID]
 	if !ok {
 		c.broadcastJob(records.JobPrefix + jobID)
 		return
 	}
-	raw, err := protocol.Encode(&records.Job{State: f.State, Tasks: f.Tasks})
+	raw, err := protocol.Encode(&records.Job{State: final.State, Tasks: final.Tasks})
 	if err != nil {
 		return
 	}
-	c.broadcast(c.ctx, protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true,
-		Updates: []protocol.KeyUpdate{{Key: records.JobPrefix + jobID, Value: raw, Version: f.Version}}})
+	c.broadcast(c.ctx, c.newPeerMessage(protocol.KeyUpdate{Key: records.JobPrefix + jobID, Value: raw, Version: final.Version}))
 }
 
-// HandlePeerMessage takes another controller's message.
+// HandlePeerMessage applies another controller's message. The answer reports whether its
+// updates were applied.
 func (c *Controller) HandlePeerMessage(_ context.Context, in json.RawMessage) (json.RawMessage, error) {
 	var message protocol.PeerMessage
 	if err := protocol.Decode(in, &message); err != nil {
@@ -186,6 +215,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
+	c.observePeer(&message, now)
+	c.observeLoads(&message, now)
+	c.leaveToPeer(message.ClaimIntents, now.Add(2*claimRetryPause))
+	c.leaveToPeer(message.PreemptionIntents, now.Add(preemptionHold))
+	if c.view.Loaded {
+		c.applyUpdates(message.Updates)
+	}
+	return protocol.Encode(&protocol.PeerMessage{From: c.settings.NodeName, Accepted: c.view.Loaded})
+}
+
+// observePeer notes what a message says of its sender.
+func (c *Controller) observePeer(message *protocol.PeerMessage, now time.Time) {
 	c.membership.lastContact[message.From] = now
 	if message.Periodic {
 		c.membership.backlogs[message.From] = peerBacklog{message.PendingChanges, now}
@@ -199,6 +240,10 @@
 	if message.StateReachable {
 		c.membership.stateReachableAt[message.From] = now
 	}
+}
+
+// observeLoads notes the loads of the sender's shards.
+func (c *Controller) observeLoads(message *protocol.PeerMessage, now time.Time) {
 	for _, load := range message.Loads {
 		if shard := c.view.Shards[load.Shard]; shard != nil {
 			c.yieldToNewOwner(shard, message.From, load.FencingToken)
@@ -206,21 +251,27 @@
 		c.shardLoads.reported[load.Shard] = replica.ReportedLoad{Load: load, At: now}
 		c.shardLoads.queuedSince[load.Shard] = 0
 	}
-	c.leaveToPeer(message.ClaimIntents, now.Add(2*claimRetryPause))
-	c.leaveToPeer(message.PreemptionIntents, now.Add(preemptionHold))
-	if c.view.Loaded {
-		for _, k := range message.Updates {
-			if len(k.Value) > 0 && (strings.HasPrefix(k.Key, records.JobPrefix) || strings.HasPrefix(k.Key, records.ClaimPrefix) || strings.HasPrefix(k.Key, records.AllotmentPrefix)) {
-				c.view.ApplyItem(kv.Item{Key: k.Key, Value: k.Value, Version: k.Version})
-			}
+}
+
+// applyUpdates applies the records of another controller that are newer than the cached ones.
+func (c *Controller) applyUpdates(updates []protocol.KeyUpdate) {
+	for _, update := range updates {
+		if len(update.Value) > 0 && isSharedAhead(update.Key) {
+			c.view.ApplyItem(kv.Item{Key: update.Key, Value: update.Value, Version: update.Version})
 		}
 	}
-	return protocol.Encode(&protocol.PeerMessage{From: c.settings.NodeName, Accepted: c.view.Loaded})
 }
 
-// leaveToPeer holds this node's own copies of work back for a while: another shard
-// is about to claim it, and a second claim would only spend budget and fail.
-// This is advice; the claim itself decides.
+// isSharedAhead reports whether controllers send one another a key's record ahead of the
+// watch: that of a job, a claim or an allotment.
+func isSharedAhead(key string) bool {
+	return strings.HasPrefix(key, records.JobPrefix) || strings.HasPrefix(key, records.ClaimPrefix) ||
+		strings.HasPrefix(key, records.AllotmentPrefix)
+}
+
+// leaveToPeer has this controller not claim chunks for a while: another shard is about to
+// claim them, and a second claim would only use up request budget and fail. This is advice;
+// the claim's own compare decides.
 func (c *Controller) leaveToPeer(keys []string, until time.Time) {
 	for _, key := range keys {
 		if jobID, chunk, err := records.ParseClaimKey(key); err == nil && c.view.Jobs[jobID] != nil && c.view.Claims[key] == nil {
@@ -229,37 +280,20 @@
 	}
 }
 
-// loadCacheTTL is how long a shard's load, once worked out, serves its owner.
-const loadCacheTTL = 200 * time.Millisecond
-
-// shardLoad is a shard's load now.
+// shardLoad returns the load of a shard that this controller owns, at most loadCacheTTL old.
 func (c *Controller) shardLoad(shard *replica.Shard) protocol.ShardLoad {
 	now := time.Now()
 	if now.Sub(shard.Load.At) < loadCacheTTL && shard.Load.Load.FencingToken == shard.FencingToken {
 		return shard.Load.Load
 	}
 	load := protocol.ShardLoad{Shard: shard.Name, FencingToken: shard.FencingToken, FreeCPUsByImage: make(protocol.Amounts)}
-	for _, capacity := range c.capacities(shard, now) {
-		load.CPUs += capacity.Type.CPUs
-		load.UsedCPUs += capacity.Type.CPUs - capacity.Free.CPUs
-		if capacity.Machine.Quarantine.Active {
-			load.ExcludedHosts = append(load.ExcludedHosts, capacity.Host)
-		}
-		if !capacity.Usable {
-			continue
-		}
-		for _, u := range capacity.Machine.Images {
-			if capacity.Free.CPUs > load.FreeCPUsByImage[u.Name] {
-				load.FreeCPUsByImage[u.Name] = capacity.Free.CPUs
-			}
-		}
-	}
+	c.addCapacities(&load, shard, now)
 	load.ExcludedHosts = append(load.ExcludedHosts, c.overdueMachines(shard, now)...)
-	for k, times := range c.provisioner.bootStats.UnreliableKinds(now) {
+	for kind, factor := range c.provisioner.bootStats.UnreliableKinds(now) {
 		if load.Unreliability == nil {
 			load.Unreliability = make(protocol.Amounts)
 		}
-		load.Unreliability[k.Type+"/"+k.Zone] = times
+		load.Unreliability[kind.Type+"/"+kind.Zone] = factor
 	}
 	for _, entry := range c.queue(shard, now) {
 		load.QueuedCPUs += entry.Spec.CPUs * float64(entry.UnplacedTasks())
@@ -269,3 +303,22 @@
 	c.shardLoads.queuedSince[shard.Name] = 0
 	return load
 }
+
+// addCapacities adds what a shard's machines have, use and can start to its load.
+func (c *Controller) addCapacities(load *protocol.ShardLoad, shard *replica.Shard, now time.Time) {
+	for _, capacity := range c.capacities(shard, now) {
+		load.CPUs += capacity.Type.CPUs
+		load.UsedCPUs += capacity.Type.CPUs - capacity.Free.CPUs
+		if capacity.Machine.Quarantine.Active {
+			load.ExcludedHosts = append(load.ExcludedHosts, capacity.Host)
+		}
+		if !capacity.Usable {
+			continue
+		}
+		for _, cached := range capacity.Machine.Images {
+			if capacity.Free.CPUs > load.FreeCPUsByImage[cached.Name] {
+				load.FreeCPUsByImage[cached.Name] = capacity.Free.CPUs
+			}
+		}
+	}
+}
--- a/internal/coordination/controller/place.go
+++ /dev/null
@@ -1,3 +0,0 @@
-package controller
-
-const tolerance = 1e-6
--- /dev/null
+++ b/internal/coordination/controller/usercancel.go
@@ -0,0 +1,77 @@
+package controller
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
+	"madderslip/internal/storage/records"
+	"madderslip/internal/transport"
+)
+
+// minCommitTime is the time that a request must have left for a transaction on its behalf.
+const minCommitTime = 200 * time.Millisecond
+
+// cancelJob commits a user's cancellation of a job and answers, at the latest soon after
+// the given time. A job that is final is answered as it is.
+func (c *Controller) cancelJob(jobID string, until time.Time, reply func(transport.Response)) {
+	status := c.jobStatus(jobID)
+	left := time.Until(until)
+	switch {
+	case status.final:
+		c.replyStatus(jobID, http.StatusOK, left, reply)
+	case !c.view.Loaded || left < minCommitTime:
+		reply(unavailable(shortRetry))
+	case c.isStateDown(time.Now()):
+		reply(c.retryLater(kv.PriorityUser, time.Now()))
+	case !status.known:
+		c.cancelUnknown(jobID, until, left, reply)
+	default:
+		c.commitCancellation(jobID, status.version, until, left, reply)
+	}
+}
+
+// cancelUnknown cancels a job that the cache does not have: it asks the state service
+// whether the job was ever accepted.
+func (c *Controller) cancelUnknown(jobID string, until time.Time, left time.Duration, reply func(transport.Response)) {
+	c.commit(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + jobID, Version: 0}}, nil, left, func(err error) {
+		if err == nil {
+			reply(jobNotFound)
+		} else if c.jobStatus(jobID).known {
+			c.cancelJob(jobID, until, reply)
+		} else {
+			reply(unavailable(shortRetry))
+		}
+	})
+}
+
+// commitCancellation commits the cancellation of a version of a job, and tries again if the
+// job has changed since.
+func (c *Controller) commitCancellation(jobID string, version uint64, until time.Time, left time.Duration, reply func(transport.Response)) {
+	record := c.cancelledRecord(jobID, time.Now())
+	key := records.JobPrefix + jobID
+	c.commit(kv.PriorityUser, []kv.Compare{{Key: key, Version: version}}, []kv.Op{{Key: key, Value: record}}, left, func(err error) {
+		switch {
+		case err == nil:
+			c.broadcastJob(key)
+			c.replyStatus(jobID, http.StatusOK, time.Until(until), reply)
+		case errors.Is(err, kv.ErrCompareFailed) && c.jobStatus(jobID).version != version:
+			c.cancelJob(jobID, until, reply)
+		default:
+			reply(unavailable(shortRetry))
+		}
+	})
+}
+
+// cancelledRecord returns a known job's record once its user has cancelled it. A blocked job
+// has no tasks, so its description is not needed any more.
+func (c *Controller) cancelledRecord(jobID string, now time.Time) *records.Job {
+	if blocked, isBlocked := c.view.Dependencies.Lookup(jobID); isBlocked {
+		return &records.Job{State: protocol.JobCancelled, Tasks: blocked.Spec.Tasks, CancelledAtMs: now.UnixMilli()}
+	}
+	record := *c.view.Jobs[jobID].Record
+	record.State, record.Tasks, record.CancelledAtMs = protocol.JobCancelled, record.Spec.Tasks, now.UnixMilli()
+	return &record
+}
--- a/internal/coordination/controller/viewevents.go
+++ b/internal/coordination/controller/viewevents.go
@@ -7,7 +7,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// viewEvents passes the view's events on to its controller.
+// viewEvents passes the view's events on to its controller. It implements replica.Observer;
+// the view calls it with the controller's lock held.
 type viewEvents struct{ controller *Controller }
 
 func (e viewEvents) VersionObserved(key string, version uint64, exists bool) {
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -87,11 +87,12 @@
 	{"team use by the record", "coordination/controller/limits.go", `	return use, use.Max(sum)`, `	return sum, sum`},
 	{"404 is confirmed", "coordination/controller/replies.go", `	c.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + jobID, Version: version}}, nil, within, func(err error, revision uint64) {
 		switch {
-		case err == nil &&`, `	func(do func(error, uint64)) { do(nil, 0) }(func(err error, revision uint64) {
+		case err == nil &&`, `	_ = records.JobPrefix
+	func(do func(error, uint64)) { do(nil, 0) }(func(err error, revision uint64) {
 		switch {
 		case err == nil &&`},
 	{"what could not be read anew is not answered", "coordination/controller/commit.go", `if !read && txn.Priority == kv.PriorityUser {`, `if false && !read {`},
-	{"a cancellation is told once its claims are known", "coordination/controller/replies.go", `if answer.Phase != protocol.JobCancelled || c.view.Revision >= version {`, `if true {`},
+	{"a cancellation is told once its claims are known", "coordination/controller/replies.go", `if answer.Phase != protocol.JobCancelled || c.view.Revision >= cached.version {`, `if true {`},
 	{"claims may come after their job's cancellation", "coordination/replica/view_jobs.go", `return v.Loaded && record.State == protocol.JobCancelled && version > v.Revision`, `return false`},
 	{"done needs all chunks", "coordination/controller/claims.go", `(other != last && !other.Record.IsComplete())`, `false`},
 	{"a job that waits is in no queue", "coordination/replica/view_jobs.go", `	if v.ApplyBlockedJob(jobID, record, version) {
