--- a/internal/coordination/controller/gangs.go
+++ b/internal/coordination/controller/gangs.go
@@ -3,7 +3,6 @@
 import (
 	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"madderslip/internal/coordination/placement"
@@ -15,76 +14,113 @@
 )
 
 const (
-	gangReservationDelay = 3 * time.Second        // a job waits so long before room is gathered
-	gangReservationTTL   = 30 * time.Second       // and holds last so long at most
-	gangSearchInterval   = 500 * time.Millisecond // jobs to gather for are sought so often: they have waited for longer
+	// gangReservationDelay is how long a gang waits before capacity is reserved for it.
+	gangReservationDelay = 3 * time.Second
+	// gangReservationTTL is how long a gang reservation lasts at most.
+	gangReservationTTL = 30 * time.Second
+	// gangSearchInterval is how often gangs to reserve for are looked for.
+	gangSearchInterval = 500 * time.Millisecond
+	// gangCommitTimeout bounds the commits of gang reservations and gang holds.
+	gangCommitTimeout = 5 * time.Second
+	// minGangTasks is the fewest tasks of a gang that may be placed across shards.
+	minGangTasks = 2
 )
 
-// crossShardGangs lists the gangs that no shard could take with all its machines empty,
-// in the queue's order. One that was placed across shards and lost its attempt
-// stays among them, since no shard holds its claim: it was left waiting for ever
-// once a shard had grown large enough for it.
+// crossShardGangs lists the gangs that no shard has capacity for with all its machines
+// empty, in the queue's order. One that was placed across shards and lost its attempt stays
+// among them, since no shard holds its claim: this prevents it from waiting without bound
+// once a shard has grown large enough for it.
 func (c *Controller) crossShardGangs(now time.Time) []*replica.Job {
-	var out []*replica.Job
+	var gangs []*replica.Job
 	for _, job := range c.view.Jobs {
-		if job.Record == nil || job.Record.Spec == nil || job.Record.IsFinal() || job.Spec().Shape != protocol.ShapeGang || job.Spec().Tasks < 2 ||
-			now.Sub(job.SeenAt) < gangReservationDelay || now.Before(job.NotBefore) || job.OnProbation(now) {
+		if !isWaitingGang(job, now) || !canReserveAcrossShards(job) {
 			continue
 		}
-		if !canReserveAcrossShards(job) {
-			continue
+		if c.largestGroup(job.Spec()) < job.Spec().Tasks || job.Claims[0] != nil {
+			gangs = append(gangs, job)
 		}
-		fits := make(map[[2]string]int) // by shard, and by zone if it must be one
-		for _, shard := range c.view.Shards {
-			for k, count := range shard.Kinds {
-				if machineType := c.view.MachineTypes[k.Type]; machineType != nil && placement.FitsEmpty(job.Spec(), machineType) && placement.Allowed(job.Spec(), k.Type, k.Zone, k.Spot) {
-					at := [2]string{shard.Name}
-					if job.Spec().SameZone {
-						at[1] = k.Zone
-					}
-					fits[at] += placement.TasksPerMachine(job.Spec(), machineType) * count
-				}
+	}
+	slices.SortFunc(gangs, compareJobs)
+	return gangs
+}
+
+// isWaitingGang reports whether a job is an open gang that may start now and has waited for
+// long enough.
+func isWaitingGang(job *replica.Job, now time.Time) bool {
+	if !isOpen(job) || job.Spec().Shape != protocol.ShapeGang || job.Spec().Tasks < minGangTasks {
+		return false
+	}
+	return now.Sub(job.SeenAt) >= gangReservationDelay && !now.Before(job.NotBefore) && !job.OnProbation(now)
+}
+
+// machineGroup is the machines among which a gang must find its capacity: those of a shard
+// and, for a gang that must be in one zone, of that zone.
+type machineGroup struct{ shard, zone string }
+
+// largestGroup returns how many tasks of a gang fit the machines of the largest group, all
+// of them empty.
+func (c *Controller) largestGroup(spec *protocol.Submission) int {
+	tasks := make(map[machineGroup]int)
+	for _, shard := range c.view.Shards {
+		for kind, count := range shard.Kinds {
+			machineType := c.view.MachineTypes[kind.Type]
+			if machineType == nil || !placement.FitsEmpty(spec, machineType) || !placement.Allowed(spec, kind.Type, kind.Zone, kind.Spot) {
+				continue
 			}
-		}
-		largest := 0
-		for _, k := range fits {
-			largest = max(largest, k)
-		}
-		if largest < job.Spec().Tasks || job.Claims[0] != nil {
-			out = append(out, job)
+			group := machineGroup{shard: shard.Name}
+			if spec.SameZone {
+				group.zone = kind.Zone
+			}
+			tasks[group] += placement.TasksPerMachine(spec, machineType) * count
 		}
 	}
-	slices.SortFunc(out, func(a, b *replica.Job) int {
-		if a.Spec().Priority() != b.Spec().Priority() {
-			return b.Spec().Priority() - a.Spec().Priority()
-		}
-		if a.Record.AcceptedAtMs != b.Record.AcceptedAtMs {
-			return int(a.Record.AcceptedAtMs - b.Record.AcceptedAtMs)
-		}
-		return strings.Compare(a.ID, b.ID)
-	})
-	return out
+	largest := 0
+	for _, count := range tasks {
+		largest = max(largest, count)
+	}
+	return largest
 }
 
-// canReserveAcrossShards tells that a job may be placed across shards: no shard has claimed
-// it, and nothing of an earlier attempt is left.
+// canReserveAcrossShards reports whether a job may be placed across shards: no shard has
+// claimed it, and nothing of an earlier attempt is left.
 func canReserveAcrossShards(job *replica.Job) bool {
 	claim := job.Claims[0]
 	return claim == nil || (claim.Record != nil && claim.Pending == nil && claim.Record.Shard == "" && len(claim.Record.Placements) == 0)
 }
 
-// reserveForGangs is the leader's part: ask for room for one wide job at a time, and
-// place the job once the shards hold enough for all of it. Two jobs gathering
-// at once could each hold what the other needs.
+// reserveForGangs is the leader's part of gang reservations: it asks the shards for
+// capacity for one gang at a time, and places the gang once they hold enough for all of it.
+// Two gangs with reservations at once could each hold what the other needs.
 func (c *Controller) reserveForGangs(now time.Time) {
+	if current := c.currentGang(now); current != nil {
+		c.placeGang(current, c.view.GangReservations[current.ID], now)
+		return
+	}
+	if now.Sub(c.gangsSearchedAt) < gangSearchInterval {
+		return
+	}
+	c.gangsSearchedAt = now
+	for team := range c.settings.Teams {
+		c.view.Quota.SetDemand(team, quota.CrossShard, nil, false, now)
+	}
+	for _, job := range c.crossShardGangs(now) {
+		if reservation := c.view.GangReservation(job.ID); !reservation.Writing && reservation.Version == 0 && now.After(reservation.RetryAt) {
+			c.beginGangReservation(job.ID, reservation, now)
+			return
+		}
+	}
+}
+
+// currentGang returns the gang that has a valid reservation, or nil. It ends reservations
+// that are not valid any more, among them those of a job that a shard has claimed
+// meanwhile, which prevents the job from being placed a second time (rule ran_twice).
+func (c *Controller) currentGang(now time.Time) *replica.Job {
 	var current *replica.Job
 	for _, jobID := range slices.Sorted(maps.Keys(c.view.GangReservations)) {
 		reservation := c.view.GangReservations[jobID]
 		if reservation.Version == 0 || reservation.Writing {
 			continue
 		}
-		// A shard may have claimed the job while room was being gathered. It was
-		// placed a second time beside what ran already (ran_twice).
 		job := c.view.Jobs[jobID]
 		if job == nil || job.Record.IsFinal() || now.UnixMilli() > reservation.Record.ExpiresAtMs || !canReserveAcrossShards(job) {
 			c.endGangReservation(jobID, reservation)
@@ -92,42 +128,37 @@
 		}
 		current = job
 	}
-	if current == nil {
-		if now.Sub(c.gangsSearchedAt) < gangSearchInterval {
-			return
-		}
-		c.gangsSearchedAt = now
-		for team := range c.settings.Teams {
-			c.view.Quota.SetDemand(team, quota.CrossShard, nil, false, now)
-		}
-		for _, job := range c.crossShardGangs(now) {
-			if reservation := c.view.GangReservation(job.ID); !reservation.Writing && reservation.Version == 0 && now.After(reservation.RetryAt) {
-				c.beginGangReservation(job.ID, reservation, now)
-				return
-			}
-		}
-		return
-	}
-	c.placeGang(current, c.view.GangReservations[current.ID], now)
+	return current
 }
 
+// beginGangReservation commits a gang's reservation, on condition of the leadership.
 func (c *Controller) beginGangReservation(jobID string, reservation *replica.GangReservation, now time.Time) {
 	reservation.Writing = true
 	key := records.GangReservationPrefix + jobID
 	c.log.Info("gang reservation started", "job", jobID)
-	c.commit(kv.PriorityClaim, []kv.Compare{{Key: records.LeaderKey, Version: c.leadership.version}, {Key: key, Version: 0}},
-		[]kv.Op{{Key: key, Value: &records.GangReservation{ExpiresAtMs: now.Add(gangReservationTTL).UnixMilli()}, Lease: c.membership.lease}}, 5*time.Second,
-		func(error) { reservation.Writing = false })
+	compares := []kv.Compare{{Key: records.LeaderKey, Version: c.leadership.version}, {Key: key, Version: 0}}
+	ops := []kv.Op{{Key: key, Value: &records.GangReservation{ExpiresAtMs: now.Add(gangReservationTTL).UnixMilli()}, Lease: c.membership.lease}}
+	c.commit(kv.PriorityClaim, compares, ops, gangCommitTimeout, func(error) { reservation.Writing = false })
 }
 
+// endGangReservation deletes a gang's reservation.
 func (c *Controller) endGangReservation(jobID string, reservation *replica.GangReservation) {
-	reservation.Writing = true
-	key := records.GangReservationPrefix + jobID
-	c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: reservation.Version}}, []kv.Op{{Key: key}}, 5*time.Second, func(error) { reservation.Writing = false })
+	c.deleteGangRecord(records.GangReservationPrefix+jobID, reservation.Version, &reservation.Writing)
+}
+
+// deleteGangRecord deletes a record of a gang reservation or hold; writing is set meanwhile.
+func (c *Controller) deleteGangRecord(key string, version uint64, writing *bool) {
+	*writing = true
+	c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: version}}, []kv.Op{{Key: key}}, gangCommitTimeout, func(error) { *writing = false })
 }
 
-// holdForGangs is an owner's part: hold the room that a shard has for the job being
-// gathered, and let go when the leader no longer asks.
+// gangHoldKey returns the key of what a shard holds for a gang.
+func gangHoldKey(jobID, shardName string) string {
+	return records.GangHoldPrefix + jobID + "/" + shardName
+}
+
+// holdForGangs is a shard owner's part of gang reservations: it holds the shard's capacity
+// for the gangs with a reservation, and releases it when the reservation has ended.
 func (c *Controller) holdForGangs(shard *replica.Shard, now time.Time) {
 	for _, jobID := range slices.Sorted(maps.Keys(c.view.GangReservations)) {
 		reservation := c.view.GangReservations[jobID]
@@ -136,76 +167,71 @@
 			hold = &replica.GangHold{}
 			reservation.Holds[shard.Name] = hold
 		}
-		key := records.GangHoldPrefix + jobID + "/" + shard.Name
 		job := c.view.Jobs[jobID]
 		switch {
 		case hold.Writing:
 		case reservation.Version == 0 || job == nil || job.Record.Spec == nil:
-			if hold.Version != 0 {
-				hold.Writing = true
-				c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: hold.Version}}, []kv.Op{{Key: key}}, 5*time.Second, func(error) { hold.Writing = false })
-			} else if reservation.Version == 0 && job == nil && !reservation.Writing {
-				delete(reservation.Holds, shard.Name)
-				if len(reservation.Holds) == 0 {
-					delete(c.view.GangReservations, jobID)
-				}
-			}
+			c.releaseHold(shard, jobID, reservation, hold)
 		default:
-			next := c.holdableTasks(shard, jobID, job.Spec(), now)
-			if len(next) == 0 || equalHolds(next, hold.Record.TasksByHost) {
-				continue
-			}
-			// Held from now on: while the record was on its way the queue gave the same
-			// room to others, and the job's tasks were refused for want of it.
-			hold.Writing, hold.Pending = true, next
-			c.commit(kv.PriorityClaim, []kv.Compare{{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, {Key: records.GangReservationPrefix + jobID, Version: reservation.Version}, {Key: key, Version: hold.Version}},
-				[]kv.Op{{Key: key, Value: &records.GangHold{TasksByHost: next}, Lease: c.membership.lease}}, 5*time.Second, func(error) { hold.Writing, hold.Pending = false, nil })
+			c.updateHold(shard, job, reservation, hold, now)
 		}
 	}
 }
 
-func equalHolds(a, b map[string]int) bool {
-	if len(a) != len(b) {
-		return false
+// releaseHold deletes a shard's hold and, once its record is gone, the view's entries of
+// the ended reservation.
+func (c *Controller) releaseHold(shard *replica.Shard, jobID string, reservation *replica.GangReservation, hold *replica.GangHold) {
+	if hold.Version != 0 {
+		c.deleteGangRecord(gangHoldKey(jobID, shard.Name), hold.Version, &hold.Writing)
+		return
 	}
-	for host, k := range a {
-		if b[host] != k {
-			return false
-		}
+	if reservation.Version != 0 || c.view.Jobs[jobID] != nil || reservation.Writing {
+		return
 	}
-	return true
+	delete(reservation.Holds, shard.Name)
+	if len(reservation.Holds) == 0 {
+		delete(c.view.GangReservations, jobID)
+	}
+}
+
+// updateHold commits what a shard can hold for a gang now, if that has changed.
+func (c *Controller) updateHold(shard *replica.Shard, job *replica.Job, reservation *replica.GangReservation, hold *replica.GangHold, now time.Time) {
+	next := c.holdableTasks(shard, job.ID, job.Spec(), now)
+	if len(next) == 0 || maps.Equal(next, hold.Record.TasksByHost) {
+		return
+	}
+	// The capacity is held from now on. This prevents the queue from giving it to others
+	// while the record is being committed, so that the gang's tasks are refused.
+	hold.Writing, hold.Pending = true, next
+	key := gangHoldKey(job.ID, shard.Name)
+	compares := []kv.Compare{{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, {Key: records.GangReservationPrefix + job.ID, Version: reservation.Version}, {Key: key, Version: hold.Version}}
+	ops := []kv.Op{{Key: key, Value: &records.GangHold{TasksByHost: next}, Lease: c.membership.lease}}
+	c.commit(kv.PriorityClaim, compares, ops, gangCommitTimeout, func(error) { hold.Writing, hold.Pending = false, nil })
 }
 
-// holdableTasks is how many of a job's tasks each of a shard's machines could take
-// now, what is held for the job already included.
+// holdableTasks returns how many of a gang's tasks each of a shard's machines has capacity
+// for now, what is held for the gang already included.
 func (c *Controller) holdableTasks(shard *replica.Shard, jobID string, spec *protocol.Submission, now time.Time) map[string]int {
-	out := make(map[string]int)
+	tasks := make(map[string]int)
 	for _, capacity := range c.capacitiesFor(shard, jobID, now) {
-		for capacity.Usable && capacity.Fits(spec) && placement.Allowed(spec, capacity.TypeName, capacity.Zone, capacity.Spot) && out[capacity.Host] < spec.Tasks {
+		isAllowed := capacity.Usable && placement.Allowed(spec, capacity.TypeName, capacity.Zone, capacity.Spot)
+		for isAllowed && capacity.Fits(spec) && tasks[capacity.Host] < spec.Tasks {
 			capacity.Allocate(spec)
-			out[capacity.Host]++
+			tasks[capacity.Host]++
 		}
 	}
-	return out
+	return tasks
 }
 
-// chargeGangHolds takes held room out of the free room, but for the job but.
-func (c *Controller) chargeGangHolds(shard *replica.Shard, but string, byHost map[string]*placement.Capacity) {
+// chargeGangHolds takes what is held for gangs, one job left out, from the free capacity.
+func (c *Controller) chargeGangHolds(shard *replica.Shard, exceptJob string, byHost map[string]*placement.Capacity) {
 	for _, jobID := range slices.Sorted(maps.Keys(c.view.GangReservations)) {
-		reservation := c.view.GangReservations[jobID]
-		hold, job := reservation.Holds[shard.Name], c.view.Jobs[jobID]
-		if jobID == but || hold == nil || job == nil || job.Record.Spec == nil {
+		hold, job := c.view.GangReservations[jobID].Holds[shard.Name], c.view.Jobs[jobID]
+		if jobID == exceptJob || hold == nil || job == nil || job.Record.Spec == nil {
 			continue
 		}
-		hosts := maps.Clone(hold.Record.TasksByHost)
-		for host, k := range hold.Pending {
-			if hosts == nil {
-				hosts = make(map[string]int)
-			}
-			hosts[host] = max(hosts[host], k)
-		}
-		for host, k := range hosts {
-			for range k {
+		for host, tasks := range heldTasks(hold) {
+			for range tasks {
 				if capacity := byHost[host]; capacity != nil && capacity.Fits(job.Spec()) {
 					capacity.Allocate(job.Spec())
 				}
@@ -214,108 +240,127 @@
 	}
 }
 
-// placeGang places a gathered job whole, on condition of every hold it uses.
-func (c *Controller) placeGang(job *replica.Job, reservation *replica.GangReservation, now time.Time) {
-	spec := job.Spec()
-	if reservation.Writing {
-		return
-	}
-	if c.isLimited(spec) && c.allowanceOf(quota.CrossShard, spec) < spec.Tasks {
-		if c.view.Quota.IsAllotted(spec.Team) {
-			all := replica.TaskResources(spec).Times(float64(spec.Tasks))
-			c.view.Quota.SetDemand(spec.Team, quota.CrossShard, &quota.Demand{Head: all, PerTask: replica.TaskResources(spec), Total: all, Priority: spec.Priority(), AcceptedAtMs: job.Record.AcceptedAtMs, JobID: job.ID, AllOrNothing: true}, false, now)
+// heldTasks returns the tasks by host that a hold has capacity for, the larger of the
+// recorded number and the one being committed.
+func heldTasks(hold *replica.GangHold) map[string]int {
+	held := maps.Clone(hold.Record.TasksByHost)
+	for host, tasks := range hold.Pending {
+		if held == nil {
+			held = make(map[string]int)
 		}
-		return
+		held[host] = max(held[host], tasks)
 	}
-	c.view.Quota.SetDemand(spec.Team, quota.CrossShard, nil, false, now)
-	compares := []kv.Compare{{Key: records.LeaderKey, Version: c.leadership.version}, {Key: records.GangReservationPrefix + job.ID, Version: reservation.Version},
-		{Key: records.JobPrefix + job.ID, Version: job.Version}}
-	var places []records.Placement
-	for _, only := range append([]string{""}, c.settings.Zones...) {
-		if (only == "") == spec.SameZone {
-			continue
-		}
-		places = c.assignHeld(spec, reservation, only)
-		if len(places) == spec.Tasks {
-			break
-		}
-	}
-	if len(places) < spec.Tasks {
+	return held
+}
+
+// placeGang places a gang whole on the capacity that is held for it, on condition of every
+// hold that it uses.
+func (c *Controller) placeGang(job *replica.Job, reservation *replica.GangReservation, now time.Time) {
+	if reservation.Writing || c.isGangHeldByLimit(job, now) {
 		return
 	}
+	placements := c.assignHeld(job.Spec(), reservation)
 	claim := c.view.ClaimOf(job, 0)
-	next := &records.Claim{TaskCount: spec.Tasks}
-	if claim != nil && claim.Pending != nil {
-		return // this node's own copy is being claimed: to decide at once for both left one of them out of the indexes
+	if placements == nil || (claim != nil && claim.Pending != nil) {
+		return // this node's own claim of the job is pending: a second one would replace it in the indexes
 	}
+	next := &records.Claim{TaskCount: job.Spec().Tasks}
 	if claim == nil {
-		claim = &replica.Claim{Key: records.ClaimKey(job.ID, 0), JobID: job.ID, Spec: spec}
+		claim = &replica.Claim{Key: records.ClaimKey(job.ID, 0), JobID: job.ID, Spec: job.Spec()}
 	} else {
 		next = claim.Record.Clone()
 	}
 	next.LastAttempt++
-	used := make(map[string]bool)
-	for _, placed := range places {
+	shards := make(map[string]bool)
+	for _, placed := range placements {
 		placed.Attempt = next.LastAttempt
 		next.Placements = append(next.Placements, placed)
-		used[c.view.Machines[placed.Host].Record.Shard] = true
-	}
-	for _, shard := range slices.Sorted(maps.Keys(used)) {
-		s := c.view.Shards[shard]
-		compares = append(compares, kv.Compare{Key: records.GangHoldPrefix + job.ID + "/" + shard, Version: reservation.Holds[shard].Version},
-			kv.Compare{Key: records.ShardPrefix + shard, Version: s.Version})
+		shards[c.view.Machines[placed.Host].Record.Shard] = true
 	}
-	teamCompares, ops, usage, ok := c.reserveTeamUse("", claim, next)
+	change, ok := c.newClaimChange("", claim, next)
 	if !ok {
 		return
 	}
-	if usage != nil {
-		usage.Writing = true
-	}
-	compares = append(append(compares, teamCompares...), kv.Compare{Key: claim.Key, Version: claim.Version})
-	ops = append(ops, kv.Op{Key: claim.Key, Value: next}, kv.Op{Key: records.GangReservationPrefix + job.ID})
+	compares := append(c.gangCompares(job, reservation, shards), change.compares...)
+	change.compares = append(compares, kv.Compare{Key: claim.Key, Version: claim.Version})
+	change.ops = append(change.ops, kv.Op{Key: claim.Key, Value: next}, kv.Op{Key: records.GangReservationPrefix + job.ID})
 	reservation.Writing = true
 	c.view.Claims[claim.Key] = claim
-	c.view.SetPending(claim, next)
-	c.log.Info("gang placed across shards", "job", job.ID, "tasks", spec.Tasks, "shards", len(used))
-	c.commit(kv.PriorityClaim, compares, ops, 0, func(err error) {
+	c.log.Info("gang placed across shards", "job", job.ID, "tasks", job.Spec().Tasks, "shards", len(shards))
+	c.commitChange(kv.PriorityClaim, change, func(err error) {
 		reservation.Writing = false
-		c.view.SetPending(claim, nil)
-		if usage != nil {
-			usage.Writing = false
-		}
-		if err != nil && claim.Record == nil && c.view.Claims[claim.Key] == claim {
-			c.view.DropClaim(claim)
+		if err != nil {
+			c.dropUncommitted(claim)
 		}
 	})
 }
 
-// assignHeld chooses held room for all tasks, in one zone if only is set.
-func (c *Controller) assignHeld(spec *protocol.Submission, reservation *replica.GangReservation, only string) []records.Placement {
-	var places []records.Placement
+// isGangHeldByLimit reports whether its team's limit keeps a gang from starting across
+// shards now, and sets what it needs as the leader's demand for the team's limit.
+func (c *Controller) isGangHeldByLimit(job *replica.Job, now time.Time) bool {
+	spec := job.Spec()
+	if !c.isLimited(spec) || c.allowanceOf(quota.CrossShard, spec) >= spec.Tasks {
+		c.view.Quota.SetDemand(spec.Team, quota.CrossShard, nil, false, now)
+		return false
+	}
+	if c.view.Quota.IsAllotted(spec.Team) {
+		perTask := replica.TaskResources(spec)
+		all := perTask.Times(float64(spec.Tasks))
+		c.view.Quota.SetDemand(spec.Team, quota.CrossShard, &quota.Demand{Head: all, PerTask: perTask, Total: all, Priority: spec.Priority(), AcceptedAtMs: job.Record.AcceptedAtMs, JobID: job.ID, AllOrNothing: true}, false, now)
+	}
+	return true
+}
+
+// gangCompares returns the conditions under which a gang is placed: this node leads, the
+// reservation, the job and the holds of the shards are as they were, and the shards have
+// the same owners.
+func (c *Controller) gangCompares(job *replica.Job, reservation *replica.GangReservation, shards map[string]bool) []kv.Compare {
+	compares := []kv.Compare{{Key: records.LeaderKey, Version: c.leadership.version}, {Key: records.GangReservationPrefix + job.ID, Version: reservation.Version},
+		{Key: records.JobPrefix + job.ID, Version: job.Version}}
+	for _, name := range slices.Sorted(maps.Keys(shards)) {
+		compares = append(compares, kv.Compare{Key: gangHoldKey(job.ID, name), Version: reservation.Holds[name].Version},
+			kv.Compare{Key: records.ShardPrefix + name, Version: c.view.Shards[name].Version})
+	}
+	return compares
+}
+
+// assignHeld assigns all tasks of a gang to held capacity, in one zone if they must be in
+// one. It returns nil if there is not enough.
+func (c *Controller) assignHeld(spec *protocol.Submission, reservation *replica.GangReservation) []records.Placement {
+	zones := []string{""}
+	if spec.SameZone {
+		zones = c.settings.Zones
+	}
+	for _, zone := range zones {
+		if placements := c.assignHeldInZone(spec, reservation, zone); len(placements) == spec.Tasks {
+			return placements
+		}
+	}
+	return nil
+}
+
+// assignHeldInZone assigns as many tasks of a gang as possible to held capacity in a zone,
+// or in any if it is empty.
+func (c *Controller) assignHeldInZone(spec *protocol.Submission, reservation *replica.GangReservation, zone string) []records.Placement {
+	var placements []records.Placement
 	zones := placement.NewZoneConstraint(spec, nil)
-	for _, shard := range c.view.ShardNames() {
-		hold := reservation.Holds[shard]
+	for _, name := range c.view.ShardNames() {
+		hold := reservation.Holds[name]
 		if hold == nil || hold.Version == 0 {
 			continue
 		}
-		hosts := make([]string, 0, len(hold.Record.TasksByHost))
-		for host := range hold.Record.TasksByHost {
-			hosts = append(hosts, host)
-		}
-		slices.Sort(hosts)
-		for _, host := range hosts {
+		for _, host := range slices.Sorted(maps.Keys(hold.Record.TasksByHost)) {
 			machine := c.view.Machines[host]
-			if machine == nil || machine.Record.State != "" || (only != "" && machine.Record.Zone != only) {
+			if machine == nil || machine.Record.State != "" || (zone != "" && machine.Record.Zone != zone) {
 				continue
 			}
 			for range hold.Record.TasksByHost[host] {
-				if len(places) < spec.Tasks && zones.Permits(machine.Record.Zone) {
+				if len(placements) < spec.Tasks && zones.Permits(machine.Record.Zone) {
 					zones.Add(spec, machine.Record.Zone)
-					places = append(places, records.Placement{Task: len(places), Host: host})
+					placements = append(placements, records.Placement{Task: len(placements), Host: host})
 				}
 			}
 		}
 	}
-	return places
+	return placements
 }
