--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -13,22 +13,22 @@
 	"madderslip/internal/storage/records"
 )
 
-// Package quota decides about teams' limits; here its decisions are carried out.
+// Package quota decides about teams' limits; this file commits its decisions.
 
-// isLimited tells whether a job's team has a limit that its tasks count against.
+// isLimited reports whether a job's team has a limit that its tasks count against.
 func (c *Controller) isLimited(spec *protocol.Submission) bool {
 	return c.view.Quota.IsLimited(spec.Team, replica.TaskResources(spec))
 }
 
-// reserveTeamUse makes the conditions, and where the limit is not allotted the change,
-// by which a limited team's use of a shard goes along with a claim. Where it is
-// allotted the claim itself is the reservation: only the shard's owner starts there,
-// within the shard's allotment, which only that owner lowers. ok is false when it
-// can't be done now.
+// reserveTeamUse returns the conditions, and where the limit is not allotted the change, by
+// which a limited team's use of a shard is committed along with a claim. Where it is
+// allotted the claim itself is the reservation: only the shard's owner starts tasks there,
+// within the shard's allotment, which only that owner lowers. usage is the record's state if
+// the transaction writes it, else nil. ok is false if the change is not possible now.
 func (c *Controller) reserveTeamUse(shard string, claim *replica.Claim, next *records.Claim) (compares []kv.Compare, ops []kv.Op, usage *replica.TeamUsage, ok bool) {
 	team, grows := claim.Spec.Team, len(next.Placements) > claim.PlacedCount()
-	if cond, has := c.view.Quota.ReservationCompare(team); has && grows {
-		compares = append(compares, cond)
+	if compare, hasRecord := c.view.Quota.ReservationCompare(team); hasRecord && grows {
+		compares = append(compares, compare)
 	}
 	compares = append(compares, c.view.Quota.LimitCompares(team)...)
 	if !c.isLimited(claim.Spec) {
@@ -47,38 +47,58 @@
 		return nil, nil, nil, false
 	}
 	if next.Shard == "" {
-		shard = "*" + claim.JobID // several owners change it, so it has an entry of its own
+		shard = crossShardUse(claim.JobID)
 	}
 	use, most := c.teamUseAfter(usage, shard, claim, next)
+	record := withShardUse(usage, shard, use)
+	if grows && quota.Exceeds(totalUse(record, shard, most), c.view.Quota.Limit(team)) {
+		return nil, nil, nil, false
+	}
 	key := records.TeamUsagePrefix + team
+	return append(compares, kv.Compare{Key: key, Version: usage.Version}), []kv.Op{{Key: key, Value: record}}, usage, true
+}
+
+// crossShardUse returns the name in a team's record for the use of a gang across shards. It
+// is an entry of its own, since several owners change it.
+func crossShardUse(jobID string) string { return "*" + jobID }
+
+// withShardUse returns a team's record with its use of one shard replaced.
+func withShardUse(usage *replica.TeamUsage, shard string, use quota.Resources) *records.TeamUsage {
 	record := &records.TeamUsage{ByShard: map[string]quota.Resources{shard: use}}
-	total := most
-	for _, name := range slices.Sorted(maps.Keys(usage.Record.ByShard)) {
-		if u := usage.Record.ByShard[name]; name != shard {
-			record.ByShard[name] = u
-			total = total.Plus(u)
+	for other, otherUse := range usage.Record.ByShard {
+		if other != shard {
+			record.ByShard[other] = otherUse
 		}
 	}
-	if grows && quota.Exceeds(total, c.view.Quota.Limit(team)) {
-		return nil, nil, nil, false
+	return record
+}
+
+// totalUse returns the sum of a team's record with the given use of one shard. It adds in
+// the order of names: sums of fractions depend on it, and so does a replay.
+func totalUse(record *records.TeamUsage, shard string, use quota.Resources) quota.Resources {
+	total := use
+	for _, name := range slices.Sorted(maps.Keys(record.ByShard)) {
+		if name != shard {
+			total = total.Plus(record.ByShard[name])
+		}
 	}
-	return append(compares, kv.Compare{Key: key, Version: usage.Version}), []kv.Op{{Key: key, Value: record}}, usage, true
+	return total
 }
 
-// teamUseAfter is what a team uses of a shard once a claim has its next version,
-// as it goes into the record, and the most that it may be.
+// teamUseAfter returns what a team uses of a shard once a claim has its next version, as it
+// is recorded, and the most that it may be.
 //
-// The team's record and the claim are conditions of the transaction, so what
-// the record says, changed by what the claim changes by, is exact whatever the
-// cache holds of the shard's other claims. To add those up is not: after a
-// commit of unknown fate the record is read again before the claim that went
-// with it, and claims whose job is not known yet have no size. A team used twice
-// its limit that way. The sum still serves where the cache is complete up to the
-// record, to put right what a change of limits has left out.
+// The team's record and the claim are conditions of the transaction, so what the record
+// says, changed by what the claim changes by, is exact whatever the view holds of the
+// shard's other claims. Their sum is not: after a commit of unknown outcome the record is
+// read again before the claim that was committed with it, and claims whose job is not known
+// yet have no size. The record prevents a team from exceeding its limit that way. The sum
+// serves where the view is complete up to the record, to correct what a change of limits
+// has left out.
 func (c *Controller) teamUseAfter(usage *replica.TeamUsage, shard string, claim *replica.Claim, next *records.Claim) (use, most quota.Resources) {
 	perTask := replica.TaskResources(claim.Spec)
-	was, is, had := perTask.Times(float64(claim.PlacedCount())), perTask.Times(float64(len(next.Placements))), usage.Record.ByShard[shard]
-	use = had.Difference(was).Plus(is).NonNegative()
+	before, after := perTask.Times(float64(claim.PlacedCount())), perTask.Times(float64(len(next.Placements)))
+	use = usage.Record.ByShard[shard].Difference(before).Plus(after).NonNegative()
 	if next.Shard == "" {
 		return use, use
 	}
@@ -86,40 +106,41 @@
 	if claim.Tally.Counted && claim.Tally.Key.Shard == shard {
 		sum = sum.Difference(claim.Tally.Use)
 	}
-	sum = sum.Plus(is)
-	if c.view.Revision >= usage.Version && len(c.view.OrphanClaims) == 0 {
+	sum = sum.Plus(after)
+	if c.isCompleteUpTo(usage) {
 		return sum, sum
 	}
 	return use, use.Max(sum)
 }
 
-// exceedsLimit tells that a unit's team has no room under its limit anywhere. Such a
-// unit neither reserves nor displaces: making room that it may not use threw away
-// work in a circle.
+// isCompleteUpTo reports whether the view holds all that was committed before a team's
+// record, and the size of all of it is known.
+func (c *Controller) isCompleteUpTo(usage *replica.TeamUsage) bool {
+	return c.view.Revision >= usage.Version && len(c.view.OrphanClaims) == 0
+}
+
+// exceedsLimit reports whether an entry's team has nothing left of its limit anywhere. Such
+// an entry neither reserves nor preempts, which prevents it from preempting again and again
+// for capacity that it may not use.
 func (c *Controller) exceedsLimit(entry *placement.QueueEntry) bool {
-	if !c.isLimited(entry.Spec) {
-		return false
-	}
-	count := 1
-	if entry.Spec.Shape == protocol.ShapeGang {
-		count = entry.PlaceableTasks()
-	}
-	return c.allowance(entry.Spec) < count
+	return c.isLimited(entry.Spec) && c.allowance(entry.Spec) < entry.MinTasks()
 }
 
-// isOverLimit tells that a job's team has more placed than its limit permits now.
+// isOverLimit reports whether a job's team has more placed than its limit permits now.
 func (c *Controller) isOverLimit(spec *protocol.Submission) bool {
 	limit, use := c.view.Quota.Limit(spec.Team), c.view.UseByTeam[spec.Team]
-	return (spec.CPUs > 0 && quota.Exceeds(quota.Resources{CPUs: use.CPUs}, limit)) || (spec.GPUs > 0 && quota.Exceeds(quota.Resources{GPUs: use.GPUs}, limit))
+	overCPUs := spec.CPUs > 0 && quota.Exceeds(quota.Resources{CPUs: use.CPUs}, limit)
+	overGPUs := spec.GPUs > 0 && quota.Exceeds(quota.Resources{GPUs: use.GPUs}, limit)
+	return overCPUs || overGPUs
 }
 
-// allowance is how many more tasks of a job its team's limit permits, wherever.
+// allowance returns how many more tasks of a job its team's limit permits, anywhere.
 func (c *Controller) allowance(spec *protocol.Submission) int {
 	limit, use := c.view.Quota.Limit(spec.Team), c.view.UseByTeam[spec.Team]
 	return quota.TasksThatFit(limit.Difference(use), replica.TaskResources(spec), limit)
 }
 
-// allowanceOf is how many more a shard may start within its allotment.
+// allowanceOf returns how many more tasks of a job a shard may start within its allotment.
 func (c *Controller) allowanceOf(holder string, spec *protocol.Submission) int {
 	if !c.view.Quota.IsAllotted(spec.Team) {
 		return c.allowance(spec)
@@ -133,67 +154,71 @@
 // passDemands is what the teams' limits keep a shard from starting in one pass.
 type passDemands struct {
 	byTeam  map[string]*quota.Demand
-	weighed map[string]int  // units of each team that were weighed
+	weighed map[string]int  // entries of each team that were counted
 	started map[string]bool // teams of which something started
 }
 
-// maxWeighedPerTeam is how many units of a team one pass weighs: those behind the first
-// ones only tell how much more could start.
+// maxWeighedPerTeam is how many entries of a team one pass counts: those behind the first
+// ones only add to how much more could start.
 const maxWeighedPerTeam = 6
 
-// isHeldByLimit tells whether its team's limit keeps a unit from starting here now, and
-// notes what could start if the shard's allotment reached.
+// isHeldByLimit reports whether its team's limit keeps an entry from starting here now, and
+// adds to the demands what could start with a larger allotment.
 func (c *Controller) isHeldByLimit(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, demands *passDemands, now time.Time) bool {
 	if !c.isLimited(entry.Spec) {
 		return false
 	}
-	if !c.view.Quota.IsAllotted(entry.Spec.Team) {
+	team := entry.Spec.Team
+	if !c.view.Quota.IsAllotted(team) {
 		return c.exceedsLimit(entry)
 	}
-	team, whole := entry.Spec.Team, entry.Spec.Shape == protocol.ShapeGang
-	need, waiting := 1, entry.PlaceableTasks()
-	if whole {
-		need = waiting
-	}
-	may := c.allowanceOf(shard.Name, entry.Spec) + c.unrecordedCompletions(entry.Claim)
+	allowed := c.allowanceOf(shard.Name, entry.Spec) + c.unrecordedCompletions(entry.Claim)
 	yields := c.view.Quota.YieldsTo(team, entry.Spec.Priority(), entry.Job.Record.AcceptedAtMs, entry.Job.ID, now)
-	if may < waiting || yields {
-		c.addDemand(shard, entry, capacities, demands, need, may)
+	if allowed < entry.PlaceableTasks() || yields {
+		c.addDemand(entry, capacities, demands, allowed)
 	}
-	return may < need || yields
+	return allowed < entry.MinTasks() || yields
 }
 
-// addDemand adds a unit to what a shard could start within the team's limit.
-func (c *Controller) addDemand(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, demands *passDemands, need, may int) {
-	if demands.weighed[entry.Spec.Team]++; demands.weighed[entry.Spec.Team] > maxWeighedPerTeam {
+// addDemand adds an entry, of which so many tasks are allowed, to what a shard could start
+// within the team's limit.
+func (c *Controller) addDemand(entry *placement.QueueEntry, capacities []*placement.Capacity, demands *passDemands, allowed int) {
+	team := entry.Spec.Team
+	if demands.weighed[team]++; demands.weighed[team] > maxWeighedPerTeam {
 		return
 	}
-	unit := replica.TaskResources(entry.Spec)
-	could := min(entry.PlaceableTasks(), placement.TasksThatFit(entry.Spec, entry.Job.ID, capacities, entry.PlaceableTasks()))
-	// What never ends is not waited for: a gang that needs the part of the limit that
-	// services use would keep all others from the rest for ever.
-	limit := c.view.Quota.Limit(entry.Spec.Team)
-	left := limit.Minus(c.view.ServiceUse[entry.Spec.Team])
-	head := unit.Times(float64(need))
-	if (limit.CPUs > 0 && head.CPUs > left.CPUs+tolerance) || (limit.GPUs > 0 && head.GPUs > left.GPUs+tolerance) {
+	need, perTask := entry.MinTasks(), replica.TaskResources(entry.Spec)
+	startable := min(entry.PlaceableTasks(), placement.TasksThatFit(entry.Spec, entry.Job.ID, capacities, entry.PlaceableTasks()))
+	head := perTask.Times(float64(need))
+	if c.needsServicesShare(team, head) {
 		return
 	}
-	ahead := could < need
-	if ahead {
-		could = need
+	anticipated := startable < need
+	if anticipated {
+		startable = need
 	}
-	if could <= may {
+	if startable <= allowed {
 		return
 	}
-	switch x := demands.byTeam[entry.Spec.Team]; {
-	case x == nil || (x.Anticipated && !ahead):
-		demands.byTeam[entry.Spec.Team] = &quota.Demand{Head: head, PerTask: unit, Total: unit.Times(float64(could)), Priority: entry.Spec.Priority(),
-			AcceptedAtMs: entry.Job.Record.AcceptedAtMs, JobID: entry.Job.ID, AllOrNothing: need > 1, Anticipated: ahead}
-	case x.Anticipated == ahead:
-		x.Total = x.Total.Plus(unit.Times(float64(could)))
+	total := perTask.Times(float64(startable))
+	switch demand := demands.byTeam[team]; {
+	case demand == nil || (demand.Anticipated && !anticipated):
+		demands.byTeam[team] = &quota.Demand{Head: head, PerTask: perTask, Total: total, Priority: entry.Spec.Priority(),
+			AcceptedAtMs: entry.Job.Record.AcceptedAtMs, JobID: entry.Job.ID, AllOrNothing: need > 1, Anticipated: anticipated}
+	case demand.Anticipated == anticipated:
+		demand.Total = demand.Total.Plus(total)
 	}
 }
 
+// needsServicesShare reports whether a start needs the part of a team's limit that its
+// services use. Services do not end, so such a start is not waited for: it would keep all
+// others from the rest of the limit without bound.
+func (c *Controller) needsServicesShare(team string, start quota.Resources) bool {
+	limit := c.view.Quota.Limit(team)
+	left := limit.Minus(c.view.ServiceUse[team])
+	return (limit.CPUs > 0 && start.CPUs > left.CPUs+tolerance) || (limit.GPUs > 0 && start.GPUs > left.GPUs+tolerance)
+}
+
 // unrecordedCompletions counts the placements of a claim that its next version would free.
 func (c *Controller) unrecordedCompletions(claim *replica.Claim) int {
 	if claim == nil || claim.Record == nil || claim.Pending != nil || claim.Spec.Shape == protocol.ShapeGang {
@@ -204,7 +229,7 @@
 	return len(claim.Record.Placements) - len(next.Placements)
 }
 
-// publishDemands hands a pass's wishes on.
+// publishDemands passes the demands of a pass on to package quota.
 func (c *Controller) publishDemands(holder string, demands *passDemands, now time.Time) {
 	for team := range c.settings.Teams {
 		if c.view.Quota.IsAllotted(team) {
@@ -213,43 +238,44 @@
 	}
 }
 
-// quotaSync is when the other controllers were last told what this one's shards could start.
+// quotaSync is when this controller last broadcast the demands of its shards.
 type quotaSync struct {
-	announced   bool // there was something to tell
+	announced   bool // there were any
 	announcedAt time.Time
 }
 
-// demandInterval is how far apart controllers tell one another at once what they want; each
-// second they do so anyway.
+// demandInterval is the least time between two broadcasts of demands beside those of each
+// second.
 const demandInterval = 250 * time.Millisecond
 
-// transferAllotments carries out the gifts that are due from this node's shards, and tells the
-// others what these want.
+// transferAllotments broadcasts the demands of this node's shards and commits the transfers
+// that are due from their allotments.
 func (c *Controller) transferAllotments(now time.Time) {
-	wants := c.view.Quota.Demands(now)
-	if (len(wants) > 0 || c.quotaSync.announced) && now.Sub(c.quotaSync.announcedAt) >= demandInterval {
-		c.quotaSync.announced, c.quotaSync.announcedAt = len(wants) > 0, now
-		c.broadcast(c.ctx, protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, Demands: wants, DemandsComplete: true})
-	}
-	for _, m := range c.view.Quota.DueTransfers(c.decidesFor, now) {
-		c.log.Debug("allotment transferred", "team", m.Team, "from", m.From, "to", m.To, "cpus", m.Amount.CPUs, "gpus", m.Amount.GPUs)
-		c.commit(kv.PriorityClaim, m.Compares, m.Ops, 0, func(err error) {
-			c.view.Quota.FinishTransfer(m)
+	demands := c.view.Quota.Demands(now)
+	if (len(demands) > 0 || c.quotaSync.announced) && now.Sub(c.quotaSync.announcedAt) >= demandInterval {
+		c.quotaSync.announced, c.quotaSync.announcedAt = len(demands) > 0, now
+		c.broadcast(c.ctx, protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, Demands: demands, DemandsComplete: true})
+	}
+	for _, transfer := range c.view.Quota.DueTransfers(c.decidesFor, now) {
+		c.log.Debug("allotment transferred", "team", transfer.Team, "from", transfer.From, "to", transfer.To, "cpus", transfer.Amount.CPUs, "gpus", transfer.Amount.GPUs)
+		c.commit(kv.PriorityClaim, transfer.Compares, transfer.Ops, 0, func(err error) {
+			c.view.Quota.FinishTransfer(transfer)
 			if err == nil {
-				c.broadcastRecord(m.Ops[0].Key, m.Ops[0].Value)
+				c.broadcastRecord(transfer.Ops[0].Key, transfer.Ops[0].Value)
 			}
 		})
 	}
-	for _, h := range c.view.Quota.WaitingTeams(waitingLogInterval, now) {
-		c.log.Info("team waiting for its limit", "team", h.Team, "seconds", int(h.WaitedFor.Seconds()), "limit", h.Limit, "allotted", h.Grants, "used", h.Usage)
+	for _, waiting := range c.view.Quota.WaitingTeams(waitingLogInterval, now) {
+		c.log.Info("team waiting for its limit", "team", waiting.Team, "seconds", int(waiting.WaitedFor.Seconds()), "limit", waiting.Limit, "allotted", waiting.Grants, "used", waiting.Usage)
 	}
 }
 
 // waitingLogInterval is how often a team that waits for its limit is logged.
 const waitingLogInterval = 30 * time.Second
 
-// decidesFor is the condition under which this node gives from a holder's allotment:
-// it owns the shard, or leads, and its cache holds all that was started there.
+// decidesFor returns the condition under which this node transfers from a holder's
+// allotment, and reports whether it may: it owns the shard, or leads, and its view holds all
+// that was started there.
 func (c *Controller) decidesFor(holder string) (kv.Compare, bool) {
 	if holder == quota.CrossShard {
 		return kv.Compare{Key: records.LeaderKey, Version: c.leadership.version}, c.isLeader() && c.view.KnowsUse(holder)
@@ -261,25 +287,13 @@
 	return kv.Compare{Key: records.ShardPrefix + holder, Version: shard.FencingToken}, true
 }
 
-// reconcileLimits works off the difference between the limits that controllers were given
-// and those on record, and how they are divided.
+// reconcileLimits commits what the limits in the settings and those on record differ by,
+// and how limits are divided.
 func (c *Controller) reconcileLimits(now time.Time) {
-	if c.view.Quota.HasNoLimits() {
+	if c.view.Quota.HasNoLimits() || len(c.view.MachineTypes) == 0 {
 		return
 	}
-	sit := quota.ClusterState{Revision: c.view.Revision, Complete: len(c.view.OrphanClaims) == 0, IsLeader: c.isLeader(), LeaderCompare: kv.Compare{Key: records.LeaderKey, Version: c.leadership.version},
-		Holders: c.view.ShardNames(), TeamUsage: c.usageOf,
-		TeamUsageVersion: func(team string) uint64 { return c.view.Team(team).Version }}
-	for _, name := range c.view.LiveNodes() {
-		sit.Members = append(sit.Members, quota.Member{QuotaVersion: c.view.Nodes[name].QuotaVersion, TeamsHash: c.view.Nodes[name].TeamsHash})
-	}
-	for _, machineType := range c.view.MachineTypes {
-		sit.InitialShare = sit.InitialShare.Max(quota.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs})
-	}
-	if len(c.view.MachineTypes) == 0 {
-		return
-	}
-	for _, change := range c.view.Quota.LimitChanges(sit) {
+	for _, change := range c.view.Quota.LimitChanges(c.quotaState()) {
 		c.log.Info("team limit changed", "team", change.Team, "change", change.Description)
 		c.commit(kv.PriorityClaim, change.Compares, change.Ops, 0, func(err error) {
 			c.view.Quota.FinishChange(change)
@@ -288,47 +302,74 @@
 			}
 		})
 	}
-	c.reconcileTeamUse(now)
+	c.reconcileTeamUse()
+}
+
+// quotaState returns the cluster's state by which package quota decides about limits.
+func (c *Controller) quotaState() quota.ClusterState {
+	state := quota.ClusterState{Revision: c.view.Revision, Complete: len(c.view.OrphanClaims) == 0, IsLeader: c.isLeader(), LeaderCompare: kv.Compare{Key: records.LeaderKey, Version: c.leadership.version},
+		Holders: c.view.ShardNames(), TeamUsage: c.usageOf,
+		TeamUsageVersion: func(team string) uint64 { return c.view.Team(team).Version }}
+	for _, name := range c.view.LiveNodes() {
+		state.Members = append(state.Members, quota.Member{QuotaVersion: c.view.Nodes[name].QuotaVersion, TeamsHash: c.view.Nodes[name].TeamsHash})
+	}
+	for _, machineType := range c.view.MachineTypes {
+		state.InitialShare = state.InitialShare.Max(quota.Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs})
+	}
+	return state
 }
 
-// usageOf is a team's use by the names that its one record has for it.
+// usageOf returns a team's use by the names of its record.
 func (c *Controller) usageOf(team string) map[string]quota.Resources {
-	out := make(map[string]quota.Resources)
+	usage := make(map[string]quota.Resources)
 	for _, name := range c.view.ShardNames() {
-		out[name] = c.view.UsedBy(team, name)
+		usage[name] = c.view.UsedBy(team, name)
 	}
 	for claim := range c.view.CrossShardClaims {
 		if claim.Spec != nil && claim.Spec.Team == team && claim.Tally.Counted {
-			out["*"+claim.JobID] = out["*"+claim.JobID].Plus(claim.Tally.Use)
+			name := crossShardUse(claim.JobID)
+			usage[name] = usage[name].Plus(claim.Tally.Use)
 		}
 	}
-	return out
+	return usage
 }
 
-// reconcileTeamUse puts right what a team's one record says of this node's shards: what was
-// placed before there was a limit, or ended while the record was written.
-func (c *Controller) reconcileTeamUse(now time.Time) {
-	for _, name := range slices.Sorted(maps.Keys(c.view.Teams)) {
-		usage := c.view.Teams[name]
-		if c.view.Quota.IsAllotted(name) || usage.Writing || usage.Version == 0 || c.view.Revision < usage.Version || len(c.view.OrphanClaims) > 0 {
+// reconcileTeamUse corrects what the teams' records say of this node's shards: tasks that
+// were placed before there was a limit, or that ended while the record was being written.
+func (c *Controller) reconcileTeamUse() {
+	for _, team := range slices.Sorted(maps.Keys(c.view.Teams)) {
+		usage := c.view.Teams[team]
+		if c.view.Quota.IsAllotted(team) || usage.Writing || usage.Version == 0 || !c.isCompleteUpTo(usage) {
 			continue
 		}
-		for _, shard := range c.view.ShardNames() {
-			s := c.view.Shards[shard]
-			use := c.view.UsedBy(name, shard)
-			if !c.view.IsActive(s) || use.Within(usage.Record.ByShard[shard]) && usage.Record.ByShard[shard].Within(use) || slices.ContainsFunc(c.view.ClaimsOfTeam(s, name), func(claim *replica.Claim) bool { return claim.Pending != nil }) {
-				continue
-			}
-			record := &records.TeamUsage{ByShard: map[string]quota.Resources{shard: use}}
-			for other, u := range usage.Record.ByShard {
-				if other != shard {
-					record.ByShard[other] = u
-				}
+		for _, name := range c.view.ShardNames() {
+			if c.hasWrongUse(team, usage, c.view.Shards[name]) {
+				c.correctUse(team, usage, c.view.Shards[name])
+				break // the record is being written now
 			}
-			usage.Writing = true
-			compares := append(c.view.Quota.LimitCompares(name), kv.Compare{Key: records.ShardPrefix + shard, Version: s.FencingToken}, kv.Compare{Key: records.TeamUsagePrefix + name, Version: usage.Version})
-			c.commit(kv.PriorityBackground, compares, []kv.Op{{Key: records.TeamUsagePrefix + name, Value: record}}, 0, func(error) { usage.Writing = false })
-			break
 		}
 	}
 }
+
+// hasWrongUse reports whether a team's record differs from what the team uses of a shard of
+// this node, while no commit that changes the use is under way.
+func (c *Controller) hasWrongUse(team string, usage *replica.TeamUsage, shard *replica.Shard) bool {
+	if !c.view.IsActive(shard) {
+		return false
+	}
+	use, recorded := c.view.UsedBy(team, shard.Name), usage.Record.ByShard[shard.Name]
+	isRight := use.Within(recorded) && recorded.Within(use)
+	return !isRight && !slices.ContainsFunc(c.view.ClaimsOfTeam(shard, team), isPending)
+}
+
+// isPending reports whether a version of a claim is being committed.
+func isPending(claim *replica.Claim) bool { return claim.Pending != nil }
+
+// correctUse commits what a team uses of a shard of this node to the team's record.
+func (c *Controller) correctUse(team string, usage *replica.TeamUsage, shard *replica.Shard) {
+	usage.Writing = true
+	key := records.TeamUsagePrefix + team
+	record := withShardUse(usage, shard.Name, c.view.UsedBy(team, shard.Name))
+	compares := append(c.view.Quota.LimitCompares(team), kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: key, Version: usage.Version})
+	c.commit(kv.PriorityBackground, compares, []kv.Op{{Key: key, Value: record}}, 0, func(error) { usage.Writing = false })
+}
