--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -21,12 +21,12 @@
 //     health.CancelledTask);
 //   - after half of it without a record, if the state service does not take one.
 //
-// A controller that may not act for the machine's shard does not leave it at that: it probes
-// the machine itself and stops what it shows (see health.MisplacedTask).
+// A controller that may not act for the machine's shard acts too: it probes the machine and
+// stops the cancelled tasks that the machine shows (see health.MisplacedTask).
 //
 // The times count from the record of the cancellation, so they go on through restarts. They
-// do not wait for reconciliation, which leaves a claim alone while a version of it is being
-// committed, and in an outage that is all along.
+// do not depend on reconciliation, which skips a claim while a version of it is being
+// committed: in an outage, for as long as the outage lasts.
 
 // peerContactTime is the time within which every controller that is there has been heard:
 // peers send a message every second.
--- a/internal/coordination/controller/cloud.go
+++ b/internal/coordination/controller/cloud.go
@@ -23,6 +23,7 @@
 	returningUnrecorded bool // machines are being returned without a record
 }
 
+// newProvisioner returns one that knows no machine yet.
 func newProvisioner() provisioner {
 	return provisioner{unrecorded: make(map[string]unrecordedHost), refusedUntil: make(map[string]time.Time)}
 }
--- a/internal/coordination/controller/scaleout.go
+++ b/internal/coordination/controller/scaleout.go
@@ -88,7 +88,7 @@
 	return &records.Provision{ProvisionRequest: request, RequestedAtMs: now.UnixMilli()}
 }
 
-// market is what can be provisioned now.
+// market returns what can be provisioned now.
 func (c *Controller) market(now time.Time) provisioning.Market {
 	machinesByZone := make(map[string]int)
 	for _, shard := range c.view.Shards {
@@ -103,12 +103,13 @@
 	}
 }
 
+// budgetPolicy returns what operators set for the machines of arrays.
 func (c *Controller) budgetPolicy() provisioning.BudgetPolicy {
 	return provisioning.BudgetPolicy{ArrayWait: c.policy.ArrayWait, BestEffortWait: c.policy.BestEffortWait,
 		BestEffortShare: c.policy.BestEffortProvisionShare, WarmShare: c.policy.WarmShare}
 }
 
-// runningLoad is what arrays and services have placed, in all shards.
+// runningLoad returns what arrays and services have placed, in all shards.
 func (c *Controller) runningLoad() provisioning.RunningLoad {
 	var load provisioning.RunningLoad
 	for _, claim := range c.view.Claims {
@@ -125,7 +126,7 @@
 	return load
 }
 
-// supply is the capacity of all machines, there or coming, of every shard.
+// supply returns the capacity of all machines, there or coming, of every shard.
 func (c *Controller) supply(now time.Time) []*placement.Capacity {
 	var supply []*placement.Capacity
 	for _, name := range c.view.ShardNames() {
@@ -157,7 +158,7 @@
 	return supply
 }
 
-// supplyOf is the capacity of a machine as it counts for what waits; nil: it does not.
+// supplyOf returns the capacity of a machine as it counts for waiting work; nil: it does not.
 func (c *Controller) supplyOf(machine *replica.Machine, now time.Time) *placement.Capacity {
 	machineType := c.view.MachineTypes[machine.Record.Type]
 	leaving := machine.Lifecycle.Returning || !machine.Agent.PreemptionNoticeAt.IsZero()
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -135,7 +135,7 @@
 	{"adoption and a hire's answer exclude one another", "coordination/controller/adoption.go", `			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + provision.Name, Value: &again})
 `, `			_ = again
 `},
-	{"the lead is known by its record", "coordination/controller/leadership.go", `c.leadership.isSelf = record.Node == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli(); c.leadership.isSelf {`, `c.leadership.isSelf = record.NodeName == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli() && !c.leadership.campaigning; c.leadership.isSelf {`},
+	{"the lead is known by its record", "coordination/controller/leadership.go", `c.leadership.isSelf = record.Node == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli(); c.leadership.isSelf {`, `c.leadership.isSelf = record.Node == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli() && !c.leadership.campaigning; c.leadership.isSelf {`},
 	{"no empty set of claims without a job", "coordination/replica/view_claims.go", `if delete(set, claim.Key); len(set) == 0 {`, `if delete(set, claim.Key); false {`},
 	{"leases are kept behind a cut", "coordination/controller/leases.go", `	if heartbeat.FencingToken > shard.Version || !failover.MayExtendLease`, `	if true || heartbeat.FencingToken > shard.Version || !failover.MayExtendLease`},
 	{"a zone that seems cut off is not fenced", "coordination/controller/failuredetection.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
