--- /dev/null
+++ b/internal/coordination/controller/cancellations_test.go
@@ -0,0 +1,39 @@
+package controller
+
+import (
+	"testing"
+	"testing/synctest"
+
+	"madderslip/internal/protocol"
+	"madderslip/internal/storage/records"
+)
+
+// A cancellation may be known ahead of the watch, which then brings a claim committed before
+// it. The claim must find its job, so that its machine is reconciled: a job forgotten for
+// having no claims would have to be read again, which is not possible in an outage.
+func TestClaimFindsJobCancelledAheadOfWatch(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		controller := newTestController(idleStore{})
+		controller.mu.Lock()
+		defer controller.mu.Unlock()
+		view := controller.view
+		view.Loaded, view.Revision = true, 5
+		for _, jobID := range []string{"wk-1", "wk-2"} {
+			spec := &protocol.Submission{JobID: jobID, Tasks: 1, Shape: protocol.ShapeService}
+			view.Apply(records.JobPrefix+jobID, &records.Job{Spec: spec, State: protocol.JobCancelled, ChunkSize: 1}, 8)
+		}
+		key := records.ClaimKey("wk-1", 0)
+		view.Apply(key, claimOfOneTask("n1", "vm-1"), 7)
+		if claim := view.Claims[key]; claim == nil || claim.Spec == nil || view.CancelledJobs["wk-1"] == nil || view.CancelledJobs["wk-1"].Claims[0] != claim || len(view.OrphanClaims) != 0 {
+			t.Errorf("the claim has not found its job: %+v", claim)
+		}
+		view.ReachRevision(8)
+		if view.Jobs["wk-1"] == nil || view.Jobs["wk-2"] != nil || view.FinalJobs["wk-2"].State != protocol.JobCancelled || len(view.EarlyCancellations) != 0 {
+			t.Errorf("once the watch has reached the cancellation: jobs %v, early cancellations %v", view.Jobs, view.EarlyCancellations)
+		}
+		view.Apply(key, nil, 9)
+		if len(view.Jobs) != 0 || view.FinalJobs["wk-1"].State != protocol.JobCancelled {
+			t.Errorf("once its claim is removed: jobs %v", view.Jobs)
+		}
+	})
+}
--- /dev/null
+++ b/internal/coordination/controller/heartbeats_test.go
@@ -0,0 +1,79 @@
+package controller
+
+import (
+	"encoding/json"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"madderslip/internal/protocol"
+)
+
+// A heartbeat that may be of an earlier incarnation of the agent, or of a later one, is
+// answered without commands: they would follow from what the other incarnation showed. The
+// machine is probed instead.
+func TestHeartbeatOfUnclearIncarnationGetsNoCommands(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		controller := newFleet(t, 30)
+		controller.mu.Lock()
+		defer controller.mu.Unlock()
+		controller.httpClient = unreachableHTTP{}
+		machine := controller.view.Shards["n0"].Machines[0]
+		controller.respondToHeartbeat(heartbeatOf(machine, 88))
+		orphaned := protocol.TaskStatus{Task: "wk-77/0", Attempt: 1, Phase: protocol.TaskExited, Cause: protocol.CauseDone}
+		for _, test := range []struct {
+			name     string
+			sequence uint64
+			commands int
+			probed   bool
+		}{
+			{"the next", 89, 1, false},
+			{"one that may be earlier", 3, 0, true},
+		} {
+			heartbeat := heartbeatOf(machine, test.sequence)
+			heartbeat.Tasks = append(heartbeat.Tasks, orphaned)
+			var answer protocol.HeartbeatResponse
+			if response := controller.respondToHeartbeat(heartbeat); response.Status != 200 || json.Unmarshal(response.Body, &answer) != nil {
+				t.Fatalf("%s: %d", test.name, response.Status)
+			}
+			if len(answer.Commands) != test.commands || machine.Detector.Probing != test.probed {
+				t.Errorf("%s: commands %v, probed %v", test.name, answer.Commands, machine.Detector.Probing)
+			}
+		}
+	})
+}
+
+// A machine with which contact is restored after a long silence answers probes before it
+// sends a heartbeat: the machines of a shard whose controller had lost them for a minute must
+// not count as unable to report for that. One that goes on answering without heartbeats must.
+func TestRestoredMachineHasTimeToReport(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		controller := newFleet(t, 30)
+		controller.mu.Lock()
+		defer controller.mu.Unlock()
+		controller.settings.Workers.LeaseDuration = 12 * time.Second
+		machine := controller.view.Shards["n0"].Machines[0]
+		controller.respondToHeartbeat(heartbeatOf(machine, 88))
+		sequence := uint64(88)
+		answerProbes := func(duration time.Duration) {
+			for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(time.Second) {
+				sequence++
+				controller.observeHeartbeat(machine, heartbeatOf(machine, sequence))
+			}
+		}
+		time.Sleep(time.Minute)
+		answerProbes(3 * time.Second)
+		if controller.cannotReport(machine, time.Now()) {
+			t.Error("counts as unable to report as contact is restored")
+		}
+		answerProbes(6 * time.Second)
+		if !controller.cannotReport(machine, time.Now()) {
+			t.Error("does not count as unable to report though it sends no heartbeat")
+		}
+		sequence++
+		controller.respondToHeartbeat(heartbeatOf(machine, sequence))
+		if controller.cannotReport(machine, time.Now()) {
+			t.Error("counts as unable to report though it sends heartbeats")
+		}
+	})
+}
--- a/internal/coordination/controller/trace_test.go
+++ b/internal/coordination/controller/trace_test.go
@@ -11,10 +11,10 @@
 	"madderslip/internal/simtest"
 )
 
-// The traces in testdata are scripts that people read: a time, an actor, what
-// it does or what must be so by then. The stand-in checks the rules all along.
-// Those that were found by seeds say so in their first line and are played with
-// the same seed, since it decides which messages get lost.
+// The traces in testdata are scripts that people read: a time, an actor, what it does or what
+// must hold by then. The emulator checks the rules throughout. Traces that were found by a
+// seed name it in their first line and are played with the same seed, since it decides which
+// messages are lost.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
--- a/internal/coordination/controller/versions_test.go
+++ b/internal/coordination/controller/versions_test.go
@@ -11,9 +11,9 @@
 	"madderslip/internal/storage/records"
 )
 
-// TestRecordsOfProduction: the records that the version in production (6672a9c) wrote in
-// the stand-in world are read, and written again without losing a field.
-func TestRecordsOfProduction(t *testing.T) {
+// The records that the version in production (6672a9c) wrote in the emulator are read, and
+// written again without the loss of a field.
+func TestRecordsOfProductionKeepTheirFields(t *testing.T) {
 	raw, err := os.ReadFile("testdata/records-6672a9c.json")
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +26,7 @@
 	for key, value := range stored {
 		record := replica.NewRecord(key)
 		if record == nil {
-			t.Errorf("%s: of no known kind", key)
+			t.Errorf("%s: no known kind of record", key)
 			continue
 		}
 		kinds[key[:2]] = true
@@ -34,13 +34,13 @@
 			t.Errorf("%s: %v", key, err)
 			continue
 		}
-		again, err := protocol.Encode(record)
-		var was, is any
-		if err != nil || json.Unmarshal(value, &was) != nil || json.Unmarshal(again, &is) != nil || !reflect.DeepEqual(was, is) {
-			t.Errorf("%s: %s, written again %s (%v)", key, value, again, err)
+		written, err := protocol.Encode(record)
+		var before, after any
+		if err != nil || json.Unmarshal(value, &before) != nil || json.Unmarshal(written, &after) != nil || !reflect.DeepEqual(before, after) {
+			t.Errorf("%s: %s, written again %s (%v)", key, value, written, err)
 		}
-		if j, ok := record.(*records.Job); ok && (j.State == records.JobBlocked || len(j.Dependencies) > 0 || j.ReleasedAtMs != 0) {
-			t.Errorf("%s is taken for one that waits", key)
+		if job, ok := record.(*records.Job); ok && (job.State == records.JobBlocked || len(job.Dependencies) > 0 || job.ReleasedAtMs != 0) {
+			t.Errorf("%s counts as blocked", key)
 		}
 	}
 	if len(kinds) < 9 {
@@ -48,8 +48,8 @@
 	}
 }
 
-// formerJob is a job's record as the version in production reads it; it ignores fields
-// that it does not know.
+// formerJob is a job's record as the version in production reads it, which ignores fields that
+// it does not know.
 type formerJob struct {
 	Spec  *protocol.Submission `json:"d,omitempty"`
 	At    []string             `json:"q,omitempty"`
@@ -60,13 +60,13 @@
 	Ended int64                `json:"e,omitempty"`
 }
 
-// final is how that version tells that a job is over: it starts nothing of it then, and
-// answers its users with the state.
-func (j *formerJob) final() bool { return j.State != "" }
+// isFinal reports whether that version considers a job over: it starts none of its tasks then,
+// and answers its users with the state.
+func (j *formerJob) isFinal() bool { return j.State != "" }
 
-// TestProductionReadsPipelines: what the version in production makes of the records of
-// jobs that wait, wait no longer, or were cancelled while they waited.
-func TestProductionReadsPipelines(t *testing.T) {
+// The version in production starts no task of a blocked job or of one that was cancelled while
+// it was blocked, and treats a released job like any other.
+func TestProductionReadsBlockedJobs(t *testing.T) {
 	spec := &protocol.Submission{JobID: "wk-7", Shape: protocol.ShapeArray, Tasks: 3, CPUs: 2}
 	read := func(record *records.Job) *formerJob {
 		t.Helper()
@@ -80,30 +80,29 @@
 		}
 		return &former
 	}
-	held := read(&records.Job{State: records.JobBlocked, Spec: spec, Dependencies: records.JobIDs{"wk-1", "wk-000002"}, AcceptedAtMs: 5})
-	if !held.final() || held.State != protocol.JobPending {
-		t.Errorf("a job that waits would be started: %+v", held)
+	blocked := read(&records.Job{State: records.JobBlocked, Spec: spec, Dependencies: records.JobIDs{"wk-1", "wk-000002"}, AcceptedAtMs: 5})
+	if !blocked.isFinal() || blocked.State != protocol.JobPending {
+		t.Errorf("a blocked job would be started: %+v", blocked)
 	}
 	released := read(&records.Job{Spec: spec, Shards: []string{"n0", "n1"}, AcceptedAtMs: 5, ReleasedAtMs: 9, ChunkSize: 3})
-	if released.final() || released.Spec.Tasks != 3 || len(released.At) != 2 || released.Size != 3 {
-		t.Errorf("a released job is no ordinary one: %+v", released)
+	if released.isFinal() || released.Spec.Tasks != 3 || len(released.At) != 2 || released.Size != 3 {
+		t.Errorf("a released job is not an ordinary one: %+v", released)
 	}
 	cancelled := read(&records.Job{State: protocol.JobCancelled, Tasks: 3, CancelledAtMs: 9})
-	if !cancelled.final() || cancelled.State != protocol.JobCancelled {
-		t.Errorf("a cancelled job: %+v", cancelled)
+	if !cancelled.isFinal() || cancelled.State != protocol.JobCancelled {
+		t.Errorf("a cancelled job is not over: %+v", cancelled)
 	}
 }
 
-// TestNoPipelineBesideOlderVersions: while a live controller does not understand jobs that
-// wait, none is accepted.
-func TestNoPipelineBesideOlderVersions(t *testing.T) {
+// While a live controller does not support job dependencies, no job that has some is accepted.
+func TestNoDependenciesBesideOlderVersions(t *testing.T) {
 	controller := &Controller{view: &replica.View{Nodes: map[string]replica.NodeInfo{"n0": {DependencyVersion: dependencyVersion}, "n1": {}}}}
 	if controller.allSupportDependencies() {
-		t.Error("accepted beside n1, which does not say that it understands them")
+		t.Error("accepted beside n1, whose record does not say that it supports them")
 	}
 	controller.view.Nodes["n1"] = replica.NodeInfo{DependencyVersion: dependencyVersion}
 	if !controller.allSupportDependencies() {
-		t.Error("refused though all understand them")
+		t.Error("refused though all support them")
 	}
 	if (&Controller{view: &replica.View{}}).allSupportDependencies() {
 		t.Error("accepted before any controller is known, this one included")
