--- a/internal/coordination/controller/helpers_test.go
+++ b/internal/coordination/controller/helpers_test.go
@@ -118,12 +118,12 @@
 // newFleet returns a controller that owns one of three shards of so many machines together,
 // all of them full: eight tasks each, of arrays of 64 tasks in chunks of 32. Its log lines are
 // formatted, as in a benchmark they should be, and dropped.
-func newFleet(tb testing.TB, machines int) *Controller {
-	tb.Helper()
+func newFleet(t testing.TB, machines int) *Controller {
+	t.Helper()
 	settings := fleetSettings()
 	loaded, err := policy.Load("", settings)
 	if err != nil {
-		tb.Fatal(err)
+		t.Fatal(err)
 	}
 	controller := New(Options{Settings: settings, Policy: loaded, Store: idleStore{}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Rand: rand.New(rand.NewPCG(1, 1))})
 	controller.view.MachineTypes = map[string]*protocol.MachineType{"m16": {Name: "m16", CPUs: 16, MemoryGB: 64, ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: settings.Zones}}
