--- a/internal/coordination/controller/dependencies.go
+++ b/internal/coordination/controller/dependencies.go
@@ -97,9 +97,11 @@
 	now := time.Now()
 	switch {
 	case cancelled:
-		c.recordJob(own.JobID, &records.Job{State: protocol.JobCancelled, Tasks: own.Tasks, CancelledAtMs: now.UnixMilli()}, initialClaim{}, reply)
+		record := &records.Job{State: protocol.JobCancelled, Tasks: own.Tasks, CancelledAtMs: now.UnixMilli()}
+		c.recordJob(own.JobID, record, initialClaim{}, reply)
 	case len(unfinished) > 0:
-		c.recordJob(own.JobID, &records.Job{State: records.JobBlocked, Spec: &own, Dependencies: unfinished, AcceptedAtMs: now.UnixMilli()}, initialClaim{}, reply)
+		record := &records.Job{State: records.JobBlocked, Spec: &own, Dependencies: unfinished, AcceptedAtMs: now.UnixMilli()}
+		c.recordJob(own.JobID, record, initialClaim{}, reply)
 	default:
 		c.acceptJob(&own, reply)
 	}
--- a/internal/coordination/controller/peers.go
+++ b/internal/coordination/controller/peers.go
@@ -49,6 +49,13 @@
 	return protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, Updates: updates}
 }
 
+// newKeyUpdate returns a record as controllers send it to one another, and reports whether it
+// could be encoded.
+func newKeyUpdate(key string, record any, version uint64) (protocol.KeyUpdate, bool) {
+	raw, err := protocol.Encode(record)
+	return protocol.KeyUpdate{Key: key, Value: raw, Version: version}, err == nil
+}
+
 // statusMessage returns the periodic message: this controller's backlog, the cancellations to
 // be repeated, its demands, and the loads of its shards.
 func (c *Controller) statusMessage() protocol.PeerMessage {
@@ -88,8 +95,8 @@
 			break
 		}
 		job := c.view.CancelledJobs[jobID]
-		if raw, err := protocol.Encode(job.Record); err == nil {
-			updates = append(updates, protocol.KeyUpdate{Key: records.JobPrefix + jobID, Value: raw, Version: job.Version})
+		if update, ok := newKeyUpdate(records.JobPrefix+jobID, job.Record, job.Version); ok {
+			updates = append(updates, update)
 		}
 	}
 	return updates
@@ -158,17 +165,17 @@
 	if job == nil {
 		return
 	}
-	raw, err := protocol.Encode(job.Record)
-	if err != nil {
+	update, ok := newKeyUpdate(key, job.Record, job.Version)
+	if !ok {
 		return
 	}
-	message := c.newPeerMessage(protocol.KeyUpdate{Key: key, Value: raw, Version: job.Version})
+	message := c.newPeerMessage(update)
 	for _, claim := range job.Claims {
 		if claim.Record == nil || len(job.Claims) != 1 {
 			continue
 		}
-		if raw, err := protocol.Encode(claim.Record); err == nil {
-			message.Updates = append(message.Updates, protocol.KeyUpdate{Key: claim.Key, Value: raw, Version: claim.Version})
+		if update, ok := newKeyUpdate(claim.Key, claim.Record, claim.Version); ok {
+			message.Updates = append(message.Updates, update)
 		}
 	}
 	c.broadcast(c.ctx, message)
@@ -186,8 +193,8 @@
 
 // broadcastRecord sends a record just committed.
 func (c *Controller) broadcastRecord(key string, record any) {
-	if raw, err := protocol.Encode(record); err == nil {
-		c.broadcast(c.ctx, c.newPeerMessage(protocol.KeyUpdate{Key: key, Value: raw, Version: c.view.Versions[key]}))
+	if update, ok := newKeyUpdate(key, record, c.view.Versions[key]); ok {
+		c.broadcast(c.ctx, c.newPeerMessage(update))
 	}
 }
 
@@ -198,11 +205,10 @@
 		c.broadcastJob(records.JobPrefix + jobID)
 		return
 	}
-	raw, err := protocol.Encode(&records.Job{State: final.State, Tasks: final.Tasks})
-	if err != nil {
-		return
+	record := &records.Job{State: final.State, Tasks: final.Tasks}
+	if update, ok := newKeyUpdate(records.JobPrefix+jobID, record, final.Version); ok {
+		c.broadcast(c.ctx, c.newPeerMessage(update))
 	}
-	c.broadcast(c.ctx, c.newPeerMessage(protocol.KeyUpdate{Key: records.JobPrefix + jobID, Value: raw, Version: final.Version}))
 }
 
 // HandlePeerMessage applies another controller's message. The answer reports whether its
--- a/internal/coordination/replica/commandqueue.go
+++ b/internal/coordination/replica/commandqueue.go
@@ -9,12 +9,12 @@
 
 // CommandQueue is what is sent to a machine, one call at a time.
 type CommandQueue struct {
-	Pending     []protocol.Command // not sent yet
-	Sending     bool               // a call is in progress
-	InFlight    []protocol.Command // in that call
-	Unknown     []UnknownStart     // starts of unknown outcome
-	StartSentAt map[string]time.Time
-	StopSentAt  map[string]time.Time
+	Pending     []protocol.Command   // not sent yet
+	Sending     bool                 // a call is in progress
+	InFlight    []protocol.Command   // in that call
+	Unknown     []UnknownStart       // starts of unknown outcome
+	StartSentAt map[string]time.Time // by task: when a start was last sent
+	StopSentAt  map[string]time.Time // by task: when a stop was last sent
 }
 
 // UnknownStart is a start sent directly whose outcome is unknown. The network or a machine
--- a/internal/coordination/replica/machine.go
+++ b/internal/coordination/replica/machine.go
@@ -10,14 +10,14 @@
 	"madderslip/internal/storage/records"
 )
 
-// Machine is a rented machine: its record, what its agent last reported, and what this
+// Machine is a provisioned machine: its record, what its agent last reported, and what this
 // controller has sent to it and concluded about it.
 type Machine struct {
 	Host          string
 	ListedAddress string // in the cloud's list
 	Record        records.Machine
 	Version       uint64
-	AdoptedAt     time.Time // when this process began to answer for it
+	AdoptedAt     time.Time // when this process first saw it, or acquired its shard
 	Use           *HostUse
 	Images        []records.CachedImage // in its cache, as far as known; most recently used last
 
@@ -31,22 +31,21 @@
 
 // AgentState is what a machine's agent last reported.
 type AgentState struct {
-	Heartbeat          *protocol.Heartbeat // the newest, by epoch and sequence; nil: none yet
-	Tasks              map[string]*protocol.TaskStatus
-	LastContact        time.Time // latest contact, answers to probes included
-	LastHeartbeat      time.Time // when a heartbeat of its own last arrived
-	HeardAgainAt       time.Time // when contact was last restored after a silence
-	RunningSince       map[string]time.Time
-	PreemptionNoticeAt time.Time // when a spot instance announced its end; zero: it has not
-	// MinToken is set when the machine has restarted: only a
-	// heartbeat that shows a higher fencing token is of its present incarnation. 0: it has
-	// not.
+	Heartbeat          *protocol.Heartbeat             // the newest, by epoch and sequence; nil: none yet
+	Tasks              map[string]*protocol.TaskStatus // by name, as the newest heartbeat lists them
+	LastContact        time.Time                       // latest contact, answers to probes included
+	LastHeartbeat      time.Time                       // when a heartbeat of its own last arrived
+	HeardAgainAt       time.Time                       // when contact was last restored after a silence
+	RunningSince       map[string]time.Time            // by task: when it was first reported as running
+	PreemptionNoticeAt time.Time                       // when a spot instance announced its end; zero: it has not
+	// MinToken is set when the machine has restarted: only a heartbeat that shows a higher
+	// fencing token is of its present incarnation. 0: it has not restarted.
 	MinToken uint64
 }
 
 // FailureDetector is what direct probes of a machine have shown.
 type FailureDetector struct {
-	Probing       bool
+	Probing       bool      // a probe is in progress
 	UnansweredAt  time.Time // when it last failed to answer a probe
 	Reachability  health.Reachability
 	CancelProbeAt time.Time // when a controller that does not own it last asked it for cancelled tasks
@@ -55,19 +54,19 @@
 // QuarantineState is whether a machine may be given work.
 type QuarantineState struct {
 	Evidence       quarantine.MachineEvidence
-	Active         bool
-	ChangedAt      time.Time
-	RejectingUntil time.Time // after it refused a start for want of capacity
+	Active         bool      // it may not
+	ChangedAt      time.Time // when Active last changed
+	RejectingUntil time.Time // no start before, after it refused one for want of capacity
 }
 
 // Lifecycle is where a machine stands between boot and return.
 type Lifecycle struct {
-	Overdue       bool // it did not come up in time
-	IdleSince     time.Time
-	DrainingSince time.Time // zero: it is not being emptied
-	Returning     bool      // a commit or a call to return it is under way
-	ReturnRetryAt time.Time
-	Gone          bool // the cloud has confirmed its return, which may not be recorded yet
+	Overdue       bool      // it did not come up in time
+	IdleSince     time.Time // since when it is not needed; zero: it is
+	DrainingSince time.Time // zero: it is not being drained
+	Returning     bool      // a commit or a call to return it is in progress
+	ReturnRetryAt time.Time // not tried again before
+	Gone          bool      // the cloud has confirmed its return, which may not be recorded yet
 }
 
 // Age returns how long ago a machine was provisioned.
@@ -140,7 +139,8 @@
 // then no command of an earlier owner is executed any more, and the heartbeat lists every
 // task.
 func (m *Machine) ShowsToken(shard *Shard) bool {
-	return m.Agent.Heartbeat != nil && shard.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= shard.FencingToken && IncarnationOf(m.Agent.Heartbeat).Valid(m.Agent.MinToken)
+	return m.Agent.Heartbeat != nil && shard.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= shard.FencingToken &&
+		IncarnationOf(m.Agent.Heartbeat).Valid(m.Agent.MinToken)
 }
 
 // RunsNothingPlaced reports whether the agent shows none of what is placed on the machine as
--- a/internal/coordination/replica/provisions.go
+++ b/internal/coordination/replica/provisions.go
@@ -10,7 +10,7 @@
 type Provision struct {
 	Name          string
 	Record        records.Provision
-	Version       uint64
+	Version       uint64    // 0: the request is not recorded yet
 	Busy          bool      // a call or a commit for it is in progress
 	RetryAt       time.Time // not tried again before
 	AnsweredHosts []string  // machines that the cloud has named, until the cache is complete
--- a/internal/coordination/replica/view_jobs.go
+++ b/internal/coordination/replica/view_jobs.go
@@ -53,7 +53,14 @@
 		v.log.Error("blocked job has no description", "job", jobID)
 		return true
 	}
-	v.Dependencies.Add(dag.Job{ID: jobID, Dependencies: record.Dependencies, Spec: record.Spec, AcceptedAt: time.UnixMilli(record.AcceptedAtMs), Revision: version}, time.Now())
+	blocked := dag.Job{
+		ID:           jobID,
+		Dependencies: record.Dependencies,
+		Spec:         record.Spec,
+		AcceptedAt:   time.UnixMilli(record.AcceptedAtMs),
+		Revision:     version,
+	}
+	v.Dependencies.Add(blocked, time.Now())
 	return true
 }
 
