--- a/internal/coordination/controller/capacities.go
+++ b/internal/coordination/controller/capacities.go
@@ -53,7 +53,11 @@
 
 // fillCapacity sets a capacity to what a machine has free.
 func (c *Controller) fillCapacity(capacity *placement.Capacity, shard *replica.Shard, machine *replica.Machine, machineType *protocol.MachineType, now time.Time) {
-	*capacity = placement.Capacity{Releases: capacity.Releases[:0], Machine: machine, Host: machine.Host, Shard: shard.Name, TypeName: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot, Type: machineType}
+	*capacity = placement.Capacity{
+		Releases: capacity.Releases[:0], // the memory is reused
+		Machine:  machine, Host: machine.Host, Shard: shard.Name,
+		Type: machineType, TypeName: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot,
+	}
 	capacity.Free = c.view.FreeCapacity(machine) // also finds out about use of unknown size, for acceptsTasks
 	capacity.Usable = c.acceptsTasks(machine, now)
 	if machine.Agent.Heartbeat == nil && !machine.Lifecycle.Returning {
--- a/internal/coordination/controller/gangs.go
+++ b/internal/coordination/controller/gangs.go
@@ -204,7 +204,11 @@
 	// while the record is being committed, so that the gang's tasks are refused.
 	hold.Writing, hold.Pending = true, next
 	key := gangHoldKey(job.ID, shard.Name)
-	compares := []kv.Compare{{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, {Key: records.GangReservationPrefix + job.ID, Version: reservation.Version}, {Key: key, Version: hold.Version}}
+	compares := []kv.Compare{
+		{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken},
+		{Key: records.GangReservationPrefix + job.ID, Version: reservation.Version},
+		{Key: key, Version: hold.Version},
+	}
 	ops := []kv.Op{{Key: key, Value: &records.GangHold{TasksByHost: next}, Lease: c.membership.lease}}
 	c.commit(kv.PriorityClaim, compares, ops, gangCommitTimeout, func(error) { hold.Writing, hold.Pending = false, nil })
 }
@@ -306,7 +310,9 @@
 	if c.view.Quota.IsAllotted(spec.Team) {
 		perTask := replica.TaskResources(spec)
 		all := perTask.Times(float64(spec.Tasks))
-		c.view.Quota.SetDemand(spec.Team, quota.CrossShard, &quota.Demand{Head: all, PerTask: perTask, Total: all, Priority: spec.Priority(), AcceptedAtMs: job.Record.AcceptedAtMs, JobID: job.ID, AllOrNothing: true}, false, now)
+		demand := &quota.Demand{Head: all, PerTask: perTask, Total: all, Priority: spec.Priority(),
+			AcceptedAtMs: job.Record.AcceptedAtMs, JobID: job.ID, AllOrNothing: true}
+		c.view.Quota.SetDemand(spec.Team, quota.CrossShard, demand, false, now)
 	}
 	return true
 }
@@ -315,8 +321,11 @@
 // reservation, the job and the holds of the shards are as they were, and the shards have
 // the same owners.
 func (c *Controller) gangCompares(job *replica.Job, reservation *replica.GangReservation, shards map[string]bool) []kv.Compare {
-	compares := []kv.Compare{{Key: records.LeaderKey, Version: c.leadership.version}, {Key: records.GangReservationPrefix + job.ID, Version: reservation.Version},
-		{Key: records.JobPrefix + job.ID, Version: job.Version}}
+	compares := []kv.Compare{
+		{Key: records.LeaderKey, Version: c.leadership.version},
+		{Key: records.GangReservationPrefix + job.ID, Version: reservation.Version},
+		{Key: records.JobPrefix + job.ID, Version: job.Version},
+	}
 	for _, name := range slices.Sorted(maps.Keys(shards)) {
 		compares = append(compares, kv.Compare{Key: gangHoldKey(job.ID, name), Version: reservation.Holds[name].Version},
 			kv.Compare{Key: records.ShardPrefix + name, Version: c.view.Shards[name].Version})
--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -158,7 +158,10 @@
 	}
 	c.preemptions.reservations[claimKey] = reservation
 	use := replica.TaskResources(entry.Spec).Times(float64(reservation.tasks)).Plus(usageView{c}.PlacedBy(claimKey))
-	compares, ops := c.view.Quota.Reserve(quota.ReservationRequest{Team: reservation.team, ClaimKey: claimKey, Shard: shard.Name, FencingToken: shard.FencingToken, Use: use, Victims: policy.borrowedByTeam(plan)})
+	compares, ops := c.view.Quota.Reserve(quota.ReservationRequest{
+		Team: reservation.team, ClaimKey: claimKey, Shard: shard.Name, FencingToken: shard.FencingToken,
+		Use: use, Victims: policy.borrowedByTeam(plan),
+	})
 	compares = append(compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: records.JobPrefix + entry.Job.ID, Version: entry.Job.Version})
 	c.commit(kv.PriorityClaim, compares, ops, 0, func(err error) {
 		if err != nil {
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -307,9 +307,12 @@
 
 // quotaState returns the cluster's state by which package quota decides about limits.
 func (c *Controller) quotaState() quota.ClusterState {
-	state := quota.ClusterState{Revision: c.view.Revision, Complete: len(c.view.OrphanClaims) == 0, IsLeader: c.isLeader(), LeaderCompare: kv.Compare{Key: records.LeaderKey, Version: c.leadership.version},
+	state := quota.ClusterState{
+		Revision: c.view.Revision, Complete: len(c.view.OrphanClaims) == 0,
+		IsLeader: c.isLeader(), LeaderCompare: kv.Compare{Key: records.LeaderKey, Version: c.leadership.version},
 		Holders: c.view.ShardNames(), TeamUsage: c.usageOf,
-		TeamUsageVersion: func(team string) uint64 { return c.view.Team(team).Version }}
+		TeamUsageVersion: func(team string) uint64 { return c.view.Team(team).Version },
+	}
 	for _, name := range c.view.LiveNodes() {
 		state.Members = append(state.Members, quota.Member{QuotaVersion: c.view.Nodes[name].QuotaVersion, TeamsHash: c.view.Nodes[name].TeamsHash})
 	}
--- a/internal/coordination/controller/preemption.go
+++ b/internal/coordination/controller/preemption.go
@@ -30,6 +30,7 @@
 	releasing     bool                             // reservations are being released
 }
 
+// newPreemptions returns an empty state.
 func newPreemptions() preemptions {
 	return preemptions{plans: make(map[string]*preemptionPlan), reservations: make(map[string]*guaranteeReservation)}
 }
--- a/internal/coordination/controller/schedule.go
+++ b/internal/coordination/controller/schedule.go
@@ -157,7 +157,7 @@
 }
 
 const (
-	// neverLate is how far ahead an entry must start that preempts nothing by its wait.
+	// neverLate is how long an entry may wait that preempts nothing however long it waits.
 	neverLate = time.Hour
 	// missedObjectiveWait is how long a job that has missed all its objectives waits for
 	// capacity rather than preempt others.
