--- a/internal/coordination/controller/admission.go
+++ b/internal/coordination/controller/admission.go
@@ -37,7 +37,7 @@
 }
 
 // backlog returns what is queued ahead of a transaction of a priority.
-func (c *Controller) backlog(priority int, now time.Time) admission.Backlog {
+func (c *Controller) backlog(priority kv.Priority, now time.Time) admission.Backlog {
 	backlog := admission.Backlog{Unavailable: c.isStateDown(now)}
 	backlog.Pending, backlog.Rate = c.store.Backlog(priority)
 	return backlog
@@ -60,7 +60,7 @@
 
 // retryLater returns the response that turns a user away, with when to come back: soon if
 // another controller can serve the user, else when the backlog should be worked off.
-func (c *Controller) retryLater(priority int, now time.Time) transport.Response {
+func (c *Controller) retryLater(priority kv.Priority, now time.Time) transport.Response {
 	if c.isStateServingOthers(now) {
 		return unavailable(shortRetry)
 	}
--- a/internal/coordination/controller/claims.go
+++ b/internal/coordination/controller/claims.go
@@ -46,7 +46,7 @@
 }
 
 // commitChange commits a change. done runs once the change is not pending any more.
-func (c *Controller) commitChange(priority int, change *claimChange, done func(error)) {
+func (c *Controller) commitChange(priority kv.Priority, change *claimChange, done func(error)) {
 	c.beginChange(change)
 	c.commit(priority, change.compares, change.ops, 0, func(err error) {
 		if change.usage != nil {
@@ -94,7 +94,7 @@
 }
 
 // claimPriority returns the priority of a claim's commit. Those of arrays come after others.
-func claimPriority(spec *protocol.Submission) int {
+func claimPriority(spec *protocol.Submission) kv.Priority {
 	if spec.Shape == protocol.ShapeArray {
 		return kv.PriorityArrayClaim
 	}
@@ -221,7 +221,7 @@
 
 // updateClaim commits a new version of a claim that this shard holds, and reports whether
 // the commit has begun. then, if set, runs after it.
-func (c *Controller) updateClaim(shard *replica.Shard, claim *replica.Claim, next *records.Claim, priority int, then func(error)) bool {
+func (c *Controller) updateClaim(shard *replica.Shard, claim *replica.Claim, next *records.Claim, priority kv.Priority, then func(error)) bool {
 	if next.MaxEncodedSize() > c.store.MaxValueBytes() {
 		// It was written before the state service lowered its limits. Each task that ends
 		// makes it smaller; until it fits, its agents go on listing what has ended.
--- a/internal/coordination/controller/collaborators.go
+++ b/internal/coordination/controller/collaborators.go
@@ -20,13 +20,13 @@
 	// for them for as long as block if there are none yet.
 	Watch(ctx context.Context, from uint64, block time.Duration) ([]kv.Item, uint64, error)
 	// GrantLease returns a new lease.
-	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	GrantLease(ctx context.Context, ttl time.Duration) (kv.LeaseID, error)
 	// KeepAlive extends a lease.
-	KeepAlive(ctx context.Context, lease uint64) error
+	KeepAlive(ctx context.Context, lease kv.LeaseID) error
 	// Submit queues a transaction and returns at once.
 	Submit(txn *kv.Txn)
 	// HasPending returns how many transactions of a priority are queued.
-	HasPending(priority int) int
+	HasPending(priority kv.Priority) int
 	// SetBudgetShare sets this controller's share, from 0 to 1, of the request budgets.
 	SetBudgetShare(share float64)
 	// MaxValueBytes returns how large an encoded record may be.
@@ -37,7 +37,7 @@
 	LastSuccess() time.Time
 	// Backlog returns how many changes are queued ahead of a priority, and how many are
 	// sent in a second.
-	Backlog(priority int) (changes int, rate float64)
+	Backlog(priority kv.Priority) (changes int, rate float64)
 	// ReadBacklog returns the same for reads.
 	ReadBacklog() (waiting int, rate float64)
 }
--- a/internal/coordination/controller/commit.go
+++ b/internal/coordination/controller/commit.go
@@ -11,13 +11,13 @@
 
 // commit submits a transaction. done runs with the lock held, after the view shows the
 // outcome: the written records, or what the failed keys hold now.
-func (c *Controller) commit(priority int, compares []kv.Compare, ops []kv.Op, within time.Duration, done func(error)) {
+func (c *Controller) commit(priority kv.Priority, compares []kv.Compare, ops []kv.Op, within time.Duration, done func(error)) {
 	c.commitWithRevision(priority, compares, ops, within, func(err error, _ uint64) { done(err) })
 }
 
 // commitWithRevision submits a transaction as commit does, and passes to done the state
 // service's revision at its answer, or 0 if it did not answer.
-func (c *Controller) commitWithRevision(priority int, compares []kv.Compare, ops []kv.Op, within time.Duration, done func(error, uint64)) {
+func (c *Controller) commitWithRevision(priority kv.Priority, compares []kv.Compare, ops []kv.Op, within time.Duration, done func(error, uint64)) {
 	txn := &kv.Txn{Compares: compares, Ops: ops, Priority: priority}
 	if within > 0 {
 		txn.Deadline = time.Now().Add(within)
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -14,6 +14,7 @@
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/policy"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/kv"
 )
 
 // tolerance is what rounding may leave of sums that should be equal.
@@ -61,7 +62,7 @@
 // membership is what the controllers know of one another beside the records, each by the
 // other's name.
 type membership struct {
-	lease            uint64                 // of this process; 0: none
+	lease            kv.LeaseID             // of this process; 0: none
 	lastContact      map[string]time.Time   // when each was last in contact
 	stateReachableAt map[string]time.Time   // when each last reported that it reaches the state service
 	backlogs         map[string]peerBacklog // changes queued at each, as it last reported
--- a/internal/coordination/controller/helpers_test.go
+++ b/internal/coordination/controller/helpers_test.go
@@ -22,11 +22,11 @@
 type idleStore struct{ StateStore }
 
 func (idleStore) Submit(*kv.Txn)                      {}
-func (idleStore) HasPending(int) int                  { return 0 }
+func (idleStore) HasPending(kv.Priority) int          { return 0 }
 func (idleStore) SetBudgetShare(float64)              {}
 func (idleStore) ObserveVersion(string, uint64, bool) {}
 func (idleStore) LastSuccess() time.Time              { return time.Now() }
-func (idleStore) Backlog(int) (int, float64)          { return 0, 1 }
+func (idleStore) Backlog(kv.Priority) (int, float64)  { return 0, 1 }
 func (idleStore) Get(context.Context, string) (kv.Item, error) {
 	return kv.Item{}, kv.ErrNotExecuted
 }
@@ -43,7 +43,7 @@
 }
 
 func (s *recordingStore) Submit(txn *kv.Txn) { s.txn = txn }
-func (s *recordingStore) GrantLease(context.Context, time.Duration) (uint64, error) {
+func (s *recordingStore) GrantLease(context.Context, time.Duration) (kv.LeaseID, error) {
 	return 7, nil
 }
 
--- a/internal/coordination/controller/membership.go
+++ b/internal/coordination/controller/membership.go
@@ -21,7 +21,7 @@
 func (c *Controller) membershipLoop(ctx context.Context) {
 	record := &records.Node{StartedAtMs: c.startedAt.UnixMilli(), DependencyVersion: dependencyVersion}
 	record.QuotaVersion, record.TeamsHash = c.view.Quota.Advertised()
-	var lease uint64
+	var lease kv.LeaseID
 	for ctx.Err() == nil {
 		loaded, registered := c.registration(lease)
 		if !loaded {
@@ -60,7 +60,7 @@
 
 // registration reports whether the records are read, and whether the node's record hangs on
 // a lease.
-func (c *Controller) registration(lease uint64) (loaded, registered bool) {
+func (c *Controller) registration(lease kv.LeaseID) (loaded, registered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hasRecord := c.view.Nodes[c.settings.NodeName].Version != 0
@@ -69,7 +69,7 @@
 
 // registerNode commits the node's record with a lease and waits for the outcome, or for the
 // end of the context, which it reports as ended.
-func (c *Controller) registerNode(ctx context.Context, record *records.Node, lease uint64) (ended bool, err error) {
+func (c *Controller) registerNode(ctx context.Context, record *records.Node, lease kv.LeaseID) (ended bool, err error) {
 	key := records.NodePrefix + c.settings.NodeName
 	outcome := make(chan error, 1)
 	c.mu.Lock()
@@ -93,7 +93,7 @@
 }
 
 // keepLeaseAlive renews a lease and reports false once it has expired.
-func (c *Controller) keepLeaseAlive(ctx context.Context, lease uint64) bool {
+func (c *Controller) keepLeaseAlive(ctx context.Context, lease kv.LeaseID) bool {
 	err := c.store.KeepAlive(ctx, lease)
 	if errors.Is(err, kv.ErrLeaseExpired) {
 		c.log.Info("lease expired")
--- a/internal/coordination/controller/returns.go
+++ b/internal/coordination/controller/returns.go
@@ -46,7 +46,7 @@
 
 // commitMachineState commits a machine's record with another state, if the shard is still
 // owned and the record unchanged.
-func (c *Controller) commitMachineState(shard *replica.Shard, machine *replica.Machine, state string, priority int, timeout time.Duration, done func(error)) {
+func (c *Controller) commitMachineState(shard *replica.Shard, machine *replica.Machine, state string, priority kv.Priority, timeout time.Duration, done func(error)) {
 	key := records.MachinePrefix + machine.Host
 	record := machine.Record
 	record.State = state
--- a/internal/storage/kv/client.go
+++ b/internal/storage/kv/client.go
@@ -144,7 +144,7 @@
 
 // GrantLease takes a new lease. Leases do not wait for the budget: losing one
 // because of other traffic would cost the node its shard.
-func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	request := map[string]int64{"ttlMs": ttl.Milliseconds()}
 	var answer wireLease
 	status, err := c.connection.call(ctx, http.MethodPost, protocol.PathLeases, request, &answer, leaseTimeout)
@@ -154,12 +154,12 @@
 	if err != nil {
 		return 0, wrapError(opGrantLease, "", err)
 	}
-	return answer.Lease, nil
+	return LeaseID(answer.Lease), nil
 }
 
 // KeepAlive renews a lease. ErrLeaseExpired says that it has ended for good.
-func (c *Client) KeepAlive(ctx context.Context, lease uint64) error {
-	id := strconv.FormatUint(lease, 10)
+func (c *Client) KeepAlive(ctx context.Context, lease LeaseID) error {
+	id := strconv.FormatUint(uint64(lease), 10)
 	return wrapError(opKeepAlive, id, c.keepAlive(ctx, id))
 }
 
--- a/internal/storage/kv/queue.go
+++ b/internal/storage/kv/queue.go
@@ -141,7 +141,7 @@
 
 // ahead counts the changes, and the transactions that only compare, that go before a new
 // transaction of a priority.
-func (q *queue) ahead(priority int) (changes, reads int) {
+func (q *queue) ahead(priority Priority) (changes, reads int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, t := range q.pending {
@@ -161,7 +161,7 @@
 func sortByUrgency(pending []*Txn, now time.Time) {
 	slices.SortStableFunc(pending, func(a, b *Txn) int {
 		return cmp.Or(
-			a.effectivePriority(now)-b.effectivePriority(now),
+			cmp.Compare(a.effectivePriority(now), b.effectivePriority(now)),
 			a.queuedAt.Compare(b.queuedAt),
 			cmp.Compare(a.sequence, b.sequence))
 	})
--- a/internal/storage/kv/send.go
+++ b/internal/storage/kv/send.go
@@ -103,14 +103,14 @@
 }
 
 // HasPending counts the transactions of a priority that wait for the budget.
-func (c *Client) HasPending(priority int) int {
+func (c *Client) HasPending(priority Priority) int {
 	return c.queue.count(func(t *Txn) bool { return t.Priority == priority })
 }
 
 // Backlog is how many changes wait that go before a new transaction of a
 // priority, and how many a second the budget allows. Comparisons count as a
 // change for as many as go together in a request.
-func (c *Client) Backlog(priority int) (changes int, rate float64) {
+func (c *Client) Backlog(priority Priority) (changes int, rate float64) {
 	changes, reads := c.queue.ahead(priority)
 	return changes + reads/max(1, c.limiter.limits.sizes().MaxTxnOps), float64(c.limiter.writes.Limit())
 }
--- a/internal/storage/kv/txn.go
+++ b/internal/storage/kv/txn.go
@@ -18,12 +18,18 @@
 type Op struct {
 	Key   string
 	Value any
-	Lease uint64
+	Lease LeaseID // with which the key ends; 0: none
 }
 
-// Priorities of transactions under scarcity, the first most urgent.
+// LeaseID names a lease of the store; 0 is none.
+type LeaseID uint64
+
+// Priority orders transactions while the store's rates are short. The lower one goes first.
+type Priority int
+
+// The priorities, the first most urgent.
 const (
-	PriorityLease = iota
+	PriorityLease Priority = iota
 	PriorityUser
 	PriorityClaim
 	PriorityArrayClaim // claims of arrays, which may wait a little where others may not
@@ -45,7 +51,7 @@
 type Txn struct {
 	Compares []Compare
 	Ops      []Op
-	Priority int
+	Priority Priority
 	Deadline time.Time
 	OnResult func(Result)
 
@@ -83,7 +89,7 @@
 				return op.Key, err
 			}
 			t.maxValueBytes = max(t.maxValueBytes, len(value))
-			encoded.Set, encoded.Value, encoded.Lease = keyPrefix+op.Key, value, op.Lease
+			encoded.Set, encoded.Value, encoded.Lease = keyPrefix+op.Key, value, uint64(op.Lease)
 		}
 		t.bytes += len(encoded.Value) + len(op.Key) + overheadBytes
 		t.encodedOps = append(t.encodedOps, encoded)
@@ -105,11 +111,11 @@
 }
 
 // effectivePriority is a transaction's priority, raised by waiting as far as a claim's.
-func (t *Txn) effectivePriority(now time.Time) int {
+func (t *Txn) effectivePriority(now time.Time) Priority {
 	if t.Priority <= PriorityClaim {
 		return t.Priority
 	}
-	return max(PriorityClaim, t.Priority-int(now.Sub(t.queuedAt)/agingInterval))
+	return max(PriorityClaim, t.Priority-Priority(now.Sub(t.queuedAt)/agingInterval))
 }
 
 // dependsOnOlder reports whether a condition of the transaction fails since key was seen at
