--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -57,11 +57,14 @@
 	shard.RequestNewToken(machine)
 	switch {
 	case c.isUnreachable(shard, machine, silence, now):
-		c.fenceMachine(shard, machine, "machine fenced, heartbeats do not arrive")
+		c.log.Info("machine fenced, heartbeats do not arrive", "host", machine.Host)
+		c.returnMachine(shard, machine)
 	case c.cannotShowToken(shard, machine, now):
-		c.fenceMachine(shard, machine, "machine fenced, cannot receive commands")
+		c.log.Info("machine fenced, cannot receive commands", "host", machine.Host)
+		c.returnMachine(shard, machine)
 	case c.isSilentTooLong(shard, machine, silence, now):
-		c.fenceMachine(shard, machine, "machine fenced, silent", "silence", silence)
+		c.log.Info("machine fenced, silent", "host", machine.Host, "silence", silence)
+		c.returnMachine(shard, machine)
 	}
 }
 
@@ -73,16 +76,11 @@
 	}
 	overdue := silence > c.fenceDelay(machine, unheardFenceFactor*c.policy.FenceAfter, now)
 	if overdue && len(machine.Use.Slots) > 0 && !machine.Lifecycle.Returning {
-		c.fenceMachine(shard, machine, "machine fenced, not heard by its new owner")
+		c.log.Info("machine fenced, not heard by its new owner", "host", machine.Host)
+		c.returnMachine(shard, machine)
 	}
 }
 
-// fenceMachine returns a machine that can't be kept, and logs why.
-func (c *Controller) fenceMachine(shard *replica.Shard, machine *replica.Machine, message string, attributes ...any) {
-	c.log.Info(message, append([]any{"host", machine.Host}, attributes...)...)
-	c.returnMachine(shard, machine)
-}
-
 // shouldProbe reports whether to probe a machine that has been heard before. One that
 // cannot report shows only in an answer that its lease has expired, and what it ran.
 func (c *Controller) shouldProbe(machine *replica.Machine, silence time.Duration, now time.Time) bool {
