--- a/internal/coordination/replica/doc.go
+++ b/internal/coordination/replica/doc.go
@@ -5,9 +5,10 @@
 // order, and the types that the view keeps: jobs, claims, machines, shards and the other
 // records, each with what the controller remembers about it beside the record.
 //
-// It guarantees that a cached record is never replaced by an older version, and that every
-// index over claims is derived by View.Reindex alone, which View.Recount compares with a
-// count from scratch.
+// It guarantees that a cached record is never replaced by an older version, and that the
+// indexes over claims (slots, shards' claims, teams' use) are derived by View.Reindex alone.
+// View.Recount compares them with a count from scratch, View.UseByTeam and View.ServiceUse
+// excepted.
 //
 // It makes no scheduling decision and does no I/O. A view has no lock: its owner's guards
 // every method and field. The package must not import controller, placement, provisioning
--- a/internal/coordination/replica/index.go
+++ b/internal/coordination/replica/index.go
@@ -10,9 +10,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// The indexes answer, without a walk over all claims, what is on a machine, what a shard's
-// claims are, and what a team uses. They are derived from the claims and kept up to date by
-// Reindex alone; Recount compares them with a count from scratch.
+// The indexes over claims answer, without a walk over all of them, what is on a machine, what
+// a shard's claims are, and what a team uses. They are kept up to date by Reindex alone.
 
 // TeamShard identifies a team's use of one shard.
 type TeamShard struct{ Team, Shard string }
--- a/internal/coordination/replica/recount.go
+++ b/internal/coordination/replica/recount.go
@@ -22,7 +22,8 @@
 }
 
 // Recount works out from the claims alone what the indexes should hold, and returns an error
-// that says where they differ. It is for tests: it walks over everything.
+// that says where they differ. UseByTeam and ServiceUse are not compared. It is for tests: it
+// walks over everything.
 func (v *View) Recount() error {
 	counted := v.countFromClaims()
 	for _, check := range []func(*recount) error{v.checkHosts, v.checkUse, v.checkShards} {
--- a/internal/coordination/replica/view.go
+++ b/internal/coordination/replica/view.go
@@ -23,15 +23,15 @@
 	// Versions holds the revision of each key's cached version.
 	Versions map[string]uint64
 
-	Nodes    map[string]NodeInfo
+	Nodes    map[string]NodeInfo // the live controllers
 	Shards   map[string]*Shard
-	Machines map[string]*Machine
-	Jobs     map[string]*Job   // open, or final with claims left to clear
-	Claims   map[string]*Claim // by key, those being committed for the first time included
+	Machines map[string]*Machine // by host, those that are gone included
+	Jobs     map[string]*Job     // open, or final with claims left to clear
+	Claims   map[string]*Claim   // by key, those being committed for the first time included
 	// OrphanClaims are claims read before their job, by job and key. No set is empty.
 	OrphanClaims     map[string]map[string]*Claim
-	FinalJobs        map[string]FinalJob
-	Dependencies     *dag.Graph // blocked jobs and what they depend on
+	FinalJobs        map[string]FinalJob // at most maxFinalJobs
+	Dependencies     *dag.Graph          // blocked jobs and what they depend on
 	Teams            map[string]*TeamUsage
 	Quota            *quota.Manager
 	Provisions       map[string]*Provision              // whose answer is not recorded yet
@@ -42,10 +42,10 @@
 	MachineTypes map[string]*protocol.MachineType
 
 	// Indexes derived from the above.
-	Hosts              map[string]*HostUse
+	Hosts              map[string]*HostUse // that are known or that a claim names
 	CrossShardClaims   map[*Claim]struct{} // on machines of several shards
 	UseByShard         map[TeamShard]quota.Resources
-	UseByTeam          map[string]quota.Resources
+	UseByTeam          map[string]quota.Resources // across all shards
 	ServiceUse         map[string]quota.Resources // by team: of services, whose tasks do not end by themselves
 	CommittedUse       map[string]quota.Resources // by team: what is placed however commits in progress end
 	CancelledJobs      map[string]*Job            // cancelled, with claims left
