--- a/internal/simtest/day.go
+++ b/internal/simtest/day.go
@@ -11,7 +11,7 @@
 // apart from one another: what is judged is that no class and no team starves.
 func GenerateDay() *rapid.Generator[string] {
 	return rapid.Custom(func(t *rapid.T) string {
-		d := &draft{t: t, names: controllers(usual)}
+		d := &draft{t: t, names: controllerNames(usualControllers)}
 		d.add(0, "machines %d a", d.number("in a", 4, 7))
 		d.add(0, "machines %d b", d.number("in b", 4, 7))
 		d.add(0, "spare 40")
--- a/internal/simtest/digest_test.go
+++ b/internal/simtest/digest_test.go
@@ -49,8 +49,8 @@
 func (e *entry) digest(t *testing.T) string {
 	script, sum := e.script(), sha256.New()
 	synctest.Test(t, func(*testing.T) {
-		playWatched(script, e.seed, func(c *cluster) {
-			c.w.State.Observe(func(change emulator.Change) { addChange(sum, time.Since(c.began), change) })
+		playObserved(script, e.seed, func(c *cluster) {
+			c.world.State.Observe(func(change emulator.Change) { addChange(sum, time.Since(c.began), change) })
 		})
 	})
 	return hex.EncodeToString(sum.Sum(nil)[:8])
--- /dev/null
+++ b/internal/simtest/expectations.go
@@ -0,0 +1,170 @@
+package simtest
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// expectations are what "expect" can ask for by its first word. Anything else is a job.
+var expectations = map[string]func(c *cluster, f command) error{
+	"busy":     (*cluster).expectBusy,
+	"happened": (*cluster).expectHappened,
+	"large":    (*cluster).expectLarge,
+	"oversize": (*cluster).expectOversize,
+	"returned": (*cluster).expectReturned,
+	// served PERCENT: at least so much of every class and team
+	"served": func(c *cluster, f command) error { return c.checkStarvation(float64(f.number(1)) / 100) },
+	"vain":   (*cluster).expectWasted,
+}
+
+// expect checks what a line says must be so by then.
+func (c *cluster) expect(f command) error {
+	if len(f) < 2 {
+		return scriptErrorf("expect what?")
+	}
+	if f[1] == "running" {
+		return c.expectRunning(f)
+	}
+	if f[0] == "team" && len(f) == 4 {
+		return c.expectTeam(f)
+	}
+	if check := expectations[f[0]]; check != nil {
+		return check(c, f)
+	}
+	return c.expectJob(f[0], f[1])
+}
+
+// expectRunning checks "JOB running COUNT": so many of its tasks run.
+func (c *cluster) expectRunning(f command) error {
+	want, _ := strconv.Atoi(f[2])
+	if got := c.world.Running(f[0]); got != want {
+		return fmt.Errorf("%d tasks run", got)
+	}
+	return nil
+}
+
+// expectBusy checks "busy LEAST": so many tasks run, of any job.
+func (c *cluster) expectBusy(f command) error {
+	if got := c.world.Running(""); got < f.number(1) {
+		return fmt.Errorf("%d tasks run", got)
+	}
+	return nil
+}
+
+// expectTeam checks "team NAME LEAST MOST": the CPUs that it uses.
+func (c *cluster) expectTeam(f command) error {
+	var least, most float64
+	if _, err := fmt.Sscanf(f[2]+" "+f[3], "%g %g", &least, &most); err != nil {
+		return scriptErrorf("expect team NAME LEAST MOST: %w", err)
+	}
+	if got := c.world.TeamUse()[f[1]].CPUs; got < least || got > most {
+		return fmt.Errorf("team %s uses %v CPUs", f[1], got)
+	}
+	return nil
+}
+
+// expectHappened checks "happened LEAST WORDS": so many events have these words.
+func (c *cluster) expectHappened(f command) error {
+	least, err := strconv.Atoi(f[1])
+	words := strings.Join(f[2:], " ")
+	if err != nil || words == "" {
+		return scriptErrorf("expect happened LEAST WORDS, not %q", strings.Join(f, " "))
+	}
+	got := c.countEvents(func(event string) bool { return strings.Contains(event, words) })
+	if got < least {
+		return fmt.Errorf("%d times %q", got, words)
+	}
+	return nil
+}
+
+// expectReturned checks "returned COUNT": so many machines were returned so far.
+func (c *cluster) expectReturned(f command) error {
+	got := c.countEvents(func(event string) bool { return strings.HasSuffix(event, " returned") })
+	if got != f.number(1) {
+		return fmt.Errorf("%d machines were returned", got)
+	}
+	return nil
+}
+
+func (c *cluster) countEvents(matches func(event string) bool) int {
+	count := 0
+	for _, event := range c.world.Events() {
+		if matches(event) {
+			count++
+		}
+	}
+	return count
+}
+
+// expectOversize checks "oversize MOST": so often a transaction with the same first key was
+// refused for its size.
+func (c *cluster) expectOversize(f command) error {
+	most, err := strconv.Atoi(f[1])
+	if err != nil {
+		return scriptErrorf("expect oversize MOST: %w", err)
+	}
+	refused := c.world.State.RefusedForSize()
+	for _, key := range slices.Sorted(maps.Keys(refused)) {
+		if times := refused[key]; times > most {
+			return fmt.Errorf("%s was refused %d times for its size", key, times)
+		}
+	}
+	return nil
+}
+
+// expectLarge checks "large LEAST": so many records are larger than the announced limit.
+func (c *cluster) expectLarge(f command) error {
+	least, err := strconv.Atoi(f[1])
+	if err != nil {
+		return scriptErrorf("expect large LEAST: %w", err)
+	}
+	c.mu.Lock()
+	limit := c.announced.MaxValueBytes
+	c.mu.Unlock()
+	large := 0
+	for _, value := range c.records() {
+		if len(value) > limit {
+			large++
+		}
+	}
+	if large < least {
+		return fmt.Errorf("%d records are larger than %d bytes", large, limit)
+	}
+	return nil
+}
+
+// expectWasted checks "vain MOST": so many starts after a confirmed cancellation.
+func (c *cluster) expectWasted(f command) error {
+	most, err := strconv.Atoi(f[1])
+	if err != nil {
+		return scriptErrorf("expect vain MOST: %w", err)
+	}
+	if got := c.world.WastedStarts(); got > most {
+		return fmt.Errorf("%d tasks started after their cancellation was confirmed", got)
+	}
+	return nil
+}
+
+// expectJob checks "JOB PHASE", or unknown: so say all live controllers that answer, and
+// at least one does. For "unanswered" none has to.
+func (c *cluster) expectJob(jobID, phase string) error {
+	answers := 0
+	for _, name := range c.live() {
+		status, answer := c.world.Query(name, jobID)
+		switch {
+		case phase == "unknown" && status == 404, status == 200 && answer.Phase == phase:
+			answers++
+		case status == 503 || status == 0:
+		default:
+			return fmt.Errorf("%s answers %d %s", name, status, answer.Phase)
+		}
+	}
+	if answers == 0 && phase != "unanswered" {
+		return errors.New("nobody answers")
+	}
+	return nil
+}
--- a/internal/simtest/generate.go
+++ b/internal/simtest/generate.go
@@ -18,7 +18,7 @@
 }
 
 func storms(t *rapid.T) *draft {
-	d := &draft{t: t, names: controllers(usual)}
+	d := &draft{t: t, names: controllerNames(usualControllers)}
 	d.fleet()
 	for range d.number("storms", 1, 3) {
 		d.storm(d.moment("storm", 7*time.Second, 50*time.Second))
@@ -88,7 +88,7 @@
 
 func (d *draft) fleet() {
 	if d.yes(15, "many controllers") {
-		d.names = controllers(d.number("controllers", 4, 7))
+		d.names = controllerNames(d.number("controllers", 4, 7))
 		d.add(0, "controllers %d", len(d.names))
 	}
 	if d.yes(4, "many machines") {
--- /dev/null
+++ b/internal/simtest/leaks.go
@@ -0,0 +1,87 @@
+package simtest
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"madderslip/internal/protocol"
+	"madderslip/internal/storage/records"
+)
+
+// checkNothingLeft checks that nothing is left of jobs that are all over: no task, no
+// machine, no claim, no reserved use, and no record without an owner.
+func (c *cluster) checkNothingLeft() error {
+	if count := c.world.Running(""); count > 0 {
+		return checkErrorf("leaked", "%d tasks run though every job is over", count)
+	}
+	stored := c.records()
+	for _, key := range slices.Sorted(maps.Keys(stored)) {
+		if why := leakOf(key, stored[key]); why != "" {
+			return checkErrorf("leaked", "%s: %s", key, why)
+		}
+	}
+	if hosts := c.world.Rented(); len(hosts) > 0 {
+		return checkErrorf("leaked", "%v are rented and unused", hosts)
+	}
+	for _, name := range c.names {
+		if left := c.process(name).controller.Residue(); len(left) > 0 {
+			return checkErrorf("leaked", "%s keeps %s", name, strings.Join(left, ", "))
+		}
+	}
+	return nil
+}
+
+// leakOf tells why a record should not be there once every job is over and every machine
+// returned, or nothing.
+func leakOf(key string, value json.RawMessage) string {
+	switch {
+	case strings.HasPrefix(key, records.ClaimPrefix):
+		return "a claim of a job that is over"
+	case strings.HasPrefix(key, records.GangReservationPrefix), strings.HasPrefix(key, records.GangHoldPrefix):
+		return "room held for nobody"
+	case strings.HasPrefix(key, records.TeamUsagePrefix):
+		return leakOfTeamUsage(value)
+	case strings.HasPrefix(key, records.ReservationPrefix):
+		var reservations records.Reservations
+		if err := json.Unmarshal(value, &reservations); err != nil {
+			return err.Error()
+		}
+		if len(reservations.ByClaim)+len(reservations.Preempted) > 0 {
+			return "a booked guarantee of a job that is over"
+		}
+	case strings.HasPrefix(key, records.ProvisionPrefix):
+		var provision records.Provision
+		if err := json.Unmarshal(value, &provision); err != nil {
+			return err.Error()
+		}
+		if len(provision.Hosts) == 0 {
+			return "a hire without an answer"
+		}
+	case strings.HasPrefix(key, records.MachinePrefix):
+		var machine records.Machine
+		if err := json.Unmarshal(value, &machine); err != nil {
+			return err.Error()
+		}
+		if machine.State != records.MachineGone {
+			return "a machine that is not gone"
+		}
+	}
+	return ""
+}
+
+func leakOfTeamUsage(value json.RawMessage) string {
+	var usage records.TeamUsage
+	if err := json.Unmarshal(value, &usage); err != nil {
+		return err.Error()
+	}
+	for shard, use := range usage.ByShard {
+		// "*" alone stands for a limit that is allotted.
+		if use != (protocol.Resources{}) && shard != "*" {
+			return fmt.Sprintf("%v reserved in %s", use, shard)
+		}
+	}
+	return ""
+}
--- a/internal/simtest/measure_test.go
+++ b/internal/simtest/measure_test.go
@@ -26,8 +26,8 @@
 func watchUse(into *[]sample, last *emulator.Counts) func(*cluster) {
 	return func(c *cluster) {
 		for time.Sleep(100*time.Millisecond + 17*time.Nanosecond); c.ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
-			*into = append(*into, sample{time.Since(c.began), c.w.TeamUse()})
-			*last = c.w.State.Counts()
+			*into = append(*into, sample{time.Since(c.began), c.world.TeamUse()})
+			*last = c.world.State.Counts()
 		}
 	}
 }
@@ -96,7 +96,7 @@
 						script = "0s allot off\n" + script
 					}
 					synctest.Test(t, func(*testing.T) {
-						if out := playWatched(script, uint64(seed+1), watchUse(&s, &counts)); out.Kind() != "" {
+						if out := playObserved(script, uint64(seed+1), watchUse(&s, &counts)); out.Kind() != "" {
 							t.Error(tr.name, n, w.name, out.Kind(), out.Err)
 						}
 					})
@@ -143,7 +143,7 @@
 					var s []sample
 					var counts emulator.Counts
 					synctest.Test(t, func(*testing.T) {
-						if out := playWatched(strings.Join(lines, "\n")+"\n70s expect busy 0\n", uint64(seed+1), watchUse(&s, &counts)); out.Kind() != "" {
+						if out := playObserved(strings.Join(lines, "\n")+"\n70s expect busy 0\n", uint64(seed+1), watchUse(&s, &counts)); out.Kind() != "" {
 							t.Error(tr.name, n, kind.name, out.Kind(), out.Err)
 						}
 					})
--- /dev/null
+++ b/internal/simtest/verbs_network.go
@@ -0,0 +1,35 @@
+package simtest
+
+import (
+	"slices"
+	"strings"
+
+	"madderslip/internal/emulator"
+)
+
+// networkVerbs are faults of the state service, the cloud and the links.
+func networkVerbs() map[string]verbHandler {
+	return map[string]verbHandler{
+		// outage on|off: the state service serves nobody
+		"outage": func(c *cluster, f command) error { c.world.SetFault("outage", f.isOn(1)); return nil },
+		// refuse NODE on|off: the state service serves all but this controller
+		"refuse": func(c *cluster, f command) error { c.world.SetFault("refuse "+f.arg(1), f.isOn(2)); return nil },
+		// deafen NODE on|off: no worker reaches this controller
+		"deafen": func(c *cluster, f command) error { c.world.SetFault("deaf "+f.arg(1), f.isOn(2)); return nil },
+		// zone ZONE cut|heal
+		"zone":    func(c *cluster, f command) error { c.world.SetFault("zone "+f.arg(1), f.arg(2) == "cut"); return nil },
+		"trouble": (*cluster).setFault,
+	}
+}
+
+// setFault carries out "trouble NAME [NODE] on|off".
+func (c *cluster) setFault(f command) error {
+	last := len(f) - 1
+	name, how := strings.Join(f[1:max(1, last)], " "), f[last]
+	isKnown := emulator.IsFault(name, append(slices.Clone(c.names), "a", "b"))
+	if !isKnown || (how != "on" && how != "off") {
+		return scriptErrorf("trouble NAME [NODE] on|off, not %q %q", name, how)
+	}
+	c.world.SetFault(name, how == "on")
+	return nil
+}
