--- a/internal/simtest/digest_test.go
+++ b/internal/simtest/digest_test.go
@@ -24,8 +24,8 @@
 )
 
 var (
-	digestWrite   = flag.String("digest-write", "", "file to write the digests of all schedules to")
-	digestCompare = flag.String("digest-compare", "", "file to compare the digests of all schedules with")
+	digestWrite   = flag.String("digest-write", "", "file to write the digests of all scripts to")
+	digestCompare = flag.String("digest-compare", "", "file to compare the digests of all scripts with")
 )
 
 const (
@@ -37,14 +37,14 @@
 	tracesDir        = "../coordination/controller/testdata"
 )
 
-// entry is a schedule that has a digest.
+// entry is a script that has a digest.
 type entry struct {
 	name   string // "GENERATOR SEED" or "trace NAME"
 	seed   uint64
 	script func() string
 }
 
-// digest plays a schedule and returns a digest of all changes that the state service
+// digest plays a script and returns a digest of all changes that the state service
 // carried out: keys, values, versions, order and instants.
 func (e *entry) digest(t *testing.T) string {
 	script, sum := e.script(), sha256.New()
@@ -68,7 +68,7 @@
 	sum.Write(line)
 }
 
-// seedEntries lists the schedules of every generator, by seed.
+// seedEntries lists the scripts of every generator, by seed.
 func seedEntries() []*entry {
 	var entries []*entry
 	for _, generator := range []struct {
@@ -133,7 +133,7 @@
 	return rests
 }
 
-// TestDigests compares what the state service carried out in schedules of every
+// TestDigests compares what the state service carried out in scripts of every
 // generator and in the kept traces, to the bit, with what it did when the digests were
 // written. A change that should not alter any decision leaves all of them as they are.
 // A plain run plays a sample; -digest-compare FILE plays all, -digest-write FILE writes
@@ -173,7 +173,7 @@
 	}
 }
 
-// checkPlayed fails for a digest of a schedule that there is no more.
+// checkPlayed fails for a digest of a script that there is no more.
 func checkPlayed(t *testing.T, want map[string]string, entries []*entry) {
 	for name := range want {
 		if !slices.ContainsFunc(entries, func(e *entry) bool { return e.name == name }) {
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-var guards = flag.Int("guards", 0, "take each guard out once and look for it with so many schedules (minutes of processor time)")
+var guards = flag.Int("guards", 0, "take each guard out once and look for it with so many scripts (minutes of processor time)")
 
 // guard is a line that keeps a rule, and what is there without it.
 type guard struct {
@@ -190,62 +190,80 @@
 }
 
 // TestGuards takes each guard out of a copy of the sources and has the
-// schedules and the kept traces find it. It prints a line for each, the table in
-// docs/measurements/schedule.md.
+// scripts and the kept traces find it. It prints a line for each, the table in
+// docs/measurements/simulation.md. Without -guards it checks that the sources still have
+// every guard as it is written down here.
 func TestGuards(t *testing.T) {
-	if *guards == 0 {
-		// The sources must still have every guard as it is written down here.
-		for _, g := range taken {
-			src, err := os.ReadFile(filepath.Join("..", g.file))
-			if err != nil || strings.Count(string(src), g.with) != 1 {
-				t.Errorf("%s: not once in %s (%v)", g.name, g.file, err)
-			}
+	for _, g := range taken {
+		if *guards == 0 {
+			checkGuardStands(t, g)
+			continue
 		}
-		return
+		t.Run(g.name, func(t *testing.T) { findMissing(t, g) })
 	}
-	seed := regexp.MustCompile(`--- FAIL: Test(?:Seeds|Pipelines)/(\d+)`)
-	for _, g := range taken {
-		t.Run(g.name, func(t *testing.T) {
-			dir := t.TempDir()
-			if err := os.CopyFS(dir, os.DirFS(filepath.Join("..", ".."))); err != nil {
-				t.Fatal(err)
-			}
-			file := filepath.Join(dir, "internal", g.file)
-			src, err := os.ReadFile(file)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := os.WriteFile(file, []byte(strings.Replace(string(src), g.with, g.out, 1)), 0o644); err != nil {
-				t.Fatal(err)
-			}
-			cmd := exec.Command("go", "test", "./internal/simtest", "-run", "TestSeeds|TestPipeline", "-seeds", strconv.Itoa(*guards), "-from", strconv.Itoa(*from), "-plays", "0")
-			cmd.Dir = dir
-			raw, _ := cmd.CombinedOutput()
-			text := string(raw)
-			cmd = exec.Command("go", "test", "./internal/coordination/...", "./internal/storage/...")
-			cmd.Dir = dir
-			raw, _ = cmd.CombinedOutput()
-			var kept []string // traces and small tests that notice
-			for _, hit := range regexp.MustCompile(`--- FAIL: (?:TestTraces/)?(\S+)`).FindAllStringSubmatch(string(raw), -1) {
-				kept = append(kept, hit[1])
-			}
-			t.Logf("| %s | traces | %s |", g.name, strings.Join(kept, ", "))
-			first := 0
-			for _, hit := range seed.FindAllStringSubmatch(text, -1) {
-				if n, _ := strconv.Atoi(hit[1]); first == 0 || n < first {
-					first = n
-				}
-			}
-			kinds := regexp.MustCompile(`failed: (map\[.*\])`).FindStringSubmatch(text)
-			switch {
-			case first > 0 && kinds != nil:
-				t.Logf("| %s | %d | %s |", g.name, first-*from+1, kinds[1])
-			case strings.Contains(text, "panic:"):
-				line, _, _ := strings.Cut(text[strings.Index(text, "panic:"):], "\n")
-				t.Logf("| %s | ends the run | %s |", g.name, line)
-			case len(kept) == 0:
-				t.Errorf("| %s | not found in %d | %.300s |", g.name, *guards, text)
-			}
-		})
+}
+
+func checkGuardStands(t *testing.T, g guard) {
+	src, err := os.ReadFile(filepath.Join("..", g.file))
+	if err != nil || strings.Count(string(src), g.with) != 1 {
+		t.Errorf("%s: not once in %s (%v)", g.name, g.file, err)
+	}
+}
+
+var (
+	failedSeed  = regexp.MustCompile(`--- FAIL: Test(?:Seeds|Pipelines)/(\d+)`)
+	failedTest  = regexp.MustCompile(`--- FAIL: (?:TestTraces/)?(\S+)`)
+	failedKinds = regexp.MustCompile(`failed: (map\[.*\])`)
+)
+
+// findMissing takes a guard out of a copy of the sources, which scripts drawn from seeds,
+// the traces or the small tests must notice.
+func findMissing(t *testing.T, g guard) {
+	dir := t.TempDir()
+	takeOut(t, dir, g)
+	text := runTests(dir, "./internal/simtest", "-run", "TestSeeds|TestPipeline", "-seeds", strconv.Itoa(*guards), "-from", strconv.Itoa(*from), "-plays", "0")
+	var noticed []string // traces and small tests
+	for _, hit := range failedTest.FindAllStringSubmatch(runTests(dir, "./internal/coordination/...", "./internal/storage/..."), -1) {
+		noticed = append(noticed, hit[1])
 	}
+	t.Logf("| %s | traces | %s |", g.name, strings.Join(noticed, ", "))
+	first := 0
+	for _, hit := range failedSeed.FindAllStringSubmatch(text, -1) {
+		if seed, _ := strconv.Atoi(hit[1]); first == 0 || seed < first {
+			first = seed
+		}
+	}
+	kinds := failedKinds.FindStringSubmatch(text)
+	switch {
+	case first > 0 && kinds != nil:
+		t.Logf("| %s | %d | %s |", g.name, first-*from+1, kinds[1])
+	case strings.Contains(text, "panic:"):
+		line, _, _ := strings.Cut(text[strings.Index(text, "panic:"):], "\n")
+		t.Logf("| %s | ends the run | %s |", g.name, line)
+	case len(noticed) == 0:
+		t.Errorf("| %s | not found in %d | %.300s |", g.name, *guards, text)
+	}
+}
+
+// takeOut copies the sources to a directory and takes a guard out there.
+func takeOut(t *testing.T, dir string, g guard) {
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join("..", ".."))); err != nil {
+		t.Fatal(err)
+	}
+	file := filepath.Join(dir, "internal", g.file)
+	src, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(file, []byte(strings.Replace(string(src), g.with, g.out, 1)), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// runTests runs "go test" in a directory and returns what it prints, passed or failed.
+func runTests(dir string, args ...string) string {
+	cmd := exec.Command("go", append([]string{"test"}, args...)...)
+	cmd.Dir = dir
+	raw, _ := cmd.CombinedOutput()
+	return string(raw)
 }
--- a/internal/simtest/measure_test.go
+++ b/internal/simtest/measure_test.go
@@ -1,7 +1,6 @@
 package simtest
 
 import (
-	"cmp"
 	"flag"
 	"fmt"
 	"slices"
@@ -16,56 +15,91 @@
 
 var measure = flag.Int("measure", 0, "print the tables of docs/measurements/quota.md, from so many seeds (minutes)")
 
-// used is what each team's tasks take, by the second half of a second.
+// sample is what each team's tasks take at a moment.
 type sample struct {
 	at    time.Duration
 	teams map[string]protocol.Resources
 }
 
-// watchUse samples what teams use until the cluster ends.
-func watchUse(into *[]sample, last *emulator.Counts) func(*cluster) {
-	return func(c *cluster) {
-		for time.Sleep(100*time.Millisecond + 17*time.Nanosecond); c.ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
-			*into = append(*into, sample{time.Since(c.began), c.world.TeamUse()})
-			*last = c.world.State.Counts()
+// measurement is what one play was watched for.
+type measurement struct {
+	samples []sample
+	counts  emulator.Counts // of the state service, the last
+}
+
+// measured plays a script and samples what teams use until the cluster ends. It fails the
+// test if the script fails.
+func measured(t *testing.T, what, script string, seed uint64) *measurement {
+	m := &measurement{}
+	synctest.Test(t, func(*testing.T) {
+		if out := playObserved(script, seed, m.sample); out.Kind() != "" {
+			t.Error(what, out.Kind(), out.Err)
 		}
-	}
+	})
+	return m
 }
 
-// burst is 42 arrays of 40 tasks of 2 CPUs and 3 s, users spread over the controllers.
-func burst(controllers, machines int, most int, trouble string) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "0s controllers %d\n0s team busy most=%d\n0s machines %d a\n", controllers, most, machines)
-	if most == 0 {
-		b.Reset()
-		fmt.Fprintf(&b, "0s controllers %d\n0s team busy cpus=0\n0s machines %d a\n", controllers, machines)
-	}
-	for i := range 42 {
-		fmt.Fprintf(&b, "%v user n%d submit wk-%d array tasks=40 run=3 team=busy\n", 15*time.Second+time.Duration(i)*20*time.Millisecond, i%controllers, i+1)
+// sample samples every 100 ms, a little apart from other timers.
+func (m *measurement) sample(c *cluster) {
+	for time.Sleep(100*time.Millisecond + 17*time.Nanosecond); c.ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
+		m.samples = append(m.samples, sample{time.Since(c.began), c.world.TeamUse()})
+		m.counts = c.world.State.Counts()
 	}
-	b.WriteString(trouble)
-	b.WriteString("80s expect busy 0\n")
-	return b.String()
 }
 
-// meanUse is the mean while work waits: until the last 200 tasks are left.
-func meanUse(s []sample) float64 {
-	from := slices.IndexFunc(s, func(x sample) bool { return x.teams["busy"].CPUs > 0 })
+// meanUse is the mean use of the team "busy" while work waits: until the last 200 tasks
+// are left.
+func (m *measurement) meanUse() float64 {
+	from := slices.IndexFunc(m.samples, func(s sample) bool { return s.teams["busy"].CPUs > 0 })
 	if from < 0 {
 		return 0
 	}
 	upTo := from
-	for i := range s {
-		if s[i].teams["busy"].CPUs >= 100 {
+	for i, s := range m.samples {
+		if s.teams["busy"].CPUs >= 100 {
 			upTo = i
 		}
 	}
-	sum, k := 0.0, 0
-	for _, x := range s[from+10 : max(from+11, upTo-20)] {
-		sum += x.teams["busy"].CPUs
-		k++
+	sum, count := 0.0, 0
+	for _, s := range m.samples[from+10 : max(from+11, upTo-20)] {
+		sum += s.teams["busy"].CPUs
+		count++
+	}
+	return sum / float64(count)
+}
+
+// measuredFault is a fault that measurements are repeated under.
+type measuredFault struct{ name, lines string }
+
+// controllerCounts are the numbers of controllers that a measurement is made with; one
+// alone has no faults of a controller.
+func (f measuredFault) controllerCounts() []int {
+	if f.name == "calm" {
+		return []int{1, 3, 5, 7}
 	}
-	return sum / float64(k)
+	return []int{3, 5, 7}
+}
+
+const (
+	limitArrays     = 42
+	limitArrayTasks = 40
+)
+
+// limitScript has 42 arrays of 40 tasks of 2 CPUs and 3 s come at once, from users spread
+// over the controllers, of a team with a limit of so many CPUs, or none.
+func limitScript(controllers, machines, limit int, fault string) string {
+	team := "team busy cpus=0"
+	if limit > 0 {
+		team = fmt.Sprintf("team busy most=%d", limit)
+	}
+	var b strings.Builder
+	fmt.Fprintf(&b, "0s controllers %d\n0s %s\n0s machines %d a\n", controllers, team, machines)
+	for i := range limitArrays {
+		fmt.Fprintf(&b, "%v user n%d submit wk-%d array tasks=%d run=3 team=busy\n", 15*time.Second+time.Duration(i)*20*time.Millisecond, i%controllers, i+1, limitArrayTasks)
+	}
+	b.WriteString(fault)
+	b.WriteString("80s expect busy 0\n")
+	return b.String()
 }
 
 // TestMeasureLimits prints how well a limit of 400 CPUs is used on 800, beside a
@@ -74,41 +108,70 @@
 	if *measure == 0 {
 		t.Skip("no -measure")
 	}
-	troubles := []struct{ name, text string }{
+	for _, fault := range []measuredFault{
 		{"calm", ""}, {"a kill", "20s kill n1 for 5s\n"}, {"a freeze", "20s freeze n1 on for 12s\n"}, {"refused alone", "20s refuse n1 on for 20s\n"},
+	} {
+		for _, controllers := range fault.controllerCounts() {
+			printLimitUse(t, fault, controllers, "allotted", limitScript(controllers, 100, 400, fault.lines))
+			printLimitUse(t, fault, controllers, "one record", "0s allot off\n"+limitScript(controllers, 100, 400, fault.lines))
+			printLimitUse(t, fault, controllers, "no limit", limitScript(controllers, 50, 0, fault.lines))
+		}
 	}
-	for _, tr := range troubles {
-		for _, n := range []int{1, 3, 5, 7} {
-			if n == 1 && tr.name != "calm" {
-				continue
-			}
-			for _, w := range []struct {
-				name           string
-				machines, most int
-				plain          bool
-			}{{"allotted", 100, 400, false}, {"one record", 100, 400, true}, {"no limit", 50, 0, false}} {
-				mean, refused, changes := 0.0, 0, 0
-				for seed := range *measure {
-					var s []sample
-					var counts emulator.Counts
-					script := burst(n, w.machines, w.most, tr.text)
-					if w.plain {
-						script = "0s allot off\n" + script
-					}
-					synctest.Test(t, func(*testing.T) {
-						if out := playObserved(script, uint64(seed+1), watchUse(&s, &counts)); out.Kind() != "" {
-							t.Error(tr.name, n, w.name, out.Kind(), out.Err)
-						}
-					})
-					mean += meanUse(s) / float64(*measure)
-					refused += counts.Refused
-					changes += counts.Changes
-				}
-				tasks := float64(42 * 40 * *measure)
-				fmt.Printf("%-14s %d controllers  %-10s mean %5.0f  refused %5.1f a run  changes a task %.2f\n", tr.name, n, w.name, mean, float64(refused)/float64(*measure), float64(changes)/tasks)
-			}
+}
+
+// printLimitUse prints what -measure seeds of a script give on average.
+func printLimitUse(t *testing.T, fault measuredFault, controllers int, name, script string) {
+	mean, refused, changes := 0.0, 0, 0
+	for seed := range *measure {
+		m := measured(t, fmt.Sprint(fault.name, controllers, name), script, uint64(seed+1))
+		mean += m.meanUse() / float64(*measure)
+		refused += m.counts.Refused
+		changes += m.counts.Changes
+	}
+	tasks := float64(limitArrays * limitArrayTasks * *measure)
+	fmt.Printf("%-14s %d controllers  %-10s mean %5.0f  refused %5.1f a run  changes a task %.2f\n", fault.name, controllers, name, mean, float64(refused)/float64(*measure), float64(changes)/tasks)
+}
+
+// guaranteeClaimedAt is when the measured team claims its guarantee.
+const guaranteeClaimedAt = 30 * time.Second
+
+// guaranteeScript has a team with a guarantee of 40 CPUs claim it on 400 that another one
+// has filled.
+func guaranteeScript(controllers int, job, fault string) string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "0s controllers %d\n0s team due cpus=40\n0s team lend cpus=80\n0s machines 50 a\n", controllers)
+	for i := range 14 {
+		fmt.Fprintf(&b, "%dms user n%d submit wk-%d array tasks=40 run=400 team=lend\n", 8000+10*i, i%controllers, i+1)
+	}
+	for i := range 28 {
+		fmt.Fprintf(&b, "%v user n%d submit wk-%d %s team=due\n", guaranteeClaimedAt, i%controllers, i+20, job)
+	}
+	return sortedLines(append(strings.Split(b.String(), "\n"), strings.Split(fault, "\n")...)) + "\n70s expect busy 0\n"
+}
+
+// guaranteeResult is how a claimed guarantee was met.
+type guaranteeResult struct {
+	metAfter    []float64 // seconds, one a seed; 40 stands for not met
+	most        float64   // CPUs of the claimant
+	lenderLeast float64   // CPUs of the lender
+}
+
+// add adds one play, until the end of its run.
+func (r *guaranteeResult) add(m *measurement) {
+	metAfter := 40.0
+	for _, s := range m.samples {
+		if s.at > 60*time.Second {
+			break
+		}
+		if s.teams["due"].CPUs >= 40 {
+			metAfter = min(metAfter, s.at.Seconds()-guaranteeClaimedAt.Seconds())
+		}
+		r.most = max(r.most, s.teams["due"].CPUs)
+		if s.at > guaranteeClaimedAt-time.Second {
+			r.lenderLeast = min(r.lenderLeast, s.teams["lend"].CPUs)
 		}
 	}
+	r.metAfter = append(r.metAfter, metAfter)
 }
 
 // TestMeasureGuarantees prints how soon a team has its guarantee of 40 CPUs on a fleet
@@ -117,54 +180,20 @@
 	if *measure == 0 {
 		t.Skip("no -measure")
 	}
-	jobs := []struct{ name, text string }{{"gangs", "gang tasks=4 cpus=2 run=300"}, {"services", "service tasks=4 cpus=2"}, {"arrays", "array tasks=20 cpus=2 run=300"}}
-	troubles := []struct{ name, text string }{
+	jobs := []struct{ name, line string }{{"gangs", "gang tasks=4 cpus=2 run=300"}, {"services", "service tasks=4 cpus=2"}, {"arrays", "array tasks=20 cpus=2 run=300"}}
+	for _, fault := range []measuredFault{
 		{"calm", ""}, {"slow state service", "29500ms trouble slow on for 8s\n"}, {"a kill", "30200ms kill n1 for 5s\n"}, {"a freeze", "30200ms freeze n1 on for 12s\n"}, {"a cut", "30200ms zone b cut for 10s\n"},
-	}
-	for _, tr := range troubles {
-		for _, kind := range jobs {
-			for _, n := range []int{1, 3, 5, 7} {
-				if n == 1 && tr.name != "calm" {
-					continue
-				}
-				var met []float64
-				most, least := 0.0, 400.0
+	} {
+		for _, job := range jobs {
+			for _, controllers := range fault.controllerCounts() {
+				result := &guaranteeResult{lenderLeast: 400}
 				for seed := range *measure {
-					var b strings.Builder
-					fmt.Fprintf(&b, "0s controllers %d\n0s team due cpus=40\n0s team lend cpus=80\n0s machines 50 a\n", n)
-					for i := range 14 {
-						fmt.Fprintf(&b, "%dms user n%d submit wk-%d array tasks=40 run=400 team=lend\n", 8000+10*i, i%n, i+1)
-					}
-					for i := range 28 {
-						fmt.Fprintf(&b, "30s user n%d submit wk-%d %s team=due\n", i%n, i+20, kind.text)
-					}
-					lines := append(strings.Split(b.String(), "\n"), strings.Split(tr.text, "\n")...)
-					slices.SortStableFunc(lines, func(a, b string) int { return cmp.Compare(when(a), when(b)) })
-					var s []sample
-					var counts emulator.Counts
-					synctest.Test(t, func(*testing.T) {
-						if out := playObserved(strings.Join(lines, "\n")+"\n70s expect busy 0\n", uint64(seed+1), watchUse(&s, &counts)); out.Kind() != "" {
-							t.Error(tr.name, n, kind.name, out.Kind(), out.Err)
-						}
-					})
-					at := 40.0 // not met
-					for _, x := range s {
-						if x.at > 60*time.Second {
-							break // the end of the run
-						}
-						if x.teams["due"].CPUs >= 40 {
-							at = min(at, x.at.Seconds()-30)
-						}
-						most = max(most, x.teams["due"].CPUs)
-						if x.at > 29*time.Second {
-							least = min(least, x.teams["lend"].CPUs)
-						}
-					}
-					met = append(met, at)
+					script := guaranteeScript(controllers, job.line, fault.lines)
+					result.add(measured(t, fmt.Sprint(fault.name, controllers, job.name), script, uint64(seed+1)))
 				}
-				slices.Sort(met)
-				fmt.Printf("%-18s %-8s %d controllers  met after %.1f s (median), %.1f s (p95); at most %3.0f of 40; lender at least %3.0f\n", tr.name, kind.name, n,
-					met[len(met)/2], met[min(len(met)-1, len(met)*95/100)], most, least)
+				met := slices.Sorted(slices.Values(result.metAfter))
+				fmt.Printf("%-18s %-8s %d controllers  met after %.1f s (median), %.1f s (p95); at most %3.0f of 40; lender at least %3.0f\n", fault.name, job.name, controllers,
+					met[len(met)/2], met[min(len(met)-1, len(met)*95/100)], result.most, result.lenderLeast)
 			}
 		}
 	}
--- a/internal/simtest/outcome_test.go
+++ b/internal/simtest/outcome_test.go
@@ -16,7 +16,7 @@
 		{"a broken rule", Outcome{Broken: []string{"ran_twice: wk-1/0", "quota: tight"}}, "ran_twice"},
 		{"a broken rule goes before an error", Outcome{Broken: []string{"quota: tight"}, Err: checkErrorf("waits", "wk-1")}, "quota"},
 		{"a failed check", Outcome{Err: checkErrorf("leaked", "cl-1: %w", errors.New("a claim"))}, "leaked"},
-		{"a failed check that is wrapped", Outcome{Err: fmt.Errorf("after calm: %w", checkErrorf("leaked", "cl-1"))}, "leaked"},
+		{"a failed check that is wrapped", Outcome{Err: fmt.Errorf("after quiescence: %w", checkErrorf("leaked", "cl-1"))}, "leaked"},
 		{"a fault of the script", Outcome{Err: withLine(scriptErrorf("unknown step %q", "sever"), 3)}, "script"},
 		{"an expectation", Outcome{Err: errors.New("answered 409, wanted 201")}, "answered 409, wanted 201"},
 	} {
--- a/internal/simtest/quiescence.go
+++ b/internal/simtest/quiescence.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		if got := c.world.RequestUntilAnswered(c.names[0], func(node string) int { return c.world.Cancel(node, job.Ref) }); got != 200 {
-			return checkErrorf("unanswered", "the abort of %s got %d after calm", job.Ref, got)
+			return checkErrorf("unanswered", "the cancellation of %s got %d after quiescence", job.Ref, got)
 		}
 	}
 	return nil
@@ -109,7 +109,7 @@
 			last = q.since
 		}
 		if silent := time.Since(last); silent > answeredWithin {
-			return checkErrorf("forgotten", "no question about %s was answered for %v after all troubles", job.Ref, silent.Round(time.Second))
+			return checkErrorf("forgotten", "no question about %s was answered for %v after all faults", job.Ref, silent.Round(time.Second))
 		}
 	}
 	return nil
@@ -142,10 +142,10 @@
 		case final == len(c.names):
 		case final == 0 && c.world.Endless(job.Ref) && !isService:
 		case final > 0 || (!isService && !job.Fails):
-			return checkErrorf("not_final", "%s is final at %d controllers after calm", job.Ref, final)
+			return checkErrorf("not_final", "%s is final at %d controllers after quiescence", job.Ref, final)
 		case !job.Fails:
 			if got := c.world.Running(job.Ref); got != job.Tasks {
-				return checkErrorf("not_running", "%d of %d replicas of %s run after calm", got, job.Tasks, job.Ref)
+				return checkErrorf("not_running", "%d of %d replicas of %s run after quiescence", got, job.Tasks, job.Ref)
 			}
 		}
 	}
@@ -157,7 +157,7 @@
 	for _, name := range c.names {
 		status, answer := c.world.Query(name, jobID)
 		if status != 200 {
-			return 0, checkErrorf("not_answered", "%s answers %d for %s after calm", name, status, jobID)
+			return 0, checkErrorf("not_answered", "%s answers %d for %s after quiescence", name, status, jobID)
 		}
 		if answer.Phase == protocol.JobDone || answer.Phase == protocol.JobCancelled {
 			count++
--- a/internal/simtest/one_test.go
+++ b/internal/simtest/script_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestShow prints the schedule of the seed -from.
+// TestShow prints the script of the seed -from.
 func TestShow(t *testing.T) {
 	if *script != "-" {
 		t.Skip("no -script -")
--- /dev/null
+++ b/internal/simtest/seeds_test.go
@@ -0,0 +1,92 @@
+package simtest
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+var (
+	seeds = flag.Int("seeds", 12, "scripts to play")
+	from  = flag.Int("from", 0, "the first one's seed")
+	found = flag.String("found", "", "directory for the scripts that failed, shrunk")
+	plays = flag.Int("plays", 150, "plays that shrinking one script may take")
+)
+
+// TestSeeds plays scripts drawn from seeds. A failing one is shrunk; with
+// -found it is written down, ready to be kept among the traces.
+func TestSeeds(t *testing.T) { playSeeds(t, GenerateScript(), *seeds) }
+
+// TestDays plays days drawn from seeds, fewer of them since they are longer: no class
+// and no team may starve.
+func TestDays(t *testing.T) { playSeeds(t, GenerateDay(), max(2, *seeds/6)) }
+
+// TestPipelines plays scripts with dependent jobs drawn from seeds.
+func TestPipelines(t *testing.T) { playSeeds(t, GenerateDependencies(), *seeds) }
+
+// playSeeds plays the scripts of so many seeds, each as a test of its own.
+func playSeeds(t *testing.T, draw *rapid.Generator[string], count int) {
+	var mu sync.Mutex
+	kinds := make(map[string]int)
+	t.Cleanup(func() {
+		if len(kinds) > 0 {
+			t.Logf("of %d scripts from seed %d on failed: %v", count, *from, kinds)
+		}
+	})
+	for seed := *from; seed < *from+count; seed++ {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			script := draw.Example(seed)
+			out := play(t, script, uint64(seed))
+			if out.Kind() == "" {
+				return
+			}
+			mu.Lock()
+			kinds[out.Kind()]++
+			mu.Unlock()
+			reportShrunk(t, script, seed)
+		})
+	}
+}
+
+// reportShrunk fails the test with the shortest script found that still fails in the same
+// way, and writes it down if -found says where.
+func reportShrunk(t *testing.T, script string, seed int) {
+	small := Shrink(script, *plays, func(s string) string { return play(t, s, uint64(seed)).Kind() })
+	out := play(t, small, uint64(seed))
+	t.Errorf("seed %d\n%s%s", seed, small, out)
+	if *found == "" {
+		return
+	}
+	text := fmt.Sprintf("# Seed %d, %s\n%s", seed, strings.Join(append(out.Broken, fmt.Sprint(out.Err)), "; "), small)
+	file := filepath.Join(*found, fmt.Sprintf("%s-%d.trace", out.Kind(), seed))
+	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+		t.Error(err)
+	}
+}
+
+// TestSameSeedSameEvents: a failing seed that cannot be replayed is worth
+// little.
+func TestSameSeedSameEvents(t *testing.T) {
+	for seed := *from; seed < *from+max(2, *seeds/4); seed++ {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			script := GenerateScript().Example(seed)
+			once, again := play(t, script, uint64(seed)).Events, play(t, script, uint64(seed)).Events
+			for i := range min(len(once), len(again)) {
+				if once[i] != again[i] {
+					t.Fatalf("seed %d, event %d: %q, then %q, after\n%s", seed, i, once[i], again[i], strings.Join(once[max(0, i-25):i+3], "\n"))
+				}
+			}
+			if len(once) != len(again) {
+				t.Fatalf("%d events, then %d", len(once), len(again))
+			}
+		})
+	}
+}
