--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"maps"
 	"slices"
 	"time"
 
@@ -10,71 +9,91 @@
 	"madderslip/internal/transport"
 )
 
-// Job is a job as the world knows it: what was submitted and how its tasks
-// really run.
-type Job struct {
-	Spec      protocol.Submission
-	Run       time.Duration // 0 for a service
-	Fail      bool          // every task fails
-	Fetch     time.Duration // of its image, if longer than usual
-	accepted  time.Time     // when its user was told so
-	told      string        // the latest phase a user was told
-	toldAt    time.Time     // when it was first told that
-	cancelled time.Time
-	done      map[int]bool
-	served    ServedShare // of a service
-	waits     time.Time   // since when it waits beside room that it fits, once all is calm
-	began     time.Time   // when its first task ran, of a gang all of them
-	endedAt   time.Time   // when its last task was done
+// submissionsPath is where controllers take submissions.
+const submissionsPath = "/submissions"
+
+// How long users wait for an answer.
+const (
+	submitTimeout = 5 * time.Second
+	queryTimeout  = 2 * time.Second
+)
+
+// isSuccess reports whether a status is that of a submission that was accepted, now or
+// before, or of a job's status.
+func isSuccess(status int) bool { return status == 200 || status == 201 }
+
+// isRejection reports whether a status denies that a job exists or may.
+func isRejection(status int) bool { return status == 400 || status == 404 || status == 422 }
+
+// isFinal reports whether a job stays in a phase for good.
+func isFinal(phase string) bool { return phase == protocol.JobDone || phase == protocol.JobCancelled }
+
+// submissionBody is a submission as users send it: every field that may not be left out is
+// there, also those whose value is empty.
+func submissionBody(spec *protocol.Submission) []byte {
+	body, _ := json.Marshal(spec)
+	var fields map[string]any
+	_ = json.Unmarshal(body, &fields)
+	fields["samePlace"] = spec.SameZone
+	fields["spread"] = spec.SpreadZones
+	fields["loaner"] = spec.AllowSpot
+	fields["snapshotEveryS"] = spec.CheckpointIntervalS
+	fields["snapshotS"] = spec.CheckpointS
+	body, _ = json.Marshal(fields)
+	return body
 }
 
-// Submit sends a job to a node and waits for the answer.
-func (w *World) Submit(node string, j *Job) int {
+// Submit has a user submit a job to a controller. It waits for the answer and returns its
+// status, 0 without one.
+func (w *World) Submit(node string, job *Job) int {
 	w.mu.Lock()
-	if old := w.jobs[j.Spec.JobID]; old != nil {
-		j = old
+	if known := w.jobs[job.Spec.JobID]; known != nil {
+		job = known
 	} else {
-		j.done = make(map[int]bool)
-		w.jobs[j.Spec.JobID] = j
+		job.tasksDone = make(map[int]bool)
+		w.jobs[job.Spec.JobID] = job
 	}
 	w.mu.Unlock()
-	body := form(&j.Spec)
+	body := submissionBody(&job.Spec)
 	asked := time.Now()
-	status, raw := w.Ask(node, "POST", "/submissions", body, 5*time.Second)
-	w.told(j.Spec.JobID, asked, status, raw, status == 200 || status == 201)
+	status, response := w.userRequest(node, "POST", submissionsPath, body, submitTimeout)
+	w.checkAnswer(job.Spec.JobID, asked, status, response, isSuccess(status))
 	return status
 }
 
-// Cancel asks a node to cancel a job.
-func (w *World) Cancel(node, ref string) int {
+// Cancel has a user ask a controller to cancel a job. It returns the answer's status, 0
+// without one.
+func (w *World) Cancel(node, jobID string) int {
 	w.mu.Lock()
-	w.aborted[ref] = true
+	w.cancelRequested[jobID] = true
 	w.mu.Unlock()
 	asked := time.Now()
-	status, raw := w.Ask(node, "POST", "/submissions/"+ref+"/abort", nil, 5*time.Second)
-	w.told(ref, asked, status, raw, false)
+	status, response := w.userRequest(node, "POST", submissionsPath+"/"+jobID+"/abort", nil, submitTimeout)
+	w.checkAnswer(jobID, asked, status, response, false)
 	return status
 }
 
-// Query asks a node for a job; phase is empty without an answer.
-func (w *World) Query(node, ref string) (status int, a protocol.JobStatus) {
+// Query has a user ask a controller for a job; the phase is empty and the status 0 without
+// an answer.
+func (w *World) Query(node, jobID string) (status int, job protocol.JobStatus) {
 	asked := time.Now()
-	status, raw := w.Ask(node, "GET", "/submissions/"+ref, nil, 2*time.Second)
-	w.told(ref, asked, status, raw, false)
-	_ = json.Unmarshal(raw, &a)
-	return status, a
+	status, response := w.userRequest(node, "GET", submissionsPath+"/"+jobID, nil, queryTimeout)
+	w.checkAnswer(jobID, asked, status, response, false)
+	_ = json.Unmarshal(response, &job)
+	return status, job
 }
 
-// RequestUntilAnswered repeats a request as a user does, at one node after the other, for up
-// to a minute, until it has a definite answer.
+// RequestUntilAnswered repeats a request as a user does, at one controller after the
+// other, for up to a minute, until it has a definite answer. It returns that one's status,
+// 0 without one.
 func (w *World) RequestUntilAnswered(node string, request func(node string) int) int {
 	w.mu.Lock()
-	names := slices.Clone(w.names)
+	controllers := slices.Clone(w.controllers)
 	w.mu.Unlock()
 	began := time.Now()
-	for i := slices.Index(names, node); time.Since(began) < time.Minute; i++ {
-		switch status := request(names[max(i, 0)%len(names)]); status {
-		case 200, 201, 400, 404, 422:
+	for i := slices.Index(controllers, node); time.Since(began) < time.Minute; i++ {
+		status := request(controllers[max(i, 0)%len(controllers)])
+		if isSuccess(status) || isRejection(status) {
 			return status
 		}
 		if !wait(w.ctx, time.Second+137*time.Microsecond) {
@@ -84,26 +103,28 @@
 	return 0
 }
 
-// Ask makes a user's request.
-func (w *World) Ask(node, method, target string, body []byte, timeout time.Duration) (int, []byte) {
+// userRequest makes a request of a user, who is in no zone. The status is 0 if no answer
+// comes within the timeout.
+func (w *World) userRequest(node, method, target string, body []byte, timeout time.Duration) (status int, response []byte) {
 	w.mu.Lock()
-	h := w.nodes[node]
-	if w.apart(w.zoneOf[node], "") {
-		h = nil // users are in no zone
+	handler := w.handlers[node]
+	if w.zonesPartitioned(w.controllerZones[node], "") {
+		handler = nil
 	}
-	there, back := w.between(100*time.Microsecond, time.Millisecond, node, target), w.between(100*time.Microsecond, time.Millisecond, node, target)
+	requestDelay := w.between(100*time.Microsecond, time.Millisecond, node, target)
+	responseDelay := w.between(100*time.Microsecond, time.Millisecond, node, target)
 	w.mu.Unlock()
-	if h == nil || !wait(w.ctx, there) {
+	if handler == nil || !wait(w.ctx, requestDelay) {
 		return 0, nil
 	}
-	got := make(chan transport.Response, 1)
-	go h(method, target, body, func(r transport.Response) { got <- r })
+	received := make(chan transport.Response, 1)
+	go handler(method, target, body, func(answer transport.Response) { received <- answer })
 	select {
-	case r := <-got:
-		if !wait(w.ctx, back) {
+	case answer := <-received:
+		if !wait(w.ctx, responseDelay) {
 			return 0, nil
 		}
-		return r.Status, r.Body
+		return answer.Status, answer.Body
 	case <-time.After(timeout):
 		return 0, nil
 	case <-w.ctx.Done():
@@ -111,130 +132,51 @@
 	}
 }
 
-// told checks an answer against what users were told before they asked. What
-// they were told while the question was on its way cannot be held against it.
-func (w *World) told(ref string, asked time.Time, status int, raw []byte, accepted bool) {
+// checkAnswer checks an answer against what users were told before they asked. What
+// they were told while the question was on its way cannot be held against it. The answer
+// to a submission that is a success is the job's acceptance.
+func (w *World) checkAnswer(jobID string, asked time.Time, status int, response []byte, accepted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	j := w.jobs[ref]
-	if j == nil {
+	job := w.jobs[jobID]
+	if job == nil {
 		if status == 200 {
-			w.breakRule("invented", "%s", ref)
+			w.recordViolation(ruleInvented, "%s", jobID)
 		}
 		return
 	}
-	w.judgeAcceptance(j, asked, status)
-	if accepted && j.accepted.IsZero() {
-		j.accepted = time.Now()
-		w.look(ref, "accepted")
-	}
-	if (status == 404 || status == 400 || status == 422) && !j.accepted.IsZero() && !j.accepted.After(asked) {
-		w.breakRule("forgotten", "%s got %d", ref, status)
-	}
-	var a protocol.JobStatus
-	if (status != 200 && status != 201) || json.Unmarshal(raw, &a) != nil {
-		return
-	}
-	final := func(p string) bool { return p == protocol.JobDone || p == protocol.JobCancelled }
-	if final(j.told) && a.Phase != j.told && (final(a.Phase) || !j.toldAt.After(asked)) {
-		w.breakRule("went_back", "%s was %s, is %s", ref, j.told, a.Phase)
-	}
-	w.judgePhase(ref, a.Phase, asked)
-	if a.Phase == protocol.JobDone && len(j.done) < j.Spec.Tasks {
-		w.breakRule("not_done", "%s has %d of %d", ref, len(j.done), j.Spec.Tasks)
-	}
-	if a.Phase == protocol.JobCancelled && j.cancelled.IsZero() {
-		j.cancelled = time.Now()
-		w.note("%s is cancelled", ref)
-		w.look(ref, "cancelled")
-	}
-	if !final(j.told) && a.Phase != j.told {
-		j.told, j.toldAt = a.Phase, time.Now()
-	}
-}
-
-// Known is a job that was accepted, for checks once a test's work is over.
-type Known struct {
-	Ref   string
-	Shape protocol.Shape
-	Tasks int
-	Fails bool
-}
-
-// Accepted lists the jobs that users were told are accepted.
-func (w *World) Accepted() []Known {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	var out []Known
-	for _, ref := range slices.Sorted(maps.Keys(w.jobs)) {
-		if j := w.jobs[ref]; !j.accepted.IsZero() {
-			out = append(out, Known{ref, j.Spec.Shape, j.Spec.Tasks, j.Fail})
-		}
+	w.checkAcceptance(job, asked, status)
+	if accepted && job.acceptedAt.IsZero() {
+		job.acceptedAt = time.Now()
+		w.readConcurrently(jobID, readAccepted)
 	}
-	return out
-}
-
-// SetTeam has the rules go by another guarantee or limit of a team from now on.
-func (w *World) SetTeam(t protocol.Team) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.above[t.Name] = w.Teams[t.Name]
-	w.Teams[t.Name] = t
-	w.note("team %s: %+v", t.Name, t)
-}
-
-// permitted is what a team may use now: its limit or, since that was lowered below
-// what ran, what still runs of it. Nothing need be stopped, and nothing may start
-// that passes it.
-func (w *World) permitted(team string, use protocol.Resources) protocol.Team {
-	limit := w.Teams[team]
-	was, lowered := w.above[team]
-	if !lowered {
-		return limit
+	if isRejection(status) && !job.acceptedAt.IsZero() && !job.acceptedAt.After(asked) {
+		w.recordViolation(ruleForgotten, "%s got %d", jobID, status)
 	}
-	most := func(limit, was, use float64) float64 {
-		if limit == 0 || was == 0 {
-			return limit
-		}
-		return max(limit, min(was, use))
+	var answer protocol.JobStatus
+	if isSuccess(status) && json.Unmarshal(response, &answer) == nil {
+		w.checkPhaseAnswer(job, answer.Phase, asked)
 	}
-	now := protocol.Team{MaxCPUs: most(limit.MaxCPUs, was.MaxCPUs, use.CPUs), MaxGPUs: most(limit.MaxGPUs, was.MaxGPUs, use.GPUs)}
-	w.above[team] = now
-	return now
 }
 
-// check looks for cancelled tasks that stay, and for teams beyond their limit.
-func (w *World) check() {
-	for wait(w.ctx, 500*time.Millisecond+73*time.Nanosecond) {
-		w.mu.Lock()
-		if w.RecordStartsOnly {
-			w.mu.Unlock()
-			continue
-		}
-		use := w.teamUse()
-		w.countReplicas(500 * time.Millisecond)
-		if !w.calmAt.IsZero() {
-			w.lookForWaiting(use)
-		}
-		for _, host := range slices.Sorted(maps.Keys(w.machines)) {
-			m := w.machines[host]
-			for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
-				ref, _, _ := protocol.ParseTaskName(name)
-				j := w.jobs[ref]
-				if m.gone || j == nil || !m.tasks[name].on() {
-					continue
-				}
-				if !j.cancelled.IsZero() && time.Since(j.cancelled) > w.Workers.CancelDeadline {
-					w.breakRule("ran_cancelled", "%s on %s", name, m.host)
-				}
-			}
-		}
-		for _, team := range slices.Sorted(maps.Keys(use)) {
-			limit := w.permitted(team, use[team])
-			if u := use[team]; (limit.MaxCPUs > 0 && u.CPUs > limit.MaxCPUs+1e-6) || (limit.MaxGPUs > 0 && u.GPUs > limit.MaxGPUs+1e-6) {
-				w.breakRule("quota", "%s uses %v of %v CPUs and %v cards", team, u, limit.MaxCPUs, limit.MaxGPUs)
-			}
-		}
-		w.mu.Unlock()
+// checkPhaseAnswer checks the phase that a user is told of a job and remembers it. The
+// world's lock is held by the caller.
+func (w *World) checkPhaseAnswer(job *Job, phase string, asked time.Time) {
+	jobID := job.Spec.JobID
+	knownBefore := !job.lastPhaseAt.After(asked)
+	if isFinal(job.lastPhase) && phase != job.lastPhase && (isFinal(phase) || knownBefore) {
+		w.recordViolation(ruleWentBack, "%s was %s, is %s", jobID, job.lastPhase, phase)
+	}
+	w.checkCancelledPhase(jobID, phase, asked)
+	if phase == protocol.JobDone && len(job.tasksDone) < job.Spec.Tasks {
+		w.recordViolation(ruleNotDone, "%s has %d of %d", jobID, len(job.tasksDone), job.Spec.Tasks)
+	}
+	if phase == protocol.JobCancelled && job.cancelledAt.IsZero() {
+		job.cancelledAt = time.Now()
+		w.recordEvent("%s is cancelled", jobID)
+		w.readConcurrently(jobID, readCancelled)
+	}
+	if !isFinal(job.lastPhase) && phase != job.lastPhase {
+		job.lastPhase, job.lastPhaseAt = phase, time.Now()
 	}
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -2,22 +2,16 @@
 
 import (
 	"context"
-	"encoding/binary"
-	"errors"
 	"fmt"
-	"maps"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"madderslip/internal/protocol"
 	"madderslip/internal/transport"
 )
 
-// NodeHandler is a controller's public face.
+// NodeHandler is a controller's public API.
 type NodeHandler func(method, target string, body []byte, reply func(transport.Response))
 
 // World is everything outside the controllers. What it does depends on its
@@ -26,401 +20,116 @@
 type World struct {
 	State   *StateService
 	Workers protocol.WorkerSettings
-	Teams   map[string]protocol.Team
-	above   map[string]protocol.Team // what teams may use still, whose limit was changed
+	Teams   map[string]protocol.Team // replaced by SetTeam, under the lock
+	Types   []protocol.MachineType   // that the cloud rents; set before machines are added
 	ListLag time.Duration            // of the cloud's list
-
-	mu       sync.Mutex
-	ctx      context.Context
-	seed     uint64
-	rolls    map[uint64]uint64
-	nodes    map[string]NodeHandler
-	names    []string
-	trouble  map[string]bool // by name, see Trouble
-	machines map[string]*Machine
-	made     int
-	hires    map[string][]string
-	jobs     map[string]*Job
-	aborted  map[string]bool // jobs that their users asked to cancel
-	broken   []string
-	held     map[string][]func() // late messages, by host
-	events   []string
-	began    time.Time
-	Types    []protocol.MachineType
-	spare    int // machines that the cloud has left to rent
 	// Address is where a machine's worker takes commands; set before machines are added.
 	Address func(host string) string
-	// Hollow has the world keep no events, look at no rule that needs a walk over all
-	// machines, and count starts instead: for measurements at sizes where its own work
+	// RecordStartsOnly has the world keep no events, check no rule that needs a walk over
+	// all machines, and count starts instead: for measurements at sizes where its own work
 	// would be what is measured.
 	RecordStartsOnly bool
-	started          func(j *Job)
 	// OnStop, if set, is told of every running task that a command stops, with what
-	// the teams use, and says what rule that breaks. The world's lock is held.
-	OnStop func(task, host string, use map[string]protocol.Resources) (rule string)
-	kept   map[string][][]byte // reports that wait for the next leader, by host
-	vain   int                 // starts after a confirmed cancellation
-	calmAt time.Time           // when all troubles were ended
-	faults
-}
-
-// NewWorld makes an empty world.
-func NewWorld(ctx context.Context, seed uint64, w protocol.WorkerSettings, teams map[string]protocol.Team) *World {
-	world := &World{State: newState(), Address: func(host string) string { return host + ":9000" }, Workers: w, Teams: teams, ctx: ctx, seed: seed, rolls: make(map[uint64]uint64),
-		nodes: make(map[string]NodeHandler), trouble: make(map[string]bool),
-		machines: make(map[string]*Machine), hires: make(map[string][]string), jobs: make(map[string]*Job), aborted: make(map[string]bool),
-		held: make(map[string][]func()), began: time.Now(), faults: newFaults(), above: make(map[string]protocol.Team), kept: make(map[string][][]byte),
-		Types: []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a", "b"}}}}
-	go world.State.run(ctx)
-	world.State.onShard = world.newLeader
-	go world.check()
-	go world.oddly()
-	return world
-}
-
-// roll draws a number for something that happens, told by its parts: the same
-// for the same seed, the next one for each repetition.
-func (w *World) roll(parts ...string) uint64 {
-	d := xxhash.NewWithSeed(w.seed)
-	for _, p := range parts {
-		_, _ = d.WriteString(p)
-		_, _ = d.Write([]byte{0})
-	}
-	key := d.Sum64()
-	w.rolls[key]++
-	return xxhash.Sum64(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, key), w.rolls[key]))
-}
-
-// between draws a duration. Down to the nanosecond, so that hardly two things
-// happen at the same instant, whose order nobody could repeat.
-func (w *World) between(low, high time.Duration, parts ...string) time.Duration {
-	return low + time.Duration(w.roll(parts...)%uint64(high-low))
-}
-
-// chance draws a yes with so many percent.
-func (w *World) chance(percent uint64, parts ...string) bool { return w.roll(parts...)%100 < percent }
-
-func (w *World) note(format string, a ...any) {
+	// the teams use, and returns what rule that breaks. The world's lock is held as it is
+	// called.
+	OnStop func(task, host string, use map[string]protocol.Resources) (violation string)
+
+	ctx  context.Context // the world's life
+	seed uint64
+	// mu guards all that follows.
+	mu        sync.Mutex
+	startedAt time.Time
+	draws     map[uint64]uint64 // how often each random draw was made
+	events    []string
+
+	handlers     map[string]NodeHandler // of the controllers that run
+	controllers  []string               // all that were ever connected, in that order
+	activeFaults map[string]bool        // by SetFault's name
+	partitions
+
+	machines       map[string]*Machine // by host, also those that are removed
+	machineCount   int
+	spareMachines  int                 // that the cloud has left to rent
+	provisioned    map[string][]string // hosts, by the name of the request
+	heldDeliveries map[string][]func() // by host, what a hung or cut-off machine is sent
+	keptHeartbeats map[string][][]byte // by host, heartbeats that wait for the next owner of a shard
+
+	jobs            map[string]*Job
+	cancelRequested map[string]bool          // jobs that their users asked to cancel
+	onStart         func(job *Job)           // see OnStart
+	formerLimits    map[string]protocol.Team // what teams may use still whose limits were lowered
+	violations      []string
+	wastedStarts    int       // starts after a confirmed cancellation
+	faultsEndedAt   time.Time // when EndFaults was called; zero before
+}
+
+// NewWorld makes an empty world. Its goroutines end with the context.
+func NewWorld(ctx context.Context, seed uint64, workers protocol.WorkerSettings, teams map[string]protocol.Team) *World {
+	w := &World{
+		State:   newStateService(),
+		Workers: workers,
+		Teams:   teams,
+		Types: []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 32, ImageCacheGB: 50, ImagePullGBps: 1, Price: 1, SpotPrice: 0.4,
+			BootS: 10, Zones: []string{"a", "b"}}},
+		Address:         func(host string) string { return host + workerPort },
+		ctx:             ctx,
+		seed:            seed,
+		startedAt:       time.Now(),
+		draws:           make(map[uint64]uint64),
+		handlers:        make(map[string]NodeHandler),
+		activeFaults:    make(map[string]bool),
+		partitions:      newPartitions(),
+		machines:        make(map[string]*Machine),
+		provisioned:     make(map[string][]string),
+		heldDeliveries:  make(map[string][]func()),
+		keptHeartbeats:  make(map[string][][]byte),
+		jobs:            make(map[string]*Job),
+		cancelRequested: make(map[string]bool),
+		formerLimits:    make(map[string]protocol.Team),
+	}
+	go w.State.expireLeases(ctx)
+	w.State.onShardOwnerChange = w.replayKeptHeartbeats
+	go w.checkRulesPeriodically()
+	go w.sendInvalidRequests()
+	return w
+}
+
+// recordEvent writes a line among the events. The world's lock is held by the caller.
+func (w *World) recordEvent(format string, details ...any) {
 	if w.RecordStartsOnly {
 		return
 	}
-	w.events = append(w.events, fmt.Sprintf("%8.3f %s", time.Since(w.began).Seconds(), fmt.Sprintf(format, a...)))
+	w.events = append(w.events, fmt.Sprintf("%8.3f %s", time.Since(w.startedAt).Seconds(), fmt.Sprintf(format, details...)))
 }
 
 // Note writes a line among the events.
-func (w *World) Note(format string, a ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.note(format, a...)
-}
-
-func (w *World) breakRule(rule, format string, a ...any) {
-	text := rule + ": " + fmt.Sprintf(format, a...)
-	if !slices.Contains(w.broken, text) {
-		w.note("BROKEN %s", text)
-		w.broken = append(w.broken, text)
-	}
-}
-
-// Broken lists the rules that were broken.
-func (w *World) Broken() []string {
+func (w *World) Note(format string, details ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.broken)
+	w.recordEvent(format, details...)
 }
 
-// Events is what happened, a line each.
+// Events is what happened, a line each, with the seconds since the world began.
 func (w *World) Events() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.events)
 }
 
-// SetNode connects a controller, or with nil ends it.
-func (w *World) SetNode(name string, h NodeHandler) {
+// SetNode connects a process of a controller, or with nil ends it.
+func (w *World) SetNode(name string, handler NodeHandler) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !slices.Contains(w.names, name) {
-		w.names = append(w.names, name)
+	if !slices.Contains(w.controllers, name) {
+		w.controllers = append(w.controllers, name)
 	}
-	w.lives[name]++
-	if h == nil {
-		delete(w.nodes, name)
+	w.incarnations[name]++
+	if handler == nil {
+		delete(w.handlers, name)
 		return
 	}
-	life := w.lives[name]
-	w.nodes[name] = func(method, target string, body []byte, reply func(transport.Response)) {
-		w.alive(name, life, func() { h(method, target, body, reply) })
-	}
-}
-
-// SetFault begins or ends a trouble that has no host:
-//
-//	outage         the state service is down
-//	slow           the state service takes up to 2.5 s for an answer
-//	lossy          its answers get lost, and transactions are applied late or twice
-//	late writes    two in five transactions get no answer and are carried out 2 to 12 s
-//	               later, after newer ones
-//	unanswered writes  two in five transactions are carried out at once, and only their
-//	               answer is lost
-//	reports for next   copies of two in five of the workers' reports are kept, and reach
-//	               every controller as a shard gets a new token
-//	close looks    users ask at all nodes within milliseconds, and repeat the submission,
-//	               when a job was accepted, has ended or was cancelled
-//	hasty users    of those that look closely at an acceptance some cancel at once
-//	cancel at end  two in five of the jobs that end are cancelled at that moment
-//	odd requests   users repeat submissions, cancel what is done, send what can't run
-//	late reports   of two in five of the workers' reports a copy arrives again, from 2 s
-//	               to well over a lease later
-//	swallow        every transaction is carried out and no answer arrives
-//	refuse NODE    the state service refuses one node alone
-//	severed NODE   a node loses the state service and the other controllers, not its
-//	               workers and users
-//	deaf NODE      a node reaches no worker and hears none
-//	freeze NODE    a node stands still while clocks run on
-//	zone ZONE      a zone is cut off from everything; what is sent across is held and
-//	               arrives afterwards
-//	alone NODE     the other controllers reach a node as little as it reaches them
-//	cloud          the cloud is in trouble and answers 503
-//	stingy         the cloud has no machines
-//	half           the cloud gives half of the machines asked for
-//	slow boots     most of the machines rented take five times as long to come up
-//	no boots       none of the machines rented ever comes up
-//	fast boots     all are up within a second
-//	lost           answers of the cloud get lost, and some requests are carried out late
-func (w *World) SetFault(name string, on bool) {
-	w.mu.Lock()
-	was := w.trouble[name]
-	w.trouble[name] = on
-	w.note("%s %v", name, on)
-	if was != on {
-		w.zoneTrouble(name, on)
-	}
-	w.mu.Unlock()
-	if name == "outage" {
-		w.State.setDown(on)
-	}
-}
-
-// troubles are the names that Trouble knows; those that end in a space want one more
-// word, a controller's or a zone's name.
-var troubles = []string{"outage", "slow", "lossy", "late writes", "unanswered writes", "late reports", "reports for next",
-	"close looks", "hasty users", "cancel at end", "odd requests", "swallow", "refuse ", "severed ", "deaf ", "freeze ", "zone ", "alone ",
-	"cloud", "stingy", "half", "slow boots", "no boots", "fast boots", "lost"}
-
-// IsFault tells whether Trouble knows a name, and what it may have for its second word.
-func IsFault(name string, second []string) bool {
-	return slices.ContainsFunc(troubles, func(known string) bool {
-		rest, found := strings.CutPrefix(name, known)
-		return found && (rest == "" && !strings.HasSuffix(known, " ") || strings.HasSuffix(known, " ") && slices.Contains(second, rest))
-	})
-}
-
-// conditions are what Set knows.
-var conditions = []string{"hang", "resume", "cut", "heal", "sick", "slow", "well", "deaf", "hears", "mute", "speaks", "notice", "take", "die", "reboot"}
-
-// IsMachineFault tells whether Set knows it.
-func IsMachineFault(what string) bool { return slices.Contains(conditions, what) }
-
-// WastedStarts counts the starts after a confirmed cancellation.
-func (w *World) WastedStarts() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.vain
-}
-
-// SetSpare sets how many machines the cloud has left to rent.
-func (w *World) SetSpare(count int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.spare = count
-}
-
-// EndFaults ends all troubles and leaves the cloud at least so many machines to rent.
-func (w *World) EndFaults(spare int) {
-	w.mu.Lock()
-	w.spare, w.calmAt = max(w.spare, spare), time.Now()
-	troubles := slices.Sorted(maps.Keys(w.trouble))
-	hosts := slices.Sorted(maps.Keys(w.machines))
-	w.mu.Unlock()
-	for _, name := range troubles {
-		w.SetFault(name, false)
-	}
-	for _, host := range hosts {
-		for _, what := range []string{"resume", "heal", "well", "hears", "speaks"} {
-			w.Set(host, what)
-		}
-	}
-}
-
-// Link is a controller's network.
-type Link struct {
-	W    *World
-	Node string
-	Ctx  context.Context // the process's life
-}
-
-var errReset = errors.New("connection reset")
-
-func wait(ctx context.Context, d time.Duration) bool {
-	select {
-	case <-ctx.Done():
-		return false
-	case <-time.After(d):
-		return true
-	}
-}
-
-// Do makes a call from the controller.
-func (l Link) Do(ctx context.Context, addr, method, target string, body []byte) (int, []byte, error) {
-	w := l.W
-	ctx, cancel := context.WithCancel(ctx)
-	defer context.AfterFunc(l.Ctx, cancel)()
-	defer cancel()
-	w.WaitWhilePaused(l.Ctx, l.Node)
-	defer w.WaitWhilePaused(l.Ctx, l.Node) // whatever comes back is heard when the process goes on
-	what := []string{l.Node, addr, target, string(body)}
-	w.mu.Lock()
-	there, back := w.between(300*time.Microsecond, 3*time.Millisecond, what...), w.between(300*time.Microsecond, 3*time.Millisecond, what...)
-	refused, deaf := w.trouble["refuse "+l.Node], w.trouble["deaf "+l.Node]
-	if addr == "state" && w.trouble["slow"] {
-		there += w.between(0, 2500*time.Millisecond, what...)
-	}
-	fate := w.fateOf(addr, target, what)
-	later := w.between(time.Second, 40*time.Second, what...)
-	if w.trouble["late writes"] {
-		later = w.between(2*time.Second, 12*time.Second, what...)
-	}
-	severed := addr == "state" && w.trouble["severed "+l.Node]
-	w.mu.Unlock()
-	if !wait(ctx, there) {
-		return 0, nil, errReset
-	}
-	if severed {
-		<-ctx.Done()
-		return 0, nil, errReset
-	}
-	if addr == "state" || addr == "cloud" {
-		w.mu.Lock()
-		if zone := w.zoneOf[l.Node]; w.apart(zone, "") {
-			if w.chance(50, what...) {
-				w.hold(zone, "", func() {
-					go func() {
-						if addr == "cloud" {
-							w.cloud(method, target, body)
-						} else if target == protocol.PathTransactions {
-							w.State.do(w.ctx, method, target, body)
-						}
-					}()
-				})
-			}
-			w.mu.Unlock()
-			<-ctx.Done()
-			return 0, nil, errReset
-		}
-		w.mu.Unlock()
-	}
-	var do func(context.Context) (int, []byte)
-	switch {
-	case addr == "state" && refused:
-		do = func(context.Context) (int, []byte) { return 503, nil }
-	case addr == "state":
-		do = func(ctx context.Context) (int, []byte) { return w.State.do(ctx, method, target, body) }
-	case addr == "cloud":
-		do = func(context.Context) (int, []byte) { return w.cloud(method, target, body) }
-	case deaf:
-		<-ctx.Done()
-		return 0, nil, fmt.Errorf("%w: no route", transport.ErrNotSent)
-	default:
-		return w.toWorker(ctx, l.Node, strings.TrimSuffix(addr, ":9000"), target, body, back)
-	}
-	if fate == late || fate == twice {
-		go func() {
-			if wait(w.ctx, later) {
-				_, _ = do(w.ctx)
-			}
-		}()
-	}
-	var status int
-	var out []byte
-	if fate != late {
-		status, out = do(ctx)
-	}
-	if fate == late || fate == lost || !w.across(ctx, l.Node, "") || (addr == "state" && !w.unbarred(ctx, l.Node, target)) {
-		<-ctx.Done()
-	}
-	if status == 0 || !wait(ctx, back) {
-		return 0, nil, errReset
-	}
-	return status, out, nil
-}
-
-// unbarred waits with the news of an open watch for as long as the state service refuses
-// the node alone, as it would in an outage; whatever a severed node is answered is lost.
-func (w *World) unbarred(ctx context.Context, node, target string) bool {
-	watch := strings.HasPrefix(target, protocol.PathWatch)
-	for {
-		w.mu.Lock()
-		severed, barred := w.trouble["severed "+node], watch && w.trouble["refuse "+node]
-		w.mu.Unlock()
-		if severed || !barred {
-			return !severed
-		}
-		if !wait(ctx, 100*time.Millisecond+59*time.Nanosecond) {
-			return false
-		}
-	}
-}
-
-// fates of a call under loss.
-const (
-	fine = iota
-	lost // carried out, but the answer is lost
-	late // carried out long after the caller has given up
-	twice
-)
-
-func (w *World) fateOf(addr, target string, what []string) int {
-	if addr == "state" && target == protocol.PathTransactions && w.trouble["swallow"] {
-		return lost
-	}
-	if addr == "state" && target == protocol.PathTransactions && w.trouble["late writes"] && w.chance(40, what...) {
-		return late
-	}
-	if addr == "state" && target == protocol.PathTransactions && w.trouble["unanswered writes"] && w.chance(40, what...) {
-		return lost
-	}
-	lossy := addr == "state" && target == protocol.PathTransactions && w.trouble["lossy"]
-	if !lossy && (addr != "cloud" || !w.trouble["lost"] || strings.HasPrefix(target, protocol.PathMachines+"?")) {
-		return fine
-	}
-	switch p := w.roll(what...) % 100; {
-	case p < 12:
-		return lost
-	case p < 22:
-		return late
-	case p < 30:
-		return twice
-	}
-	return fine
-}
-
-// Peer carries a message between controllers, if their links are up.
-func (w *World) Peer(ctx context.Context, from, to string, raw []byte, deliver func(context.Context, []byte) error) error {
-	w.mu.Lock()
-	refused := w.trouble["alone "+from] || w.trouble["alone "+to]
-	apart := w.apart(w.zoneOf[from], w.zoneOf[to]) || w.trouble["severed "+from] || w.trouble["severed "+to]
-	delay := w.between(300*time.Microsecond, 3*time.Millisecond, from, to, string(raw))
-	w.mu.Unlock()
-	if refused {
-		return fmt.Errorf("%s refuses", to)
-	}
-	if apart {
-		<-ctx.Done()
-	}
-	if !wait(ctx, delay) {
-		return ctx.Err()
+	incarnation := w.incarnations[name]
+	w.handlers[name] = func(method, target string, body []byte, reply func(transport.Response)) {
+		w.deliverIfAlive(name, incarnation, func() { handler(method, target, body, reply) })
 	}
-	w.WaitWhilePaused(ctx, to)
-	return deliver(ctx, raw)
 }
--- a/internal/loadtest/measurement.go
+++ b/internal/loadtest/measurement.go
@@ -152,7 +152,7 @@
 	}
 	for left := m.cfg.Workers; left > 0 && ctx.Err() == nil; left -= workerBatch {
 		zone := zones[left/workerBatch%len(zones)]
-		m.world.AddKind(min(left, workerBatch), machineTypeName, zone, false)
+		m.world.AddMachinesOfType(min(left, workerBatch), machineTypeName, zone, false)
 		pause(ctx, workerBatchPause)
 	}
 	m.startLoad(ctx)
@@ -177,7 +177,7 @@
 func (m *measurement) reportUntil(ctx context.Context, end time.Time, phase string, interval time.Duration) error {
 	for time.Now().Before(end) && ctx.Err() == nil {
 		fmt.Fprintf(m.progress, "%s: %d tasks begun, %d running, %d changes of state, %d of %d jobs accepted\n",
-			phase, m.starts.Load(), m.world.Tasks(), m.world.State.Counts().Changes, m.accepted.Load(), m.submitted.Load())
+			phase, m.starts.Load(), m.world.RunningTasks(), m.world.State.Counts().Changes, m.accepted.Load(), m.submitted.Load())
 		pause(ctx, min(interval, time.Until(end)))
 	}
 	return ctx.Err()
--- a/internal/simtest/cluster.go
+++ b/internal/simtest/cluster.go
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	return l.c.world.Peer(ctx, l.from, l.to, raw, func(ctx context.Context, raw []byte) error {
+	return l.c.world.SendToPeer(ctx, l.from, l.to, raw, func(ctx context.Context, raw []byte) error {
 		l.c.mu.Lock()
 		other, older := l.c.processes[l.to], l.c.older[l.to]
 		l.c.mu.Unlock()
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -22,20 +22,20 @@
 
 // taken are the guards that docs/DESIGN.md names.
 var taken = []guard{
-	{"a claim must not exist yet", "coordination/controller/claims.go", `kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: claim.Key, Version: 0})`, `kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken})`},
-	{"a claim must be the version decided on", "coordination/controller/claims.go", `kv.Compare{Key: claim.Key, Version: claim.Version})
-	if job := c.view.Jobs`, `kv.Compare{Key: records.ShardPrefix + s.name, Version: s.FencingToken})
+	{"a claim must not exist yet", "coordination/controller/claims.go", `return append(change.compares, claimCompares(shard, claim)...), change.ops, true`, `return append(change.compares, claimCompares(shard, claim)[0]), change.ops, true`},
+	{"a claim must be the version decided on", "coordination/controller/claims.go", `	change.compares = append(change.compares, claimCompares(shard, claim)...)
+	if job := c.view.Jobs`, `	change.compares = append(change.compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken})
 	if job := c.view.Jobs`},
-	{"a placement needs the shard still owned", "coordination/controller/claims.go", `	compares = append(compares, kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, kv.Compare{Key: claim.Key, Version: claim.Version})
-	if job`, `	compares = append(compares, kv.Compare{Key: claim.Key, Version: claim.Version})
+	{"a placement needs the shard still owned", "coordination/controller/claims.go", `	change.compares = append(change.compares, claimCompares(shard, claim)...)
+	if job`, `	change.compares = append(change.compares, kv.Compare{Key: claim.Key, Version: claim.Version})
 	if job`},
-	{"a placement needs the job as it was", "coordination/controller/claims.go", `compares = append(compares, kv.Compare{Key: records.JobPrefix + claim.JobID, Version: job.Version})`, `_ = job`},
+	{"a placement needs the job as it was", "coordination/controller/claims.go", `change.compares = append(change.compares, kv.Compare{Key: records.JobPrefix + claim.JobID, Version: job.Version})`, `_ = job`},
 	{"write ahead", "coordination/controller/claims.go", `	c.commit(claimPriority(entry.Spec), compares, ops, 0, func(err error) { c.finishClaim(shard, claim, err) })`, `	for _, placed := range next.Placements {
-		if machine := c.machines[placed.Host]; machine != nil {
-			c.order(shard, machine, protocol.Start(protocol.TaskName(claim.ref, placed.Task), placed.Try))
+		if machine := c.view.Machines[placed.Host]; machine != nil {
+			c.queueCommands(shard, machine, protocol.StartCommand(protocol.TaskName(claim.JobID, placed.Task), placed.Attempt))
 		}
 	}
-	c.flush(shard)
+	c.sendPendingCommands(shard)
 	c.commit(claimPriority(entry.Spec), compares, ops, 0, func(err error) { c.finishClaim(shard, claim, err) })`},
 	{"a new process acquires its shard anew", "coordination/controller/shards.go", `case !c.view.Loaded:`, `case false:`},
 	{"a shard is acted for once its records are read", "coordination/replica/shard.go", `shard.FencingToken != 0 && v.Revision >= shard.FencingToken`, `shard.FencingToken != 0`},
@@ -45,16 +45,16 @@
 	grace`, `	if machine.Agent.Heartbeat == nil {
 		return outcomeRunning
 	}
-	if command.silence(machine, now) > command.policy.Fence {
-		return Lifecycle.Gone
+	if c.silenceOf(machine, now) > c.policy.FenceAfter {
+		return outcomeGone
 	}
 	grace`},
 	{"an account counts under the present token only", "coordination/replica/machine.go", `return m.Agent.Heartbeat != nil && shard.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= shard.FencingToken`, `return m.Agent.Heartbeat != nil && shard.FencingToken != 0`},
-	{"command outcome unknown", "coordination/replica/machine.go", `slices.ContainsFunc(m.Commands.Unknown, func(u UnknownStart) bool { return u.Task == task && u.Attempt == try })`, `false`},
+	{"command outcome unknown", "coordination/replica/commandqueue.go", `slices.ContainsFunc(m.Commands.Unknown, func(start UnknownStart) bool { return start.Task == task && start.Attempt == attempt })`, `false`},
 	{"a machine that keeps a cancelled task is fenced", "coordination/controller/probes.go", `		c.enforceCancellations(now)
 `, ``},
 	{"fenced without a record if need be", "coordination/controller/cancellations.go", `return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == "" && !c.isRefusedAlone(now)`, `return false`},
-	{"whoever knows stops cancelled tasks", "coordination/controller/probes.go", `c.stopCancelledTasks(machine, &heartbeat)`, `_ = machine`},
+	{"whoever knows stops cancelled tasks", "coordination/controller/probes.go", `c.stopCancelledTasks(machine, heartbeat)`, `_ = machine`},
 	{"and asks again", "coordination/health/misplaced_tasks.go", `t.SinceProbe >= interval`, `t.SinceProbe > 1000*interval`},
 	{"its owner may begin them again", "coordination/health/misplaced_tasks.go", `if t.Finding == Ended || t.Age > limit {`, `if t.Finding == Ended {
 		return false
@@ -62,10 +62,10 @@
 	if t.Age > limit {`},
 	{"who hears nobody begins nothing", "coordination/controller/reconcile.go", `if !c.hearsNobody(now) && `, `if `},
 	{"all cancellations are repeated", "coordination/controller/peers.go", `c.nextRepeated = jobID`, `c.nextRepeated = ""`},
-	{"the bound counts from the record", "coordination/replica/jobs.go", `record.CancelledAtMs != 0 && at.Before(job.FinalAt)`, `false && at.Before(job.FinalAt)`},
+	{"the bound counts from the record", "coordination/replica/job.go", `record.CancelledAtMs != 0 && at.Before(j.FinalAt)`, `false && at.Before(j.FinalAt)`},
 	{"team limits are conditions", "coordination/controller/limits.go", `return append(compares, kv.Compare{Key: key, Version: usage.Version}), []kv.Op`, `return compares, []kv.Op`},
 	{"a start needs its limit as it was", "coordination/controller/limits.go", `	compares = append(compares, c.view.Quota.LimitCompares(team)...)`, ``},
-	{"a start needs the bookings as they were", "coordination/controller/limits.go", `has && grows {`, `has && grows && false {`},
+	{"a start needs the bookings as they were", "coordination/controller/limits.go", `hasRecord && grows {`, `hasRecord && grows && false {`},
 	{"a shard starts within its allotment", "coordination/controller/limits.go", `!grows || (c.view.KnowsUse(holder) && more <= c.view.Quota.Allowance(team, holder, replica.TaskResources(claim.Spec)))`, `true || more < 0 || holder == ""`},
 	{"claims of unknown size are not nothing", "coordination/replica/teams.go", `			if claim.Record == nil || claim.Record.Shard == holder || (claim.Record.Shard == "" && holder == quota.CrossShard) {`, `			if false && claim.Record == nil && holder == "" {`},
 	{"the larger of two versions counts", "coordination/replica/claim.go", `return max(c.PlacedCount(), len(c.Pending.Placements))`, `return c.PlacedCount()`},
@@ -80,21 +80,22 @@
 		return Resources{}`, `	if false {
 		return Resources{}`},
 	{"a booking is carried out once all before it is known", "coordination/controller/guarantees.go", `reservation.version == 0 || c.view.Revision < reservation.version {`, `reservation.version == 0 {`},
-	{"a booking that does not hold any more goes", "coordination/controller/guarantees.go", `if due < reservation.tasks ||`, `if (due < 0) ||`},
+	{"a booking that does not hold any more goes", "coordination/controller/guarantees.go", `if entitled < reservation.tasks ||`, `if (entitled < 0) ||`},
 	{"bookings exclude one another", "coordination/quota/reservations.go", `		compares = append(compares, kv.Compare{Key: key, Version: m.team(name).reservationsVersion})
 `, ``},
 	{"a lender keeps its guarantee", "coordination/quota/guarantee.go", `return p.taken[team]+main.of(beside)+main.of(task) <= p.StandingOf(team).Surplus(p.ClaimedTask)+tolerance`, `return true`},
 	{"team use by the record", "coordination/controller/limits.go", `	return use, use.Max(sum)`, `	return sum, sum`},
 	{"404 is confirmed", "coordination/controller/replies.go", `	c.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + jobID, Version: version}}, nil, within, func(err error, revision uint64) {
 		switch {
-		case err == nil &&`, `	func(do func(error, uint64)) { do(nil, 0) }(func(err error, revision uint64) {
+		case err == nil &&`, `	_ = records.JobPrefix
+	func(do func(error, uint64)) { do(nil, 0) }(func(err error, revision uint64) {
 		switch {
 		case err == nil &&`},
-	{"what could not be read anew is not answered", "coordination/controller/commit.go", `if !read && prio == kv.PriorityUser {`, `if false && !read {`},
-	{"a cancellation is told once its claims are known", "coordination/controller/replies.go", `if answer.Phase != protocol.JobCancelled || c.view.Revision >= version {`, `if true {`},
-	{"claims may come after their job's cancellation", "coordination/replica/jobs.go", `return v.Loaded && record.State == protocol.JobCancelled && version > v.Revision`, `return false`},
-	{"done needs all chunks", "coordination/controller/claims.go", `(other != claim && !other.Record.IsComplete())`, `false`},
-	{"a job that waits is in no queue", "coordination/replica/jobs.go", `	if v.ApplyBlockedJob(jobID, record, version) {
+	{"what could not be read anew is not answered", "coordination/controller/commit.go", `if !read && txn.Priority == kv.PriorityUser {`, `if false && !read {`},
+	{"a cancellation is told once its claims are known", "coordination/controller/replies.go", `if answer.Phase != protocol.JobCancelled || c.view.Revision >= cached.version {`, `if true {`},
+	{"claims may come after their job's cancellation", "coordination/replica/view_jobs.go", `return v.Loaded && record.State == protocol.JobCancelled && version > v.Revision`, `return false`},
+	{"done needs all chunks", "coordination/controller/claims.go", `(other != last && !other.Record.IsComplete())`, `false`},
+	{"a job that waits is in no queue", "coordination/replica/view_jobs.go", `	if v.ApplyBlockedJob(jobID, record, version) {
 		return
 	}
 `, ``},
@@ -119,14 +120,14 @@
 	{"a gang claimed meanwhile is not placed again", "coordination/controller/gangs.go", `|| !canReserveAcrossShards(job) {
 			c.endGangReservation`, `|| false {
 			c.endGangReservation`},
-	{"a gang's old attempt has to be gone", "coordination/controller/schedule.go", `	if whole && entry.Claim != nil && len(entry.Claim.Record.Placements) > 0 {
+	{"a gang's old attempt has to be gone", "coordination/controller/schedule.go", `	if isGang && entry.Claim != nil && len(entry.Claim.Record.Placements) > 0 {
 		placement.ReleaseAssignments(entry.Spec, assignments, capacities)
 		return false, false // the old attempt has to be gone first
 	}
 `, ``},
-	{"done frees a placement under the present token only", "coordination/controller/reconcile.go", `if !machine.ShowsToken(shard) && !machine.Lifecycle.Gone && machine.Record.State != records.MachineGone {
-			return outcomePending`, `if false {
-			return outcomePending`},
+	{"done frees a placement under the present token only", "coordination/controller/reconcile.go", `if !task.machine.ShowsToken(task.shard) && !hasLeft(task.machine) {
+		return outcomePending`, `if false {
+		return outcomePending`},
 	{"orders of an earlier token are void", "coordination/controller/shards.go", `		machine.Commands.Pending = nil
 		delete(c.pendingCommands, machine)
 `, `		_ = machine
@@ -134,15 +135,15 @@
 	{"adoption and a hire's answer exclude one another", "coordination/controller/adoption.go", `			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + provision.Name, Value: &again})
 `, `			_ = again
 `},
-	{"the lead is known by its record", "coordination/controller/leadership.go", `c.leadership.isSelf = record.Node == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli(); c.leadership.isSelf {`, `c.leadership.isSelf = record.NodeName == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli() && !c.leadership.campaigning; c.leadership.isSelf {`},
-	{"no empty set of claims without a job", "coordination/replica/claims.go", `if delete(set, claim.Key); len(set) == 0 {`, `if delete(set, claim.Key); false {`},
+	{"the lead is known by its record", "coordination/controller/leadership.go", `c.leadership.isSelf = record.Node == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli(); c.leadership.isSelf {`, `c.leadership.isSelf = record.Node == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli() && !c.leadership.campaigning; c.leadership.isSelf {`},
+	{"no empty set of claims without a job", "coordination/replica/view_claims.go", `if delete(set, claim.Key); len(set) == 0 {`, `if delete(set, claim.Key); false {`},
 	{"leases are kept behind a cut", "coordination/controller/leases.go", `	if heartbeat.FencingToken > shard.Version || !failover.MayExtendLease`, `	if true || heartbeat.FencingToken > shard.Version || !failover.MayExtendLease`},
 	{"a zone that seems cut off is not fenced", "coordination/controller/failuredetection.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
-	{"no lease is kept for a cancelled task", "coordination/controller/leases.go", `heartbeat.Tasks[i].Phase != protocol.TaskExited && (`, `false && (`},
-	{"silence counts from waking", "coordination/controller/failuredetection.go", `	if woke := c.pauses.ResumedAt(); woke.After(machine.AdoptedAt) {`, `	if woke := c.pauses.ResumedAt(); false && woke.After(machine.AdoptedAt) {`},
-	{"an answer tells that a machine began again", "coordination/controller/probes.go", `machine.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(&heartbeat)) {`, `machine.Record.State == "" && false {`},
+	{"no lease is kept for a cancelled task", "coordination/controller/leases.go", `status.Phase != protocol.TaskExited && (`, `false && (`},
+	{"silence counts from waking", "coordination/controller/failuredetection.go", `	if resumed := c.pauses.ResumedAt(); resumed.After(machine.AdoptedAt) {`, `	if resumed := c.pauses.ResumedAt(); false && resumed.After(machine.AdoptedAt) {`},
+	{"an answer tells that a machine began again", "coordination/controller/probes.go", `machine.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(heartbeat)) {`, `machine.Record.State == "" && false {`},
 	{"accounts of a former life do not count", "coordination/health/incarnation.go", `return floor == 0 || i.FencingToken > floor`, `return floor == 0 || i.FencingToken >= 0`},
-	{"a doubtful report brings no orders", "coordination/controller/agents.go", `	if !doubtful && c.view.IsActive(shard) {`, `	if c.view.IsActive(shard) {`},
+	{"a doubtful report brings no orders", "coordination/controller/agents.go", `	if !mayBeRestarted && c.view.IsActive(shard) {`, `	if c.view.IsActive(shard) {`},
 	{"registration is conditional", "coordination/controller/membership.go", `[]kv.Compare{{Key: key, Version: c.view.Nodes[c.settings.NodeName].Version}}`, `nil`},
 	{"nothing begins under a limit lowered since", "coordination/controller/reconcile.go", `	case stop, c.isOverLimit(claim.Spec), machine.Detector.Reachability.CannotReceive(), c.cannotReport(machine, now) && !c.isStateDown(now):`, `	case stop, machine.Detector.Reachability.CannotReceive(), c.cannotReport(machine, now) && !c.isStateDown(now):`},
 	{"what a mute machine has lost is not begun there again", "coordination/controller/reconcile.go", `machine.Detector.Reachability.CannotReceive(), c.cannotReport(machine, now) && !c.isStateDown(now):`, `machine.Detector.Reachability.CannotReceive():`},
@@ -169,7 +170,7 @@
 	}
 `, ``},
 	{"tries become rarer", "coordination/quarantine/job.go", `j.retryAt = now.Add(wait/2`, `j.retryAt = now.Add(0*wait`},
-	{"late boots do not count", "coordination/controller/boots.go", `return out[:provisioning.ReplacementCount(late, coming)]`, `return out[:0*provisioning.ReplacementCount(late, coming)]`},
+	{"late boots do not count", "coordination/controller/boots.go", `return overdue[:provisioning.ReplacementCount(len(overdue), booting)]`, `return overdue[:0*provisioning.ReplacementCount(len(overdue), booting)]`},
 	{"late ones are replaced a few at a time", "coordination/provisioning/replacement.go", `return min(overdue, 1+booting/bootingPerReplacement)`, `return overdue`},
 	{"boots are judged by who saw them", "coordination/controller/boots.go", ` || !shard.OwnedSince.Before(time.UnixMilli(machine.Record.RentedAtMs)) {
 			continue`, ` {
@@ -184,8 +185,8 @@
 `, ``},
 	{"questions go by turns with changes", "storage/kv/batch.go", `	if readsDue && !b.lastWasRead {`, `	if readsDue {`},
 	{"questions leave requests under way to changes", "storage/kv/batch.go", `maxReadsInflight = maxInflight / 2`, `maxReadsInflight = maxInflight`},
-	{"every wait ends with the context", "coordination/controller/membership.go", `			case <-ctx.Done():
-				return // the ledger may have ended first
+	{"every wait ends with the context", "coordination/controller/membership.go", `	case <-ctx.Done():
+		return true, ctx.Err() // the store may have stopped before it answers
 `, ``},
 }
 
--- a/internal/simtest/leaks.go
+++ b/internal/simtest/leaks.go
@@ -23,7 +23,7 @@
 			return checkErrorf("leaked", "%s: %s", key, why)
 		}
 	}
-	if hosts := c.world.Rented(); len(hosts) > 0 {
+	if hosts := c.world.Hosts(false); len(hosts) > 0 {
 		return checkErrorf("leaked", "%v are rented and unused", hosts)
 	}
 	for _, name := range c.names {
--- a/internal/simtest/quiescence.go
+++ b/internal/simtest/quiescence.go
@@ -90,7 +90,7 @@
 
 // checkNoneWaits checks that no job waits beside room that it fits.
 func (c *cluster) checkNoneWaits() error {
-	if jobs := c.world.Waiting(placedWithin); len(jobs) > 0 {
+	if jobs := c.world.UnplacedLongerThan(placedWithin); len(jobs) > 0 {
 		return checkErrorf("waits", "%s for %v, beside room", strings.Join(jobs, ", "), placedWithin)
 	}
 	return nil
--- a/internal/simtest/stale_ownership.go
+++ b/internal/simtest/stale_ownership.go
@@ -67,14 +67,14 @@
 // hasOnlyIsolationFaults reports whether no fault is on but those that part one controller
 // from the state service or from the other controllers.
 func (c *cluster) hasOnlyIsolationFaults() bool {
-	return !slices.ContainsFunc(c.world.FaultyMachines(), func(name string) bool {
+	return !slices.ContainsFunc(c.world.ActiveFaults(), func(name string) bool {
 		return !strings.HasPrefix(name, "refuse ") && !strings.HasPrefix(name, "alone ")
 	})
 }
 
 // isServed reports whether a controller runs and the state service serves it.
 func (c *cluster) isServed(name string) bool {
-	return slices.Contains(c.live(), name) && !slices.Contains(c.world.FaultyMachines(), "refuse "+name)
+	return slices.Contains(c.live(), name) && !slices.Contains(c.world.ActiveFaults(), "refuse "+name)
 }
 
 // eachProvisioned reads from the provisions which shard each machine is in.
--- a/internal/simtest/starvation.go
+++ b/internal/simtest/starvation.go
@@ -25,13 +25,13 @@
 	var starved []string
 	for _, name := range slices.Sorted(maps.Keys(served)) {
 		if s := served[name]; s.Share() < least {
-			starved = append(starved, fmt.Sprintf("%s was served %.2f of %.0f", name, s.Share(), s.Could))
+			starved = append(starved, fmt.Sprintf("%s was served %.2f of %.0f", name, s.Share(), s.Possible))
 		}
 	}
 	if len(starved) > 0 {
 		return checkErrorf("starved", "%s", strings.Join(starved, ", "))
 	}
-	if late := c.world.Unbegun(beginWithin); len(late) > 0 {
+	if late := c.world.LargestNotStarted(beginWithin); len(late) > 0 {
 		return checkErrorf("starved", "%s, of the largest of their class, did not begin within %v", strings.Join(late, ", "), beginWithin)
 	}
 	return nil
--- a/internal/simtest/verbs_machines.go
+++ b/internal/simtest/verbs_machines.go
@@ -25,7 +25,7 @@
 	if typ == "" {
 		typ = c.world.Types[0].Name
 	}
-	c.world.AddKind(f.number(1), typ, f.arg(2), f.arg(4) == "cheap")
+	c.world.AddMachinesOfType(f.number(1), typ, f.arg(2), f.arg(4) == "cheap")
 	return nil
 }
 
@@ -40,7 +40,7 @@
 	if jobID, ok := strings.CutPrefix(f.arg(1), "@"); ok {
 		host = c.world.HostOf(jobID)
 	}
-	c.world.Set(host, f.arg(2))
+	c.world.SetMachineFault(host, f.arg(2))
 	return nil
 }
 
@@ -51,7 +51,7 @@
 		hosts = c.world.InZone(f.arg(2))
 	}
 	for _, host := range firstPercent(hosts, f.number(1)) {
-		c.world.Set(host, "die")
+		c.world.SetMachineFault(host, "die")
 	}
 	return nil
 }
@@ -59,7 +59,7 @@
 // rebootMachines carries out "reboot PERCENT": so many of the machines begin again at once.
 func (c *cluster) rebootMachines(f command) error {
 	for _, host := range firstPercent(c.world.Hosts(false), f.number(1)) {
-		c.world.Set(host, "reboot")
+		c.world.SetMachineFault(host, "reboot")
 	}
 	return nil
 }
@@ -70,7 +70,7 @@
 // reclaimSpot carries out "wave notice|take": the cloud wants its spot machines back.
 func (c *cluster) reclaimSpot(f command) error {
 	for _, host := range c.world.Hosts(true) {
-		c.world.Set(host, f.arg(1))
+		c.world.SetMachineFault(host, f.arg(1))
 	}
 	return nil
 }
