--- a/internal/coordination/controller/accept.go
+++ b/internal/coordination/controller/accept.go
@@ -40,7 +40,7 @@
 func (c *Controller) recordJob(jobID string, record *records.Job, first initialClaim, reply func(transport.Response)) {
 	until := time.Now().Add(submitTimeout)
 	key := records.JobPrefix + jobID
-	compares := append([]kv.Compare{{Key: key, Version: 0}}, first.conds...)
+	compares := append([]kv.Compare{{Key: key, Version: 0}}, first.compares...)
 	ops := append([]kv.Op{{Key: key, Value: record}}, first.ops()...)
 	c.commit(kv.PriorityUser, compares, ops, submitTimeout, func(err error) {
 		first.finish(c, err)
--- a/internal/coordination/controller/claims.go
+++ b/internal/coordination/controller/claims.go
@@ -118,9 +118,9 @@
 // initialClaim is the claim of a job that is being accepted or released, made in the same
 // transaction. It is empty if there is none.
 type initialClaim struct {
-	claim *replica.Claim
-	shard *replica.Shard
-	conds []kv.Compare
+	claim    *replica.Claim
+	shard    *replica.Shard
+	compares []kv.Compare
 }
 
 // ops returns the claim's part of the transaction.
--- a/internal/coordination/controller/dependencies.go
+++ b/internal/coordination/controller/dependencies.go
@@ -212,7 +212,7 @@
 // only that failed.
 func (c *Controller) commitRelease(blocked dag.Job, record *records.Job, first initialClaim) {
 	key := records.JobPrefix + blocked.ID
-	compares := append([]kv.Compare{{Key: key, Version: blocked.Revision}}, first.conds...)
+	compares := append([]kv.Compare{{Key: key, Version: blocked.Revision}}, first.compares...)
 	ops := append([]kv.Op{{Key: key, Value: record}}, first.ops()...)
 	c.addQueued(record.Shards, blocked.Spec)
 	c.commit(kv.PriorityClaim, compares, ops, submitTimeout, func(err error) {
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -289,7 +289,7 @@
 
 // reconcileLimits commits what the limits in the settings and those on record differ by,
 // and how limits are divided.
-func (c *Controller) reconcileLimits(now time.Time) {
+func (c *Controller) reconcileLimits() {
 	if c.view.Quota.HasNoLimits() || len(c.view.MachineTypes) == 0 {
 		return
 	}
--- a/internal/coordination/controller/shards.go
+++ b/internal/coordination/controller/shards.go
@@ -144,7 +144,7 @@
 				}
 			}
 			c.campaign()
-			c.reconcileLimits(now)
+			c.reconcileLimits()
 			c.reconcileDependencies(now)
 		}
 		c.mu.Unlock()
