--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -151,7 +151,7 @@
 	if machine == nil {
 		return c.respondToUnrecorded(heartbeat)
 	}
-	if machine.Record.State != "" {
+	if machine.Record.State != records.MachineInUse {
 		return misdirected
 	}
 	shard := c.view.Shards[machine.Record.Shard]
--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -10,6 +10,7 @@
 	"madderslip/internal/coordination/health"
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/records"
 )
 
 // No task may outlive the cancellation of its job by more than the cancel deadline, whatever
@@ -78,7 +79,7 @@
 	late := false
 	if c.view.IsActive(c.view.Shards[machine.Record.Shard]) {
 		late = c.mayRunTask(machine, slot) && c.enforceCancellation(job, machine, pass.now)
-	} else if machine.Record.State == "" {
+	} else if machine.Record.State == records.MachineInUse {
 		task := c.misplacedTask(job, machine, slot, pass.now)
 		late = pass.mayAct && task.ShouldReturn(c.settings.Workers.CancelDeadline, c.isStateDown(pass.now)) && !c.isRefusedAlone(pass.now)
 		mayProbe := pass.mayAct && !machine.Detector.Probing && machine.Address() != ""
@@ -109,13 +110,13 @@
 	if !cancelled.ShouldFence(limit, c.maxHeartbeatGap()) {
 		return false
 	}
-	if machine.Record.State == "" && !machine.Lifecycle.Returning {
+	if machine.Record.State == records.MachineInUse && !machine.Lifecycle.Returning {
 		c.log.Info("machine fenced for a cancelled task", "host", machine.Host, "job", job.ID, "age", cancelled.Age, "silent", cancelled.Silent)
 		c.returnMachine(shard, machine)
 	}
 	// A process that has just resumed after a pause knows the age alone, not what others
 	// have done about the cancellation meanwhile.
-	return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == "" && !c.isRefusedAlone(now) && c.pauses.Stable(now, peerContactTime)
+	return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == records.MachineInUse && !c.isRefusedAlone(now) && c.pauses.Stable(now, peerContactTime)
 }
 
 // isSilentByItself reports whether a machine is silent and did not answer a probe while
@@ -182,7 +183,7 @@
 // and their names are not used again; so the stop is right from whoever sends it, late or
 // twice.
 func (c *Controller) stopCancelledTasks(machine *replica.Machine, heartbeat *protocol.Heartbeat) {
-	if heartbeat.FencingToken == 0 || machine.Record.State != "" {
+	if heartbeat.FencingToken == 0 || machine.Record.State != records.MachineInUse {
 		return
 	}
 	request := protocol.CommandRequest{FencingToken: heartbeat.FencingToken, AgentEpoch: heartbeat.AgentEpoch, Commands: c.cancelledTaskStops(heartbeat)}
--- a/internal/coordination/controller/cloud.go
+++ b/internal/coordination/controller/cloud.go
@@ -9,6 +9,7 @@
 
 	"madderslip/internal/coordination/provisioning"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/records"
 )
 
 // provisioner is what a controller knows of the machines that it provisions and returns.
@@ -152,7 +153,7 @@
 		if c.isLeader() && oldEnough {
 			c.noteUnrecorded(listed.Host, listed.Type, listed.Zone, listed.Spot)
 		}
-	case listed.Phase == protocol.MachineFailed && machine.Record.State == "":
+	case listed.Phase == protocol.MachineFailed && machine.Record.State == records.MachineInUse:
 		if shard := c.view.Shards[machine.Record.Shard]; c.view.IsActive(shard) {
 			c.log.Info("machine reported failed by the cloud", "host", listed.Host)
 			c.returnMachine(shard, machine)
--- a/internal/coordination/controller/commands.go
+++ b/internal/coordination/controller/commands.go
@@ -11,12 +11,13 @@
 
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/records"
 	"madderslip/internal/transport"
 )
 
 // mayCommand reports whether this process may send commands to a machine of a shard.
 func mayCommand(shard *replica.Shard, machine *replica.Machine) bool {
-	return shard != nil && shard.FencingToken != 0 && machine.Record.State == ""
+	return shard != nil && shard.FencingToken != 0 && machine.Record.State == records.MachineInUse
 }
 
 // queueCommands queues commands for a machine until they are next sent.
--- a/internal/coordination/controller/consolidation.go
+++ b/internal/coordination/controller/consolidation.go
@@ -9,6 +9,7 @@
 	"madderslip/internal/coordination/placement"
 	"madderslip/internal/coordination/provisioning"
 	"madderslip/internal/coordination/replica"
+	"madderslip/internal/storage/records"
 )
 
 const (
@@ -63,7 +64,7 @@
 			continue
 		}
 		c.migrateReplicas(machine, now)
-		draining = draining || machine.Record.State == ""
+		draining = draining || machine.Record.State == records.MachineInUse
 	}
 	return draining
 }
--- a/internal/coordination/controller/gangs.go
+++ b/internal/coordination/controller/gangs.go
@@ -360,7 +360,7 @@
 		}
 		for _, host := range slices.Sorted(maps.Keys(hold.Record.TasksByHost)) {
 			machine := c.view.Machines[host]
-			if machine == nil || machine.Record.State != "" || (zone != "" && machine.Record.Zone != zone) {
+			if machine == nil || machine.Record.State != records.MachineInUse || (zone != "" && machine.Record.Zone != zone) {
 				continue
 			}
 			for range hold.Record.TasksByHost[host] {
--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -8,6 +8,7 @@
 	"madderslip/internal/coordination/health"
 	"madderslip/internal/coordination/replica"
 	"madderslip/internal/protocol"
+	"madderslip/internal/storage/records"
 )
 
 const (
@@ -155,7 +156,7 @@
 func (c *Controller) recordProbeAnswer(machine *replica.Machine, before, heartbeat *protocol.Heartbeat) {
 	machine.Detector.Reachability.RecordAnswer(time.Now())
 	shard := c.view.Shards[machine.Record.Shard]
-	if before != nil && machine.Agent.Heartbeat != nil && machine.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(heartbeat)) {
+	if before != nil && machine.Agent.Heartbeat != nil && machine.Record.State == records.MachineInUse && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(heartbeat)) {
 		c.recordRestart(shard, machine, heartbeat)
 	} else {
 		c.observeHeartbeat(machine, heartbeat)
@@ -167,7 +168,7 @@
 	// The machine answers and has yet to see the token: an earlier owner, which neither the
 	// state service nor the other controllers reach, may still serve its agent. Once the
 	// machine has seen the token, no answer of that owner counts any more.
-	if machine.Record.State == "" && heartbeat.FencingToken < shard.FencingToken {
+	if machine.Record.State == records.MachineInUse && heartbeat.FencingToken < shard.FencingToken {
 		c.sendCommands(shard, machine)
 	}
 }
--- a/internal/coordination/controller/reconcile.go
+++ b/internal/coordination/controller/reconcile.go
@@ -291,7 +291,7 @@
 // hear of it.
 func (c *Controller) sendStart(task *placedTask, now time.Time) {
 	commands := &task.machine.Commands
-	if !c.hearsNobody(now) && !task.hasQueuedStart() && now.Sub(commands.StartSentAt[task.name]) > resendInterval && task.machine.Record.State == "" {
+	if !c.hearsNobody(now) && !task.hasQueuedStart() && now.Sub(commands.StartSentAt[task.name]) > resendInterval && task.machine.Record.State == records.MachineInUse {
 		commands.StartSentAt[task.name] = now
 		c.queueCommands(task.shard, task.machine, protocol.StartCommand(task.name, task.placement.Attempt))
 	}
@@ -304,7 +304,7 @@
 
 // isStartOf returns a function that reports whether a command starts a task.
 func isStartOf(name string) func(protocol.Command) bool {
-	return func(command protocol.Command) bool { return command.Verb == "start" && command.Task == name }
+	return func(command protocol.Command) bool { return command.Verb == protocol.VerbStart && command.Task == name }
 }
 
 const (
--- a/internal/coordination/replica/images.go
+++ b/internal/coordination/replica/images.go
@@ -92,7 +92,7 @@
 // in use or this process owns its shard and so knows better.
 func (v *View) recallImages(machine *Machine) {
 	record := v.ImageRecords[records.ImagePrefix+machine.Record.Shard+"/"+strconv.Itoa(imagePart(machine.Host))]
-	if record == nil || machine.Record.State != "" || v.Shard(machine.Record.Shard).FencingToken != 0 {
+	if record == nil || machine.Record.State != records.MachineInUse || v.Shard(machine.Record.Shard).FencingToken != 0 {
 		return
 	}
 	machine.Images = machine.Images[:0]
--- a/internal/coordination/replica/view_machines.go
+++ b/internal/coordination/replica/view_machines.go
@@ -21,7 +21,7 @@
 	machine.Record, machine.Version = *record, version
 	machine.Capacity.Stale, machine.Capacity.DetailsStale = true, true
 	v.Shard(record.Shard).Changed = true
-	if record.State != "" {
+	if record.State != records.MachineInUse {
 		v.Shard(record.Shard).RemoveMachine(machine)
 	}
 	if record.State == records.MachineReturning {
@@ -50,7 +50,7 @@
 	v.Machines[host] = machine
 	v.observer.MachineRecorded(host)
 	machine.Record = *record
-	if record.State == "" {
+	if record.State == records.MachineInUse {
 		v.Shard(record.Shard).AddMachine(machine)
 	}
 	v.recallImages(machine)
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -53,7 +53,7 @@
 	{"command outcome unknown", "coordination/replica/commandqueue.go", `slices.ContainsFunc(m.Commands.Unknown, func(start UnknownStart) bool { return start.Task == task && start.Attempt == attempt })`, `false`},
 	{"a machine that keeps a cancelled task is fenced", "coordination/controller/probes.go", `		c.enforceCancellations(now)
 `, ``},
-	{"fenced without a record if need be", "coordination/controller/cancellations.go", `return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == "" && !c.isRefusedAlone(now)`, `return false`},
+	{"fenced without a record if need be", "coordination/controller/cancellations.go", `return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == records.MachineInUse && !c.isRefusedAlone(now)`, `return false`},
 	{"whoever knows stops cancelled tasks", "coordination/controller/probes.go", `c.stopCancelledTasks(machine, heartbeat)`, `_ = machine`},
 	{"and asks again", "coordination/health/misplaced_tasks.go", `t.SinceProbe >= interval`, `t.SinceProbe > 1000*interval`},
 	{"its owner may begin them again", "coordination/health/misplaced_tasks.go", `if t.Finding == Ended || t.Age > limit {`, `if t.Finding == Ended {
@@ -141,7 +141,7 @@
 	{"a zone that seems cut off is not fenced", "coordination/controller/failuredetection.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
 	{"no lease is kept for a cancelled task", "coordination/controller/leases.go", `status.Phase != protocol.TaskExited && (`, `false && (`},
 	{"silence counts from waking", "coordination/controller/failuredetection.go", `	if resumed := c.pauses.ResumedAt(); resumed.After(machine.AdoptedAt) {`, `	if resumed := c.pauses.ResumedAt(); false && resumed.After(machine.AdoptedAt) {`},
-	{"an answer tells that a machine began again", "coordination/controller/probes.go", `machine.Record.State == "" && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(heartbeat)) {`, `machine.Record.State == "" && false {`},
+	{"an answer tells that a machine began again", "coordination/controller/probes.go", `machine.Record.State == records.MachineInUse && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(heartbeat)) {`, `machine.Record.State == records.MachineInUse && false {`},
 	{"accounts of a former life do not count", "coordination/health/incarnation.go", `return floor == 0 || i.FencingToken > floor`, `return floor == 0 || i.FencingToken >= 0`},
 	{"a doubtful report brings no orders", "coordination/controller/agents.go", `	if !mayBeRestarted && c.view.IsActive(shard) {`, `	if c.view.IsActive(shard) {`},
 	{"registration is conditional", "coordination/controller/membership.go", `[]kv.Compare{{Key: key, Version: c.view.Nodes[c.settings.NodeName].Version}}`, `nil`},
--- a/internal/storage/records/cluster.go
+++ b/internal/storage/records/cluster.go
@@ -45,13 +45,14 @@
 	Type       string `json:"t"`
 	Zone       string `json:"z"`
 	Spot       bool   `json:"s,omitempty"`
-	State      string `json:"x,omitempty"` // "", MachineReturning or MachineGone
+	State      string `json:"x,omitempty"` // MachineInUse, MachineReturning or MachineGone
 	RentedAtMs int64  `json:"b,omitempty"` // Unix milliseconds; used only to judge how long it takes to boot
 }
 
-// States of a machine. Both are final: nothing is placed there any more, whoever owns the
-// shard.
+// States of a machine. All but the first are final: nothing is placed there any more,
+// whoever owns the shard.
 const (
+	MachineInUse     = ""
 	MachineReturning = "r" // recorded before the cloud is asked to take it back
 	MachineGone      = "g" // the cloud has confirmed it
 )
