--- a/internal/coordination/controller/capacities.go
+++ b/internal/coordination/controller/capacities.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"maps"
 	"slices"
 	"strings"
 	"time"
@@ -142,8 +141,7 @@
 func (c *Controller) detailMachine(machine *replica.Machine, now time.Time) {
 	machine.Capacity.DetailsStale = false
 	machine.Capacity.Releases, machine.Capacity.Victims = machine.Capacity.Releases[:0], nil // the list may still be in use by a pass
-	for _, name := range slices.Sorted(maps.Keys(machine.Use.Slots)) {
-		slot := machine.Use.Slots[name]
+	for _, slot := range machine.Use.Slots {                                                 // both lists are put in order below
 		if slot.Claim.Spec == nil || slot.Exited(machine) {
 			continue
 		}
@@ -155,7 +153,12 @@
 		return cmp.Or(cmp.Compare(a.Claim.Spec.Priority(), b.Claim.Spec.Priority()), cmp.Compare(a.LostWork(now), b.LostWork(now)),
 			strings.Compare(a.Claim.Key, b.Claim.Key), cmp.Compare(a.Task, b.Task))
 	})
-	slices.SortStableFunc(machine.Capacity.Releases, func(a, b replica.Release) int { return a.At.Compare(b.At) })
+	slices.SortFunc(machine.Capacity.Releases, func(a, b replica.Release) int {
+		if order := a.At.Compare(b.At); order != 0 {
+			return order
+		}
+		return strings.Compare(a.Spec.JobID, b.Spec.JobID) // tasks of one job release the same
+	})
 }
 
 // evictionTime is how soon an evicted task is expected to have released its capacity.
--- a/internal/coordination/placement/score.go
+++ b/internal/coordination/placement/score.go
@@ -49,8 +49,15 @@
 
 // compare orders scores, the better one first.
 func (s score) compare(other score) int {
-	return cmp.Or(cmp.Compare(s.gpuMisuse, other.gpuMisuse), cmp.Compare(s.missingImage, other.missingImage),
-		cmp.Compare(s.preference, other.preference), cmp.Compare(s.packing, other.packing))
+	switch {
+	case s.gpuMisuse != other.gpuMisuse:
+		return cmp.Compare(s.gpuMisuse, other.gpuMisuse)
+	case s.missingImage != other.missingImage:
+		return cmp.Compare(s.missingImage, other.missingImage)
+	case s.preference != other.preference:
+		return cmp.Compare(s.preference, other.preference)
+	}
+	return cmp.Compare(s.packing, other.packing)
 }
 
 // The costs of work without GPUs on a machine with free GPUs. Most work that needs GPUs may
--- a/internal/coordination/quarantine/machine.go
+++ b/internal/coordination/quarantine/machine.go
@@ -61,6 +61,9 @@
 // AvoidedBy returns the IDs of the jobs that should be placed elsewhere, in order.
 func (m *MachineEvidence) AvoidedBy(now time.Time) []string {
 	var jobIDs []string
+	if len(m.failures) == 0 {
+		return nil // of most machines, each of which is asked in every pass
+	}
 	for _, jobID := range slices.Sorted(maps.Keys(m.failures)) {
 		if m.Avoids(jobID, now) {
 			jobIDs = append(jobIDs, jobID)
