--- a/docs_test.go
+++ b/docs_test.go
@@ -31,6 +31,49 @@
 	}
 }
 
+// TestPagesNameTestsThatExist: every test that a page below docs names is in the sources, so
+// that a guard's test is found by the name the page gives it.
+func TestPagesNameTestsThatExist(t *testing.T) {
+	tests := testNames(t)
+	pages, err := filepath.Glob(filepath.Join("docs", "*", "*.md"))
+	if err != nil || len(pages) == 0 {
+		t.Fatal("no pages below docs", err)
+	}
+	for _, name := range pages {
+		page, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, test := range regexp.MustCompile(`\bTest[A-Z][A-Za-z0-9]+`).FindAllString(string(page), -1) {
+			if !tests[test] {
+				t.Errorf("%s names %s, which does not exist", name, test)
+			}
+		}
+	}
+}
+
+// testNames lists the functions of all test files.
+func testNames(t *testing.T) map[string]bool {
+	names := make(map[string]bool)
+	err := filepath.WalkDir(".", func(path string, entry os.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+		if err != nil {
+			return err
+		}
+		for name := range fileScope(file) {
+			names[name] = true
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
+
 // exportedNames lists the exported types, functions and constants of all packages below
 // internal, as package.Name.
 func exportedNames(t *testing.T) map[string]bool {
