--- a/docs_test.go
+++ b/docs_test.go
@@ -55,21 +55,11 @@
 // testNames lists the functions of all test files.
 func testNames(t *testing.T) map[string]bool {
 	names := make(map[string]bool)
-	err := filepath.WalkDir(".", func(path string, entry os.DirEntry, err error) error {
-		if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
-			return err
-		}
-		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
-		if err != nil {
-			return err
-		}
+	isTest := func(path string) bool { return strings.HasSuffix(path, "_test.go") }
+	for _, file := range parseSources(t, ".", isTest) {
 		for name := range fileScope(file) {
 			names[name] = true
 		}
-		return nil
-	})
-	if err != nil {
-		t.Fatal(err)
 	}
 	return names
 }
@@ -78,23 +68,35 @@
 // internal, as package.Name.
 func exportedNames(t *testing.T) map[string]bool {
 	names := make(map[string]bool)
-	err := filepath.WalkDir("internal", func(path string, entry os.DirEntry, err error) error {
-		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+	isSource := func(path string) bool {
+		return strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go")
+	}
+	for _, file := range parseSources(t, "internal", isSource) {
+		for name := range fileScope(file) {
+			names[file.Name.Name+"."+name] = true
+		}
+	}
+	return names
+}
+
+// parseSources parses the files below root whose path is wanted.
+func parseSources(t *testing.T, root string, wanted func(path string) bool) []*ast.File {
+	var files []*ast.File
+	err := filepath.WalkDir(root, func(path string, entry os.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !wanted(path) {
 			return err
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 		if err != nil {
 			return err
 		}
-		for name := range fileScope(file) {
-			names[file.Name.Name+"."+name] = true
-		}
+		files = append(files, file)
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return names
+	return files
 }
 
 // fileScope returns the names that a file declares at the top level, methods left out.
