--- a/internal/coordination/controller/leadership.go
+++ b/internal/coordination/controller/leadership.go
@@ -7,19 +7,19 @@
 	"madderslip/internal/storage/records"
 )
 
-// leadership is what the leader's record says, and whether this process campaigns.
+// leadership is the cached leader record and the state of this process's own campaign.
 type leadership struct {
-	node        string // empty: no leader
-	version     uint64 // of the record; 0: there is none
-	isSelf      bool   // this very process is the leader, not an earlier one of the same node
-	campaigning bool   // a commit to become leader is under way
+	node        string // the leader's node; empty: no leader
+	version     uint64 // version of the leader record; 0: the record does not exist
+	isSelf      bool   // the leader is this process, not an earlier process of the same node
+	campaigning bool   // a commit of this process's leader record is in progress
 }
 
-// leaderCommitTimeout bounds the commit to become leader.
+// leaderCommitTimeout bounds the commit of the leader record.
 const leaderCommitTimeout = 2 * time.Second
 
-// campaign seeks to become leader while there is none. The record hangs on this node's
-// lease, so it is deleted when the lease expires.
+// campaign commits a leader record that names this process, if no leader record exists. The
+// record is attached to this node's lease, so it is deleted when the lease expires.
 func (c *Controller) campaign() {
 	if c.leadership.version != 0 || c.leadership.campaigning {
 		return
@@ -31,10 +31,11 @@
 		func(error) { c.leadership.campaigning = false })
 }
 
-// applyLeader applies the leader's record, which names the process as well as the node. One
-// that an earlier process of this node left is deleted with that one's lease. One made by
-// this process counts even if its commit's answer was lost, which prevents a leader from
-// waiting for that answer while nobody else can lead.
+// applyLeader applies the leader record, which names the process as well as the node. The
+// record of an earlier process of this node is deleted when that process's lease expires.
+// The record of this process makes it the leader even if the answer to its commit was lost.
+// Otherwise this process would wait for that answer while no other controller can become
+// leader.
 func (c *Controller) applyLeader(record *records.Leader, version uint64) {
 	c.leadership.node, c.leadership.version, c.leadership.isSelf = "", 0, false
 	if record == nil {
@@ -46,13 +47,14 @@
 	}
 }
 
-// isLeader reports whether this process is the leader and has seen all that earlier leaders
-// recorded.
+// isLeader reports whether this process is the leader, has registered its node, and has
+// cached everything that earlier leaders committed.
 func (c *Controller) isLeader() bool {
 	return c.leadership.isSelf && c.membership.lease != 0 && c.view.Revision >= c.leadership.version
 }
 
-// leaderCompare is the condition that this process is still the leader.
+// leaderCompare returns the condition that the leader record has not changed. For a process
+// that is the leader this means that it still is.
 func (c *Controller) leaderCompare() kv.Compare {
 	return kv.Compare{Key: records.LeaderKey, Version: c.leadership.version}
 }
--- a/internal/coordination/controller/membership.go
+++ b/internal/coordination/controller/membership.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	loadPollInterval   = 50 * time.Millisecond  // until all records are read
-	leaseRetryPause    = 300 * time.Millisecond // after no lease was granted
+	loadPollInterval   = 50 * time.Millisecond  // until the view is loaded
+	leaseRetryPause    = 300 * time.Millisecond // after a failed lease grant
 	registerRetryPause = 200 * time.Millisecond // after a failed registration
 	nodeCommitTimeout  = 2 * time.Second
 	renewalsPerLease   = 3
 )
 
-// membershipLoop keeps this node's lease and the record that shows the node is alive.
+// membershipLoop keeps this node's lease alive and the node's record attached to it. The
+// other controllers consider the node live as long as its record exists.
 func (c *Controller) membershipLoop(ctx context.Context) {
 	record := &records.Node{StartedAtMs: c.startedAt.UnixMilli(), DependencyVersion: dependencyVersion}
 	record.QuotaVersion, record.TeamsHash = c.view.Quota.Advertised()
@@ -45,7 +46,7 @@
 			if err != nil {
 				c.log.Info("node registration failed", "err", err)
 				if errors.Is(err, kv.ErrLeaseExpired) {
-					lease = 0 // the lease expired before it was used
+					lease = 0 // the lease expired before the registration
 				}
 				c.pause(ctx, registerRetryPause)
 				continue
@@ -58,8 +59,8 @@
 	}
 }
 
-// registration reports whether the records are read, and whether the node's record hangs on
-// a lease.
+// registration reports whether the view is loaded, and whether the node's record is attached
+// to the lease.
 func (c *Controller) registration(lease kv.LeaseID) (loaded, registered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,15 +68,15 @@
 	return c.view.Loaded, lease != 0 && hasRecord && c.membership.lease == lease
 }
 
-// registerNode commits the node's record with a lease and waits for the outcome, or for the
-// end of the context, which it reports as ended.
+// registerNode commits the node's record, attached to the lease, and waits for the outcome.
+// It returns ended if the context ends first.
 func (c *Controller) registerNode(ctx context.Context, record *records.Node, lease kv.LeaseID) (ended bool, err error) {
 	key := records.NodePrefix + c.settings.NodeName
 	outcome := make(chan error, 1)
 	c.mu.Lock()
-	// The condition refuses a late copy that an earlier process of this node sent: it would
-	// hang the record on that process's lease, and this node would seem to have failed when
-	// that lease expires.
+	// The condition rejects a registration of an earlier process of this node that is executed
+	// late. Without it the record would be attached to that process's lease, and this node
+	// would appear to have failed when that lease expires.
 	c.commit(kv.PriorityLease, []kv.Compare{{Key: key, Version: c.view.Nodes[c.settings.NodeName].Version}}, []kv.Op{{Key: key, Value: record, Lease: lease}}, nodeCommitTimeout,
 		func(err error) {
 			if err == nil {
@@ -92,7 +93,8 @@
 	}
 }
 
-// keepLeaseAlive renews a lease and reports false once it has expired.
+// keepLeaseAlive renews a lease. It returns false if the lease has expired, and true after
+// any other error, since the lease may still hold.
 func (c *Controller) keepLeaseAlive(ctx context.Context, lease kv.LeaseID) bool {
 	err := c.store.KeepAlive(ctx, lease)
 	if errors.Is(err, kv.ErrLeaseExpired) {
--- a/internal/coordination/controller/shards.go
+++ b/internal/coordination/controller/shards.go
@@ -14,25 +14,25 @@
 const (
 	shardLoopInterval  = 200 * time.Millisecond
 	shardCommitTimeout = 3 * time.Second
-	// tokenRaiseInterval is the shortest time between two renewals of a fencing token.
+	// tokenRaiseInterval is the minimum time between two renewals of a shard's fencing token.
 	tokenRaiseInterval = 3 * time.Second
-	// unownedGraceLeases is for how many node leases a shard that nobody ever owned is left
-	// to its home node.
+	// unownedGraceLeases is the time, in node leases since its own registration, for which a
+	// node leaves a shard that never had an owner to the shard's home node.
 	unownedGraceLeases = 2
-	// minOwnership is how long a shard is owned at least before it is handed back.
+	// minOwnership is the minimum time for which a shard is owned before it is handed back.
 	minOwnership = 2 * time.Second
-	// homeTakeoverGrace is how long the home node may have been alive for others to leave an
-	// ownerless shard to it.
+	// homeTakeoverGrace is the time after a home node's registration for which other nodes
+	// leave its ownerless shard to it.
 	homeTakeoverGrace = 2 * time.Second
-	// awayTime is for how long a shard that was given away is not handed back to its home
-	// node, whose links are in trouble.
+	// awayTime is the time for which a shard that was given away is not handed back to its
+	// home node, since that node's network links appear to be faulty.
 	awayTime = time.Minute
-	// arrivalFenceDelays is for how many fence delays the machines of the home shard may be
-	// on their way to this node.
+	// arrivalFenceDelays is the time, in fence delays since this node acquired its home shard,
+	// for which agents of the shard may still be switching to this node.
 	arrivalFenceDelays = 3
 )
 
-// ownedCompare is the condition that this process still owns a shard.
+// ownedCompare returns the condition that this process still owns a shard.
 func ownedCompare(shard *replica.Shard) kv.Compare {
 	return kv.Compare{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}
 }
@@ -48,8 +48,8 @@
 	return machines
 }
 
-// takeoverDelay returns for how long this node leaves a shard whose owner's lease has
-// expired to the others.
+// takeoverDelay returns how long this node waits, so that other nodes can act first, before
+// it takes over a shard whose owner's lease has expired.
 func (c *Controller) takeoverDelay() time.Duration {
 	machines := c.machinesByOwner()
 	var candidates []failover.Candidate
@@ -59,7 +59,8 @@
 	return failover.TakeoverDelay(c.settings.NodeName, candidates)
 }
 
-// applyShard applies a shard's record, and with it the shard's fencing token.
+// applyShard applies a shard's record, and sets or clears the shard's fencing token
+// accordingly.
 func (c *Controller) applyShard(name string, record *records.Shard, version uint64) {
 	shard := c.view.Shard(name)
 	shard.Record, shard.Version, shard.NewOwner = record, version, ""
@@ -71,17 +72,17 @@
 		}
 		shard.FencingToken = 0
 	case !c.view.Loaded:
-		// An earlier process of this node may have commands in transit under this very
-		// token, so the shard is acquired anew before use.
+		// Commands that an earlier process of this node sent under this token may still be
+		// in transit, so this process first acquires the shard under a new token.
 		shard.FencingToken = 0
 	default:
-		c.holdToken(shard, version)
+		c.setFencingToken(shard, version)
 	}
 }
 
-// holdToken makes a version of a shard's record this process's fencing token, and publishes
-// it.
-func (c *Controller) holdToken(shard *replica.Shard, token uint64) {
+// setFencingToken makes a version of a shard's record the fencing token under which this
+// process owns the shard, and publishes the token.
+func (c *Controller) setFencingToken(shard *replica.Shard, token uint64) {
 	if shard.FencingToken == 0 {
 		shard.OwnedSince = time.Now()
 		for _, machine := range shard.Machines {
@@ -94,24 +95,25 @@
 	c.publishToken(shard)
 }
 
-// yieldToNewOwner gives up a shard that another controller says it has acquired since. A
-// node that the state service alone refuses reads of it nowhere: it would go on answering
-// the shard's agents with its old token, they would stay, and the new owner would own
-// machines that never come. The notice is advice and costs nothing when wrong: to command
-// less breaks no rule, and the next version of the record clears it.
-func (c *Controller) yieldToNewOwner(shard *replica.Shard, by string, token uint64) {
+// yieldToNewOwner gives up a shard that another controller reports to have acquired under a
+// newer token. If the state service rejects this node but not the others, the watch does not
+// deliver the new record here. This node would then go on answering the shard's agents under
+// its old token, so the agents would never switch to the new owner. A wrong report does no
+// harm: sending fewer commands breaks no rule, and the next version of the record clears
+// NewOwner.
+func (c *Controller) yieldToNewOwner(shard *replica.Shard, newOwner string, token uint64) {
 	notOwned := shard.FencingToken == 0 && shard.NewOwner == ""
-	if by == c.settings.NodeName || token <= max(shard.FencingToken, shard.NewOwnerToken) || notOwned {
+	if newOwner == c.settings.NodeName || token <= max(shard.FencingToken, shard.NewOwnerToken) || notOwned {
 		return
 	}
-	c.log.Info("shard lost to its new owner", "shard", shard.Name, "node", by, "token", token)
-	shard.FencingToken, shard.NewOwner, shard.NewOwnerToken = 0, by, token
+	c.log.Info("shard lost to its new owner", "shard", shard.Name, "node", newOwner, "token", token)
+	shard.FencingToken, shard.NewOwner, shard.NewOwnerToken = 0, newOwner, token
 	c.dropPendingCommands(shard)
 }
 
-// dropPendingCommands drops the commands that were queued under an earlier token and are
-// not sent yet: another owner may have acted since. Sent under the next token, they would
-// start again what has ended and is recorded.
+// dropPendingCommands drops the commands that were queued under an earlier token and have not
+// been sent, since another owner may have acted meanwhile. Sent under the next token, they
+// could start tasks again whose end is already recorded.
 func (c *Controller) dropPendingCommands(shard *replica.Shard) {
 	for _, machine := range shard.Machines {
 		machine.Commands.Pending = nil
@@ -129,8 +131,8 @@
 	}
 }
 
-// shardLoop works off the difference between who should own each shard and who does, and
-// what else is due a few times a second.
+// shardLoop reconciles the ownership of the shards, the leadership, the team limits and the
+// job dependencies, and sends the pending replies that are due.
 func (c *Controller) shardLoop(ctx context.Context) {
 	for c.pause(ctx, shardLoopInterval) {
 		c.mu.Lock()
@@ -151,25 +153,25 @@
 	}
 }
 
-// reconcileShard acquires a shard, renews its token, or gives it to another node, each if
-// it is time.
+// reconcileShard acquires a shard, renews its fencing token, or makes another node its owner,
+// if one of these is due.
 func (c *Controller) reconcileShard(shard *replica.Shard, now time.Time) {
 	self, alive := c.view.Nodes[c.settings.NodeName]
 	switch {
 	case !alive:
 	case shard.NewOwner != "":
-		// Another node owns it; the record of that has yet to arrive.
+		// Another node reports that it owns the shard; its record has not arrived here yet.
 	case shard.Record == nil:
 		c.acquireUnowned(shard, self, now)
 	case shard.Record.Owner == c.settings.NodeName:
-		c.reconcileOwnShard(shard, now)
+		c.reconcileOwnedShard(shard, now)
 	default:
 		c.reconcileForeignShard(shard, self, now)
 	}
 }
 
-// acquireUnowned acquires a shard that nobody ever owned: at once on its home node, on
-// another only if the home node does not come up.
+// acquireUnowned acquires a shard that never had an owner. The home node does so at once,
+// any other node only if the home node does not register in time.
 func (c *Controller) acquireUnowned(shard *replica.Shard, self replica.NodeInfo, now time.Time) {
 	_, homeLive := c.view.Nodes[shard.Name]
 	homeOverdue := !homeLive && now.Sub(self.Since) > unownedGraceLeases*c.policy.NodeLease
@@ -178,9 +180,10 @@
 	}
 }
 
-// reconcileOwnShard acquires this node's shard anew if it has no token or needs a new one,
-// hands it back to its home node, or gives it away while its machines can't be reached.
-func (c *Controller) reconcileOwnShard(shard *replica.Shard, now time.Time) {
+// reconcileOwnedShard acts on a shard that is recorded as this node's. It acquires the shard
+// anew if its fencing token is missing or has to be renewed, hands the shard back to its home
+// node, or gives the shard away if this node cannot reach its machines.
+func (c *Controller) reconcileOwnedShard(shard *replica.Shard, now time.Time) {
 	switch {
 	case shard.FencingToken == 0:
 		c.writeShard(shard, c.settings.NodeName, nil)
@@ -199,8 +202,9 @@
 	}
 }
 
-// shouldHandBack reports whether to hand a shard back to its home node, which has been alive
-// for long enough again.
+// shouldHandBack reports whether to hand a shard back to its home node. The home node must
+// have been live for the hand-back delay, awayTime must have passed since it gave the shard
+// away, and this node must have owned the shard for minOwnership.
 func (c *Controller) shouldHandBack(shard *replica.Shard, now time.Time) bool {
 	home, homeLive := c.view.Nodes[shard.Name]
 	if shard.Name == c.settings.NodeName || !homeLive {
@@ -211,7 +215,7 @@
 }
 
 // reconcileForeignShard takes over another node's shard once that node's lease has expired
-// and it is this node's turn.
+// and this node's takeover delay has passed.
 func (c *Controller) reconcileForeignShard(shard *replica.Shard, self replica.NodeInfo, now time.Time) {
 	if _, ownerLive := c.view.Nodes[shard.Record.Owner]; ownerLive {
 		shard.OwnerlessSince = time.Time{}
@@ -224,7 +228,7 @@
 		if now.Sub(shard.OwnerlessSince) < c.takeoverDelay() || now.Sub(self.Since) < failover.StartupGrace {
 			return
 		}
-		// The home node, if it is alive, has precedence.
+		// A home node that has registered recently has precedence.
 		if home, homeLive := c.view.Nodes[shard.Name]; homeLive && now.Sub(home.Since) < homeTakeoverGrace {
 			return
 		}
@@ -233,7 +237,8 @@
 	c.writeShard(shard, c.settings.NodeName, []kv.Compare{{Key: records.NodePrefix + shard.Record.Owner, Version: 0}})
 }
 
-// writeShard commits a shard's owner; the same owner again raises the fencing token.
+// writeShard commits a shard's owner. Committing the present owner again raises the fencing
+// token.
 func (c *Controller) writeShard(shard *replica.Shard, owner string, conditions []kv.Compare) {
 	next := &records.Shard{Owner: owner}
 	if shard.Record != nil {
@@ -242,8 +247,8 @@
 	c.commitShard(shard, next, conditions)
 }
 
-// giveAway gives a shard to a node that may reach its machines, the home shard for a while
-// only.
+// giveAway makes a node that may reach a shard's machines the owner of the shard. A node that
+// gives its home shard away gets it back after awayTime at the earliest.
 func (c *Controller) giveAway(shard *replica.Shard, to string, now time.Time) {
 	next := &records.Shard{Owner: to, Changes: shard.Record.Changes + 1, AwayUntilMs: shard.Record.AwayUntilMs}
 	if shard.Name == c.settings.NodeName {
@@ -252,12 +257,13 @@
 	c.commitShard(shard, next, []kv.Compare{{Key: records.NodePrefix + to, Version: c.view.Nodes[to].Version}})
 }
 
-// commitShard commits a shard's record, on its present version and the conditions given.
+// commitShard commits a shard's record, provided that the cached version is still current
+// and the given conditions hold.
 func (c *Controller) commitShard(shard *replica.Shard, next *records.Shard, conditions []kv.Compare) {
 	compares := append([]kv.Compare{{Key: records.ShardPrefix + shard.Name, Version: shard.Version}}, conditions...)
 	shard.Writing = true
 	if next.Owner != c.settings.NodeName {
-		shard.FencingToken = 0 // no command may be sent once another may send some
+		shard.FencingToken = 0 // this node must send no commands once the new owner may send its own
 	}
 	c.commit(kv.PriorityLease, compares, []kv.Op{{Key: records.ShardPrefix + shard.Name, Value: next}}, shardCommitTimeout, func(err error) {
 		shard.Writing = false
@@ -267,8 +273,8 @@
 	})
 }
 
-// leastLoadedPeer returns the live controller beside this one that answers for the fewest
-// machines, or "" if there is none.
+// leastLoadedPeer returns the live controller, other than this one, whose shards have the
+// fewest machines, or "" if there is none.
 func (c *Controller) leastLoadedPeer() string {
 	machines := c.machinesByOwner()
 	best := ""
@@ -280,18 +286,18 @@
 	return best
 }
 
-// isCutOff reports whether nearly all of a shard's machines became silent together, by a
-// fault of this node's own links as it seems. Giving the shard to a node that may reach
-// them keeps their leases alive.
+// isCutOff reports whether nearly all of a shard's machines are silent, apparently because of
+// a fault in this node's own network links, and another controller is live. Giving the shard
+// to a node that may reach the machines keeps their leases alive.
 func (c *Controller) isCutOff(shard *replica.Shard, now time.Time) bool {
 	if shard.Name == c.settings.NodeName && now.Sub(shard.OwnedSince) < arrivalFenceDelays*c.policy.FenceAfter {
-		return false // the machines may be on their way here
+		return false // agents may still be switching to this node
 	}
 	return c.leastLoadedPeer() != "" && c.isSelfIsolated(shard, c.policy.SuspectAfter, now)
 }
 
-// isSelfIsolated reports whether it is this node's own fault that a shard's machines are
-// silent for longer than a timeout.
+// isSelfIsolated reports whether a fault in this node's own network links explains that a
+// shard's machines have been silent for longer than a timeout.
 func (c *Controller) isSelfIsolated(shard *replica.Shard, timeout time.Duration, now time.Time) bool {
 	var silence health.ShardSilence
 	var all []health.ShardSilence
@@ -308,7 +314,8 @@
 	return health.SelfIsolated(silence, all)
 }
 
-// countSilent counts the machines of a shard that are silent for longer than a timeout.
+// countSilent counts the machines of a shard, among them those that have been silent for
+// longer than a timeout.
 func (c *Controller) countSilent(shard *replica.Shard, timeout time.Duration, now time.Time) health.ShardSilence {
 	counts := health.ShardSilence{Home: shard.Name == c.settings.NodeName}
 	for _, machine := range shard.Machines {
