--- a/internal/coordination/controller/cloud.go
+++ b/internal/coordination/controller/cloud.go
@@ -12,41 +12,44 @@
 	"madderslip/internal/storage/records"
 )
 
-// provisioner is what a controller knows of the machines that it provisions and returns.
+// provisioner is a controller's state for provisioning and returning machines.
 type provisioner struct {
 	unrecorded          map[string]unrecordedHost // machines without a record, by host
-	refusedUntil        map[string]time.Time      // by provisioning.OfferKey: when to ask again
+	refusedUntil        map[string]time.Time      // by provisioning.OfferKey: no request before
 	bootStats           provisioning.BootStats
-	requestCount        int // requests so far, for their names
+	requestCount        int // requests and adoptions so far; part of the names of their records
 	listedAt            time.Time
 	typesFetchedAt      time.Time
-	returning           bool // recorded returns are being carried out
-	returningUnrecorded bool // machines are being returned without a record
+	returning           bool // a call to return machines whose return is recorded is in progress
+	returningUnrecorded bool // a call to return machines whose return is not recorded is in progress
 }
 
-// newProvisioner returns one that knows no machine yet.
+// newProvisioner returns an empty provisioner.
 func newProvisioner() provisioner {
 	return provisioner{unrecorded: make(map[string]unrecordedHost), refusedUntil: make(map[string]time.Time)}
 }
 
 const (
-	// cloudLoopInterval is odd, as the pauses of all loops: see loopStagger.
+	// cloudLoopInterval has extra nanoseconds so that the loop does not compete with the other
+	// loops for the lock in every iteration (see loopStagger).
 	cloudLoopInterval = 150*time.Millisecond + 37*time.Nanosecond
 	cloudCallTimeout  = 4 * time.Second
 	minListInterval   = 10 * time.Second
-	// typesInterval is how often the machine types are fetched; after a failure they are
-	// fetched typesRetryLead sooner.
+	// typesInterval is the time between two fetches of the machine types. After a failed fetch
+	// the next one is due typesRetryLead sooner.
 	typesInterval  = 30 * time.Second
 	typesRetryLead = 20 * time.Second
-	// machineListQuery asks for the page of the machine list that follows a host.
+	// machineListQuery, followed by a host, requests the page of the machine list that begins
+	// after this host.
 	machineListQuery = "?most=500&from="
-	// maxListPages bounds the pages that are read of one machine list.
+	// maxListPages bounds the pages that are read in one pass over the machine list.
 	maxListPages = 20
-	// minUnrecordedAge, with twice the lag of the machine list, is from what age on a listed
-	// machine without a record is taken for one whose request's answer was lost.
+	// minUnrecordedAge plus twice the lag of the machine list is the age from which a listed
+	// machine without a record is assumed to come from a request whose answer was lost.
 	minUnrecordedAge = 10 * time.Second
-	// The cloud's requests are divided: the leader, which provisions for all, has its share
-	// beside an equal part of the rest, for the returns and lists of every controller.
+	// The cloud's request rate is divided. leaderCloudShare goes to the leader, which provisions
+	// machines for all shards. evenCloudShare is divided evenly among all controllers, for
+	// their returns and lists.
 	leaderCloudShare = 0.5
 	evenCloudShare   = 0.4
 )
@@ -65,8 +68,8 @@
 		c.mu.Unlock()
 		switch {
 		case len(hosts) > 0:
-			// First of all: machinesToReturn has marked a call as under way, and the mark
-			// without the call would prevent every later return.
+			// Returns come first: machinesToReturn has marked a call as in progress. Without
+			// the call, the mark would block every later return.
 			go c.executeReturns(ctx, hosts)
 		case needTypes:
 			c.fetchMachineTypes(ctx)
@@ -77,7 +80,7 @@
 	}
 }
 
-// shareCloudBudget sets this controller's part of the cloud's request rate.
+// shareCloudBudget sets this controller's share of the cloud's request rate.
 func (c *Controller) shareCloudBudget() {
 	part := evenCloudShare / float64(max(1, c.settings.NodeCount))
 	if c.isLeader() {
@@ -114,8 +117,8 @@
 	}
 }
 
-// listMachines reads the cloud's list of machines, page by page, to find those that failed
-// and those without a record.
+// listMachines reads the cloud's list of machines, page by page, to find failed machines and
+// machines without a record.
 func (c *Controller) listMachines(ctx context.Context) {
 	from := ""
 	for range maxListPages {
@@ -139,7 +142,7 @@
 	}
 }
 
-// observeListed takes a machine's entry in the cloud's list.
+// observeListed processes a machine's entry in the cloud's list.
 func (c *Controller) observeListed(listed protocol.ListedMachine) {
 	machine := c.view.Machines[listed.Host]
 	if machine != nil {
@@ -147,8 +150,8 @@
 	}
 	switch {
 	case machine == nil:
-		// A request whose answer was lost shows here. A younger machine may still be
-		// recorded by the controller that asked for it.
+		// The answer to the request for this machine may have been lost. A younger machine may
+		// still be recorded by the controller that requested it.
 		oldEnough := protocol.Seconds(listed.AgeS) > minUnrecordedAge+2*c.settings.CloudLimits.ListLag
 		if c.isLeader() && oldEnough {
 			c.noteUnrecorded(listed.Host, listed.Type, listed.Zone, listed.Spot)
--- a/internal/coordination/controller/peers.go
+++ b/internal/coordination/controller/peers.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	// peerInterval is the time between two periodic messages. The odd part keeps the loop's
-	// turns apart from those of the other loops.
+	// peerInterval is the time between two periodic messages. The extra 59 ns keep the
+	// iterations of this loop from coinciding with those of the other loops.
 	peerInterval = time.Second + 59*time.Nanosecond
-	// peerCallTimeout bounds one call of another controller.
+	// peerCallTimeout bounds one call to another controller.
 	peerCallTimeout = 900 * time.Millisecond
-	// stateReachableTTL is for how long after its last success the state service counts as
-	// reached.
+	// stateReachableTTL is how long the state service counts as reachable after the last
+	// successful call.
 	stateReachableTTL = 1500 * time.Millisecond
-	// loadCacheTTL is how long a shard's load, once worked out, serves its owner.
+	// loadCacheTTL is how long the owner of a shard reuses a computed load of the shard.
 	loadCacheTTL = 200 * time.Millisecond
 	// maxRepeatedCancellations bounds the cancellations that are repeated in one message.
 	maxRepeatedCancellations = 100
-	// notifiedTTL is for how long a controller that has confirmed a cancellation counts as
-	// knowing it: it may end and start anew.
+	// notifiedTTL is how long a controller counts as notified of a cancellation after it has
+	// confirmed the cancellation. It may restart later and lose its cache.
 	notifiedTTL = 10 * time.Second
 )
 
-// peerLoop sends the other controllers this one's status every second.
+// peerLoop sends this controller's status to the other controllers every second.
 func (c *Controller) peerLoop(ctx context.Context) {
 	for c.pause(ctx, peerInterval) {
 		c.mu.Lock()
@@ -43,21 +43,21 @@
 	}
 }
 
-// newPeerMessage returns a message with updates of keys, sent just after the state service
-// was reached.
+// newPeerMessage returns a message with key updates. It reports the state service as
+// reachable, since updates are sent right after a commit.
 func (c *Controller) newPeerMessage(updates ...protocol.KeyUpdate) protocol.PeerMessage {
 	return protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, Updates: updates}
 }
 
-// newKeyUpdate returns a record as controllers send it to one another, and reports whether it
-// could be encoded.
+// newKeyUpdate returns a record in the form in which controllers exchange it, and reports
+// whether the record could be encoded.
 func newKeyUpdate(key string, record any, version uint64) (protocol.KeyUpdate, bool) {
 	raw, err := protocol.Encode(record)
 	return protocol.KeyUpdate{Key: key, Value: raw, Version: version}, err == nil
 }
 
 // statusMessage returns the periodic message: this controller's backlog, the cancellations to
-// be repeated, its demands, and the loads of its shards.
+// be repeated, its demands for allotments, and the loads of its shards.
 func (c *Controller) statusMessage() protocol.PeerMessage {
 	message := c.newPeerMessage()
 	message.StateReachable = time.Since(c.store.LastSuccess()) < stateReachableTTL
@@ -73,17 +73,19 @@
 	return message
 }
 
-// repeatedCancellations returns the cancellations to be sent once more. The watch brings them
-// to each controller that the state service serves; repeating them prevents an owner that it
-// refuses, or that was cut off as a job was cancelled and whose zone healed in an outage, from
-// keeping the job's tasks beyond the deadline though others know. They take turns, so that
-// each is repeated even if there are more than fit a message
+// repeatedCancellations returns the cancellations to send again. The watch delivers a
+// cancellation to every controller that the state service serves. It does not reach an owner
+// that the state service rejects, or one that was partitioned when the job was cancelled and
+// whose zone has rejoined during an outage of the state service. Repeating the cancellation
+// keeps such an owner from running the job's tasks beyond the deadline although other
+// controllers have received the cancellation. The cancellations are sent in rotation, so that
+// each one is repeated even if more are due than fit into one message
 // (TestAllCancellationsAreRepeated).
 func (c *Controller) repeatedCancellations(now time.Time) (updates []protocol.KeyUpdate) {
 	var jobIDs []string
 	isDown := c.isStateDown(now)
 	for jobID, job := range c.view.CancelledJobs {
-		if isDown || c.ownerMayMiss(job, now) {
+		if isDown || c.ownerMayMissCancellation(job, now) {
 			jobIDs = append(jobIDs, jobID)
 		}
 	}
@@ -102,9 +104,10 @@
 	return updates
 }
 
-// ownerMayMiss reports whether the owner of a machine that may have tasks of a cancelled job
-// has not reported lately that it reaches the state service.
-func (c *Controller) ownerMayMiss(job *replica.Job, now time.Time) bool {
+// ownerMayMissCancellation reports whether a machine that may run tasks of a cancelled job is
+// owned by another controller that has not reported recently that it reaches the state
+// service. The watch may not deliver the cancellation to such an owner.
+func (c *Controller) ownerMayMissCancellation(job *replica.Job, now time.Time) bool {
 	for _, claim := range job.Claims {
 		for _, slot := range claim.Slots {
 			if slot.Host.Machine == nil {
@@ -139,7 +142,7 @@
 	}
 }
 
-// recordNotified notes which cancellations another controller has confirmed. It takes the
+// recordNotified records which cancellations another controller has confirmed. It takes the
 // lock itself.
 func (c *Controller) recordNotified(peer string, updates []protocol.KeyUpdate) {
 	if len(updates) == 0 {
@@ -157,8 +160,9 @@
 	}
 }
 
-// broadcastJob sends a cached job's record to the other controllers. If the job has one claim
-// that goes along, which spares the others an attempt in vain to claim the job too.
+// broadcastJob sends a cached job's record to the other controllers. If the job has exactly
+// one claim, the message includes the claim's record, so that the other controllers do not
+// try to claim the job as well.
 func (c *Controller) broadcastJob(key string) {
 	jobID := strings.TrimPrefix(key, records.JobPrefix)
 	job := c.view.Jobs[jobID]
@@ -181,8 +185,8 @@
 	c.broadcast(c.ctx, message)
 }
 
-// broadcastAccepted sends the record of a job just accepted. A blocked job is not in the
-// view's jobs.
+// broadcastAccepted sends the record of a job that was just accepted. The record of a blocked
+// job is sent as given, since the view's Jobs do not contain blocked jobs.
 func (c *Controller) broadcastAccepted(key string, record *records.Job) {
 	if record.State == records.JobBlocked {
 		c.broadcastRecord(key, record)
@@ -191,14 +195,14 @@
 	c.broadcastJob(key)
 }
 
-// broadcastRecord sends a record just committed.
+// broadcastRecord sends a record that was just committed.
 func (c *Controller) broadcastRecord(key string, record any) {
 	if update, ok := newKeyUpdate(key, record, c.view.Versions[key]); ok {
 		c.broadcast(c.ctx, c.newPeerMessage(update))
 	}
 }
 
-// broadcastFinal sends a finished job's record, since its users ask any controller.
+// broadcastFinal sends the record of a finished job, since users may query any controller.
 func (c *Controller) broadcastFinal(jobID string) {
 	final, ok := c.view.FinalJobs[jobID]
 	if !ok {
@@ -231,7 +235,7 @@
 	return protocol.Encode(&protocol.PeerMessage{From: c.settings.NodeName, Accepted: c.view.Loaded})
 }
 
-// observePeer notes what a message says of its sender.
+// observePeer records what a message reports about its sender.
 func (c *Controller) observePeer(message *protocol.PeerMessage, now time.Time) {
 	c.membership.lastContact[message.From] = now
 	if message.Periodic {
@@ -248,7 +252,8 @@
 	}
 }
 
-// observeLoads notes the loads of the sender's shards.
+// observeLoads records the loads of the sender's shards, and gives up those that the sender
+// has acquired.
 func (c *Controller) observeLoads(message *protocol.PeerMessage, now time.Time) {
 	for _, load := range message.Loads {
 		if shard := c.view.Shards[load.Shard]; shard != nil {
@@ -259,25 +264,26 @@
 	}
 }
 
-// applyUpdates applies the records of another controller that are newer than the cached ones.
+// applyUpdates applies records received from another controller. The view ignores those that
+// are older than its own.
 func (c *Controller) applyUpdates(updates []protocol.KeyUpdate) {
 	for _, update := range updates {
-		if len(update.Value) > 0 && isSharedAhead(update.Key) {
+		if len(update.Value) > 0 && isBroadcastKey(update.Key) {
 			c.view.ApplyItem(kv.Item{Key: update.Key, Value: update.Value, Version: update.Version})
 		}
 	}
 }
 
-// isSharedAhead reports whether controllers send one another a key's record ahead of the
-// watch: that of a job, a claim or an allotment.
-func isSharedAhead(key string) bool {
+// isBroadcastKey reports whether controllers send each other the records of a key ahead of the
+// watch, as they do for jobs, claims and allotments.
+func isBroadcastKey(key string) bool {
 	return strings.HasPrefix(key, records.JobPrefix) || strings.HasPrefix(key, records.ClaimPrefix) ||
 		strings.HasPrefix(key, records.AllotmentPrefix)
 }
 
-// leaveToPeer has this controller not claim chunks for a while: another shard is about to
-// claim them, and a second claim would only use up request budget and fail. This is advice;
-// the claim's own compare decides.
+// leaveToPeer keeps this controller from claiming chunks until the time given, since another
+// shard is about to claim them: a second claim would only use up request budget and fail.
+// This is advisory; the condition of the claim's commit decides.
 func (c *Controller) leaveToPeer(keys []string, until time.Time) {
 	for _, key := range keys {
 		if jobID, chunk, err := records.ParseClaimKey(key); err == nil && c.view.Jobs[jobID] != nil && c.view.Claims[key] == nil {
@@ -310,7 +316,8 @@
 	return load
 }
 
-// addCapacities adds what a shard's machines have, use and can start to its load.
+// addCapacities adds to a shard's load the CPUs of its machines, those in use, those free by
+// cached image, and the quarantined machines.
 func (c *Controller) addCapacities(load *protocol.ShardLoad, shard *replica.Shard, now time.Time) {
 	for _, capacity := range c.capacities(shard, now) {
 		load.CPUs += capacity.Type.CPUs
