--- a/internal/coordination/controller/boots.go
+++ b/internal/coordination/controller/boots.go
@@ -7,8 +7,9 @@
 	"madderslip/internal/coordination/replica"
 )
 
-// recordBoot records a machine's first heartbeat. It shows how long the boot took only if
-// this process has owned the shard all along.
+// recordBoot records a machine's boot at its first heartbeat. The boot time enters the
+// statistics only if this process has owned the shard since before the machine was
+// provisioned; otherwise an earlier owner may have received heartbeats before.
 func (c *Controller) recordBoot(machine *replica.Machine, now time.Time) {
 	if shard := c.view.Shards[machine.Record.Shard]; c.view.IsActive(shard) && shard.OwnedSince.Before(time.UnixMilli(machine.Record.RentedAtMs)) {
 		c.provisioner.bootStats.Booted(bootKindOf(machine), machine.Age(now), now)
@@ -18,14 +19,15 @@
 	}
 }
 
-// overdueMachines lists the machines of a shard whose boot is overdue, a few at a time: they
-// do not count as supply for waiting work. Those that boot after all are used, or returned
-// as idle.
+// overdueMachines lists machines of a shard whose boot is overdue, a few at a time. The listed
+// machines do not count as supply for queued work. A machine that boots later is used, or
+// returned as idle.
 func (c *Controller) overdueMachines(shard *replica.Shard, now time.Time) (overdue []string) {
 	booting := 0
 	for _, machine := range shard.Machines {
-		// Only those that were provisioned while this process owned the shard: what an
-		// earlier owner heard is not known here, and all machines would seem overdue.
+		// Only machines that were provisioned while this process owned the shard count. This
+		// process does not have the heartbeats that an earlier owner received, so that all
+		// other machines would appear overdue.
 		if machine.Agent.Heartbeat != nil || machine.Lifecycle.Returning || !shard.OwnedSince.Before(time.UnixMilli(machine.Record.RentedAtMs)) {
 			continue
 		}
@@ -44,8 +46,9 @@
 	return overdue[:provisioning.ReplacementCount(len(overdue), booting)]
 }
 
-// unreliability returns the factor by which a kind of machine seems dearer than it is: the
-// highest that any shard's owner has observed of late.
+// unreliability returns the factor by which the price of a kind of machine is multiplied when
+// kinds are compared, to account for failed boots. It is the highest factor that this
+// controller or any shard's owner has observed recently.
 func (c *Controller) unreliability(typeName, zone string, now time.Time) float64 {
 	highest := c.provisioner.bootStats.Unreliability(provisioning.MachineKind{Type: typeName, Zone: zone}, now)
 	for _, reported := range c.shardLoads.reported {
@@ -56,7 +59,7 @@
 	return highest
 }
 
-// bootKindOf returns the kind of machine whose boots are expected to be like a machine's.
+// bootKindOf returns the kind under which a machine's boot enters the boot statistics.
 func bootKindOf(machine *replica.Machine) provisioning.MachineKind {
 	return provisioning.MachineKind{Type: machine.Record.Type, Zone: machine.Record.Zone}
 }
--- a/internal/coordination/controller/provisions.go
+++ b/internal/coordination/controller/provisions.go
@@ -17,20 +17,23 @@
 )
 
 const (
-	// maxMachinesPerRequest is the most machines that the cloud provides in one call.
+	// maxMachinesPerRequest is the maximum number of machines that the cloud provides in one
+	// call.
 	maxMachinesPerRequest  = 50
 	provisionCallTimeout   = 5 * time.Second
-	provisionRetryPause    = time.Second // after a call
+	provisionRetryPause    = time.Second // after a call, until the next one for the same request
 	provisionCommitTimeout = 5 * time.Second
-	provisionedTimeout     = 10 * time.Second // of the commits that end a request
+	provisionedTimeout     = 10 * time.Second // of the commits that record a request's machines or drop it
 	groupDropTimeout       = 5 * time.Second
 )
 
-// recordProvision records a request's name before the request is sent.
+// recordProvision commits the record of a provision request before the request is sent, so
+// that a later leader can repeat the request under the same name.
 func (c *Controller) recordProvision(record *records.Provision) {
 	name := record.Name
 	c.log.Info("provision requested", "name", name, "type", record.Type, "zone", record.Zone, "spot", record.Spot, "machines", record.Count, "shards", record.Allocations)
-	// Requests are few and everything waits for the machines, so they go first.
+	// Provision requests are few and much work is queued for their machines, so they have
+	// the highest priority.
 	c.commit(kv.PriorityLease, []kv.Compare{c.leaderCompare(), {Key: records.ProvisionPrefix + name, Version: 0}},
 		[]kv.Op{{Key: records.ProvisionPrefix + name, Value: record}}, provisionCommitTimeout, func(err error) {
 			provision := c.view.Provisions[name]
@@ -44,8 +47,9 @@
 		})
 }
 
-// retryProvisions repeats recorded requests without an answer, those of an earlier leader
-// too: the cloud provides nothing twice under the same name.
+// retryProvisions repeats recorded requests that have no answer, including those of an
+// earlier leader. This is safe because the cloud does not provide machines twice under the
+// same name. It also records answers that could not be recorded when they arrived.
 func (c *Controller) retryProvisions(now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(c.view.Provisions)) {
 		switch provision := c.view.Provisions[name]; {
@@ -66,27 +70,28 @@
 	}
 	provision.Busy = true
 	request, ctx := provision.Record.ProvisionRequest, c.ctx
-	turn := c.cloudLimiter.Reserve() // before the goroutine starts: requests of one instant go in order
+	reservation := c.cloudLimiter.Reserve() // before the goroutine starts: keeps simultaneous requests in order
 	go func() {
-		answer, status, err := c.callProvision(ctx, request, turn)
+		answer, status, err := c.callProvision(ctx, request, reservation)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.provisionSent(provision, answer, status, err)
+		c.handleProvisionAnswer(provision, answer, status, err)
 	}()
 }
 
-// callProvision asks the cloud for machines once it is the request's turn.
-func (c *Controller) callProvision(ctx context.Context, request protocol.ProvisionRequest, turn *rate.Reservation) (answer protocol.HostList, status int, err error) {
-	if delay := turn.Delay(); delay > 0 && !pause(ctx, delay) {
-		turn.Cancel()
+// callProvision sends a provision request to the cloud once the rate limiter's reservation
+// permits.
+func (c *Controller) callProvision(ctx context.Context, request protocol.ProvisionRequest, reservation *rate.Reservation) (answer protocol.HostList, status int, err error) {
+	if delay := reservation.Delay(); delay > 0 && !pause(ctx, delay) {
+		reservation.Cancel()
 		return answer, 0, ctx.Err()
 	}
 	status, err = c.callJSON(ctx, c.settings.CloudAddr, http.MethodPost, protocol.PathMachines, request, &answer, provisionCallTimeout)
 	return answer, status, err
 }
 
-// provisionSent records what the cloud answered to a request.
-func (c *Controller) provisionSent(provision *replica.Provision, answer protocol.HostList, status int, err error) {
+// handleProvisionAnswer handles the cloud's answer to a provision request.
+func (c *Controller) handleProvisionAnswer(provision *replica.Provision, answer protocol.HostList, status int, err error) {
 	provision.RetryAt = time.Now().Add(provisionRetryPause)
 	switch {
 	case err == nil && status == http.StatusOK:
@@ -100,38 +105,40 @@
 	}
 }
 
-// pauseOffer notes that a kind of machine is not to be asked for for a while, and returns
-// the kind's name.
+// pauseOffer suspends requests for a kind of machine for the policy's RefusedOfferPause, and
+// returns the kind's key.
 func (c *Controller) pauseOffer(record *records.Provision) string {
 	kind := provisioning.OfferKey(record.Type, record.Zone, record.Spot)
 	c.provisioner.refusedUntil[kind] = time.Now().Add(c.policy.RefusedOfferPause)
 	return kind
 }
 
-// dropProvision deletes the record of a request that has brought no machine.
+// dropProvision deletes the record of a provision request that has yielded no machines to
+// record.
 func (c *Controller) dropProvision(provision *replica.Provision) {
 	key := records.ProvisionPrefix + provision.Name
 	c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: provision.Version}}, []kv.Op{{Key: key}}, provisionedTimeout,
 		func(error) { provision.Busy = false })
 }
 
-// recordProvisioned records the machines of a request, all in one record. Only the leader
-// does: it alone knows which machines have been adopted meanwhile, and none may be put into
-// two shards.
+// recordProvisioned commits the machines that the cloud provided for a request, all in one
+// record. Only the leader does so, because only the leader tracks which of the machines are
+// being adopted, and no machine may be assigned to two shards.
 func (c *Controller) recordProvisioned(provision *replica.Provision, hosts []string) {
 	record := provision.Record
 	if len(hosts) < record.Count {
 		c.pauseOffer(&record)
 	}
 	if c.view.Revision < provision.Version {
-		// This version may be that of an adoption which the watch has not brought yet.
-		// Waiting for it prevents the adopted machines from being put into a second shard.
+		// The provision's version may be that of an adoption whose records the watch has not
+		// delivered yet. Waiting for the watch prevents the adopted machines from being
+		// assigned to a second shard.
 		provision.AnsweredHosts, provision.Busy, provision.RetryAt = hosts, false, time.Now()
 		return
 	}
 	record.Hosts = c.hostsToRecord(hosts)
 	if !c.isLeader() {
-		provision.Busy = false // the next leader asks again by the same name
+		provision.Busy = false // the next leader repeats the request under the same name
 		return
 	}
 	if len(record.Hosts) == 0 {
@@ -154,8 +161,8 @@
 	return unrecorded
 }
 
-// dropGoneGroups drops one record of machines that are all gone, each with a record of its
-// own that says so.
+// dropGoneGroups deletes at most one record of a provisioned group whose machines are all
+// gone. Each of these machines has a record of its own that shows it as gone.
 func (c *Controller) dropGoneGroups() {
 	for _, name := range slices.Sorted(maps.Keys(c.view.Groups)) {
 		group := c.view.Groups[name]
@@ -163,7 +170,7 @@
 			continue
 		}
 		key := records.ProvisionPrefix + name
-		delete(c.view.Groups, name) // until it is seen again
+		delete(c.view.Groups, name) // restored if the commit fails or the record is applied again
 		c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: group.Version}}, []kv.Op{{Key: key}}, groupDropTimeout, func(err error) {
 			if err != nil && c.view.Versions[key] == group.Version {
 				c.view.Groups[name] = group
--- a/internal/coordination/controller/scaleout.go
+++ b/internal/coordination/controller/scaleout.go
@@ -14,7 +14,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// scaleOut provisions machines for the work that neither free nor coming capacity can take.
+// scaleOut provisions machines for work that fits neither the free capacity nor the capacity
+// that is being provisioned.
 func (c *Controller) scaleOut(now time.Time) {
 	planner := provisioning.Planner{Market: c.market(now), Supply: c.supply(now)}
 	urgent, arrays := c.demands(now)
@@ -31,15 +32,15 @@
 	}
 }
 
-// fillArrays puts the demands of arrays into the supply and returns the machines to ask for
-// within a budget of CPUs. An array that nothing there could ever run gets one machine all
-// the same.
+// fillArrays allocates the demands of arrays from the supply and returns the machines to
+// request for the rest, within a budget of CPUs. An array that no machine of the supply can
+// ever run gets one machine even without budget.
 func fillArrays(planner *provisioning.Planner, arrays []provisioning.Demand, budget float64) []provisioning.Offer {
-	const oneMachine = tolerance // any budget above 0 is good for one
+	const oneMachineBudget = tolerance // any budget above 0 permits one machine
 	var offers []provisioning.Offer
 	for _, demand := range arrays {
 		if budget <= 0 && planner.IsUnservable(demand) {
-			offers = append(offers, planner.Fill(demand, oneMachine)...)
+			offers = append(offers, planner.Fill(demand, oneMachineBudget)...)
 			continue
 		}
 		filled := planner.Fill(demand, budget)
@@ -51,9 +52,9 @@
 	return offers
 }
 
-// groupOffers makes one request for all machines of a kind, whatever their shards: the
-// rates of the cloud and of the state service are too low for one of each for every
-// machine. It stops at an offer for which there is no shard, without any request.
+// groupOffers combines the offers of each kind of machine into requests, across shards. The
+// request rates of the cloud and of the state service are too low for a request and a record
+// per machine. If there is no shard for an offer, groupOffers returns no request at all.
 func (c *Controller) groupOffers(offers []provisioning.Offer, now time.Time) []*records.Provision {
 	current := make(map[string]*records.Provision)
 	var requests []*records.Provision
@@ -70,7 +71,7 @@
 			request = c.newProvision(replica.MachineKind{Type: offer.Type.Name, Zone: offer.Zone, Spot: offer.Spot}, now)
 			current[offer.Key()] = request
 			requests = append(requests, request)
-			// smallestShard counts it from now on.
+			// From now on smallestShard counts the machines of this request.
 			c.view.Provisions[request.Name] = &replica.Provision{Name: request.Name, Busy: true}
 		}
 		request.Count++
@@ -80,7 +81,7 @@
 	return requests
 }
 
-// newProvision returns a request for machines of a kind under a name of its own.
+// newProvision returns a request, with a unique name, for machines of a kind.
 func (c *Controller) newProvision(kind replica.MachineKind, now time.Time) *records.Provision {
 	c.provisioner.requestCount++
 	name := fmt.Sprintf("%s-%d-%d", c.settings.NodeName, c.startedAt.UnixMilli(), c.provisioner.requestCount)
@@ -88,7 +89,7 @@
 	return &records.Provision{ProvisionRequest: request, RequestedAtMs: now.UnixMilli()}
 }
 
-// market returns what can be provisioned now.
+// market returns which kinds of machine can be provisioned now, and on which terms.
 func (c *Controller) market(now time.Time) provisioning.Market {
 	machinesByZone := make(map[string]int)
 	for _, shard := range c.view.Shards {
@@ -103,13 +104,13 @@
 	}
 }
 
-// budgetPolicy returns what operators set for the machines of arrays.
+// budgetPolicy returns the operators' settings for machines that are provisioned for arrays.
 func (c *Controller) budgetPolicy() provisioning.BudgetPolicy {
 	return provisioning.BudgetPolicy{ArrayWait: c.policy.ArrayWait, BestEffortWait: c.policy.BestEffortWait,
 		BestEffortShare: c.policy.BestEffortProvisionShare, WarmShare: c.policy.WarmShare}
 }
 
-// runningLoad returns what arrays and services have placed, in all shards.
+// runningLoad returns the CPUs of the placed tasks of arrays and services, in all shards.
 func (c *Controller) runningLoad() provisioning.RunningLoad {
 	var load provisioning.RunningLoad
 	for _, claim := range c.view.Claims {
@@ -126,12 +127,14 @@
 	return load
 }
 
-// supply returns the capacity of all machines, there or coming, of every shard.
+// supply returns the capacity of the machines of every shard, including those that are being
+// provisioned.
 func (c *Controller) supply(now time.Time) []*placement.Capacity {
 	var supply []*placement.Capacity
 	for _, name := range c.view.ShardNames() {
-		// Only the owner sees that a machine fails its tasks. Counted on by the leader, its
-		// capacity would keep what waits for it from getting another machine.
+		// Only the shard's owner observes that a machine fails its tasks or its boot. If the
+		// leader counted such a machine as supply, it would provision no other one for the
+		// work that the machine cannot run.
 		excluded := c.shardLoads.reported[name].Load.ExcludedHosts
 		for _, machine := range c.view.Shards[name].Machines {
 			if slices.Contains(excluded, machine.Host) {
@@ -158,7 +161,8 @@
 	return supply
 }
 
-// supplyOf returns the capacity of a machine as it counts for waiting work; nil: it does not.
+// supplyOf returns the capacity that a machine supplies to queued work, or nil if the machine
+// does not count as supply.
 func (c *Controller) supplyOf(machine *replica.Machine, now time.Time) *placement.Capacity {
 	machineType := c.view.MachineTypes[machine.Record.Type]
 	leaving := machine.Lifecycle.Returning || !machine.Agent.PreemptionNoticeAt.IsZero()
@@ -169,14 +173,16 @@
 		Spot: machine.Record.Spot, Type: machineType, Shard: machine.Record.Shard, Free: c.view.FreeCapacity(machine)}
 }
 
-// maxDemandTasks bounds the tasks of one chunk that machines are sought for in one pass.
+// maxDemandTasks bounds the tasks of one chunk for which machines are provisioned in one
+// pass.
 const maxDemandTasks = 2000
 
-// warmReserveTasks is the least that the warm reserve has beside its share.
+// warmReserveTasks is the number of tasks that the warm reserve has room for in addition to
+// its share of the placed replicas.
 const warmReserveTasks = 2
 
-// demands lists the work without machines, urgent first, and arrays apart: an array may
-// wait a little for running tasks to end.
+// demands lists the work that lacks machines, by priority. Arrays are listed apart from all
+// other work (urgent), since an array may wait a short time for running tasks to end.
 func (c *Controller) demands(now time.Time) (urgent, arrays []provisioning.Demand) {
 	replicas := 0
 	var service *protocol.Submission
@@ -188,7 +194,7 @@
 		if spec.Shape == protocol.ShapeService {
 			replicas += placedTasks(job)
 			if service == nil || spec.JobID < service.JobID {
-				service = spec // any will do, but the same one every time
+				service = spec // any service will do, but it must be the same one in every pass
 			}
 		}
 		if spec.Shape == protocol.ShapeArray {
@@ -224,7 +230,7 @@
 	spec := job.Spec()
 	allowance := math.MaxInt
 	if c.isLimited(spec) {
-		// No machines for what the team's limit keeps waiting anyway.
+		// No machines are provisioned for tasks that the team's limit keeps queued.
 		allowance = c.allowance(spec)
 	}
 	var demands []provisioning.Demand
@@ -239,7 +245,7 @@
 			demand.Shard, demand.TakenZones = entry.Claim.Record.Shard, c.view.ZonesOf(entry.Claim)
 		}
 		if entry.StartsTogether() && demand.Shard == "" && len(job.Record.Shards) > 0 {
-			demand.Shard = job.Record.Shards[0] // a gang needs its machines side by side
+			demand.Shard = job.Record.Shards[0] // a gang's machines are provisioned in one shard, so that it fits there
 		}
 		allowance -= demand.Count
 		demands = append(demands, demand)
