--- a/internal/coordination/controller/consolidation.go
+++ b/internal/coordination/controller/consolidation.go
@@ -17,15 +17,15 @@
 	consolidationRetry    = 2 * time.Second  // after finding no machine worth draining
 	consolidationDelay    = 15 * time.Second // after acquiring a shard
 	drainTimeout          = 25 * time.Second
-	// minWastedShare is the part of a machine's price that has to be wasted for it to be
-	// drained.
+	// minWastedShare is the minimum share of a machine's price that has to be wasted for the
+	// machine to be drained.
 	minWastedShare = 0.6
 )
 
-// consolidate drains the machine whose price is used least, if all that runs there are
-// replicas that other machines of the shard can take at once, with their image present.
-// Replicas run for hours, so a few of them would keep a costly machine long after the work
-// that it was provisioned for.
+// consolidate drains the machine with the highest wasted price that runs nothing but service
+// replicas and whose replicas all fit at once on other machines of the shard that have cached
+// the image. Replicas run for hours, so a few of them would keep an expensive machine long
+// after the work for which it was provisioned has ended.
 func (c *Controller) consolidate(shard *replica.Shard, now time.Time) {
 	draining := c.continueDrains(shard, now)
 	if draining || !c.isConsolidationDue(shard, now) {
@@ -39,7 +39,7 @@
 		return cmp.Compare(provisioning.WastedPrice(b), provisioning.WastedPrice(a))
 	})
 	for _, capacity := range capacities {
-		if !isWorthDraining(capacity) || spare-capacity.Free.CPUs < reserve || !c.fitElsewhere(capacity, capacities, now) {
+		if !isWorthDraining(capacity) || spare-capacity.Free.CPUs < reserve || !c.replicasFitElsewhere(capacity, capacities, now) {
 			continue
 		}
 		c.log.Info("machine draining", "host", capacity.Host, "replicas", len(capacity.Victims))
@@ -51,8 +51,8 @@
 	}
 }
 
-// continueDrains goes on draining a shard's machines, gives up those that take too long,
-// and reports whether one is still being drained.
+// continueDrains continues the drains of a shard's machines, cancels those that exceed
+// drainTimeout, and reports whether a machine is still being drained.
 func (c *Controller) continueDrains(shard *replica.Shard, now time.Time) bool {
 	draining := false
 	for _, machine := range shard.Machines {
@@ -69,15 +69,15 @@
 	return draining
 }
 
-// isConsolidationDue reports whether to look for a machine to drain: not too often, and only
-// while nothing waits in the shard's queue.
+// isConsolidationDue reports whether to look for a machine to drain: at limited intervals, and
+// only while the shard's queue is empty.
 func (c *Controller) isConsolidationDue(shard *replica.Shard, now time.Time) bool {
 	tooSoon := now.Sub(shard.DrainedAt) < consolidationInterval || now.Sub(shard.ConsolidationCheckedAt) < consolidationRetry || now.Sub(shard.OwnedSince) < consolidationDelay
 	return !tooSoon && len(c.queue(shard, now)) == 0
 }
 
-// consolidationMargin returns the free CPUs of usable machines, and how many of them have
-// to be left beside a drained machine's: the warm reserve.
+// consolidationMargin returns the free CPUs of usable machines (spare), and how many CPUs must
+// stay free on the other machines after a machine is drained (reserve): the warm reserve.
 func (c *Controller) consolidationMargin(capacities []*placement.Capacity) (spare, reserve float64) {
 	for _, capacity := range capacities {
 		if capacity.Usable {
@@ -90,15 +90,15 @@
 	return spare, reserve
 }
 
-// isWorthDraining reports whether a machine runs nothing but replicas and most of its price
-// is wasted.
+// isWorthDraining reports whether a machine runs nothing but replicas and at least
+// minWastedShare of its price is wasted.
 func isWorthDraining(capacity *placement.Capacity) bool {
 	onlyVictims := capacity.Usable && len(capacity.Victims) > 0 && len(capacity.Releases) == 0
 	return onlyVictims && capacity.Machine.RunsOnlyReplicas() && provisioning.WastedPrice(capacity) >= minWastedShare*provisioning.PriceOf(capacity)
 }
 
-// migrateReplicas evicts what a machine being drained still runs, one replica of each
-// service at a time, so that the service goes on while it moves.
+// migrateReplicas evicts the replicas that a draining machine still runs, one replica of each
+// service at a time, so that the service's other replicas keep running meanwhile.
 func (c *Controller) migrateReplicas(machine *replica.Machine, now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(machine.Use.Slots)) {
 		slot := machine.Use.Slots[name]
@@ -110,16 +110,16 @@
 	}
 }
 
-// isMovable reports whether a replica of a claim may be evicted: all of its replicas are
-// placed, and nothing is being done about them.
+// isMovable reports whether a replica of a claim may be evicted: all replicas of the claim are
+// placed, and no commit or eviction of the claim is in progress.
 func isMovable(claim *replica.Claim) bool {
 	unchanging := claim.Record != nil && claim.Pending == nil && claim.Spec != nil && len(claim.Evictions) == 0
 	return unchanging && len(claim.Record.Placements) >= claim.Record.TaskCount
 }
 
-// fitElsewhere reports whether other machines can take all replicas of one, tried on copies
-// of their capacities.
-func (c *Controller) fitElsewhere(from *placement.Capacity, capacities []*placement.Capacity, now time.Time) bool {
+// replicasFitElsewhere reports whether other machines can take all replicas of a machine. It
+// places the replicas on copies of the other machines' capacities.
+func (c *Controller) replicasFitElsewhere(from *placement.Capacity, capacities []*placement.Capacity, now time.Time) bool {
 	var others []*placement.Capacity
 	for _, capacity := range capacities {
 		if capacity != from {
@@ -127,8 +127,8 @@
 			others = append(others, &copied)
 		}
 	}
-	// Each move of a service starts from where the earlier ones went, which prevents a
-	// spread service from ending up with no zone left.
+	// The zones of a service are updated after each of its moves. Otherwise no zone
+	// might be left for a service that is spread over zones.
 	zones := make(map[*replica.Claim][]string)
 	for _, victim := range from.Victims {
 		spec := victim.Claim.Spec
--- a/internal/coordination/controller/returns.go
+++ b/internal/coordination/controller/returns.go
@@ -15,21 +15,23 @@
 )
 
 const (
-	// maxReturnsPerCall is the most machines that the cloud takes back in one call.
+	// maxReturnsPerCall is the maximum number of machines that the cloud takes back in one
+	// call.
 	maxReturnsPerCall = 100
 	// returnCommitTimeout bounds how long a decision to return a machine waits to be
-	// recorded, which prevents a decision from outlasting an outage and taking away machines
-	// that are heard again.
+	// committed. Otherwise a decision that was made during an outage could be committed after
+	// the outage, and return a machine that is in contact again.
 	returnCommitTimeout = 4 * time.Second
 	goneCommitTimeout   = 20 * time.Second
-	goneRetryPause      = 5 * time.Second // until it is recorded again that a machine is gone
+	goneRetryPause      = 5 * time.Second // until the commit that a machine is gone is repeated
 	returnRetryPause    = time.Second     // after a call that failed
-	// returnedPause leaves the record that a machine is gone time to be committed.
+	// returnedPause is how long after a successful return call nothing more is done about a
+	// machine, so that the commit that the machine is gone can complete.
 	returnedPause = 25 * time.Second
 )
 
-// returnMachine records that a machine goes back to the cloud. The record is final: from
-// then on nothing is placed there, whoever owns the shard.
+// returnMachine records that a machine is to be returned to the cloud. The record is final:
+// from then on no owner of the shard places tasks on the machine.
 func (c *Controller) returnMachine(shard *replica.Shard, machine *replica.Machine) {
 	if machine.Lifecycle.Returning || !mayCommand(shard, machine) {
 		return
@@ -39,13 +41,14 @@
 }
 
 // recordGone records that the cloud has taken a machine back, so that the shard's next owner
-// need not return it again. That would prove the same, so there is no hurry.
+// does not return the machine again. The commit has background priority, because a second
+// return would also confirm that the machine is gone.
 func (c *Controller) recordGone(shard *replica.Shard, machine *replica.Machine) {
 	c.commitMachineState(shard, machine, records.MachineGone, kv.PriorityBackground, goneCommitTimeout, func(error) {})
 }
 
-// commitMachineState commits a machine's record with another state, if the shard is still
-// owned and the record unchanged.
+// commitMachineState commits a machine's record with another state, provided that this
+// process still owns the shard and the record is unchanged.
 func (c *Controller) commitMachineState(shard *replica.Shard, machine *replica.Machine, state string, priority kv.Priority, timeout time.Duration, done func(error)) {
 	key := records.MachinePrefix + machine.Host
 	record := machine.Record
@@ -53,8 +56,9 @@
 	c.commit(priority, []kv.Compare{ownedCompare(shard), {Key: key, Version: machine.Version}}, []kv.Op{{Key: key, Value: &record}}, timeout, done)
 }
 
-// machinesToReturn lists the machines whose return is recorded and not carried out, and
-// marks a call to return them as under way.
+// machinesToReturn lists the machines whose return is recorded but not carried out, and marks
+// a call to return them as in progress. It also repeats the commits for machines that are
+// gone.
 func (c *Controller) machinesToReturn(now time.Time) []string {
 	if !c.view.Loaded || c.provisioner.returning {
 		return nil
@@ -86,7 +90,8 @@
 	return c.callJSON(ctx, c.settings.CloudAddr, http.MethodPost, protocol.PathReturnMachines, protocol.HostList{Hosts: hosts}, nil, cloudCallTimeout)
 }
 
-// markGone marks a machine as taken back by the cloud: it is gone, with everything on it.
+// markGone marks a machine as taken back by the cloud, which ends everything that ran on it,
+// and has the claims with tasks there reconciled.
 func (c *Controller) markGone(machine *replica.Machine) {
 	machine.Lifecycle.Gone = true
 	c.view.Shard(machine.Record.Shard).Changed = true
@@ -95,8 +100,8 @@
 	}
 }
 
-// executeReturns returns the machines that machinesToReturn has listed, and records those
-// that are gone.
+// executeReturns returns the machines that machinesToReturn has listed to the cloud, and
+// records those that the cloud has taken back as gone.
 func (c *Controller) executeReturns(ctx context.Context, hosts []string) {
 	status, err := c.callReturn(ctx, hosts)
 	returned := err == nil && status == http.StatusOK
--- a/internal/coordination/controller/scalein.go
+++ b/internal/coordination/controller/scalein.go
@@ -10,11 +10,12 @@
 	"madderslip/internal/protocol"
 )
 
-// fleetLoopInterval is odd, as the pauses of all loops: see loopStagger.
+// fleetLoopInterval has extra nanoseconds so that the loop does not compete with the other
+// loops for the lock in every iteration (see loopStagger).
 const fleetLoopInterval = 700*time.Millisecond + 41*time.Nanosecond
 
-// fleetLoop works off the difference between the machines there should be and those there
-// are: owners return idle machines, the leader provisions new ones.
+// fleetLoop reconciles the machines with the demand for them: shard owners return idle
+// machines, the leader provisions new ones.
 func (c *Controller) fleetLoop(ctx context.Context) {
 	for c.pause(ctx, fleetLoopInterval) {
 		c.mu.Lock()
@@ -37,16 +38,17 @@
 	}
 }
 
-// idlePolicy is which idle machines of a shard one pass keeps.
+// idlePolicy determines which idle machines of a shard are kept in one pass.
 type idlePolicy struct {
-	inDemand map[replica.MachineKind]bool // kinds that the queue could use
-	held     map[string]bool              // hosts that are held for gangs about to start
+	inDemand map[replica.MachineKind]bool // kinds that can run work of the queue
+	held     map[string]bool              // hosts that are held by gang reservations
 	spare    float64                      // free CPUs of on-demand machines without GPUs
-	reserve  float64                      // CPUs of them that stay free for services
+	reserve  float64                      // how many of the spare CPUs stay free for services
 }
 
-// scaleIn returns machines that have been idle for a while and are not part of the warm
-// reserve, those that do not boot, and quarantined and drained ones.
+// scaleIn returns machines that have been idle for the policy's IdleMachineTTL and are not
+// needed for the warm reserve, machines that have not booted in time, and unused machines
+// that are quarantined or being drained.
 func (c *Controller) scaleIn(shard *replica.Shard, now time.Time) {
 	policy := idlePolicy{reserve: serviceCPUs(shard) * c.policy.WarmShare, held: c.hostsHeldForGangs(shard)}
 	policy.inDemand = c.kindsInDemand(shard, now)
@@ -64,7 +66,7 @@
 	}
 }
 
-// serviceCPUs returns the CPUs of the replicas that a shard has placed.
+// serviceCPUs returns the CPUs of the service replicas that a shard has placed.
 func serviceCPUs(shard *replica.Shard) float64 {
 	cpus := 0.0
 	for claim := range shard.Claims {
@@ -75,7 +77,8 @@
 	return cpus
 }
 
-// hostsHeldForGangs returns the machines of a shard that are held for gangs across shards.
+// hostsHeldForGangs returns the hosts of a shard that are held for gangs that span several
+// shards.
 func (c *Controller) hostsHeldForGangs(shard *replica.Shard) map[string]bool {
 	held := make(map[string]bool)
 	for _, reservation := range c.view.GangReservations {
@@ -99,8 +102,9 @@
 	return spare
 }
 
-// returnExpiredBoot returns a machine that has not booted in time. One whose shard was just
-// taken over has the time for a boot and a lease to be heard by its new owner.
+// returnExpiredBoot returns a machine that has not booted in time. After a takeover of its
+// shard, a machine has the time of a boot and a worker lease to send the new owner a
+// heartbeat.
 func (c *Controller) returnExpiredBoot(shard *replica.Shard, machine *replica.Machine, now time.Time) {
 	machineType := c.view.MachineType(machine.Record.Type)
 	bootTime := machineType.BootTime()
@@ -112,15 +116,17 @@
 	}
 }
 
-// isInUse reports whether a machine runs something, is about to, or was adopted just now.
+// isInUse reports whether a machine has placements or running tasks, is in demand or held, or
+// was adopted less than the policy's IdleMachineTTL ago.
 func (c *Controller) isInUse(machine *replica.Machine, policy *idlePolicy, now time.Time) bool {
 	inDemand := policy.inDemand[machine.Kind()] && !machine.Quarantine.Active && machine.Lifecycle.DrainingSince.IsZero()
 	wanted := inDemand || policy.held[machine.Host]
 	return len(machine.Use.Slots) > 0 || wanted || machine.RunsTasks() || now.Sub(machine.AdoptedAt) < c.policy.IdleMachineTTL
 }
 
-// returnIdle returns a machine that is not in use: a quarantined or drained one at once,
-// any other once it has been idle for long enough, if the warm reserve can spare it.
+// returnIdle returns a machine that is not in use: a drained machine at once, a quarantined
+// machine after quarantineGrace, and any other once it has been idle for the policy's
+// IdleMachineTTL, unless the warm reserve needs it.
 func (c *Controller) returnIdle(shard *replica.Shard, machine *replica.Machine, policy *idlePolicy, now time.Time) {
 	if machine.Lifecycle.IdleSince.IsZero() {
 		machine.Lifecycle.IdleSince = now
@@ -143,9 +149,9 @@
 	c.returnMachine(shard, machine)
 }
 
-// kindsInDemand returns which kinds of machine the shard's queue could use. While the state
-// service's budget is short, work waits beside idle machines; to return them and provision
-// others just after would cost twice.
+// kindsInDemand returns which kinds of machine can run work of the shard's queue. While the
+// state service's request budget is short, work stays queued although machines are idle.
+// Returning these machines and provisioning others soon after would cost twice.
 func (c *Controller) kindsInDemand(shard *replica.Shard, now time.Time) map[replica.MachineKind]bool {
 	inDemand := make(map[replica.MachineKind]bool)
 	queue := c.queue(shard, now)
