--- a/internal/coordination/controller/membership_test.go
+++ b/internal/coordination/controller/membership_test.go
@@ -10,9 +10,9 @@
 	"madderslip/internal/storage/records"
 )
 
-// A copy of an earlier process's registration that is executed late must not attach this
-// process's record to that one's lease: each registration depends on the record that it
-// replaces.
+// A registration of an earlier process of this node that is executed late would attach the
+// node's record to that process's lease. So each registration is conditional on the version of
+// the record that it replaces.
 func TestRegistrationIsConditional(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -26,7 +26,7 @@
 		defer controller.mu.Unlock()
 		defer cancel()
 		if compares := store.txn.Compares; len(compares) != 1 || compares[0] != (kv.Compare{Key: records.NodePrefix + "n0", Version: 5}) {
-			t.Errorf("registers on condition of %v", compares)
+			t.Errorf("the registration is conditional on %v", compares)
 		}
 	})
 }
--- a/internal/coordination/controller/peers_test.go
+++ b/internal/coordination/controller/peers_test.go
@@ -10,9 +10,10 @@
 	"madderslip/internal/storage/records"
 )
 
-// In an outage all cancellations are repeated, by turns: were it the first hundred each time,
-// the next one would never reach an owner that had not read it. What another controller has
-// confirmed counts as known to it for a while.
+// In an outage of the state service all cancellations are repeated, in rotation. If each
+// message repeated the first hundred, the others would never reach an owner whose watch has not
+// delivered them. A controller that has confirmed a cancellation counts as notified of it for
+// notifiedTTL.
 func TestAllCancellationsAreRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := newTestController(unavailableStore{}, "n1")
@@ -28,7 +29,7 @@
 		for range 3 {
 			updates := controller.repeatedCancellations(time.Now())
 			if len(updates) > maxRepeatedCancellations {
-				t.Fatalf("%d in one message", len(updates))
+				t.Fatalf("%d cancellations in one message", len(updates))
 			}
 			for _, update := range updates {
 				repeated[update.Key] = true
@@ -38,10 +39,10 @@
 			controller.mu.Lock()
 		}
 		if len(repeated) != 250 {
-			t.Errorf("%d of 250 are repeated", len(repeated))
+			t.Errorf("%d of 250 cancellations are repeated", len(repeated))
 		}
 		if job := controller.view.Jobs["wk-249"]; time.Since(job.NotifiedAt["n1"]) > notifiedTTL {
-			t.Error("what n1 has confirmed does not count as known to it")
+			t.Error("n1 does not count as notified of a cancellation that it has confirmed")
 		}
 	})
 }
--- a/internal/coordination/controller/provisions_test.go
+++ b/internal/coordination/controller/provisions_test.go
@@ -9,9 +9,9 @@
 	"madderslip/internal/storage/records"
 )
 
-// Machines that are overdue after their boot are reported to the leader as excluded, a few at
-// a time, by the owner that had the shard when they were provisioned; another owner can't
-// know whether they have been up.
+// Machines whose boot is overdue are reported to the leader as excluded, a few at a time, by an
+// owner that has had the shard since before they were provisioned. A later owner reports none:
+// the machines may have sent heartbeats to an earlier owner.
 func TestOverdueMachinesAreExcludedFromLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := newFleet(t, 30)
@@ -37,21 +37,21 @@
 		} {
 			time.Sleep(time.Until(time.UnixMilli(provision.RequestedAtMs).Add(test.age)))
 			if load := controller.shardLoad(shard); len(load.ExcludedHosts) != test.excluded {
-				t.Errorf("%s: after %v %v are excluded", test.name, test.age, load.ExcludedHosts)
+				t.Errorf("%s: after %v the load excludes %v", test.name, test.age, load.ExcludedHosts)
 			}
 		}
 		shard.OwnedSince = time.Now()
 		time.Sleep(time.Second)
 		if load := controller.shardLoad(shard); len(load.ExcludedHosts) != 0 {
-			t.Errorf("a new owner excludes %v", load.ExcludedHosts)
+			t.Errorf("the load of a new owner excludes %v", load.ExcludedHosts)
 		}
 	})
 }
 
-// A provision's record may be read ahead of the watch: in the version that an adoption gave
-// it, while the adopted machines are not in the cache yet. The hosts that the cloud names for
-// it are recorded only once they are. Recorded at once, a machine would be in two shards
-// (seed 60789: an adoption that was executed late, between the reads of its two keys).
+// A provision's record may be read ahead of the watch, in the version that an adoption gave it,
+// while the adopted machines are not cached yet. The hosts of the cloud's answer are recorded
+// only once the watch has delivered that version. Otherwise a machine would be assigned to two
+// shards (seed 60789: an adoption that was executed late, between the reads of its two keys).
 func TestProvisionedMachinesWaitForTheWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &recordingStore{}
@@ -63,7 +63,7 @@
 		controller.view.ApplyProvision("a", &records.Provision{ProvisionRequest: requested, Allocations: []records.Allocation{{Shard: "n1", Count: 1}}}, 12)
 		controller.recordProvisioned(controller.view.Provisions["a"], []string{"vm-9"})
 		if store.txn != nil {
-			t.Fatalf("recorded before the cache is complete: %v", store.txn.Ops)
+			t.Fatalf("recorded before the watch has delivered the provision's version: %v", store.txn.Ops)
 		}
 		adopted := &records.Provision{ProvisionRequest: protocol.ProvisionRequest{Name: "b"}, Allocations: []records.Allocation{{Shard: "n2", Count: 1}}, Hosts: []string{"vm-9"}}
 		controller.view.ApplyProvision("b", adopted, 12)
@@ -71,7 +71,7 @@
 		time.Sleep(time.Second)
 		controller.retryProvisions(time.Now())
 		if store.txn == nil || len(store.txn.Ops) != 1 || store.txn.Ops[0].Value != nil || store.txn.Ops[0].Key != records.ProvisionPrefix+"a" {
-			t.Errorf("%v, wanted the provision to be dropped", store.txn)
+			t.Errorf("transaction %v, want one that drops the provision", store.txn)
 		}
 	})
 }
--- a/internal/coordination/controller/returns_test.go
+++ b/internal/coordination/controller/returns_test.go
@@ -16,8 +16,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// A return that is due together with a refresh of the machine types must be sent: marked as
-// in progress and not sent, it would keep every later one from being sent too.
+// A return that is due together with a refresh of the machine types must be sent. If it were
+// marked as in progress and not sent, it would block every later return.
 func TestReturnsAreSentBesideTypeRefresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -48,7 +48,7 @@
 		time.Sleep(3 * time.Second)
 		returned := slices.DeleteFunc(world.Events(), func(line string) bool { return !strings.HasSuffix(line, " returned") })
 		if len(returned) != 1 {
-			t.Fatalf("wanted the machine returned once, saw %v", world.Events())
+			t.Fatalf("want the machine returned once, got events %v", world.Events())
 		}
 	})
 }
