--- a/internal/coordination/controller/cloud.go
+++ b/internal/coordination/controller/cloud.go
@@ -15,7 +15,7 @@
 // provisioner is a controller's state for provisioning and returning machines.
 type provisioner struct {
 	unrecorded          map[string]unrecordedHost // machines without a record, by host
-	refusedUntil        map[string]time.Time      // by provisioning.OfferKey: no request before
+	refusedUntil        map[string]time.Time      // by provisioning.OfferKey: earliest time of the next request
 	bootStats           provisioning.BootStats
 	requestCount        int // requests and adoptions so far; part of the names of their records
 	listedAt            time.Time
--- a/internal/coordination/controller/consolidation.go
+++ b/internal/coordination/controller/consolidation.go
@@ -127,8 +127,8 @@
 			others = append(others, &copied)
 		}
 	}
-	// The zones of a service are updated after each of its moves. Otherwise no zone
-	// might be left for a service that is spread over zones.
+	// The zones of a service are updated after each of its moves, which prevents a service that
+	// is spread over zones from ending up without a permitted zone.
 	zones := make(map[*replica.Claim][]string)
 	for _, victim := range from.Victims {
 		spec := victim.Claim.Spec
--- a/internal/coordination/controller/leadership.go
+++ b/internal/coordination/controller/leadership.go
@@ -53,8 +53,8 @@
 	return c.leadership.isSelf && c.membership.lease != 0 && c.view.Revision >= c.leadership.version
 }
 
-// leaderCompare returns the condition that the leader record has not changed. For a process
-// that is the leader this means that it still is.
+// leaderCompare returns the condition that the leader record has not changed. The leader adds
+// it to transactions that are valid only while this process is still the leader.
 func (c *Controller) leaderCompare() kv.Compare {
 	return kv.Compare{Key: records.LeaderKey, Version: c.leadership.version}
 }
--- a/internal/coordination/controller/membership_test.go
+++ b/internal/coordination/controller/membership_test.go
@@ -10,9 +10,9 @@
 	"madderslip/internal/storage/records"
 )
 
-// A registration of an earlier process of this node that is executed late would attach the
-// node's record to that process's lease. So each registration is conditional on the version of
-// the record that it replaces.
+// A copy of an earlier process's registration that is executed late would attach the node's
+// record to that process's lease. So each registration is conditional on the version of the
+// record that it replaces.
 func TestRegistrationIsConditional(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/coordination/controller/peers.go
+++ b/internal/coordination/controller/peers.go
@@ -252,8 +252,8 @@
 	}
 }
 
-// observeLoads records the loads of the sender's shards, and gives up those that the sender
-// has acquired.
+// observeLoads records the loads of the sender's shards, and gives up shards that the sender
+// has acquired from this controller.
 func (c *Controller) observeLoads(message *protocol.PeerMessage, now time.Time) {
 	for _, load := range message.Loads {
 		if shard := c.view.Shards[load.Shard]; shard != nil {
@@ -281,9 +281,9 @@
 		strings.HasPrefix(key, records.AllotmentPrefix)
 }
 
-// leaveToPeer keeps this controller from claiming chunks until the time given, since another
-// shard is about to claim them: a second claim would only use up request budget and fail.
-// This is advisory; the condition of the claim's commit decides.
+// leaveToPeer keeps this controller from claiming chunks until the time given, since the owner
+// of another shard is about to claim them: a second claim would only use up request budget and
+// fail. This is advisory; the condition of the claim's commit decides.
 func (c *Controller) leaveToPeer(keys []string, until time.Time) {
 	for _, key := range keys {
 		if jobID, chunk, err := records.ParseClaimKey(key); err == nil && c.view.Jobs[jobID] != nil && c.view.Claims[key] == nil {
--- a/internal/coordination/controller/provisions.go
+++ b/internal/coordination/controller/provisions.go
@@ -70,7 +70,7 @@
 	}
 	provision.Busy = true
 	request, ctx := provision.Record.ProvisionRequest, c.ctx
-	reservation := c.cloudLimiter.Reserve() // before the goroutine starts: keeps simultaneous requests in order
+	reservation := c.cloudLimiter.Reserve() // made before the goroutine starts, to keep simultaneous requests in order
 	go func() {
 		answer, status, err := c.callProvision(ctx, request, reservation)
 		c.mu.Lock()
@@ -122,8 +122,8 @@
 }
 
 // recordProvisioned commits the machines that the cloud provided for a request, all in one
-// record. Only the leader does so, because only the leader tracks which of the machines are
-// being adopted, and no machine may be assigned to two shards.
+// record. Only the leader does so, because only the leader tracks which of the machines
+// have been adopted meanwhile, and no machine may be assigned to two shards.
 func (c *Controller) recordProvisioned(provision *replica.Provision, hosts []string) {
 	record := provision.Record
 	if len(hosts) < record.Count {
--- a/internal/coordination/controller/scalein.go
+++ b/internal/coordination/controller/scalein.go
@@ -41,7 +41,7 @@
 // idlePolicy determines which idle machines of a shard are kept in one pass.
 type idlePolicy struct {
 	inDemand map[replica.MachineKind]bool // kinds that can run work of the queue
-	held     map[string]bool              // hosts that are held by gang reservations
+	held     map[string]bool              // hosts that are held for gangs about to start
 	spare    float64                      // free CPUs of on-demand machines without GPUs
 	reserve  float64                      // how many of the spare CPUs stay free for services
 }
--- a/internal/coordination/controller/scaleout.go
+++ b/internal/coordination/controller/scaleout.go
@@ -132,9 +132,9 @@
 func (c *Controller) supply(now time.Time) []*placement.Capacity {
 	var supply []*placement.Capacity
 	for _, name := range c.view.ShardNames() {
-		// Only the shard's owner observes that a machine fails its tasks or its boot. If the
-		// leader counted such a machine as supply, it would provision no other one for the
-		// work that the machine cannot run.
+		// Only the shard's owner observes that a machine fails its tasks or does not boot in
+		// time. If the leader counted such a machine as supply, it would provision no other
+		// one for the work that the machine cannot run.
 		excluded := c.shardLoads.reported[name].Load.ExcludedHosts
 		for _, machine := range c.view.Shards[name].Machines {
 			if slices.Contains(excluded, machine.Host) {
@@ -245,7 +245,7 @@
 			demand.Shard, demand.TakenZones = entry.Claim.Record.Shard, c.view.ZonesOf(entry.Claim)
 		}
 		if entry.StartsTogether() && demand.Shard == "" && len(job.Record.Shards) > 0 {
-			demand.Shard = job.Record.Shards[0] // a gang's machines are provisioned in one shard, so that it fits there
+			demand.Shard = job.Record.Shards[0] // a gang's machines are provisioned in one shard, so that the gang fits there
 		}
 		allowance -= demand.Count
 		demands = append(demands, demand)
--- a/internal/coordination/controller/shards.go
+++ b/internal/coordination/controller/shards.go
@@ -203,7 +203,7 @@
 }
 
 // shouldHandBack reports whether to hand a shard back to its home node. The home node must
-// have been live for the hand-back delay, awayTime must have passed since it gave the shard
+// have been live for the policy's HandbackDelay, awayTime must have passed since it gave the shard
 // away, and this node must have owned the shard for minOwnership.
 func (c *Controller) shouldHandBack(shard *replica.Shard, now time.Time) bool {
 	home, homeLive := c.view.Nodes[shard.Name]
@@ -314,8 +314,8 @@
 	return health.SelfIsolated(silence, all)
 }
 
-// countSilent counts the machines of a shard, among them those that have been silent for
-// longer than a timeout.
+// countSilent counts the machines of a shard that have sent a heartbeat, and those among them
+// that have been silent for longer than a timeout.
 func (c *Controller) countSilent(shard *replica.Shard, timeout time.Duration, now time.Time) health.ShardSilence {
 	counts := health.ShardSilence{Home: shard.Name == c.settings.NodeName}
 	for _, machine := range shard.Machines {
