--- a/internal/coordination/controller/besteffort.go
+++ b/internal/coordination/controller/besteffort.go
@@ -35,8 +35,8 @@
 // claim or, if the entry is unclaimed, in one of this node's shards.
 func (c *Controller) bestEffortRuns(entry *placement.QueueEntry) bool {
 	for _, shard := range c.view.Shards {
-		isElsewhere := entry.Claim != nil && entry.Claim.Record != nil && entry.Claim.Record.Shard != shard.Name
-		if !c.view.IsActive(shard) || isElsewhere {
+		isClaimedElsewhere := entry.Claim != nil && entry.Claim.Record != nil && entry.Claim.Record.Shard != shard.Name
+		if !c.view.IsActive(shard) || isClaimedElsewhere {
 			continue
 		}
 		for claim := range shard.Claims {
--- a/internal/coordination/controller/capacities.go
+++ b/internal/coordination/controller/capacities.go
@@ -114,10 +114,10 @@
 			gpuMachines++
 		}
 	}
-	kept := func(share float64) int {
+	machinesToKeep := func(share float64) int {
 		return max(c.policy.GPUMachineReserve, int(share*float64(gpuMachines)))
 	}
-	placement.KeepGPUMachines(capacities, kept(c.policy.GPUMachineShare), kept(max(c.policy.GPUMachineShare, c.policy.BestEffortGPUMachineShare)))
+	placement.KeepGPUMachines(capacities, machinesToKeep(c.policy.GPUMachineShare), machinesToKeep(max(c.policy.GPUMachineShare, c.policy.BestEffortGPUMachineShare)))
 }
 
 // detailCapacities adds when the tasks on each machine should end and which may be
@@ -181,8 +181,8 @@
 		machine.Capacity.Releases = append(machine.Capacity.Releases, replica.Release{At: at, Spec: claim.Spec})
 	}
 	isOfGang := claim.Spec.Shape == protocol.ShapeGang && claim.Spec.Tasks > 1 // stopping one task would end them all
-	isThere := machine.Agent.Tasks[slot.TaskName] != nil                       // else it can't be stopped yet
-	if evicted || isOfGang || !isThere {
+	isReported := machine.Agent.Tasks[slot.TaskName] != nil                    // else it can't be stopped yet
+	if evicted || isOfGang || !isReported {
 		return
 	}
 	machine.Capacity.Victims = append(machine.Capacity.Victims, replica.Victim{Claim: claim, Task: slot.Task, Host: machine.Host, StartedAt: startedAt})
--- a/internal/coordination/controller/gangs.go
+++ b/internal/coordination/controller/gangs.go
@@ -36,7 +36,7 @@
 		if !isWaitingGang(job, now) || !canReserveAcrossShards(job) {
 			continue
 		}
-		if c.largestGroup(job.Spec()) < job.Spec().Tasks || job.Claims[0] != nil {
+		if c.tasksInLargestGroup(job.Spec()) < job.Spec().Tasks || job.Claims[0] != nil {
 			gangs = append(gangs, job)
 		}
 	}
@@ -57,9 +57,9 @@
 // and, for a gang that must be in one zone, of that zone.
 type machineGroup struct{ shard, zone string }
 
-// largestGroup returns how many tasks of a gang fit the machines of the largest group, all
+// tasksInLargestGroup returns how many tasks of a gang fit the machines of the largest group, all
 // of them empty.
-func (c *Controller) largestGroup(spec *protocol.Submission) int {
+func (c *Controller) tasksInLargestGroup(spec *protocol.Submission) int {
 	tasks := make(map[machineGroup]int)
 	for _, shard := range c.view.Shards {
 		for kind, count := range shard.Kinds {
@@ -303,7 +303,7 @@
 // shards now, and sets what it needs as the leader's demand for the team's limit.
 func (c *Controller) isGangHeldByLimit(job *replica.Job, now time.Time) bool {
 	spec := job.Spec()
-	if !c.isLimited(spec) || c.allowanceOf(quota.CrossShard, spec) >= spec.Tasks {
+	if !c.isLimited(spec) || c.holderAllowance(quota.CrossShard, spec) >= spec.Tasks {
 		c.view.Quota.SetDemand(spec.Team, quota.CrossShard, nil, false, now)
 		return false
 	}
--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -109,14 +109,14 @@
 		if !known {
 			standing = c.view.Quota.Standing(team, "", usageView{c})
 		}
-		standings[team] = entitle(entry, standing)
+		standings[team] = markWithinGuarantee(entry, standing)
 	}
 	slices.SortStableFunc(queue, comparePrecedence) // no entry starts ahead of its turn yet
 }
 
-// entitle marks an entry that its team's standing entitles, and returns the standing with
+// markWithinGuarantee marks an entry that its team's standing entitles, and returns the standing with
 // the entry's tasks reserved.
-func entitle(entry *placement.QueueEntry, standing quota.Standing) quota.Standing {
+func markWithinGuarantee(entry *placement.QueueEntry, standing quota.Standing) quota.Standing {
 	perTask := replica.TaskResources(entry.Spec)
 	need, waiting := entry.MinTasks(), entry.PlaceableTasks()
 	if entitled := standing.Entitled(perTask); entitled >= need && entitled > 0 {
@@ -322,9 +322,9 @@
 	for claimKey, reservation := range c.preemptions.reservations {
 		jobID, _, _ := records.ParseClaimKey(claimKey)
 		job := c.view.Jobs[jobID]
-		isOver := job == nil || job.Record.IsFinal()
+		jobEnded := job == nil || job.Record.IsFinal()
 		hasExpired := now.After(reservation.until) && reservation.version != 0
-		if hasExpired || isOver || !c.view.IsActive(c.view.Shards[reservation.shard]) {
+		if hasExpired || jobEnded || !c.view.IsActive(c.view.Shards[reservation.shard]) {
 			delete(c.preemptions.reservations, claimKey)
 		}
 	}
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -47,20 +47,20 @@
 		return nil, nil, nil, false
 	}
 	if next.Shard == "" {
-		shard = crossShardUse(claim.JobID)
+		shard = crossShardUseName(claim.JobID)
 	}
-	use, most := c.teamUseAfter(usage, shard, claim, next)
+	use, maxUse := c.teamUseAfter(usage, shard, claim, next)
 	record := withShardUse(usage, shard, use)
-	if grows && quota.Exceeds(totalUse(record, shard, most), c.view.Quota.Limit(team)) {
+	if grows && quota.Exceeds(totalUse(record, shard, maxUse), c.view.Quota.Limit(team)) {
 		return nil, nil, nil, false
 	}
 	key := records.TeamUsagePrefix + team
 	return append(compares, kv.Compare{Key: key, Version: usage.Version}), []kv.Op{{Key: key, Value: record}}, usage, true
 }
 
-// crossShardUse returns the name in a team's record for the use of a gang across shards. It
+// crossShardUseName returns the name in a team's record for the use of a gang across shards. It
 // is an entry of its own, since several owners change it.
-func crossShardUse(jobID string) string { return "*" + jobID }
+func crossShardUseName(jobID string) string { return "*" + jobID }
 
 // withShardUse returns a team's record with its use of one shard replaced.
 func withShardUse(usage *replica.TeamUsage, shard string, use quota.Resources) *records.TeamUsage {
@@ -95,7 +95,7 @@
 // yet have no size. The record prevents a team from exceeding its limit that way. The sum
 // serves where the view is complete up to the record, to correct what a change of limits
 // has left out.
-func (c *Controller) teamUseAfter(usage *replica.TeamUsage, shard string, claim *replica.Claim, next *records.Claim) (use, most quota.Resources) {
+func (c *Controller) teamUseAfter(usage *replica.TeamUsage, shard string, claim *replica.Claim, next *records.Claim) (use, maxUse quota.Resources) {
 	perTask := replica.TaskResources(claim.Spec)
 	before, after := perTask.Times(float64(claim.PlacedCount())), perTask.Times(float64(len(next.Placements)))
 	use = usage.Record.ByShard[shard].Difference(before).Plus(after).NonNegative()
@@ -140,8 +140,8 @@
 	return quota.TasksThatFit(limit.Difference(use), replica.TaskResources(spec), limit)
 }
 
-// allowanceOf returns how many more tasks of a job a shard may start within its allotment.
-func (c *Controller) allowanceOf(holder string, spec *protocol.Submission) int {
+// holderAllowance returns how many more tasks of a job a shard may start within its allotment.
+func (c *Controller) holderAllowance(holder string, spec *protocol.Submission) int {
 	if !c.view.Quota.IsAllotted(spec.Team) {
 		return c.allowance(spec)
 	}
@@ -154,13 +154,13 @@
 // passDemands is what the teams' limits keep a shard from starting in one pass.
 type passDemands struct {
 	byTeam  map[string]*quota.Demand
-	weighed map[string]int  // entries of each team that were counted
+	counted map[string]int  // entries of each team that were counted
 	started map[string]bool // teams of which something started
 }
 
-// maxWeighedPerTeam is how many entries of a team one pass counts: those behind the first
+// maxCountedPerTeam is how many entries of a team one pass counts: those behind the first
 // ones only add to how much more could start.
-const maxWeighedPerTeam = 6
+const maxCountedPerTeam = 6
 
 // isHeldByLimit reports whether its team's limit keeps an entry from starting here now, and
 // adds to the demands what could start with a larger allotment.
@@ -172,7 +172,7 @@
 	if !c.view.Quota.IsAllotted(team) {
 		return c.exceedsLimit(entry)
 	}
-	allowed := c.allowanceOf(shard.Name, entry.Spec) + c.unrecordedCompletions(entry.Claim)
+	allowed := c.holderAllowance(shard.Name, entry.Spec) + c.unrecordedCompletions(entry.Claim)
 	yields := c.view.Quota.YieldsTo(team, entry.Spec.Priority(), entry.Job.Record.AcceptedAtMs, entry.Job.ID, now)
 	if allowed < entry.PlaceableTasks() || yields {
 		c.addDemand(entry, capacities, demands, allowed)
@@ -184,7 +184,7 @@
 // within the team's limit.
 func (c *Controller) addDemand(entry *placement.QueueEntry, capacities []*placement.Capacity, demands *passDemands, allowed int) {
 	team := entry.Spec.Team
-	if demands.weighed[team]++; demands.weighed[team] > maxWeighedPerTeam {
+	if demands.counted[team]++; demands.counted[team] > maxCountedPerTeam {
 		return
 	}
 	need, perTask := entry.MinTasks(), replica.TaskResources(entry.Spec)
@@ -240,8 +240,8 @@
 
 // quotaSync is when this controller last broadcast the demands of its shards.
 type quotaSync struct {
-	announced   bool // there were any
-	announcedAt time.Time
+	hadDemands  bool // there were any
+	broadcastAt time.Time
 }
 
 // demandInterval is the least time between two broadcasts of demands beside those of each
@@ -252,11 +252,11 @@
 // that are due from their allotments.
 func (c *Controller) transferAllotments(now time.Time) {
 	demands := c.view.Quota.Demands(now)
-	if (len(demands) > 0 || c.quotaSync.announced) && now.Sub(c.quotaSync.announcedAt) >= demandInterval {
-		c.quotaSync.announced, c.quotaSync.announcedAt = len(demands) > 0, now
+	if (len(demands) > 0 || c.quotaSync.hadDemands) && now.Sub(c.quotaSync.broadcastAt) >= demandInterval {
+		c.quotaSync.hadDemands, c.quotaSync.broadcastAt = len(demands) > 0, now
 		c.broadcast(c.ctx, protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, Demands: demands, DemandsComplete: true})
 	}
-	for _, transfer := range c.view.Quota.DueTransfers(c.decidesFor, now) {
+	for _, transfer := range c.view.Quota.DueTransfers(c.transferCondition, now) {
 		c.log.Debug("allotment transferred", "team", transfer.Team, "from", transfer.From, "to", transfer.To, "cpus", transfer.Amount.CPUs, "gpus", transfer.Amount.GPUs)
 		c.commit(kv.PriorityClaim, transfer.Compares, transfer.Ops, 0, func(err error) {
 			c.view.Quota.FinishTransfer(transfer)
@@ -273,10 +273,10 @@
 // waitingLogInterval is how often a team that waits for its limit is logged.
 const waitingLogInterval = 30 * time.Second
 
-// decidesFor returns the condition under which this node transfers from a holder's
+// transferCondition returns the condition under which this node transfers from a holder's
 // allotment, and reports whether it may: it owns the shard, or leads, and its view holds all
 // that was started there.
-func (c *Controller) decidesFor(holder string) (kv.Compare, bool) {
+func (c *Controller) transferCondition(holder string) (kv.Compare, bool) {
 	if holder == quota.CrossShard {
 		return kv.Compare{Key: records.LeaderKey, Version: c.leadership.version}, c.isLeader() && c.view.KnowsUse(holder)
 	}
@@ -330,7 +330,7 @@
 	}
 	for claim := range c.view.CrossShardClaims {
 		if claim.Spec != nil && claim.Spec.Team == team && claim.Tally.Counted {
-			name := crossShardUse(claim.JobID)
+			name := crossShardUseName(claim.JobID)
 			usage[name] = usage[name].Plus(claim.Tally.Use)
 		}
 	}
@@ -361,8 +361,8 @@
 		return false
 	}
 	use, recorded := c.view.UsedBy(team, shard.Name), usage.Record.ByShard[shard.Name]
-	isRight := use.Within(recorded) && recorded.Within(use)
-	return !isRight && !slices.ContainsFunc(c.view.ClaimsOfTeam(shard, team), isPending)
+	matches := use.Within(recorded) && recorded.Within(use)
+	return !matches && !slices.ContainsFunc(c.view.ClaimsOfTeam(shard, team), isPending)
 }
 
 // isPending reports whether a version of a claim is being committed.
--- a/internal/coordination/controller/preemption.go
+++ b/internal/coordination/controller/preemption.go
@@ -39,8 +39,8 @@
 	// preemptionHold is how long a job waits for the tasks that it preempts to leave before
 	// it may preempt more.
 	preemptionHold = 5 * time.Second
-	// plannedStart is how soon a job is expected to start on preempted capacity.
-	plannedStart = time.Second
+	// plannedStartDelay is how soon a job is expected to start on preempted capacity.
+	plannedStartDelay = time.Second
 )
 
 // expirePreemptions drops the plans that have expired or whose job is final.
@@ -63,7 +63,7 @@
 	for _, capacity := range capacities {
 		for _, jobID := range jobIDs {
 			if tasks := c.preemptions.plans[jobID].hosts[capacity.Host]; tasks > 0 && capacity.Reservation.JobID == "" {
-				capacity.ReserveFor(c.view.Jobs[jobID].Spec(), jobID, tasks, now.Add(plannedStart))
+				capacity.ReserveFor(c.view.Jobs[jobID].Spec(), jobID, tasks, now.Add(plannedStartDelay))
 			}
 		}
 	}
@@ -244,13 +244,13 @@
 	if p.entitled == 0 || victim.Team == p.spec.Team {
 		return false
 	}
-	beside := quota.Resources{}
+	chosenBorrowed := quota.Resources{}
 	for i := range chosen {
 		if other := chosen[i].Claim.Spec; other.Team == victim.Team && p.isBorrowed(&chosen[i]) {
-			beside = beside.Plus(replica.TaskResources(other))
+			chosenBorrowed = chosenBorrowed.Plus(replica.TaskResources(other))
 		}
 	}
-	return p.preemptor.MayPreempt(victim.Team, replica.TaskResources(victim), beside)
+	return p.preemptor.MayPreempt(victim.Team, replica.TaskResources(victim), chosenBorrowed)
 }
 
 // isBorrowed reports whether a victim is preempted for the guarantee, not for its priority.
--- a/internal/coordination/controller/queue.go
+++ b/internal/coordination/controller/queue.go
@@ -17,9 +17,9 @@
 // from waiting for as long as jobs with GPUs arrive.
 const gpuMachineWait = 75 * time.Second
 
-// widenAfter is when a job may be claimed by shards that it is not queued at, since all of
+// claimAnywhereAfter is when a job may be claimed by shards that it is not queued at, since all of
 // its own may be full, or without an owner.
-const widenAfter = 4 * time.Second
+const claimAnywhereAfter = 4 * time.Second
 
 // queue returns a shard's queue: by priority, then in the order of acceptance, with
 // entitled work and arrays that start ahead of their turn first within a priority.
@@ -58,7 +58,7 @@
 // appendEntries appends the entries of a job's chunks that a shard may place tasks of now.
 // It reports whether no task of the job is left to be placed anywhere.
 func (c *Controller) appendEntries(entries []*placement.QueueEntry, shard *replica.Shard, job *replica.Job, onProbation bool, now time.Time) (appended []*placement.QueueEntry, allPlaced bool) {
-	queuedHere := slices.Contains(job.Record.Shards, shard.Name) || now.Sub(job.SeenAt) > widenAfter
+	queuedHere := slices.Contains(job.Record.Shards, shard.Name) || now.Sub(job.SeenAt) > claimAnywhereAfter
 	allPlaced = true
 	for chunk := range job.Chunks {
 		if job.Claims[chunk] == nil && !queuedHere {
@@ -238,12 +238,12 @@
 	}
 	maxPlacements := c.settings.RecordLimits().MaxPlacements()
 	chunks := min(max(1, c.policy.Copies, (spec.Tasks-1)/(c.placementWaves(spec)*maxPlacements)+1), maxChunks)
-	return min(spec.Tasks, max(c.policy.TasksPerChunk, (spec.Tasks+chunks-1)/chunks, c.smallChunk(spec, shardNames)))
+	return min(spec.Tasks, max(c.policy.TasksPerChunk, (spec.Tasks+chunks-1)/chunks, c.smallChunkSize(spec, shardNames)))
 }
 
-// smallChunk returns how many tasks of a job are few beside each of the shards that may
+// smallChunkSize returns how many tasks of a job are few beside each of the shards that may
 // claim them, and fit a value.
-func (c *Controller) smallChunk(spec *protocol.Submission, shardNames []string) int {
+func (c *Controller) smallChunkSize(spec *protocol.Submission, shardNames []string) int {
 	maxPlacements := c.settings.RecordLimits().MaxPlacements()
 	if spec.CPUs <= 0 {
 		return maxPlacements
--- a/internal/coordination/controller/schedule.go
+++ b/internal/coordination/controller/schedule.go
@@ -19,10 +19,10 @@
 	demands    *passDemands
 	now        time.Time
 
-	largestFree  protocol.MachineResources // at least what any machine has free
-	blocked      bool                      // an entry waits for capacity
-	delaysArrays bool                      // placements of arrays wait for the state service
-	failed       map[placement.RequestKey]bool
+	largestFree    protocol.MachineResources // at least what any machine has free
+	blocked        bool                      // an entry waits for capacity
+	delaysArrays   bool                      // placements of arrays wait for the state service
+	failedRequests map[placement.RequestKey]bool
 
 	// bestEffort is what best-effort work may use. It is counted again only once something
 	// has changed, since such jobs come by the hundred.
@@ -30,14 +30,14 @@
 	bestEffortCounted bool
 }
 
-// evicted updates a pass after tasks were evicted.
-func (p *schedulingPass) evicted() {
+// updateAfterEviction updates a pass after tasks were evicted.
+func (p *schedulingPass) updateAfterEviction() {
 	p.largestFree, p.bestEffortCounted = placement.IncludingFree(p.largestFree, p.capacities), false
 }
 
-// yields reports whether an entry of an array may not claim capacity ahead of those that
+// mustYield reports whether an entry of an array may not claim capacity ahead of those that
 // wait for it.
-func (p *schedulingPass) yields(entry *placement.QueueEntry) bool {
+func (p *schedulingPass) mustYield(entry *placement.QueueEntry) bool {
 	return entry.Spec.Shape == protocol.ShapeArray && p.blocked && !entry.WithinGuarantee
 }
 
@@ -45,7 +45,7 @@
 // priority, with EASY backfilling around reservations.
 func (c *Controller) scheduleShard(shard *replica.Shard, now time.Time) {
 	queue := c.queue(shard, now)
-	demands := &passDemands{byTeam: make(map[string]*quota.Demand), weighed: make(map[string]int), started: make(map[string]bool)}
+	demands := &passDemands{byTeam: make(map[string]*quota.Demand), counted: make(map[string]int), started: make(map[string]bool)}
 	defer c.publishDemands(shard.Name, demands, now)
 	if len(queue) == 0 {
 		return
@@ -58,9 +58,9 @@
 		// accumulates, so that the next write places many tasks. This prevents one write
 		// for every task or two, with which machines are idle for seconds: what is placed
 		// but not yet committed can neither run nor be preempted.
-		delaysArrays: c.store.HasPending(kv.PriorityArrayClaim) > 0,
-		failed:       make(map[placement.RequestKey]bool),
-		largestFree:  placement.LargestFree(capacities),
+		delaysArrays:   c.store.HasPending(kv.PriorityArrayClaim) > 0,
+		failedRequests: make(map[placement.RequestKey]bool),
+		largestFree:    placement.LargestFree(capacities),
 	}
 	for _, entry := range queue {
 		c.scheduleEntry(pass, entry)
@@ -73,32 +73,32 @@
 	isArray := entry.Spec.Shape == protocol.ShapeArray
 	waited := entry.WaitedUnplaced(pass.now)
 	entry.OverdueForGPUMachine = isArray && entry.Spec.GPUs == 0 && waited > gpuMachineWait
-	if pass.yields(entry) && !pass.largestFree.Fits(entry.Spec) {
+	if pass.mustYield(entry) && !pass.largestFree.Fits(entry.Spec) {
 		return // no machine has capacity for even one of its tasks
 	}
 	if !c.admitsBestEffort(pass, entry, waited) {
 		return
 	}
 	key := placement.RequestKeyOf(entry.Spec)
-	hasFailed := pass.failed[key] && !entry.OverdueForGPUMachine
+	hasFailed := pass.failedRequests[key] && !entry.OverdueForGPUMachine
 	if hasFailed || c.isHeldByLimit(pass.shard, entry, pass.capacities, pass.demands, pass.now) || (pass.delaysArrays && isArray) {
 		return
 	}
 	if c.preemptions.plans[entry.Job.ID] == nil && !entry.OnProbation && c.preemptForImage(pass.shard, entry, pass.capacities, pass.now) {
-		pass.evicted()
+		pass.updateAfterEviction()
 		return // it starts there as soon as the preempted tasks are gone
 	}
-	placed, short := c.placeEntry(pass.shard, entry, pass.capacities, pass.now)
+	placed, lacksCapacity := c.placeEntry(pass.shard, entry, pass.capacities, pass.now)
 	if placed {
 		pass.bestEffortCounted = false
 		delete(c.preemptions.plans, entry.Job.ID)
 		pass.demands.started[entry.Spec.Team] = true
 	}
-	if !short || placed || c.preemptions.plans[entry.Job.ID] != nil || entry.OnProbation {
+	if !lacksCapacity || placed || c.preemptions.plans[entry.Job.ID] != nil || entry.OnProbation {
 		return
 	}
-	pass.failed[key] = !isRestricted(entry, pass.capacities)
-	if pass.yields(entry) {
+	pass.failedRequests[key] = !isRestricted(entry, pass.capacities)
+	if pass.mustYield(entry) {
 		return
 	}
 	pass.blocked = true
@@ -148,7 +148,7 @@
 	if !c.preemptFor(pass.shard, entry, pass.capacities, pass.now) {
 		return
 	}
-	pass.evicted()
+	pass.updateAfterEviction()
 	for _, capacity := range reserved {
 		if capacity.Reservation.From.After(pass.now) {
 			capacity.Reservation.JobID = "" // the preempted capacity serves instead
@@ -157,8 +157,8 @@
 }
 
 const (
-	// neverLate is how long an entry may wait that preempts nothing however long it waits.
-	neverLate = time.Hour
+	// noPreemptionWait is how long an entry may wait that preempts nothing however long it waits.
+	noPreemptionWait = time.Hour
 	// missedObjectiveWait is how long a job that has missed all its objectives waits for
 	// capacity rather than preempt others.
 	missedObjectiveWait = 15 * time.Second
@@ -169,7 +169,7 @@
 // waits for capacity: preempting for an objective that is lost anyway only throws work away.
 func (c *Controller) startBy(entry *placement.QueueEntry, capacities []*placement.Capacity, zones *placement.ZoneConstraint, now time.Time) time.Time {
 	if c.preemptsNothing(entry) {
-		return now.Add(neverLate)
+		return now.Add(noPreemptionWait)
 	}
 	soonest := now.Add(placement.ShortestImagePull(entry.Spec, capacities, zones))
 	nearest := time.Time{}
@@ -232,7 +232,7 @@
 
 // placeEntry places as many tasks of an entry as there is capacity for. It reports whether
 // it has placed any, and whether tasks are left for want of capacity.
-func (c *Controller) placeEntry(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, now time.Time) (placed, short bool) {
+func (c *Controller) placeEntry(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, now time.Time) (placed, lacksCapacity bool) {
 	zones := c.zoneConstraint(entry)
 	if !c.hasMachineFor(entry, capacities, &zones, now) {
 		return false, true // found before the claim is copied, which costs most when much waits
@@ -245,7 +245,7 @@
 		assignments = c.assignInOneZone(shard, entry, next, capacities, assignments, now)
 	}
 	tooFew := len(assignments) == 0 || (isGang && len(assignments) < need)
-	if tooFew || leavesToOthers(entry, len(assignments), now) {
+	if tooFew || defersToOtherShards(entry, len(assignments), now) {
 		placement.ReleaseAssignments(entry.Spec, assignments, capacities)
 		return false, true
 	}
@@ -306,35 +306,35 @@
 }
 
 const (
-	// servicePatience is how long an unclaimed service waits for a shard that takes it
+	// serviceDeferral is how long an unclaimed service waits for a shard that takes it
 	// whole.
-	servicePatience = time.Second
-	// spreadPatience is the same for a service that must spread over zones.
-	spreadPatience = widenAfter + 2*time.Second
-	// arrayPatience is how long an unclaimed chunk of an array waits for a shard that
+	serviceDeferral = time.Second
+	// spreadDeferral is the same for a service that must spread over zones.
+	spreadDeferral = claimAnywhereAfter + 2*time.Second
+	// arrayDeferral is how long an unclaimed chunk of an array waits for a shard that
 	// starts at least half of its tasks.
-	arrayPatience = 2 * time.Second
+	arrayDeferral = 2 * time.Second
 )
 
-// leavesToOthers reports whether an unclaimed chunk, of which a shard could start so many
+// defersToOtherShards reports whether an unclaimed chunk, of which a shard could start so many
 // tasks, is left to other shards for a while. A service that fits elsewhere whole should
 // not be divided to wait here; one that must spread waits until every shard has tried,
 // since this one may have no machine in a second zone. An array's chunk is queued at
 // several shards, of which one may start more of its tasks.
-func leavesToOthers(entry *placement.QueueEntry, startable int, now time.Time) bool {
+func defersToOtherShards(entry *placement.QueueEntry, startable int, now time.Time) bool {
 	if entry.Claim != nil {
 		return false
 	}
 	need, waited := entry.PlaceableTasks(), now.Sub(entry.Job.SeenAt)
 	switch entry.Spec.Shape {
 	case protocol.ShapeService:
-		patience := servicePatience
+		maxWait := serviceDeferral
 		if entry.Spec.SpreadZones {
-			patience = spreadPatience
+			maxWait = spreadDeferral
 		}
-		return startable < need && waited < patience
+		return startable < need && waited < maxWait
 	case protocol.ShapeArray:
-		return 2*startable < need && waited < arrayPatience
+		return 2*startable < need && waited < arrayDeferral
 	}
 	return false
 }
@@ -349,7 +349,7 @@
 	runtime := c.estimateRuntime(entry.Spec)
 	limit := entry.MaxStarts(c.settings.RecordLimits().MaxPlacements() - len(isPlaced))
 	if c.isLimited(entry.Spec) {
-		limit = min(limit, c.allowanceOf(holder, entry.Spec)+c.unrecordedCompletions(entry.Claim))
+		limit = min(limit, c.holderAllowance(holder, entry.Spec)+c.unrecordedCompletions(entry.Claim))
 	}
 	var assignments []placement.Assignment
 	bytesLeft := c.settings.RecordLimits().MaxValueBytes - record.MaxEncodedSize()
