--- a/internal/coordination/controller/queue.go
+++ b/internal/coordination/controller/queue.go
@@ -12,17 +12,18 @@
 	"madderslip/internal/protocol"
 )
 
-// gpuMachineWait is how long an array waits with none of its tasks placed beside machines
-// that are kept for jobs with GPUs. It prevents an array whose shard has only such machines
-// from waiting for as long as jobs with GPUs arrive.
+// gpuMachineWait is how long an array without placed tasks waits before it may use a machine
+// that is kept for jobs with GPUs. Without this bound an array whose shard has only such
+// machines would wait for as long as jobs with GPUs arrive.
 const gpuMachineWait = 75 * time.Second
 
-// claimAnywhereAfter is when a job may be claimed by shards that it is not queued at, since all of
-// its own may be full, or without an owner.
+// claimAnywhereAfter is the time after which a job may be claimed by shards at which it is
+// not queued, since all of its own shards may be full or unowned.
 const claimAnywhereAfter = 4 * time.Second
 
-// queue returns a shard's queue: by priority, then in the order of acceptance, with
-// entitled work and arrays that start ahead of their turn first within a priority.
+// queue returns a shard's queue, ordered by priority and then by acceptance. Within a
+// priority, work within its team's guarantee comes first, then arrays that start ahead of
+// their turn.
 func (c *Controller) queue(shard *replica.Shard, now time.Time) []*placement.QueueEntry {
 	var entries []*placement.QueueEntry
 	for jobID, job := range c.view.Unplaced {
@@ -36,7 +37,7 @@
 		}
 		var allPlaced bool
 		if entries, allPlaced = c.appendEntries(entries, shard, job, onProbation, now); allPlaced {
-			delete(c.view.Unplaced, jobID) // until a claim of it changes
+			delete(c.view.Unplaced, jobID) // a change of one of its claims adds it again
 		}
 	}
 	slices.SortFunc(entries, func(a, b *placement.QueueEntry) int {
@@ -50,13 +51,13 @@
 	return entries
 }
 
-// isOpen reports whether a job's description is known and the job is not final.
+// isOpen reports whether a job's description is cached and the job is not final.
 func isOpen(job *replica.Job) bool {
 	return job.Record != nil && job.Record.Spec != nil && !job.Record.IsFinal()
 }
 
-// appendEntries appends the entries of a job's chunks that a shard may place tasks of now.
-// It reports whether no task of the job is left to be placed anywhere.
+// appendEntries appends an entry for each chunk of a job of which a shard may place tasks
+// now. allPlaced reports whether no task of the job is left to be placed in any shard.
 func (c *Controller) appendEntries(entries []*placement.QueueEntry, shard *replica.Shard, job *replica.Job, onProbation bool, now time.Time) (appended []*placement.QueueEntry, allPlaced bool) {
 	queuedHere := slices.Contains(job.Record.Shards, shard.Name) || now.Sub(job.SeenAt) > claimAnywhereAfter
 	allPlaced = true
@@ -83,9 +84,9 @@
 	return entry.Claim != nil && entry.Claim.Pending == nil && entry.PlaceableTasks() == 0
 }
 
-// mayPlace reports whether a shard may commit placements of an entry now: the chunk is
-// unclaimed and not left to another shard, or the shard holds its claim, no commit of it is
-// under way, and no attempt of a gang is being ended.
+// mayPlace reports whether a shard may commit placements of an entry now. Either the chunk is
+// unclaimed and not left to another shard; or the shard holds its claim, the claim is neither
+// being committed nor waiting for a retry, and no attempt of a gang is being ended.
 func mayPlace(shard *replica.Shard, entry *placement.QueueEntry, now time.Time) bool {
 	claim := entry.Claim
 	if claim == nil {
@@ -108,8 +109,8 @@
 	return strings.Compare(a.ID, b.ID)
 }
 
-// comparePrecedence orders queue entries by priority, within a priority those on a team's
-// guarantee first, then those that start ahead of their turn.
+// comparePrecedence orders queue entries by priority, within a priority those within their
+// team's guarantee first, then those that start ahead of their turn.
 func comparePrecedence(a, b *placement.QueueEntry) int {
 	return cmp.Or(cmp.Compare(b.Spec.Priority(), a.Spec.Priority()), compareTrueFirst(a.WithinGuarantee, b.WithinGuarantee), compareTrueFirst(a.StartsAhead, b.StartsAhead))
 }
@@ -125,9 +126,10 @@
 	return 1
 }
 
-// moveAheadOfTurn moves the arrays whose first task can't wait for its turn to the front of
-// their priority, behind what is within a guarantee. Best-effort arrays have a share of
-// their own instead (placement.BestEffortCapacity).
+// moveAheadOfTurn moves the first chunk of each array that is still unclaimed after the
+// policy's StartAheadAfter to the front of its priority, behind work within a guarantee.
+// Best-effort arrays have their own share of the capacity instead
+// (placement.BestEffortCapacity).
 func (c *Controller) moveAheadOfTurn(queue []*placement.QueueEntry, now time.Time) {
 	anyAhead := false
 	for _, entry := range queue {
@@ -145,7 +147,7 @@
 	return entry.Spec.Shape == protocol.ShapeArray && !placement.IsBestEffort(entry.Spec) && entry.Chunk == 0 && !entry.OnProbation
 }
 
-// scoredShard is a shard and how loaded it is; the lower score is better.
+// scoredShard is a shard with its score, of which the lowest is the best.
 type scoredShard struct {
 	name  string
 	score float64
@@ -162,9 +164,9 @@
 // maxReportedLoadAge is the age at which a shard's reported load no longer counts.
 const maxReportedLoadAge = 5 * time.Second
 
-// chooseShards chooses the least loaded shards for a job, as many as it has copies. A shard
-// with capacity on a machine that holds the image goes first, this node's own before
-// others.
+// chooseShards chooses the shards at which a job is queued: those with the best scores, as
+// many as the policy's Copies. Shards with free capacity on a machine that holds the image
+// are preferred and, at a similar load, shards that this node owns.
 func (c *Controller) chooseShards(spec *protocol.Submission, now time.Time) []string {
 	var all []scoredShard
 	for _, name := range c.view.ShardNames() {
@@ -180,9 +182,10 @@
 	return chosen
 }
 
-// shardScore returns how loaded a shard is for a job. What runs counts, what is queued
-// there, and what this node has queued there since the shard last reported its load, so
-// that a burst spreads.
+// shardScore returns the score of a shard for a job, which rises with the shard's load. The
+// load is the CPUs in use, the CPUs queued, and the CPUs that this node has queued there
+// since the shard last reported its load. The last part spreads a burst of jobs over the
+// shards.
 func (c *Controller) shardScore(shard *replica.Shard, spec *protocol.Submission, now time.Time) float64 {
 	reported, known := c.shardLoads.reported[shard.Name]
 	if c.view.IsActive(shard) {
@@ -206,32 +209,34 @@
 }
 
 const (
-	// maxWaves is how many times a chunk's placements may fill a record's value at most,
-	// and maxWavesTime how long that may take, before the job is cut into more chunks.
+	// A claim's record holds a bounded number of placements, so the tasks of a larger chunk
+	// run in waves. A job is cut into more chunks rather than run a chunk in more than
+	// maxWaves waves, or in waves that take longer than maxWavesTime altogether.
 	maxWaves     = 5
 	maxWavesTime = 20 * time.Second
-	// maxChunks bounds the chunks of a job: finishing the job compares them all.
+	// maxChunks bounds the chunks of a job, since finishing the job checks all of their claims.
 	maxChunks = 24
-	// chunksPerShard is how many chunks of a job fill a shard, the smallest that may claim
-	// them.
+	// chunksPerShard is how many small chunks (see smallChunkSize) it takes to fill the
+	// smallest of the shards that may claim them.
 	chunksPerShard = 4
 )
 
-// placementWaves returns how many times the placements of a job's chunk may fill a value.
+// placementWaves returns in how many waves, each as large as a record may hold, the tasks of
+// a job's chunk may run.
 func (c *Controller) placementWaves(spec *protocol.Submission) int {
 	return max(1, min(maxWaves, int(maxWavesTime/max(c.estimateRuntime(spec), time.Second))))
 }
 
 // chunkSize returns how many tasks of a job are claimed together. Gangs, services and jobs
 // whose tasks depend on one another's zones are claimed whole, so that one record decides
-// where their tasks may go. Other arrays make as few chunks as they well can, since each
-// costs writes of its own: as many as they have copies, or fewer where a chunk is small
-// beside the shards that may claim it. More chunks than one prevent a whole array from
-// waiting at one small shard while others have capacity.
+// where their tasks may go. Other arrays are cut into few chunks, since each chunk costs
+// writes of its own: as many as the policy's Copies, or fewer where a chunk would be small
+// compared with the shards that may claim it. Having several chunks prevents a whole array
+// from waiting at one small shard while others have capacity.
 //
-// A chunk has no more placements at a time than fit a value, which bounds how many of its
-// tasks run at once. placementWaves therefore limits its size: too few chunks leave
-// capacity unused when tasks are short or values small.
+// A claim's record holds only as many placements as fit a value, which bounds how many tasks
+// of a chunk run at once. placementWaves therefore bounds the size of a chunk: too few chunks
+// would leave capacity unused when tasks are short or values are small.
 func (c *Controller) chunkSize(spec *protocol.Submission, shardNames []string) int {
 	if spec.Shape != protocol.ShapeArray || spec.SameZone || spec.SpreadZones {
 		return spec.Tasks
@@ -241,8 +246,8 @@
 	return min(spec.Tasks, max(c.policy.TasksPerChunk, (spec.Tasks+chunks-1)/chunks, c.smallChunkSize(spec, shardNames)))
 }
 
-// smallChunkSize returns how many tasks of a job are few beside each of the shards that may
-// claim them, and fit a value.
+// smallChunkSize returns how many tasks of a job make a chunk that is small compared with
+// each shard that may claim it, and whose placements fit a value.
 func (c *Controller) smallChunkSize(spec *protocol.Submission, shardNames []string) int {
 	maxPlacements := c.settings.RecordLimits().MaxPlacements()
 	if spec.CPUs <= 0 {
--- a/internal/coordination/controller/schedule.go
+++ b/internal/coordination/controller/schedule.go
@@ -19,24 +19,26 @@
 	demands    *passDemands
 	now        time.Time
 
-	largestFree    protocol.MachineResources // at least what any machine has free
-	blocked        bool                      // an entry waits for capacity
-	delaysArrays   bool                      // placements of arrays wait for the state service
-	failedRequests map[placement.RequestKey]bool
+	largestFree    protocol.MachineResources     // upper bound of what any usable machine has free
+	blocked        bool                          // an earlier entry waits for capacity
+	delaysArrays   bool                          // arrays are not placed in this pass
+	failedRequests map[placement.RequestKey]bool // requests for which this pass found no capacity
 
-	// bestEffort is what best-effort work may use. It is counted again only once something
-	// has changed, since such jobs come by the hundred.
+	// bestEffort is the capacity for best-effort work. It is computed again only after a
+	// placement or an eviction, since hundreds of best-effort jobs can be queued.
 	bestEffort        placement.BestEffortCapacity
 	bestEffortCounted bool
 }
 
-// updateAfterEviction updates a pass after tasks were evicted.
+// updateAfterEviction raises largestFree by the capacity that an eviction has freed, and
+// discards bestEffort.
 func (p *schedulingPass) updateAfterEviction() {
 	p.largestFree, p.bestEffortCounted = placement.IncludingFree(p.largestFree, p.capacities), false
 }
 
-// mustYield reports whether an entry of an array may not claim capacity ahead of those that
-// wait for it.
+// mustYield reports whether an entry may only backfill, without a reservation or preemption
+// of its own: it is of an array outside its team's guarantee, and an earlier entry waits for
+// capacity.
 func (p *schedulingPass) mustYield(entry *placement.QueueEntry) bool {
 	return entry.Spec.Shape == protocol.ShapeArray && p.blocked && !entry.WithinGuarantee
 }
@@ -54,10 +56,11 @@
 	c.reservePreempted(shard, capacities, now)
 	pass := &schedulingPass{
 		shard: shard, capacities: capacities, demands: demands, now: now,
-		// While placements of arrays wait for the state service's budget, released capacity
-		// accumulates, so that the next write places many tasks. This prevents one write
-		// for every task or two, with which machines are idle for seconds: what is placed
-		// but not yet committed can neither run nor be preempted.
+		// While claims of arrays are queued for the state service's request budget, no
+		// arrays are placed, so that released capacity accumulates and the next write
+		// places many tasks. With writes of one or two tasks each, machines would be idle
+		// for seconds: a task whose placement is not committed yet can neither run nor be
+		// preempted.
 		delaysArrays:   c.store.HasPending(kv.PriorityArrayClaim) > 0,
 		failedRequests: make(map[placement.RequestKey]bool),
 		largestFree:    placement.LargestFree(capacities),
@@ -67,8 +70,8 @@
 	}
 }
 
-// scheduleEntry places what it can of an entry, and reserves capacity for the rest or
-// preempts for it.
+// scheduleEntry places as many tasks of an entry as there is capacity for. If there is none
+// for any task, it may reserve capacity or preempt for the entry.
 func (c *Controller) scheduleEntry(pass *schedulingPass, entry *placement.QueueEntry) {
 	isArray := entry.Spec.Shape == protocol.ShapeArray
 	waited := entry.WaitedUnplaced(pass.now)
@@ -86,7 +89,7 @@
 	}
 	if c.preemptions.plans[entry.Job.ID] == nil && !entry.OnProbation && c.preemptForImage(pass.shard, entry, pass.capacities, pass.now) {
 		pass.updateAfterEviction()
-		return // it starts there as soon as the preempted tasks are gone
+		return // the entry's tasks start there once the preempted tasks have ended
 	}
 	placed, lacksCapacity := c.placeEntry(pass.shard, entry, pass.capacities, pass.now)
 	if placed {
@@ -105,8 +108,8 @@
 	c.reserveOrPreempt(pass, entry)
 }
 
-// admitsBestEffort reports whether an entry may start tasks as far as the share of
-// best-effort work goes, and sets how many. Any other entry may.
+// admitsBestEffort reports whether the capacity for best-effort work lets an entry start any
+// tasks, and sets how many. It admits every entry that is not best effort.
 func (c *Controller) admitsBestEffort(pass *schedulingPass, entry *placement.QueueEntry, waited time.Duration) bool {
 	if entry.BestEffort = placement.IsBestEffort(entry.Spec); !entry.BestEffort {
 		return true
@@ -119,9 +122,9 @@
 	return entry.MaxBestEffortTasks > 0
 }
 
-// isRestricted reports whether an entry may be kept from capacity that others with the same
-// request could use: by the zones of its placed tasks, or by its own failures on a machine,
-// which say nothing about other jobs.
+// isRestricted reports whether an entry may be excluded from capacity that other jobs with
+// the same request could use: by the zones of its placed tasks, or by its own failures on a
+// machine, which are no evidence against other jobs.
 func isRestricted(entry *placement.QueueEntry, capacities []*placement.Capacity) bool {
 	isPlaced := entry.Claim != nil && len(entry.Claim.Record.Placements) > 0
 	if (entry.Spec.SpreadZones || entry.Spec.SameZone) && isPlaced {
@@ -130,10 +133,10 @@
 	return slices.ContainsFunc(capacities, func(capacity *placement.Capacity) bool { return capacity.AvoidedBy[entry.Job.ID] })
 }
 
-// reserveOrPreempt reserves the capacity where a blocked entry can start first, as EASY
-// does for the head of the queue, or preempts for the entry if that is too late. Gangs and
-// services behind the head get reservations as well: they preempt arrays when they would
-// start late, and a reservation in time throws less work away.
+// reserveOrPreempt reserves capacity where a blocked entry can start earliest, as EASY
+// backfilling does for the head of the queue, or preempts for the entry if that start is too
+// late. Gangs and services behind the head get reservations as well: without one they would
+// start late and preempt arrays, which loses more work.
 func (c *Controller) reserveOrPreempt(pass *schedulingPass, entry *placement.QueueEntry) {
 	zones := c.zoneConstraint(entry)
 	c.detailCapacities(pass.capacities, pass.now)
@@ -151,22 +154,24 @@
 	pass.updateAfterEviction()
 	for _, capacity := range reserved {
 		if capacity.Reservation.From.After(pass.now) {
-			capacity.Reservation.JobID = "" // the preempted capacity serves instead
+			capacity.Reservation.JobID = "" // the preempted capacity replaces the reservation
 		}
 	}
 }
 
 const (
-	// noPreemptionWait is how long an entry may wait that preempts nothing however long it waits.
+	// noPreemptionWait is how late an entry that preempts nothing may start: long enough
+	// that no reservation of it counts as too late.
 	noPreemptionWait = time.Hour
-	// missedObjectiveWait is how long a job that has missed all its objectives waits for
-	// capacity rather than preempt others.
+	// missedObjectiveWait is how far ahead the start of a job may be that can no longer meet
+	// any of its objectives, before the job preempts others.
 	missedObjectiveWait = 15 * time.Second
 )
 
-// startBy returns when a job must start to meet the nearest of its objectives that can
-// still be met if others are preempted, the fetch of its image included. Until then it
-// waits for capacity: preempting for an objective that is lost anyway only throws work away.
+// startBy returns when a job must start to meet the nearest of its objectives. The job
+// preempts others only if its reserved start is later. Objectives that the job would miss
+// even with preemption, the fetch of its image included, do not count: preempting for them
+// would lose work for nothing.
 func (c *Controller) startBy(entry *placement.QueueEntry, capacities []*placement.Capacity, zones *placement.ZoneConstraint, now time.Time) time.Time {
 	if c.preemptsNothing(entry) {
 		return now.Add(noPreemptionWait)
@@ -195,8 +200,9 @@
 	return now.Add(missedObjectiveWait)
 }
 
-// preemptsNothing reports whether an entry waits however long that takes: arrays outside
-// a guarantee preempt only best-effort work, which itself preempts nothing.
+// preemptsNothing reports whether an entry waits for capacity without ever preempting: it is
+// of an array outside its team's guarantee, and is best effort itself or finds no best-effort
+// work to preempt.
 func (c *Controller) preemptsNothing(entry *placement.QueueEntry) bool {
 	if entry.Spec.Shape != protocol.ShapeArray || entry.WithinGuarantee {
 		return false
@@ -219,9 +225,9 @@
 	return time.Time{}, false
 }
 
-// zoneConstraint returns the constraint on the zones of an entry's next tasks. Where its
-// placed tasks are matters to jobs with a rule about zones, and to services, whose tasks go
-// where they have the fewest.
+// zoneConstraint returns the constraint on the zones of an entry's next tasks. The zones of
+// its placed tasks count for jobs that must spread over zones or stay in one, and for
+// services, which prefer the zone where they have the fewest tasks.
 func (c *Controller) zoneConstraint(entry *placement.QueueEntry) placement.ZoneConstraint {
 	dependsOnZones := entry.Spec.SpreadZones || entry.Spec.SameZone || entry.Spec.Shape == protocol.ShapeService
 	if entry.Claim == nil || !dependsOnZones {
@@ -231,11 +237,11 @@
 }
 
 // placeEntry places as many tasks of an entry as there is capacity for. It reports whether
-// it has placed any, and whether tasks are left for want of capacity.
+// it has placed any, and whether the shard lacks the capacity to place all of them.
 func (c *Controller) placeEntry(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, now time.Time) (placed, lacksCapacity bool) {
 	zones := c.zoneConstraint(entry)
 	if !c.hasMachineFor(entry, capacities, &zones, now) {
-		return false, true // found before the claim is copied, which costs most when much waits
+		return false, true // checked before nextVersion copies the claim: copies cost most while many entries wait
 	}
 	next := nextVersion(shard, entry)
 	need := entry.PlaceableTasks()
@@ -267,8 +273,8 @@
 	return true, len(assignments) < need
 }
 
-// hasMachineFor reports whether any machine takes one task of an entry, one that is kept
-// for jobs with GPUs included if the entry has waited beside it for too long.
+// hasMachineFor reports whether any machine can take one task of an entry. For an array that
+// has waited for too long it releases a machine that is kept for jobs with GPUs, if need be.
 func (c *Controller) hasMachineFor(entry *placement.QueueEntry, capacities []*placement.Capacity, zones *placement.ZoneConstraint, now time.Time) bool {
 	if placement.Select(entry.Spec, entry.Job.ID, capacities, zones, c.estimateRuntime(entry.Spec), now) >= 0 {
 		return true
@@ -276,7 +282,8 @@
 	return entry.OverdueForGPUMachine && placement.ReleaseGPUMachine(entry.Spec, entry.Job.ID, capacities, zones)
 }
 
-// nextVersion returns the version of an entry's claim to which placements are added.
+// nextVersion returns the record to which an entry's placements are added: a copy of its
+// claim's, or a new one if the entry is unclaimed.
 func nextVersion(shard *replica.Shard, entry *placement.QueueEntry) *records.Claim {
 	if entry.Claim != nil {
 		return entry.Claim.Record.Clone()
@@ -285,10 +292,10 @@
 	return &records.Claim{Shard: shard.Name, FirstTask: first, TaskCount: count}
 }
 
-// assignInOneZone assigns all tasks of a gang to the first zone that has capacity for them,
-// after an assignment that began in the zone of the best machine was too short. It returns
-// the last zone's assignments if none has. This prevents a gang from waiting beside another
-// zone's free machines.
+// assignInOneZone assigns all tasks of a gang to the first zone with capacity for all of
+// them, after assignTasks found too few machines in the zone of the best machine. This
+// prevents a gang from waiting although another zone has enough free machines. If no zone
+// has, it returns the assignments of the last zone, which are too few.
 func (c *Controller) assignInOneZone(shard *replica.Shard, entry *placement.QueueEntry, next *records.Claim, capacities []*placement.Capacity, assignments []placement.Assignment, now time.Time) []placement.Assignment {
 	for _, zone := range placement.CandidateZones(entry.Spec, capacities) {
 		placement.ReleaseAssignments(entry.Spec, assignments, capacities)
@@ -306,21 +313,23 @@
 }
 
 const (
-	// serviceDeferral is how long an unclaimed service waits for a shard that takes it
-	// whole.
+	// serviceDeferral is how long an unclaimed service waits for a shard that can start all
+	// of its tasks.
 	serviceDeferral = time.Second
-	// spreadDeferral is the same for a service that must spread over zones.
+	// spreadDeferral is the same for a service that must spread over zones: it leaves time
+	// for shards at which the service is not queued.
 	spreadDeferral = claimAnywhereAfter + 2*time.Second
-	// arrayDeferral is how long an unclaimed chunk of an array waits for a shard that
-	// starts at least half of its tasks.
+	// arrayDeferral is how long an unclaimed chunk of an array waits for a shard that can
+	// start at least half of its tasks.
 	arrayDeferral = 2 * time.Second
 )
 
-// defersToOtherShards reports whether an unclaimed chunk, of which a shard could start so many
-// tasks, is left to other shards for a while. A service that fits elsewhere whole should
-// not be divided to wait here; one that must spread waits until every shard has tried,
-// since this one may have no machine in a second zone. An array's chunk is queued at
-// several shards, of which one may start more of its tasks.
+// defersToOtherShards reports whether a shard that could start some tasks of an unclaimed
+// chunk leaves the chunk to other shards for now. A service should not start only in part
+// while another shard may have capacity for all of its tasks. A service that must spread over
+// zones waits until every shard has tried, since this shard may have no machine in a second
+// zone. A chunk of an array is queued at several shards, and another one may start more of
+// its tasks.
 func defersToOtherShards(entry *placement.QueueEntry, startable int, now time.Time) bool {
 	if entry.Claim != nil {
 		return false
@@ -339,8 +348,8 @@
 	return false
 }
 
-// assignTasks chooses machines for the tasks of an entry that have none, as many as the
-// entry, the record's size and the team's limit permit, and takes their capacity.
+// assignTasks chooses machines for the unplaced tasks of an entry, as many as the entry, the
+// record's size and the team's limit permit, and allocates their capacity.
 func (c *Controller) assignTasks(holder string, entry *placement.QueueEntry, record *records.Claim, capacities []*placement.Capacity, zones *placement.ZoneConstraint, now time.Time) []placement.Assignment {
 	isPlaced := make(map[int]bool, len(record.Placements))
 	for _, placed := range record.Placements {
@@ -374,7 +383,7 @@
 	return assignments
 }
 
-// estimateRuntime returns a task's expected run time, the image fetch left out.
+// estimateRuntime returns a task's expected run time, without the fetch of its image.
 func (c *Controller) estimateRuntime(spec *protocol.Submission) time.Duration {
 	ratio := 1.0
 	if observed, ok := c.runtimeRatios[spec.Class]; ok {
