--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -14,19 +14,20 @@
 	"madderslip/internal/storage/records"
 )
 
-// usageView is the use of capacity against which package quota checks reservations. It
-// implements quota.Usage.
+// usageView reads the use of resources from the view. Package quota checks reservations
+// against it. It implements quota.Usage.
 type usageView struct{ controller *Controller }
 
-// InUse returns what a team has placed or is placing.
+// InUse returns the resources of the tasks that a team has placed or is placing.
 func (u usageView) InUse(team string) quota.Resources { return u.controller.view.UseByTeam[team] }
 
-// Committed returns what a team has placed however the commits under way end.
+// Committed returns the resources of the tasks that a team has placed regardless of the
+// outcome of the commits in progress.
 func (u usageView) Committed(team string) quota.Resources {
 	return u.controller.view.CommittedUse[team]
 }
 
-// PlacedBy returns what a claim has placed.
+// PlacedBy returns the resources of a claim's placed tasks.
 func (u usageView) PlacedBy(claimKey string) quota.Resources {
 	if claim := u.controller.view.Claims[claimKey]; claim != nil && claim.Tally.Counted {
 		return claim.Tally.Use
@@ -34,7 +35,8 @@
 	return quota.Resources{}
 }
 
-// TaskUse returns what a preempted task still uses, nothing once it is gone.
+// TaskUse returns the resources that a preempted task still uses, none once its placement is
+// cleared.
 func (u usageView) TaskUse(task string) quota.Resources {
 	if claim, slot := u.controller.findVictim(task); slot != nil && claim.Spec != nil {
 		return replica.TaskResources(claim.Spec)
@@ -42,7 +44,8 @@
 	return quota.Resources{}
 }
 
-// OwnerToken returns the fencing token under which this node owns a shard; 0: it does not.
+// OwnerToken returns the fencing token under which this node owns a shard, or 0 if it does
+// not own the shard.
 func (u usageView) OwnerToken(shardName string) uint64 {
 	if shard := u.controller.view.Shards[shardName]; u.controller.view.IsActive(shard) {
 		return shard.FencingToken
@@ -51,7 +54,7 @@
 }
 
 // HoldsCapacity reports whether a claim's job is open and a shard reserves capacity for it,
-// by a plan or by a reservation.
+// by a preemption plan or by a guarantee reservation.
 func (u usageView) HoldsCapacity(claimKey, shardName string) bool {
 	jobID, _, _ := records.ParseClaimKey(claimKey)
 	job := u.controller.view.Jobs[jobID]
@@ -62,8 +65,8 @@
 	return (plan != nil && plan.shard == shardName) || (reservation != nil && reservation.shard == shardName)
 }
 
-// findVictim returns the claim and the slot of a preempted task, by the name that
-// replica.Victim gives it. The slot is nil once the task is gone.
+// findVictim returns the claim and the slot of a preempted task, by its name as formed by
+// replica.Victim.Name. The slot is nil once the placement is cleared.
 func (c *Controller) findVictim(name string) (*replica.Claim, *replica.Slot) {
 	key, rest, _ := strings.Cut(name, "#")
 	number, host, _ := strings.Cut(rest, "@")
@@ -75,8 +78,8 @@
 	return claim, claim.Slots[replica.SlotKey{Task: task, Host: host}]
 }
 
-// entitledTasks counts the tasks of an entry that its team may claim on its guarantee now.
-// A gang claims all of them or none.
+// entitledTasks counts the tasks of an entry that the guarantee of its team covers now: of a
+// gang all or none.
 func (c *Controller) entitledTasks(entry *placement.QueueEntry) int {
 	if !c.view.Quota.HasGuarantee(entry.Spec.Team) {
 		return 0
@@ -103,7 +106,7 @@
 			continue
 		}
 		if entry.WithinGuarantee = c.view.Quota.HasReservation(team, entry.ClaimKey()); entry.WithinGuarantee {
-			continue // counted as reserved
+			continue // the team's standing already counts the reservation
 		}
 		standing, known := standings[team]
 		if !known {
@@ -111,11 +114,11 @@
 		}
 		standings[team] = markWithinGuarantee(entry, standing)
 	}
-	slices.SortStableFunc(queue, comparePrecedence) // no entry starts ahead of its turn yet
+	slices.SortStableFunc(queue, comparePrecedence) // StartsAhead is not set yet
 }
 
-// markWithinGuarantee marks an entry that its team's standing entitles, and returns the standing with
-// the entry's tasks reserved.
+// markWithinGuarantee marks an entry as within its team's guarantee if the team's standing
+// covers enough of its tasks to start, and returns the standing with these tasks reserved.
 func markWithinGuarantee(entry *placement.QueueEntry, standing quota.Standing) quota.Standing {
 	perTask := replica.TaskResources(entry.Spec)
 	need, waiting := entry.MinTasks(), entry.PlaceableTasks()
@@ -126,15 +129,16 @@
 	return standing
 }
 
-// guaranteeReservation is a preemption that waits for its reservation on the guarantee to
-// be recorded, and for the view to show all that was placed before.
+// guaranteeReservation is a planned preemption on a team's guarantee. It is executed once its
+// reservation is recorded and the view has read everything that was committed before the
+// record.
 type guaranteeReservation struct {
 	shard   string
 	team    string
 	version uint64 // the record's revision; 0 while it is being committed
 	until   time.Time
 	planned []plannedEviction
-	tasks   int // of the job, for which borrowed work is preempted
+	tasks   int // tasks of the job that need the guarantee
 }
 
 // plannedEviction is an eviction to be executed once its reservation is recorded.
@@ -153,7 +157,7 @@
 	for _, eviction := range plan {
 		reservation.planned = append(reservation.planned, plannedEviction{eviction.Capacity.Host, eviction.Victims})
 		if policy.takesBorrowed(eviction) || entry.StartsTogether() {
-			reservation.tasks++ // where lower priorities alone are preempted the guarantee is not needed
+			reservation.tasks++ // an eviction of lower priorities alone does not need the guarantee
 		}
 	}
 	c.preemptions.reservations[claimKey] = reservation
@@ -176,7 +180,7 @@
 	})
 }
 
-// borrowedByTeam lists the names of a plan's borrowed tasks by team.
+// borrowedByTeam returns the names of the borrowed tasks that a plan preempts, by team.
 func (p *preemptionPolicy) borrowedByTeam(plan []placement.Eviction) map[string][]string {
 	names := make(map[string][]string)
 	for _, eviction := range plan {
@@ -190,9 +194,9 @@
 	return names
 }
 
-// limitLenders returns as many evictions of a plan as preempt work of at most so many
-// teams: the reservation's one transaction changes a record of each. Of a plan that is only
-// of use as a whole it returns all or nothing.
+// limitLenders returns the first evictions of a plan that together preempt borrowed tasks of
+// at most maxLenders teams, since the one transaction of the reservation changes a record of
+// each team. If whole is set, the plan is useless in part: it returns all of it or nil.
 func limitLenders(plan []placement.Eviction, policy *preemptionPolicy, maxLenders int, whole bool) []placement.Eviction {
 	teams := map[string]bool{policy.spec.Team: true}
 	for i, eviction := range plan {
@@ -212,9 +216,9 @@
 	return plan
 }
 
-// executeReservation executes the plan of a reservation, once all that was placed before it
-// is known and if it is still valid. Otherwise the reservation ends and nothing is stopped.
-// It reports whether it has stopped anything.
+// executeReservation executes the plan of a reservation once the view has read everything
+// that was committed before the reservation. If the plan is no longer valid by then, the
+// reservation ends and no task is preempted. It reports whether it has preempted any task.
 func (c *Controller) executeReservation(shard *replica.Shard, entry *placement.QueueEntry, reservation *guaranteeReservation, capacities []*placement.Capacity, now time.Time) bool {
 	if reservation.shard != shard.Name || reservation.version == 0 || c.view.Revision < reservation.version {
 		return false
@@ -222,13 +226,14 @@
 	delete(c.preemptions.reservations, entry.ClaimKey())
 	policy := c.preemptionPolicyFor(entry)
 	entitled := policy.entitled
-	// The reservation counts its own victims as leaving already.
+	// The reservation's record already counts its victims as leaving: they are left out here.
 	policy.preemptor.StandingOf = func(team string) quota.Standing {
 		return c.view.Quota.StandingExcludingPreemptionsFor(team, entry.ClaimKey(), usageView{c})
 	}
 	plan := reservation.validPlan(policy, capacitiesByHost(capacities))
 	if entitled < reservation.tasks || (entry.StartsTogether() && len(plan) < len(reservation.planned)) {
-		// It ends as a whole and is made anew, so that what is recorded is what is preempted.
+		// The reservation ends as a whole, and a later pass makes a new one, so that the
+		// record always matches the tasks that are preempted.
 		c.log.Debug("guarantee reservation no longer valid", "claim", entry.ClaimKey(), "team", reservation.team)
 		return false
 	}
@@ -267,8 +272,8 @@
 	return !evicted && victim.Claim.Slots[replica.SlotKey{Task: victim.Task, Host: host}] != nil
 }
 
-// markPreempted records at the borrowed tasks of an eviction for which claim they are
-// stopped.
+// markPreempted sets, for the borrowed tasks of an eviction, the claim for which they are
+// preempted.
 func (p *preemptionPolicy) markPreempted(eviction placement.Eviction, claimKey string) {
 	for i := range eviction.Victims {
 		victim := &eviction.Victims[i]
@@ -282,8 +287,8 @@
 	}
 }
 
-// PreemptedFor returns the key of the claim on a guarantee for which this node stops a task;
-// empty: none, whatever else it may be stopped for.
+// PreemptedFor returns the key of the claim for which this node preempts a task on a
+// guarantee. It is empty if there is none, even if the task is stopped for another reason.
 func (c *Controller) PreemptedFor(jobID string, task int, host string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -298,15 +303,15 @@
 // maxReleases bounds the reservations that one transaction releases.
 const maxReleases = 4
 
-// releaseReservations releases what jobs have reserved and do not use any more, and
-// withdraws their evictions whose stop was not sent yet.
+// releaseReservations releases reservations that jobs no longer use, and withdraws those of
+// their evictions for which no stop was sent yet.
 func (c *Controller) releaseReservations(now time.Time) {
 	c.expireReservations(now)
 	if c.preemptions.releasing {
 		return
 	}
-	// What is still being stopped counts at its team until it is gone: released before, it
-	// would be lent a second time.
+	// A task that is still being stopped counts as leaving its team until it has ended. If the
+	// reservation were released earlier, the task's resources would be lent a second time.
 	claimKeys := slices.DeleteFunc(c.view.Quota.ExpiredReservations(usageView{c}), c.isStopping)
 	if len(claimKeys) == 0 {
 		return
@@ -317,7 +322,7 @@
 }
 
 // expireReservations drops the reservations that are recorded and have expired, and those
-// whose job is final or whose shard this node does not own any more.
+// whose job has ended or whose shard this node no longer owns.
 func (c *Controller) expireReservations(now time.Time) {
 	for claimKey, reservation := range c.preemptions.reservations {
 		jobID, _, _ := records.ParseClaimKey(claimKey)
@@ -330,8 +335,8 @@
 	}
 }
 
-// isStopping withdraws the evictions for a claim as far as possible, and reports whether a
-// task is still being stopped for it.
+// isStopping withdraws the evictions for a claim for which no stop was sent yet, and reports
+// whether any task is still being stopped for the claim.
 func (c *Controller) isStopping(claimKey string) bool {
 	stopping := false
 	for _, task := range c.view.Quota.PreemptedFor(claimKey) {
@@ -340,8 +345,8 @@
 	return stopping
 }
 
-// withdrawEviction withdraws a task's eviction if its stop was not sent yet, and reports
-// whether the task is not being stopped any more.
+// withdrawEviction withdraws a task's eviction if no stop was sent yet, and reports whether
+// the task is no longer being stopped.
 func (c *Controller) withdrawEviction(task string) bool {
 	claim, slot := c.findVictim(task)
 	if slot == nil || slot.Host.Machine == nil {
--- a/internal/coordination/controller/preemption.go
+++ b/internal/coordination/controller/preemption.go
@@ -13,21 +13,22 @@
 )
 
 // preemptionPlan is the capacity for which a job has preempted others. It is reserved for
-// the job until it starts there, which prevents other jobs from using that capacity and the
-// job from preempting again and again, also where a later pass prefers other machines.
+// the job until the job starts or the plan expires. This prevents other jobs from using the
+// capacity, and the job from preempting again in every pass, also if a later pass would
+// prefer other machines.
 type preemptionPlan struct {
 	shard string
 	hosts map[string]int // tasks by host
 	until time.Time
 }
 
-// preemptions is the state of the work that is stopped for other work.
+// preemptions is the state of the preemptions for jobs of this node's shards.
 type preemptions struct {
-	hasGuarantees bool                             // some team has one
+	hasGuarantees bool                             // at least one team has a guarantee
 	plans         map[string]*preemptionPlan       // by job
-	intents       []string                         // claims that others are preempted for and that were not broadcast yet
-	reservations  map[string]*guaranteeReservation // by claim
-	releasing     bool                             // reservations are being released
+	intents       []string                         // keys of unclaimed chunks that preempt, not broadcast yet
+	reservations  map[string]*guaranteeReservation // by claim key
+	releasing     bool                             // a commit that releases reservations is in progress
 }
 
 // newPreemptions returns an empty state.
@@ -36,8 +37,8 @@
 }
 
 const (
-	// preemptionHold is how long a job waits for the tasks that it preempts to leave before
-	// it may preempt more.
+	// preemptionHold is how long preempted capacity is reserved for a job. Until then the
+	// job waits for the preempted tasks to end and may not preempt more.
 	preemptionHold = 5 * time.Second
 	// plannedStartDelay is how soon a job is expected to start on preempted capacity.
 	plannedStartDelay = time.Second
@@ -52,7 +53,7 @@
 	}
 }
 
-// reservePreempted reserves the planned capacity of a shard's machines.
+// reservePreempted reserves the capacity of a shard's machines that preemption plans contain.
 func (c *Controller) reservePreempted(shard *replica.Shard, capacities []*placement.Capacity, now time.Time) {
 	jobIDs := slices.Sorted(maps.Keys(c.preemptions.plans))
 	isOfShard := func(jobID string) bool { return c.preemptions.plans[jobID].shard == shard.Name }
@@ -69,9 +70,10 @@
 	}
 }
 
-// preemptFor preempts work of lower priority, or work that is borrowed from the guarantee
-// of the entry's team, for an entry without capacity. It reports whether it has stopped
-// anything.
+// preemptFor preempts tasks for an entry without capacity: those of lower priority, or those
+// of other teams that borrow the guarantee of the entry's team. The latter takes two passes:
+// the first commits a reservation on the guarantee, a later one executes it. It reports
+// whether it has preempted any task.
 func (c *Controller) preemptFor(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, now time.Time) bool {
 	if c.preemptions.plans[entry.Job.ID] != nil || !c.mayPreemptHere(shard, entry, now) {
 		return false
@@ -93,9 +95,9 @@
 	return len(plan) > 0
 }
 
-// mayPreemptHere reports whether a shard may preempt for an entry. For a chunk that no
-// shard has claimed only one of its shards does so at a time, which prevents each of them
-// from stopping hundreds of tasks for the same gang.
+// mayPreemptHere reports whether a shard may preempt for an entry. For an unclaimed chunk the
+// shards of its job may do so one after the other, preemptionHold apart. This prevents each
+// of them from preempting hundreds of tasks for the same gang.
 func (c *Controller) mayPreemptHere(shard *replica.Shard, entry *placement.QueueEntry, now time.Time) bool {
 	if entry.Claim != nil {
 		return true
@@ -107,7 +109,7 @@
 	return now.Sub(entry.Job.SeenAt) >= time.Duration(turn)*preemptionHold
 }
 
-// executeEviction stops the tasks of an eviction and reserves their capacity for the entry
+// executeEviction evicts the victims of an eviction and reserves their capacity for the entry
 // in this pass.
 func (c *Controller) executeEviction(shard *replica.Shard, entry *placement.QueueEntry, eviction placement.Eviction, now time.Time) {
 	capacity := eviction.Capacity
@@ -128,7 +130,7 @@
 	}
 }
 
-// planFor returns the plan of an entry's job, a new one if it has none.
+// planFor returns the preemption plan of an entry's job, and adds one if there is none.
 func (c *Controller) planFor(shard *replica.Shard, entry *placement.QueueEntry, now time.Time) *preemptionPlan {
 	plan := c.preemptions.plans[entry.Job.ID]
 	if plan == nil {
@@ -141,7 +143,7 @@
 	return plan
 }
 
-// evict marks a task of a claim to be stopped, and queues its stop.
+// evict marks a task of a claim as evicted and queues its stop command.
 func (c *Controller) evict(claim *replica.Claim, task int, now time.Time) {
 	if claim.Evictions == nil {
 		claim.Evictions = make(map[int]time.Time)
@@ -156,9 +158,9 @@
 	c.view.MarkDirty(claim)
 }
 
-// stopEvicted queues the stop of an evicted task at once. Reconciliation waits while a
-// version of the claim is being committed, which under load may take longer than the
-// preempted capacity is reserved.
+// stopEvicted queues the stop command of an evicted task without waiting for reconciliation.
+// Reconciliation waits while a version of the claim is being committed, which under load may
+// take longer than the preempted capacity is reserved.
 func (c *Controller) stopEvicted(claim *replica.Claim, slot *replica.Slot, now time.Time) {
 	machine := slot.Host.Machine
 	if machine == nil || !c.view.IsActive(c.view.Shards[machine.Record.Shard]) {
@@ -177,8 +179,8 @@
 }
 
 // preemptForImage preempts for a service or a gang of one task on a machine that holds its
-// image, when all free capacity is on machines that would fetch the image for longer than
-// the job's start may take. It reports whether it has stopped anything.
+// image, if free capacity exists only on machines that could not fetch the image before the
+// job must start. It reports whether it has preempted any task.
 func (c *Controller) preemptForImage(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, now time.Time) bool {
 	if entry.Spec.Shape == protocol.ShapeArray || entry.StartsTogether() {
 		return false
@@ -197,13 +199,13 @@
 	return len(victims) > 0 && capacities[best].HasImage(entry.Spec.Image) && c.preemptFor(shard, entry, capacities, now)
 }
 
-// preemptionPolicy says whose tasks may be stopped for a job: those of lower priority and,
-// for what its team's guarantee still covers, those that other teams borrow. It counts what
-// is preempted, so that no lender is pushed below its own guarantee. It implements
-// placement.PreemptionPolicy.
+// preemptionPolicy decides which tasks may be preempted for a job: those of lower priority
+// and, as far as its team's guarantee still covers the job, borrowed ones: tasks of other
+// teams beyond their own guarantees. It counts the resources that are preempted, so that no
+// team falls below its own guarantee. It implements placement.PreemptionPolicy.
 type preemptionPolicy struct {
 	spec       *protocol.Submission
-	entitled   int // tasks that the guarantee covers
+	entitled   int // tasks of the job that the guarantee still covers
 	preemptor  *quota.Preemptor
 	standings  map[string]quota.Standing
 	controller *Controller
@@ -216,7 +218,7 @@
 	return policy
 }
 
-// priorityOnlyPolicy returns a policy that permits the preemption of lower priorities alone.
+// priorityOnlyPolicy returns a policy that permits only the preemption of lower priorities.
 func (c *Controller) priorityOnlyPolicy(spec *protocol.Submission) *preemptionPolicy {
 	return &preemptionPolicy{spec: spec, controller: c}
 }
@@ -226,7 +228,7 @@
 	p.preemptor = &quota.Preemptor{ClaimedTask: replica.TaskResources(p.spec), StandingOf: p.standingOf}
 }
 
-// standingOf returns a team's standing as it was when the policy was made.
+// standingOf returns a team's standing, which is computed once for each policy.
 func (p *preemptionPolicy) standingOf(team string) quota.Standing {
 	standing, known := p.standings[team]
 	if !known {
@@ -236,7 +238,7 @@
 	return standing
 }
 
-// MayPreempt reports whether one more task may be stopped, beside those chosen so far.
+// MayPreempt reports whether one more task may be preempted in addition to the chosen ones.
 func (p *preemptionPolicy) MayPreempt(victim *protocol.Submission, chosen []replica.Victim) bool {
 	if victim.Priority() < p.spec.Priority() {
 		return true
@@ -253,17 +255,19 @@
 	return p.preemptor.MayPreempt(victim.Team, replica.TaskResources(victim), chosenBorrowed)
 }
 
-// isBorrowed reports whether a victim is preempted for the guarantee, not for its priority.
+// isBorrowed reports whether a victim can be preempted only on the guarantee, since its
+// priority is not lower.
 func (p *preemptionPolicy) isBorrowed(victim *replica.Victim) bool {
 	return victim.Claim.Spec.Priority() >= p.spec.Priority()
 }
 
-// takesBorrowed reports whether an eviction stops any borrowed work.
+// takesBorrowed reports whether an eviction preempts any borrowed task.
 func (p *preemptionPolicy) takesBorrowed(eviction placement.Eviction) bool {
 	return slices.ContainsFunc(eviction.Victims, func(victim replica.Victim) bool { return p.isBorrowed(&victim) })
 }
 
-// RecordPreemption counts what is chosen for one task.
+// RecordPreemption counts the borrowed resources of the victims chosen for one task of the
+// job, and counts that task against the guarantee.
 func (p *preemptionPolicy) RecordPreemption(victims []replica.Victim) {
 	usesGuarantee := false
 	for i := range victims {
