--- a/internal/coordination/controller/besteffort.go
+++ b/internal/coordination/controller/besteffort.go
@@ -6,8 +6,8 @@
 	"madderslip/internal/protocol"
 )
 
-// bestEffortCapacity returns a shard's capacity as best-effort work sees it, Contended left
-// out.
+// bestEffortCapacity returns a shard's capacity for best-effort work. It does not set
+// Contended.
 func (c *Controller) bestEffortCapacity(shard *replica.Shard, capacities []*placement.Capacity) placement.BestEffortCapacity {
 	var result placement.BestEffortCapacity
 	for _, capacity := range capacities {
@@ -27,12 +27,12 @@
 			result.InUse += claim.Spec.CPUs * float64(claim.OccupyingCount())
 		}
 	}
-	result.WarmReserve *= c.policy.WarmShare // once: a sum of rounded products depends on the order
+	result.WarmReserve *= c.policy.WarmShare // after the sum: a sum of rounded products would depend on the order of the claims
 	return result
 }
 
-// bestEffortRuns reports whether best-effort work runs in the shard that holds an entry's
-// claim or, if the entry is unclaimed, in one of this node's shards.
+// bestEffortRuns reports whether best-effort tasks are placed in the shard that holds an
+// entry's claim or, if the entry is unclaimed, in one of this node's shards.
 func (c *Controller) bestEffortRuns(entry *placement.QueueEntry) bool {
 	for _, shard := range c.view.Shards {
 		isClaimedElsewhere := entry.Claim != nil && entry.Claim.Record != nil && entry.Claim.Record.Shard != shard.Name
--- a/internal/coordination/controller/capacities.go
+++ b/internal/coordination/controller/capacities.go
@@ -11,11 +11,13 @@
 	"madderslip/internal/protocol"
 )
 
-// gpuReserveTTL is how long after the latest job with GPUs machines are kept for the next.
+// gpuReserveTTL is how long after the latest job with GPUs was received machines with GPUs
+// are kept for the next one.
 const gpuReserveTTL = 2 * time.Minute
 
-// capacities returns what each machine of a shard has free: everything that is or may be
-// on it counts as used, recorded or only reported. The result is valid until the next call.
+// capacities returns the free capacity of each machine of a shard. Every task that is or may
+// be on a machine counts as using capacity, whether it is recorded or only reported. The
+// result is valid until the next call.
 func (c *Controller) capacities(shard *replica.Shard, now time.Time) []*placement.Capacity {
 	return c.capacitiesFor(shard, "", now)
 }
@@ -40,9 +42,9 @@
 	return capacities
 }
 
-// growScratch makes the reused memory large enough for so many machines. The capacities of
-// the last call are over then: every caller is done with its own before anything else asks,
-// and all hold the lock.
+// growScratch makes the reused memory large enough for a number of machines. Each call of
+// capacitiesFor overwrites the result of the one before. That is safe because all callers
+// hold the lock and none uses its result after another call.
 func (c *Controller) growScratch(machines int) {
 	if cap(c.scratch.capacities) < machines {
 		c.scratch.capacities = make([]placement.Capacity, machines*5/4)
@@ -57,14 +59,14 @@
 		Machine:  machine, Host: machine.Host, Shard: shard.Name,
 		Type: machineType, TypeName: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot,
 	}
-	capacity.Free = c.view.FreeCapacity(machine) // also finds out about use of unknown size, for acceptsTasks
+	capacity.Free = c.view.FreeCapacity(machine) // also updates UnknownUse, which acceptsTasks reads
 	capacity.Usable = c.acceptsTasks(machine, now)
 	if machine.Agent.Heartbeat == nil && !machine.Lifecycle.Returning {
 		capacity.BootsAt = time.UnixMilli(machine.Record.RentedAtMs).Add(c.provisioner.bootStats.Expected(bootKindOf(machine), machineType.BootTime(), now))
 	}
 	for _, avoiding := range machine.Quarantine.Evidence.AvoidedBy(now) {
 		if job := c.view.Jobs[avoiding]; job != nil && job.OnProbation(now) {
-			continue // the fault is the job's own, and a task of it costs least where its image is
+			continue // the fault is the job's own, and trying it again costs least where its image is cached
 		}
 		if capacity.AvoidedBy == nil {
 			capacity.AvoidedBy = make(map[string]bool)
@@ -78,7 +80,8 @@
 	return machine.Agent.Heartbeat != nil && machine.Address() != "" && !isLeaving(machine) && !hasUnclearState(machine, now) && c.isReachable(machine, now)
 }
 
-// isLeaving reports whether a machine is being drained or returned, or will be.
+// isLeaving reports whether a machine is gone, being drained or returned, or about to be
+// preempted by the cloud.
 func isLeaving(machine *replica.Machine) bool {
 	lifecycle := &machine.Lifecycle
 	return lifecycle.Gone || lifecycle.Returning || !lifecycle.DrainingSince.IsZero() || !machine.Agent.PreemptionNoticeAt.IsZero()
@@ -91,8 +94,8 @@
 	return machine.Quarantine.Active || rejecting || machine.Capacity.UnknownUse || len(machine.Commands.Unknown) > 0
 }
 
-// isReachable reports whether a machine has been heard lately, receives commands, and can
-// report.
+// isReachable reports whether a machine has given a sign of life within the policy's
+// SuspectAfter, can receive commands, and can report.
 func (c *Controller) isReachable(machine *replica.Machine, now time.Time) bool {
 	return c.silenceOf(machine, now) < c.policy.SuspectAfter && !machine.Detector.Reachability.CannotReceive() && !c.cannotReport(machine, now)
 }
@@ -106,7 +109,7 @@
 	return byHost
 }
 
-// keepGPUMachines keeps idle machines with GPUs for jobs that need the GPUs.
+// keepGPUMachines keeps some idle machines with GPUs for jobs that need the GPUs.
 func (c *Controller) keepGPUMachines(capacities []*placement.Capacity) {
 	gpuMachines := 0
 	for _, capacity := range capacities {
@@ -120,9 +123,9 @@
 	placement.KeepGPUMachines(capacities, machinesToKeep(c.policy.GPUMachineShare), machinesToKeep(max(c.policy.GPUMachineShare, c.policy.BestEffortGPUMachineShare)))
 }
 
-// detailCapacities adds when the tasks on each machine should end and which may be
-// preempted: only a pass with blocked work needs that. A machine's details are kept until
-// something about its tasks changes.
+// detailCapacities adds to each capacity when the tasks on its machine should end and which
+// of them may be preempted. Passes without blocked work do not need these details. Those of a
+// machine are cached until its tasks change.
 func (c *Controller) detailCapacities(capacities []*placement.Capacity, now time.Time) {
 	for _, capacity := range capacities {
 		if capacity.Detailed || capacity.Machine == nil {
@@ -137,18 +140,18 @@
 	}
 }
 
-// detailMachine determines a machine's releases and victims, both in order.
+// detailMachine determines a machine's releases and victims, and sorts both.
 func (c *Controller) detailMachine(machine *replica.Machine, now time.Time) {
 	machine.Capacity.DetailsStale = false
-	machine.Capacity.Releases, machine.Capacity.Victims = machine.Capacity.Releases[:0], nil // the list may still be in use by a pass
-	for _, slot := range machine.Use.Slots {                                                 // both lists are put in order below
+	machine.Capacity.Releases, machine.Capacity.Victims = machine.Capacity.Releases[:0], nil // a pass may still use the old victims
+	for _, slot := range machine.Use.Slots {                                                 // both lists are sorted below
 		if slot.Claim.Spec == nil || slot.Exited(machine) {
 			continue
 		}
 		c.addRelease(machine, slot, now)
 	}
-	// The most likely to be preempted come first. The order is total, so that a replay
-	// preempts the same.
+	// Tasks of the lowest priority come first, and among these the ones that lose the least
+	// work. The order is total, so that a replay preempts the same tasks.
 	slices.SortFunc(machine.Capacity.Victims, func(a, b replica.Victim) int {
 		return cmp.Or(cmp.Compare(a.Claim.Spec.Priority(), b.Claim.Spec.Priority()), cmp.Compare(a.LostWork(now), b.LostWork(now)),
 			strings.Compare(a.Claim.Key, b.Claim.Key), cmp.Compare(a.Task, b.Task))
@@ -157,15 +160,15 @@
 		if order := a.At.Compare(b.At); order != 0 {
 			return order
 		}
-		return strings.Compare(a.Spec.JobID, b.Spec.JobID) // tasks of one job release the same
+		return strings.Compare(a.Spec.JobID, b.Spec.JobID) // tasks of one job release the same resources
 	})
 }
 
 // evictionTime is how soon an evicted task is expected to have released its capacity.
 const evictionTime = 300 * time.Millisecond
 
-// addRelease adds to a machine's details when one of its tasks should end, and the task
-// itself to the victims if it can be preempted.
+// addRelease adds the expected end of a task to its machine's releases, unless the task is of
+// a service, and the task to the machine's victims if it can be preempted.
 func (c *Controller) addRelease(machine *replica.Machine, slot *replica.Slot, now time.Time) {
 	claim := slot.Claim
 	startedAt, running := machine.Agent.RunningSince[slot.TaskName]
@@ -181,7 +184,7 @@
 		machine.Capacity.Releases = append(machine.Capacity.Releases, replica.Release{At: at, Spec: claim.Spec})
 	}
 	isOfGang := claim.Spec.Shape == protocol.ShapeGang && claim.Spec.Tasks > 1 // stopping one task would end them all
-	isReported := machine.Agent.Tasks[slot.TaskName] != nil                    // else it can't be stopped yet
+	isReported := machine.Agent.Tasks[slot.TaskName] != nil                    // a task that its agent does not report cannot be stopped yet
 	if evicted || isOfGang || !isReported {
 		return
 	}
--- a/internal/coordination/controller/gangs.go
+++ b/internal/coordination/controller/gangs.go
@@ -18,7 +18,7 @@
 	gangReservationDelay = 3 * time.Second
 	// gangReservationTTL is how long a gang reservation lasts at most.
 	gangReservationTTL = 30 * time.Second
-	// gangSearchInterval is how often gangs to reserve for are looked for.
+	// gangSearchInterval is the time between two searches for gangs that need a reservation.
 	gangSearchInterval = 500 * time.Millisecond
 	// gangCommitTimeout bounds the commits of gang reservations and gang holds.
 	gangCommitTimeout = 5 * time.Second
@@ -26,10 +26,10 @@
 	minGangTasks = 2
 )
 
-// crossShardGangs lists the gangs that no shard has capacity for with all its machines
-// empty, in the queue's order. One that was placed across shards and lost its attempt stays
-// among them, since no shard holds its claim: this prevents it from waiting without bound
-// once a shard has grown large enough for it.
+// crossShardGangs lists the waiting gangs that no shard could hold even with all its machines
+// empty, in the order of the queue. It includes gangs that were placed across shards before
+// and whose attempt has ended: since no shard holds the claim of such a gang, the gang would
+// otherwise wait without bound once a shard has grown large enough for it.
 func (c *Controller) crossShardGangs(now time.Time) []*replica.Job {
 	var gangs []*replica.Job
 	for _, job := range c.view.Jobs {
@@ -45,7 +45,7 @@
 }
 
 // isWaitingGang reports whether a job is an open gang that may start now and has waited for
-// long enough.
+// at least gangReservationDelay.
 func isWaitingGang(job *replica.Job, now time.Time) bool {
 	if !isOpen(job) || job.Spec().Shape != protocol.ShapeGang || job.Spec().Tasks < minGangTasks {
 		return false
@@ -53,12 +53,12 @@
 	return now.Sub(job.SeenAt) >= gangReservationDelay && !now.Before(job.NotBefore) && !job.OnProbation(now)
 }
 
-// machineGroup is the machines among which a gang must find its capacity: those of a shard
-// and, for a gang that must be in one zone, of that zone.
+// machineGroup identifies the machines among which a gang must find its capacity: those of a
+// shard or, for a gang that must be in one zone, those of a shard in one zone.
 type machineGroup struct{ shard, zone string }
 
-// tasksInLargestGroup returns how many tasks of a gang fit the machines of the largest group, all
-// of them empty.
+// tasksInLargestGroup returns how many tasks of a gang fit the group of machines that holds
+// the most of them, with all machines empty.
 func (c *Controller) tasksInLargestGroup(spec *protocol.Submission) int {
 	tasks := make(map[machineGroup]int)
 	for _, shard := range c.view.Shards {
@@ -82,15 +82,16 @@
 }
 
 // canReserveAcrossShards reports whether a job may be placed across shards: no shard has
-// claimed it, and nothing of an earlier attempt is left.
+// claimed it, and no placement of an earlier attempt is left.
 func canReserveAcrossShards(job *replica.Job) bool {
 	claim := job.Claims[0]
 	return claim == nil || (claim.Record != nil && claim.Pending == nil && claim.Record.Shard == "" && len(claim.Record.Placements) == 0)
 }
 
-// reserveForGangs is the leader's part of gang reservations: it asks the shards for
-// capacity for one gang at a time, and places the gang once they hold enough for all of it.
-// Two gangs with reservations at once could each hold what the other needs.
+// reserveForGangs is the leader's part of gang reservations. It makes a reservation for one
+// gang at a time, for which the owners of the shards hold capacity, and places the gang once
+// they hold enough for all of its tasks. Two gangs with reservations at the same time could
+// each hold capacity that the other needs.
 func (c *Controller) reserveForGangs(now time.Time) {
 	if current := c.currentGang(now); current != nil {
 		c.placeGang(current, c.view.GangReservations[current.ID], now)
@@ -112,8 +113,8 @@
 }
 
 // currentGang returns the gang that has a valid reservation, or nil. It ends reservations
-// that are not valid any more, among them those of a job that a shard has claimed
-// meanwhile, which prevents the job from being placed a second time (rule ran_twice).
+// that are no longer valid, among them that of a job that a shard has claimed since, which
+// prevents the job from being placed a second time (rule ran_twice).
 func (c *Controller) currentGang(now time.Time) *replica.Job {
 	var current *replica.Job
 	for _, jobID := range slices.Sorted(maps.Keys(c.view.GangReservations)) {
@@ -131,7 +132,7 @@
 	return current
 }
 
-// beginGangReservation commits a gang's reservation, on condition of the leadership.
+// beginGangReservation commits a gang's reservation, conditional on this node's leadership.
 func (c *Controller) beginGangReservation(jobID string, reservation *replica.GangReservation, now time.Time) {
 	reservation.Writing = true
 	key := records.GangReservationPrefix + jobID
@@ -146,13 +147,14 @@
 	c.deleteGangRecord(records.GangReservationPrefix+jobID, reservation.Version, &reservation.Writing)
 }
 
-// deleteGangRecord deletes a record of a gang reservation or hold; writing is set meanwhile.
+// deleteGangRecord deletes a record of a gang reservation or hold. *writing is true until the
+// commit has ended.
 func (c *Controller) deleteGangRecord(key string, version uint64, writing *bool) {
 	*writing = true
 	c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: version}}, []kv.Op{{Key: key}}, gangCommitTimeout, func(error) { *writing = false })
 }
 
-// gangHoldKey returns the key of what a shard holds for a gang.
+// gangHoldKey returns the key of a shard's hold record for a gang.
 func gangHoldKey(jobID, shardName string) string {
 	return records.GangHoldPrefix + jobID + "/" + shardName
 }
@@ -178,8 +180,8 @@
 	}
 }
 
-// releaseHold deletes a shard's hold and, once its record is gone, the view's entries of
-// the ended reservation.
+// releaseHold deletes the record of a shard's hold and, once it is deleted, the entries of
+// the ended reservation in the view.
 func (c *Controller) releaseHold(shard *replica.Shard, jobID string, reservation *replica.GangReservation, hold *replica.GangHold) {
 	if hold.Version != 0 {
 		c.deleteGangRecord(gangHoldKey(jobID, shard.Name), hold.Version, &hold.Writing)
@@ -194,14 +196,15 @@
 	}
 }
 
-// updateHold commits what a shard can hold for a gang now, if that has changed.
+// updateHold commits the capacity that a shard can hold for a gang now, if there is any and
+// it differs from the record.
 func (c *Controller) updateHold(shard *replica.Shard, job *replica.Job, reservation *replica.GangReservation, hold *replica.GangHold, now time.Time) {
 	next := c.holdableTasks(shard, job.ID, job.Spec(), now)
 	if len(next) == 0 || maps.Equal(next, hold.Record.TasksByHost) {
 		return
 	}
-	// The capacity is held from now on. This prevents the queue from giving it to others
-	// while the record is being committed, so that the gang's tasks are refused.
+	// The capacity is held from now on. Otherwise the queue could place other jobs on it
+	// while the record is being committed, and the gang's tasks would be refused.
 	hold.Writing, hold.Pending = true, next
 	key := gangHoldKey(job.ID, shard.Name)
 	compares := []kv.Compare{
@@ -214,7 +217,7 @@
 }
 
 // holdableTasks returns how many of a gang's tasks each of a shard's machines has capacity
-// for now, what is held for the gang already included.
+// for now, including the capacity already held for the gang.
 func (c *Controller) holdableTasks(shard *replica.Shard, jobID string, spec *protocol.Submission, now time.Time) map[string]int {
 	tasks := make(map[string]int)
 	for _, capacity := range c.capacitiesFor(shard, jobID, now) {
@@ -227,7 +230,8 @@
 	return tasks
 }
 
-// chargeGangHolds takes what is held for gangs, one job left out, from the free capacity.
+// chargeGangHolds subtracts the capacity held for gangs, except for one job, from the free
+// capacity.
 func (c *Controller) chargeGangHolds(shard *replica.Shard, exceptJob string, byHost map[string]*placement.Capacity) {
 	for _, jobID := range slices.Sorted(maps.Keys(c.view.GangReservations)) {
 		hold, job := c.view.GangReservations[jobID].Holds[shard.Name], c.view.Jobs[jobID]
@@ -244,7 +248,7 @@
 	}
 }
 
-// heldTasks returns the tasks by host that a hold has capacity for, the larger of the
+// heldTasks returns for how many tasks a hold has capacity on each host: the larger of the
 // recorded number and the one being committed.
 func heldTasks(hold *replica.GangHold) map[string]int {
 	held := maps.Clone(hold.Record.TasksByHost)
@@ -257,8 +261,8 @@
 	return held
 }
 
-// placeGang places a gang whole on the capacity that is held for it, on condition of every
-// hold that it uses.
+// placeGang places all tasks of a gang on the capacity that is held for it, conditional on
+// every hold that it uses.
 func (c *Controller) placeGang(job *replica.Job, reservation *replica.GangReservation, now time.Time) {
 	if reservation.Writing || c.isGangHeldByLimit(job, now) {
 		return
@@ -299,8 +303,8 @@
 	})
 }
 
-// isGangHeldByLimit reports whether its team's limit keeps a gang from starting across
-// shards now, and sets what it needs as the leader's demand for the team's limit.
+// isGangHeldByLimit reports whether the limit of its team keeps a gang from starting across
+// shards now. If the limit is allotted, it sets the gang's need as the leader's demand.
 func (c *Controller) isGangHeldByLimit(job *replica.Job, now time.Time) bool {
 	spec := job.Spec()
 	if !c.isLimited(spec) || c.holderAllowance(quota.CrossShard, spec) >= spec.Tasks {
@@ -334,7 +338,7 @@
 }
 
 // assignHeld assigns all tasks of a gang to held capacity, in one zone if they must be in
-// one. It returns nil if there is not enough.
+// one. It returns nil if not enough is held.
 func (c *Controller) assignHeld(spec *protocol.Submission, reservation *replica.GangReservation) []records.Placement {
 	zones := []string{""}
 	if spec.SameZone {
@@ -349,7 +353,7 @@
 }
 
 // assignHeldInZone assigns as many tasks of a gang as possible to held capacity in a zone,
-// or in any if it is empty.
+// or in all zones if zone is empty.
 func (c *Controller) assignHeldInZone(spec *protocol.Submission, reservation *replica.GangReservation, zone string) []records.Placement {
 	var placements []records.Placement
 	zones := placement.NewZoneConstraint(spec, nil)
