--- a/internal/coordination/controller/images.go
+++ b/internal/coordination/controller/images.go
@@ -9,17 +9,18 @@
 	"madderslip/internal/storage/records"
 )
 
-// It is recorded which machine holds which image, since an owner that does not know sends
-// work to machines that fetch for many seconds, after every restart of a controller. The
-// records are advice, so a shard's machines share a few of them: one for each machine would
-// take more of the state service's budget than all placements together.
+// The images on each machine are recorded. Without the records a shard owner would, after
+// every restart of a controller, place tasks on machines that fetch the image for many
+// seconds. The records are advisory, so the machines of a shard share a few of them: one
+// record for each machine would take more of the state service's request budget than all
+// placements together.
 const (
-	imageRecordInterval = 5 * time.Second // between the parts of a shard
+	imageRecordInterval = 5 * time.Second // between the writes of two parts of a shard
 	imageCommitTimeout  = 5 * time.Second
 )
 
-// recordImages records the images of the next part of a shard's machines whose images have
-// changed.
+// recordImages commits the image record of the next part of a shard's machines whose images
+// have changed.
 func (c *Controller) recordImages(shard *replica.Shard, now time.Time) {
 	if shard.RecordingImages || now.Sub(shard.ImagesRecordedAt) < imageRecordInterval {
 		return
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -15,16 +15,17 @@
 
 // Package quota decides about teams' limits; this file commits its decisions.
 
-// isLimited reports whether a job's team has a limit that its tasks count against.
+// isLimited reports whether a job's tasks count against a limit of its team.
 func (c *Controller) isLimited(spec *protocol.Submission) bool {
 	return c.view.Quota.IsLimited(spec.Team, replica.TaskResources(spec))
 }
 
-// reserveTeamUse returns the conditions, and where the limit is not allotted the change, by
-// which a limited team's use of a shard is committed along with a claim. Where it is
-// allotted the claim itself is the reservation: only the shard's owner starts tasks there,
-// within the shard's allotment, which only that owner lowers. usage is the record's state if
-// the transaction writes it, else nil. ok is false if the change is not possible now.
+// reserveTeamUse returns what a change of a claim adds to its transaction to keep the team
+// within its limit: conditions and, if the limit is not allotted, a write of the team's usage
+// record. If the limit is allotted, the claim itself is the reservation: only the shard's
+// owner starts tasks there, within the shard's allotment, which only that owner lowers. usage
+// is the state of the usage record if the transaction writes it, else nil. ok is false if the
+// change is not possible now.
 func (c *Controller) reserveTeamUse(shard string, claim *replica.Claim, next *records.Claim) (compares []kv.Compare, ops []kv.Op, usage *replica.TeamUsage, ok bool) {
 	team, grows := claim.Spec.Team, len(next.Placements) > claim.PlacedCount()
 	if compare, hasRecord := c.view.Quota.ReservationCompare(team); hasRecord && grows {
@@ -58,11 +59,11 @@
 	return append(compares, kv.Compare{Key: key, Version: usage.Version}), []kv.Op{{Key: key, Value: record}}, usage, true
 }
 
-// crossShardUseName returns the name in a team's record for the use of a gang across shards. It
-// is an entry of its own, since several owners change it.
+// crossShardUseName returns the name under which a team's usage record lists the use of a
+// gang across shards. Each such gang has its own entry, since several owners change the entry.
 func crossShardUseName(jobID string) string { return "*" + jobID }
 
-// withShardUse returns a team's record with its use of one shard replaced.
+// withShardUse returns a copy of a team's usage record with the use of one shard replaced.
 func withShardUse(usage *replica.TeamUsage, shard string, use quota.Resources) *records.TeamUsage {
 	record := &records.TeamUsage{ByShard: map[string]quota.Resources{shard: use}}
 	for other, otherUse := range usage.Record.ByShard {
@@ -73,8 +74,9 @@
 	return record
 }
 
-// totalUse returns the sum of a team's record with the given use of one shard. It adds in
-// the order of names: sums of fractions depend on it, and so does a replay.
+// totalUse returns the sum of a team's usage record with the given use of one shard. It adds
+// in the order of names, since the rounding of the sum depends on the order and a replay must
+// give the same sum.
 func totalUse(record *records.TeamUsage, shard string, use quota.Resources) quota.Resources {
 	total := use
 	for _, name := range slices.Sorted(maps.Keys(record.ByShard)) {
@@ -85,16 +87,16 @@
 	return total
 }
 
-// teamUseAfter returns what a team uses of a shard once a claim has its next version, as it
-// is recorded, and the most that it may be.
+// teamUseAfter returns a team's use of a shard after a claim's next version: the use to be
+// recorded, and the largest use that is possible.
 //
-// The team's record and the claim are conditions of the transaction, so what the record
-// says, changed by what the claim changes by, is exact whatever the view holds of the
-// shard's other claims. Their sum is not: after a commit of unknown outcome the record is
-// read again before the claim that was committed with it, and claims whose job is not known
-// yet have no size. The record prevents a team from exceeding its limit that way. The sum
-// serves where the view is complete up to the record, to correct what a change of limits
-// has left out.
+// The transaction is conditional on the versions of the team's usage record and of the claim.
+// The recorded use plus the change of the claim is therefore exact, whichever of the shard's
+// other claims the view holds. The sum of the claims in the view is not exact: after a commit
+// of unknown outcome the record is read again before the claim that was committed with it,
+// and claims whose job has not been read yet have no size. Relying on that sum, a team could
+// exceed its limit. The sum is used only once the view is complete up to the record, to
+// correct what a change of limits has left out.
 func (c *Controller) teamUseAfter(usage *replica.TeamUsage, shard string, claim *replica.Claim, next *records.Claim) (use, maxUse quota.Resources) {
 	perTask := replica.TaskResources(claim.Spec)
 	before, after := perTask.Times(float64(claim.PlacedCount())), perTask.Times(float64(len(next.Placements)))
@@ -113,20 +115,21 @@
 	return use, use.Max(sum)
 }
 
-// isCompleteUpTo reports whether the view holds all that was committed before a team's
-// record, and the size of all of it is known.
+// isCompleteUpTo reports whether the view holds everything that was committed before a team's
+// usage record, and the jobs, and so the sizes, of all claims.
 func (c *Controller) isCompleteUpTo(usage *replica.TeamUsage) bool {
 	return c.view.Revision >= usage.Version && len(c.view.OrphanClaims) == 0
 }
 
-// exceedsLimit reports whether an entry's team has nothing left of its limit anywhere. Such
-// an entry neither reserves nor preempts, which prevents it from preempting again and again
-// for capacity that it may not use.
+// exceedsLimit reports whether too little is left of the limit of an entry's team, over all
+// shards, for the entry to start. Such an entry neither reserves nor preempts, which prevents
+// it from preempting in every pass for capacity that it may not use.
 func (c *Controller) exceedsLimit(entry *placement.QueueEntry) bool {
 	return c.isLimited(entry.Spec) && c.allowance(entry.Spec) < entry.MinTasks()
 }
 
-// isOverLimit reports whether a job's team has more placed than its limit permits now.
+// isOverLimit reports whether the placed tasks of a job's team exceed the team's limit now, in
+// a resource that the job uses.
 func (c *Controller) isOverLimit(spec *protocol.Submission) bool {
 	limit, use := c.view.Quota.Limit(spec.Team), c.view.UseByTeam[spec.Team]
 	overCPUs := spec.CPUs > 0 && quota.Exceeds(quota.Resources{CPUs: use.CPUs}, limit)
@@ -134,13 +137,14 @@
 	return overCPUs || overGPUs
 }
 
-// allowance returns how many more tasks of a job its team's limit permits, anywhere.
+// allowance returns how many more tasks of a job its team's limit permits over all shards.
 func (c *Controller) allowance(spec *protocol.Submission) int {
 	limit, use := c.view.Quota.Limit(spec.Team), c.view.UseByTeam[spec.Team]
 	return quota.TasksThatFit(limit.Difference(use), replica.TaskResources(spec), limit)
 }
 
-// holderAllowance returns how many more tasks of a job a shard may start within its allotment.
+// holderAllowance returns how many more tasks of a job may start within a holder's allotment
+// or, if the team's limit is not allotted, within that limit.
 func (c *Controller) holderAllowance(holder string, spec *protocol.Submission) int {
 	if !c.view.Quota.IsAllotted(spec.Team) {
 		return c.allowance(spec)
@@ -151,19 +155,20 @@
 	return c.view.Quota.Allowance(spec.Team, holder, replica.TaskResources(spec))
 }
 
-// passDemands is what the teams' limits keep a shard from starting in one pass.
+// passDemands collects the demands of one pass: the work that the teams' limits keep a shard
+// from starting.
 type passDemands struct {
 	byTeam  map[string]*quota.Demand
-	counted map[string]int  // entries of each team that were counted
-	started map[string]bool // teams of which something started
+	counted map[string]int  // by team: entries that were considered for its demand
+	started map[string]bool // teams of which tasks were placed
 }
 
-// maxCountedPerTeam is how many entries of a team one pass counts: those behind the first
-// ones only add to how much more could start.
+// maxCountedPerTeam is how many entries of a team one pass considers for the team's demand:
+// later entries would only add to the demand's total.
 const maxCountedPerTeam = 6
 
-// isHeldByLimit reports whether its team's limit keeps an entry from starting here now, and
-// adds to the demands what could start with a larger allotment.
+// isHeldByLimit reports whether the limit of its team keeps an entry from starting in a shard
+// now, and adds the tasks that could start with a larger allotment to the demands.
 func (c *Controller) isHeldByLimit(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, demands *passDemands, now time.Time) bool {
 	if !c.isLimited(entry.Spec) {
 		return false
@@ -180,8 +185,8 @@
 	return allowed < entry.MinTasks() || yields
 }
 
-// addDemand adds an entry, of which so many tasks are allowed, to what a shard could start
-// within the team's limit.
+// addDemand adds an entry to a shard's demand for the limit of the entry's team. allowed is
+// how many of the entry's tasks may start without a larger allotment.
 func (c *Controller) addDemand(entry *placement.QueueEntry, capacities []*placement.Capacity, demands *passDemands, allowed int) {
 	team := entry.Spec.Team
 	if demands.counted[team]++; demands.counted[team] > maxCountedPerTeam {
@@ -211,15 +216,16 @@
 }
 
 // needsServicesShare reports whether a start needs the part of a team's limit that its
-// services use. Services do not end, so such a start is not waited for: it would keep all
-// others from the rest of the limit without bound.
+// services use. Services do not end, so such a start is not demanded: waiting for it would
+// keep all other jobs from the rest of the limit without bound.
 func (c *Controller) needsServicesShare(team string, start quota.Resources) bool {
 	limit := c.view.Quota.Limit(team)
 	left := limit.Minus(c.view.ServiceUse[team])
 	return (limit.CPUs > 0 && start.CPUs > left.CPUs+tolerance) || (limit.GPUs > 0 && start.GPUs > left.GPUs+tolerance)
 }
 
-// unrecordedCompletions counts the placements of a claim that its next version would free.
+// unrecordedCompletions counts the placements of a claim that its next version would remove
+// because their tasks have completed.
 func (c *Controller) unrecordedCompletions(claim *replica.Claim) int {
 	if claim == nil || claim.Record == nil || claim.Pending != nil || claim.Spec.Shape == protocol.ShapeGang {
 		return 0
@@ -238,14 +244,14 @@
 	}
 }
 
-// quotaSync is when this controller last broadcast the demands of its shards.
+// quotaSync is the state of this controller's broadcasts of its shards' demands.
 type quotaSync struct {
-	hadDemands  bool // there were any
+	hadDemands  bool // the last broadcast contained demands
 	broadcastAt time.Time
 }
 
-// demandInterval is the least time between two broadcasts of demands beside those of each
-// second.
+// demandInterval is the least time between two broadcasts of demands. The periodic message of
+// each second carries the demands as well.
 const demandInterval = 250 * time.Millisecond
 
 // transferAllotments broadcasts the demands of this node's shards and commits the transfers
@@ -274,8 +280,8 @@
 const waitingLogInterval = 30 * time.Second
 
 // transferCondition returns the condition under which this node transfers from a holder's
-// allotment, and reports whether it may: it owns the shard, or leads, and its view holds all
-// that was started there.
+// allotment, and reports whether it may do so now: it owns the shard or, for work across
+// shards, leads, and the size of all that the holder has placed is known.
 func (c *Controller) transferCondition(holder string) (kv.Compare, bool) {
 	if holder == quota.CrossShard {
 		return kv.Compare{Key: records.LeaderKey, Version: c.leadership.version}, c.isLeader() && c.view.KnowsUse(holder)
@@ -287,8 +293,8 @@
 	return kv.Compare{Key: records.ShardPrefix + holder, Version: shard.FencingToken}, true
 }
 
-// reconcileLimits commits what the limits in the settings and those on record differ by,
-// and how limits are divided.
+// reconcileLimits commits the changes by which the recorded limits follow those in the
+// settings and are divided among the holders. It also corrects the teams' usage records.
 func (c *Controller) reconcileLimits() {
 	if c.view.Quota.HasNoLimits() || len(c.view.MachineTypes) == 0 {
 		return
@@ -305,7 +311,7 @@
 	c.reconcileTeamUse()
 }
 
-// quotaState returns the cluster's state by which package quota decides about limits.
+// quotaState returns the state of the cluster on which package quota bases changes of limits.
 func (c *Controller) quotaState() quota.ClusterState {
 	state := quota.ClusterState{
 		Revision: c.view.Revision, Complete: len(c.view.OrphanClaims) == 0,
@@ -322,7 +328,8 @@
 	return state
 }
 
-// usageOf returns a team's use by the names of its record.
+// usageOf returns a team's use by the names that its usage record uses: shards, and gangs
+// across shards.
 func (c *Controller) usageOf(team string) map[string]quota.Resources {
 	usage := make(map[string]quota.Resources)
 	for _, name := range c.view.ShardNames() {
@@ -337,8 +344,9 @@
 	return usage
 }
 
-// reconcileTeamUse corrects what the teams' records say of this node's shards: tasks that
-// were placed before there was a limit, or that ended while the record was being written.
+// reconcileTeamUse corrects the use of this node's shards in the teams' usage records. It is
+// wrong if tasks were placed before there was a limit, or ended while the record was being
+// written.
 func (c *Controller) reconcileTeamUse() {
 	for _, team := range slices.Sorted(maps.Keys(c.view.Teams)) {
 		usage := c.view.Teams[team]
@@ -354,8 +362,8 @@
 	}
 }
 
-// hasWrongUse reports whether a team's record differs from what the team uses of a shard of
-// this node, while no commit that changes the use is under way.
+// hasWrongUse reports whether a team's usage record differs from the team's actual use of a
+// shard of this node, and no commit that changes the use is in progress.
 func (c *Controller) hasWrongUse(team string, usage *replica.TeamUsage, shard *replica.Shard) bool {
 	if !c.view.IsActive(shard) {
 		return false
@@ -368,7 +376,7 @@
 // isPending reports whether a version of a claim is being committed.
 func isPending(claim *replica.Claim) bool { return claim.Pending != nil }
 
-// correctUse commits what a team uses of a shard of this node to the team's record.
+// correctUse commits a team's actual use of a shard of this node to the team's usage record.
 func (c *Controller) correctUse(team string, usage *replica.TeamUsage, shard *replica.Shard) {
 	usage.Writing = true
 	key := records.TeamUsagePrefix + team
--- a/internal/coordination/controller/limits_test.go
+++ b/internal/coordination/controller/limits_test.go
@@ -11,9 +11,9 @@
 	"madderslip/internal/storage/records"
 )
 
-// After a commit of unknown outcome a team's usage record can be known before the claim that
-// went with it. The record counts then, not the sum of the known claims, which would give the
-// team its limit twice.
+// After a commit of unknown outcome the view can hold a team's usage record before the claim
+// that was committed with it. The team's use is then taken from the record: by the sum of the
+// claims in the view the team could use its limit twice.
 func TestUsageRecordCountsAheadOfItsClaims(t *testing.T) {
 	teams := map[string]protocol.Team{"t": {Name: "t", MaxCPUs: 4}}
 	controller := New(Options{Settings: protocol.Settings{NodeName: "n0", Teams: teams}})
@@ -27,27 +27,28 @@
 	}
 	controller.view.Revision = 5
 	controller.view.ApplyJob("wk-1", &records.Job{Spec: spec("wk-1"), ChunkSize: 2}, 3)
-	controller.view.ApplyClaim(records.ClaimKey("wk-1", 0), oneOfTwoTasks(), 5) // its second task is placed at 8
+	controller.view.ApplyClaim(records.ClaimKey("wk-1", 0), oneOfTwoTasks(), 5) // its second task is placed at revision 8
 	controller.view.Team("t").Record, controller.view.Team("t").Version = records.TeamUsage{ByShard: map[string]protocol.Resources{"n0": {CPUs: 4}}}, 8
 	claim := &replica.Claim{Key: records.ClaimKey("wk-2", 0), JobID: "wk-2", Spec: spec("wk-2")}
 	if _, _, _, ok := controller.reserveTeamUse("n0", claim, oneOfTwoTasks()); ok {
-		t.Fatal("the team uses 4 of 4 CPUs by its record and got 2 more")
+		t.Fatal("the team uses 4 of 4 CPUs by its usage record, and a start of 2 more was permitted")
 	}
-	controller.view.Team("t").Record.ByShard = map[string]protocol.Resources{"*": {CPUs: 4}} // a newer version has allotted the limit
+	controller.view.Team("t").Record.ByShard = map[string]protocol.Resources{"*": {CPUs: 4}} // a controller of a newer version has allotted the limit
 	if _, _, _, ok := controller.reserveTeamUse("n0", claim, oneOfTwoTasks()); ok {
-		t.Fatal("a controller without allotments started a task")
+		t.Fatal("a controller without allotments was permitted to start a task")
 	}
 	controller.view.Team("t").Record.ByShard = map[string]protocol.Resources{"n0": {CPUs: 4}}
-	controller.view.Revision = 8 // everything up to the record is read: the claim was not changed
+	controller.view.Revision = 8 // the view is complete up to the record, and the claim still has one task
 	if _, ops, _, ok := controller.reserveTeamUse("n0", claim, oneOfTwoTasks()); !ok || ops[0].Value.(*records.TeamUsage).ByShard["n0"].CPUs != 4 {
-		t.Fatalf("the claims use 2 of 4 CPUs, and 2 more gave %v", ops)
+		t.Fatalf("the claims use 2 of 4 CPUs, and a start of 2 more gave %v", ops)
 	}
 }
 
-// A start of a team's task is conditional on the team's limit, and on its reservations if it
-// has a guarantee, as this controller has read them; an end is conditional on the limit alone.
-// The first prevents a start beyond a limit that has just been lowered, the second one that
-// was decided just before a reservation.
+// The commit of a task's start is conditional on the team's limit and, if the team has a
+// guarantee, on its reservations, at the versions that this controller has read; the commit
+// of an end is conditional on the limit alone. The condition on the limit prevents a start
+// beyond a limit that has just been lowered, the one on the reservations a start that was
+// decided just before a reservation.
 func TestStartsDependOnLimitAndReservations(t *testing.T) {
 	controller := New(Options{Settings: protocol.Settings{NodeName: "n0", Teams: map[string]protocol.Team{"t": {Name: "t", GuaranteedCPUs: 2, MaxCPUs: 8}}}, Policy: policy.Policy{Allotments: true}})
 	controller.view.Quota.ApplyLimit("t", &records.TeamLimit{Generation: 1, Max: protocol.Resources{CPUs: 8}, Base: map[string]protocol.Resources{"n0": {CPUs: 4}, "*": {CPUs: 4}}}, 11)
@@ -66,14 +67,14 @@
 		t.Fatal(compares, ops, ok)
 	}
 	if _, _, _, ok = controller.reserveTeamUse("n0", claim, next(3)); ok {
-		t.Fatal("6 CPUs were started within an allotment of 4")
+		t.Fatal("a start of 6 CPUs was permitted within an allotment of 4")
 	}
 	claim.Record = next(2)
 	if compares, _, _, ok = controller.reserveTeamUse("n0", claim, next(1)); !ok || !slices.Equal(compares, want[1:]) {
-		t.Fatal("an end:", compares, ok)
+		t.Fatal("conditions of an end:", compares, ok)
 	}
 	controller.view.OrphanClaims["wk-9"] = map[string]*replica.Claim{"c/wk-9/0": {Key: "c/wk-9/0", Record: next(1)}}
 	if _, _, _, ok = controller.reserveTeamUse("n0", &replica.Claim{Key: "c/wk-2/0", JobID: "wk-2", Spec: claim.Spec}, next(1)); ok {
-		t.Fatal("started a task beside a claim of unknown size")
+		t.Fatal("a start was permitted while the size of another claim is unknown")
 	}
 }
