--- a/internal/coordination/controller/gangs.go
+++ b/internal/coordination/controller/gangs.go
@@ -18,7 +18,7 @@
 	gangReservationDelay = 3 * time.Second
 	// gangReservationTTL is how long a gang reservation lasts at most.
 	gangReservationTTL = 30 * time.Second
-	// gangSearchInterval is the time between two searches for gangs that need a reservation.
+	// gangSearchInterval is the least time between two searches for gangs that need a reservation.
 	gangSearchInterval = 500 * time.Millisecond
 	// gangCommitTimeout bounds the commits of gang reservations and gang holds.
 	gangCommitTimeout = 5 * time.Second
--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -14,8 +14,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// usageView reads the use of resources from the view. Package quota checks reservations
-// against it. It implements quota.Usage.
+// usageView reads the use of resources from the view; package quota checks reservations
+// against that use. It implements quota.Usage.
 type usageView struct{ controller *Controller }
 
 // InUse returns the resources of the tasks that a team has placed or is placing.
@@ -130,7 +130,7 @@
 }
 
 // guaranteeReservation is a planned preemption on a team's guarantee. It is executed once its
-// reservation is recorded and the view has read everything that was committed before the
+// reservation is recorded and the view holds everything that was committed before the
 // record.
 type guaranteeReservation struct {
 	shard   string
@@ -196,7 +196,7 @@
 
 // limitLenders returns the first evictions of a plan that together preempt borrowed tasks of
 // at most maxLenders teams, since the one transaction of the reservation changes a record of
-// each team. If whole is set, the plan is useless in part: it returns all of it or nil.
+// each team. If whole is set, a part of the plan is of no use, and the result is all or nil.
 func limitLenders(plan []placement.Eviction, policy *preemptionPolicy, maxLenders int, whole bool) []placement.Eviction {
 	teams := map[string]bool{policy.spec.Team: true}
 	for i, eviction := range plan {
@@ -216,7 +216,7 @@
 	return plan
 }
 
-// executeReservation executes the plan of a reservation once the view has read everything
+// executeReservation executes the plan of a reservation once the view holds everything
 // that was committed before the reservation. If the plan is no longer valid by then, the
 // reservation ends and no task is preempted. It reports whether it has preempted any task.
 func (c *Controller) executeReservation(shard *replica.Shard, entry *placement.QueueEntry, reservation *guaranteeReservation, capacities []*placement.Capacity, now time.Time) bool {
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -95,8 +95,8 @@
 // other claims the view holds. The sum of the claims in the view is not exact: after a commit
 // of unknown outcome the record is read again before the claim that was committed with it,
 // and claims whose job has not been read yet have no size. Relying on that sum, a team could
-// exceed its limit. The sum is used only once the view is complete up to the record, to
-// correct what a change of limits has left out.
+// exceed its limit. The sum is recorded only once the view is complete up to the record, to
+// correct what a change of limits has left out; until then it only raises the largest use.
 func (c *Controller) teamUseAfter(usage *replica.TeamUsage, shard string, claim *replica.Claim, next *records.Claim) (use, maxUse quota.Resources) {
 	perTask := replica.TaskResources(claim.Spec)
 	before, after := perTask.Times(float64(claim.PlacedCount())), perTask.Times(float64(len(next.Placements)))
--- a/internal/coordination/controller/schedule.go
+++ b/internal/coordination/controller/schedule.go
@@ -163,8 +163,8 @@
 	// noPreemptionWait is how late an entry that preempts nothing may start: long enough
 	// that no reservation of it counts as too late.
 	noPreemptionWait = time.Hour
-	// missedObjectiveWait is how far ahead the start of a job may be that can no longer meet
-	// any of its objectives, before the job preempts others.
+	// missedObjectiveWait is the longest wait for reserved capacity with which a job that can
+	// no longer meet any of its objectives does not preempt others.
 	missedObjectiveWait = 15 * time.Second
 )
 
@@ -316,8 +316,8 @@
 	// serviceDeferral is how long an unclaimed service waits for a shard that can start all
 	// of its tasks.
 	serviceDeferral = time.Second
-	// spreadDeferral is the same for a service that must spread over zones: it leaves time
-	// for shards at which the service is not queued.
+	// spreadDeferral is the same for a service that must spread over zones. It includes
+	// claimAnywhereAfter, so that shards at which the service is not queued can try as well.
 	spreadDeferral = claimAnywhereAfter + 2*time.Second
 	// arrayDeferral is how long an unclaimed chunk of an array waits for a shard that can
 	// start at least half of its tasks.
