--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -125,7 +125,7 @@
 // shards, for the entry to start. Such an entry neither reserves nor preempts, which prevents
 // it from preempting in every pass for capacity that it may not use.
 func (c *Controller) exceedsLimit(entry *placement.QueueEntry) bool {
-	return c.isLimited(entry.Spec) && c.teamAllowance(entry.Spec) < entry.MinTasks()
+	return c.isLimited(entry.Spec) && c.allowance(entry.Spec) < entry.MinTasks()
 }
 
 // isOverLimit reports whether the placed tasks of a job's team exceed the team's limit now, in
@@ -137,8 +137,8 @@
 	return overCPUs || overGPUs
 }
 
-// teamAllowance returns how many more tasks of a job its team's limit permits over all shards.
-func (c *Controller) teamAllowance(spec *protocol.Submission) int {
+// allowance returns how many more tasks of a job its team's limit permits over all shards.
+func (c *Controller) allowance(spec *protocol.Submission) int {
 	limit, use := c.view.Quota.Limit(spec.Team), c.view.UseByTeam[spec.Team]
 	return quota.TasksThatFit(limit.Difference(use), replica.TaskResources(spec), limit)
 }
@@ -147,7 +147,7 @@
 // or, if the team's limit is not allotted, within that limit.
 func (c *Controller) holderAllowance(holder string, spec *protocol.Submission) int {
 	if !c.view.Quota.IsAllotted(spec.Team) {
-		return c.teamAllowance(spec)
+		return c.allowance(spec)
 	}
 	if !c.view.KnowsUse(holder) {
 		return 0
--- a/internal/coordination/controller/scaleout.go
+++ b/internal/coordination/controller/scaleout.go
@@ -225,7 +225,7 @@
 	allowance := math.MaxInt
 	if c.isLimited(spec) {
 		// No machines for what the team's limit keeps waiting anyway.
-		allowance = c.teamAllowance(spec)
+		allowance = c.allowance(spec)
 	}
 	var demands []provisioning.Demand
 	for chunk := range job.Chunks {
