--- a/internal/coordination/controller/adoption.go
+++ b/internal/coordination/controller/adoption.go
@@ -19,9 +19,9 @@
 }
 
 const (
-	// answerPatience is how long a machine without a record is left to the answer of a
+	// provisionAnswerGrace is how long a machine without a record is left to the answer of a
 	// request, which may just be in transit and names the machine's shard.
-	answerPatience        = 3 * time.Second
+	provisionAnswerGrace  = 3 * time.Second
 	adoptionCommitTimeout = 5 * time.Second
 )
 
@@ -36,13 +36,13 @@
 
 // adoptMachines records the machines noted, all of a kind together.
 func (c *Controller) adoptMachines(now time.Time) {
-	patience := time.Duration(0)
+	grace := time.Duration(0)
 	if len(c.view.Provisions) > 0 {
-		patience = answerPatience
+		grace = provisionAnswerGrace
 	}
 	hosts := make(map[replica.MachineKind][]string)
 	for host, unrecorded := range c.provisioner.unrecorded {
-		due := !unrecorded.recording && now.Sub(unrecorded.firstSeen) >= patience
+		due := !unrecorded.recording && now.Sub(unrecorded.firstSeen) >= grace
 		if due && c.view.MachineTypes[unrecorded.kind.Type] != nil {
 			hosts[unrecorded.kind] = append(hosts[unrecorded.kind], host)
 		}
@@ -66,20 +66,20 @@
 	ops := []kv.Op{{Key: key, Value: record}}
 	compares, ops = c.excludeAnswers(kind, compares, ops)
 	if len(ops) > c.settings.RecordLimits().MaxTxnOps {
-		c.forgetUnrecorded(hosts) // until fewer requests are without an answer
+		c.dropUnrecorded(hosts) // until fewer requests are without an answer
 		return
 	}
 	c.commit(kv.PriorityLease, compares, ops, adoptionCommitTimeout, func(err error) {
 		if err == nil {
 			c.log.Info("unrecorded machines adopted", "machines", len(hosts), "type", kind.Type, "zone", kind.Zone, "shards", record.Allocations)
 		}
-		c.forgetUnrecorded(hosts)
+		c.dropUnrecorded(hosts)
 	})
 }
 
-// forgetUnrecorded forgets machines noted without a record; they are noted again if they
+// dropUnrecorded forgets machines noted without a record; they are noted again if they
 // still have none.
-func (c *Controller) forgetUnrecorded(hosts []string) {
+func (c *Controller) dropUnrecorded(hosts []string) {
 	for _, host := range hosts {
 		delete(c.provisioner.unrecorded, host)
 	}
@@ -111,9 +111,9 @@
 	for _, name := range slices.Sorted(maps.Keys(c.view.Provisions)) {
 		provision := c.view.Provisions[name]
 		if provision.Version != 0 && kindOf(&provision.Record) == kind {
-			again := provision.Record
+			unchanged := provision.Record
 			compares = append(compares, kv.Compare{Key: records.ProvisionPrefix + provision.Name, Version: provision.Version})
-			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + provision.Name, Value: &again})
+			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + provision.Name, Value: &unchanged})
 		}
 	}
 	return compares, ops
@@ -129,28 +129,28 @@
 type shardSizes struct {
 	zone, typeName string
 	cpus           map[string]float64
-	alike          map[string]int
+	matching       map[string]int
 }
 
 // add counts machines of a kind in a shard.
 func (s *shardSizes) add(shard string, kind replica.MachineKind, count int, cpus float64) {
 	s.cpus[shard] += cpus * float64(count)
 	if kind.Zone == s.zone && kind.Type == s.typeName {
-		s.alike[shard] += count
+		s.matching[shard] += count
 	}
 }
 
 // isSmaller reports whether a shard has fewer machines of the zone and type than another,
 // or as many and fewer CPUs.
 func (s *shardSizes) isSmaller(shard, other string) bool {
-	return s.alike[shard] < s.alike[other] || (s.alike[shard] == s.alike[other] && s.cpus[shard] < s.cpus[other])
+	return s.matching[shard] < s.matching[other] || (s.matching[shard] == s.matching[other] && s.cpus[shard] < s.cpus[other])
 }
 
 // smallestShard returns the shard with the fewest machines of a zone and type, the one with
 // the fewest CPUs among equals, or "" if there is none. Shards that nobody owns yet count as
 // well, which prevents the first one acquired from getting every machine.
 func (c *Controller) smallestShard(zone, typeName string) string {
-	sizes := shardSizes{zone: zone, typeName: typeName, cpus: make(map[string]float64), alike: make(map[string]int)}
+	sizes := shardSizes{zone: zone, typeName: typeName, cpus: make(map[string]float64), matching: make(map[string]int)}
 	for _, shard := range c.view.Shards {
 		for kind, count := range shard.Kinds {
 			sizes.add(shard.Name, kind, count, c.view.MachineType(kind.Type).CPUs)
--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -142,8 +142,8 @@
 // otherwise tells the agent whom to call or extends its lease.
 func (c *Controller) respondToHeartbeat(heartbeat *protocol.Heartbeat) transport.Response {
 	if !c.view.Loaded {
-		if kept, ok := c.extendLeaseUnread(heartbeat, time.Now()); ok {
-			return kept
+		if extension, ok := c.extendLeaseWithoutRecords(heartbeat, time.Now()); ok {
+			return extension
 		}
 		return unavailable(heartbeatRetrySeconds)
 	}
@@ -182,8 +182,8 @@
 // respondWithoutToken answers a machine of a shard whose token this process does not hold.
 func (c *Controller) respondWithoutToken(shard *replica.Shard, heartbeat *protocol.Heartbeat) transport.Response {
 	if shard.Record != nil && shard.Record.Owner != c.settings.NodeName {
-		if kept, ok := c.extendLease(shard, heartbeat, time.Now()); ok {
-			return kept
+		if extension, ok := c.extendLease(shard, heartbeat, time.Now()); ok {
+			return extension
 		}
 		if _, live := c.view.Nodes[shard.Record.Owner]; live {
 			return redirectTo(shard.Record.Owner)
--- a/internal/coordination/controller/claims.go
+++ b/internal/coordination/controller/claims.go
@@ -154,7 +154,7 @@
 		if c.hasEarlierWork(shard, spec, now) {
 			continue
 		}
-		next := c.placeWhole(shard, &placement.QueueEntry{Job: job, Spec: spec}, now)
+		next := c.placeAllTasks(shard, &placement.QueueEntry{Job: job, Spec: spec}, now)
 		if next == nil {
 			continue
 		}
@@ -168,9 +168,9 @@
 	return initialClaim{}
 }
 
-// placeWhole returns the first version of a claim with all tasks of a job placed on a
+// placeAllTasks returns the first version of a claim with all tasks of a job placed on a
 // shard's machines, or nil if it has no capacity for all of them.
-func (c *Controller) placeWhole(shard *replica.Shard, entry *placement.QueueEntry, now time.Time) *records.Claim {
+func (c *Controller) placeAllTasks(shard *replica.Shard, entry *placement.QueueEntry, now time.Time) *records.Claim {
 	const firstAttempt = 1
 	capacities := c.capacities(shard, now)
 	zones := placement.NewZoneConstraint(entry.Spec, nil)
@@ -220,8 +220,8 @@
 }
 
 // updateClaim commits a new version of a claim that this shard holds, and reports whether
-// the commit has begun. then, if set, runs after it.
-func (c *Controller) updateClaim(shard *replica.Shard, claim *replica.Claim, next *records.Claim, priority kv.Priority, then func(error)) bool {
+// the commit has begun. done, if set, runs after it.
+func (c *Controller) updateClaim(shard *replica.Shard, claim *replica.Claim, next *records.Claim, priority kv.Priority, done func(error)) bool {
 	if next.MaxEncodedSize() > c.store.MaxValueBytes() {
 		// It was written before the state service lowered its limits. Each task that ends
 		// makes it smaller; until it fits, its agents go on listing what has ended.
@@ -241,8 +241,8 @@
 			claim.RetryAt = time.Now().Add(conflictPause)
 			c.log.Debug("claim update failed", "claim", claim.Key, "err", err)
 		}
-		if then != nil {
-			then(err)
+		if done != nil {
+			done(err)
 		}
 	})
 	return true
@@ -256,7 +256,7 @@
 // keeps the transaction within the limits of the state service, which two dozen claims
 // may exceed.
 func (c *Controller) finishJob(shard *replica.Shard, job *replica.Job, claim *replica.Claim, next *records.Claim) bool {
-	if !othersComplete(job, claim) {
+	if !areOtherChunksComplete(job, claim) {
 		return false
 	}
 	change, ok := c.newClaimChange(shard.Name, claim, next)
@@ -285,9 +285,9 @@
 	return true
 }
 
-// othersComplete reports whether all chunks of a job are claimed and all but one, the last
+// areOtherChunksComplete reports whether all chunks of a job are claimed and all but one, the last
 // to be recorded, are recorded as complete.
-func othersComplete(job *replica.Job, last *replica.Claim) bool {
+func areOtherChunksComplete(job *replica.Job, last *replica.Claim) bool {
 	if len(job.Claims) != job.Chunks {
 		return false
 	}
--- a/internal/coordination/controller/claims_test.go
+++ b/internal/coordination/controller/claims_test.go
@@ -13,21 +13,21 @@
 // Two attempts of this controller at the same chunk, its shard's and the leader's, may place
 // the same task on the same machine. The end of the first must leave the other's slot in the
 // index: without it the machine's capacity would be allocated twice.
-func TestFailedAttemptKeepsTheOtherAttemptsSlot(t *testing.T) {
+func TestFailedClaimKeepsOtherClaimsSlot(t *testing.T) {
 	controller := newFleet(t, 30)
 	controller.mu.Lock()
 	shard := controller.view.Shards["n0"]
 	spec := &protocol.Submission{JobID: "wk-5", Team: "t", Shape: protocol.ShapeGang, Tasks: 1, CPUs: 2, MemoryGB: 2}
 	record := claimOfOneTask("n0", shard.Machines[0].Host)
 	record.LastAttempt = 1
-	var attempts []*replica.Claim
+	var claims []*replica.Claim
 	for range 2 {
 		claim := &replica.Claim{Key: records.ClaimKey("wk-5", 0), JobID: "wk-5", Spec: spec}
 		controller.view.Claims[claim.Key] = claim
 		controller.view.SetPending(claim, record)
-		attempts = append(attempts, claim)
+		claims = append(claims, claim)
 	}
-	controller.finishClaim(shard, attempts[0], kv.ErrCompareFailed)
+	controller.finishClaim(shard, claims[0], kv.ErrCompareFailed)
 	controller.mu.Unlock()
 	if err := controller.Recount(); err != nil {
 		t.Error(err)
@@ -37,7 +37,7 @@
 // An attempt at a claim may fail after another shard has finished the job, whose record was
 // read again without its description. The attempt ends like any other that fails, and the
 // process goes on.
-func TestFailedAttemptOutlivesItsJob(t *testing.T) {
+func TestFailedClaimKeepsSpecOfFinishedJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := newTestController(idleStore{})
 		controller.mu.Lock()
--- a/internal/coordination/controller/commands.go
+++ b/internal/coordination/controller/commands.go
@@ -63,7 +63,7 @@
 		status, err := c.callCommands(ctx, address, request, &heartbeat)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.commandsSent(machine, request, &heartbeat, status, err)
+		c.recordCommandOutcome(machine, request, &heartbeat, status, err)
 	}()
 }
 
@@ -72,9 +72,9 @@
 	return c.callJSON(ctx, address, http.MethodPost, protocol.PathCommands, request, heartbeat, commandTimeout)
 }
 
-// commandsSent records the outcome of a call that sent commands, and sends what was queued
+// recordCommandOutcome records the outcome of a call that sent commands, and sends what was queued
 // meanwhile.
-func (c *Controller) commandsSent(machine *replica.Machine, request protocol.CommandRequest, heartbeat *protocol.Heartbeat, status int, err error) {
+func (c *Controller) recordCommandOutcome(machine *replica.Machine, request protocol.CommandRequest, heartbeat *protocol.Heartbeat, status int, err error) {
 	machine.Commands.Sending = false
 	machine.Commands.InFlight = nil
 	switch {
--- a/internal/coordination/controller/commit.go
+++ b/internal/coordination/controller/commit.go
@@ -81,27 +81,27 @@
 }
 
 // refreshKeys reads keys into the view and then calls done with the lock held and with
-// whether all of them were read. With insist set it goes on until each is read, or the
+// whether all of them were read. With mustRead set it goes on until each is read, or the
 // watch has reached the revision at which the transaction failed. That prevents a limited
 // team's start of unknown outcome from missing in what the team uses.
 //
 // Reads that begin at the same instant, after transactions that were sent together, start a
 // nanosecond apart in the order of their numbers: they compete for the same requests.
-func (c *Controller) refreshKeys(number int, keys []string, revision uint64, insist bool, done func(read bool)) {
+func (c *Controller) refreshKeys(number int, keys []string, revision uint64, mustRead bool, done func(read bool)) {
 	c.mu.Lock()
-	life := c.ctx
+	processCtx := c.ctx
 	c.mu.Unlock()
-	ctx, cancel := context.WithTimeout(life, refreshTimeout)
+	ctx, cancel := context.WithTimeout(processCtx, refreshTimeout)
 	defer cancel()
-	pause(ctx, time.Duration(number%maxRefreshes+1)*time.Nanosecond)
+	pause(ctx, time.Duration(number%refreshStartSlots+1)*time.Nanosecond)
 	read := true
 	for _, key := range keys {
 		item, err := c.store.Get(ctx, key)
-		for err != nil && insist && life.Err() == nil {
-			if c.hasReached(revision) || !c.pause(life, refreshRetryPause) {
+		for err != nil && mustRead && processCtx.Err() == nil {
+			if c.hasReached(revision) || !c.pause(processCtx, refreshRetryPause) {
 				break
 			}
-			item, err = c.store.Get(life, key)
+			item, err = c.store.Get(processCtx, key)
 		}
 		if err != nil {
 			read = false
@@ -128,5 +128,5 @@
 const (
 	refreshTimeout    = 2 * time.Second // of the first read of all keys
 	refreshRetryPause = 300*time.Millisecond + 71*time.Nanosecond
-	maxRefreshes      = 1000 // that are told apart by their start
+	refreshStartSlots = 1000 // that are told apart by their start
 )
--- a/internal/coordination/controller/failuredetection.go
+++ b/internal/coordination/controller/failuredetection.go
@@ -86,9 +86,9 @@
 	return now.Sub(c.store.LastSuccess()) > stateDownAfter
 }
 
-// hearsNobody reports whether this controller has heard neither the state service nor
+// hasNoContact reports whether this controller has heard neither the state service nor
 // another controller for a while, so that it can't know what others have confirmed to users.
-func (c *Controller) hearsNobody(now time.Time) bool {
+func (c *Controller) hasNoContact(now time.Time) bool {
 	for name := range c.peerClients {
 		if now.Sub(c.membership.lastContact[name]) < peerStatusTTL {
 			return false
@@ -103,17 +103,17 @@
 	return c.settings.Workers.HeartbeatInterval * 13 / 10
 }
 
-// listeningSince returns since when this process could receive a machine's heartbeats.
-func (c *Controller) listeningSince(machine *replica.Machine) time.Time {
+// receivingSince returns since when this process could receive a machine's heartbeats.
+func (c *Controller) receivingSince(machine *replica.Machine) time.Time {
 	if resumed := c.pauses.ResumedAt(); resumed.After(machine.AdoptedAt) {
 		return resumed
 	}
 	return machine.AdoptedAt
 }
 
-// hearingSince returns since when this process hears a machine, if only by its answers.
-func (c *Controller) hearingSince(machine *replica.Machine) time.Time {
-	if since := c.listeningSince(machine); since.After(machine.Agent.HeardAgainAt) {
+// inContactSince returns since when this process hears a machine, if only by its answers.
+func (c *Controller) inContactSince(machine *replica.Machine) time.Time {
+	if since := c.receivingSince(machine); since.After(machine.Agent.HeardAgainAt) {
 		return since
 	}
 	return machine.Agent.HeardAgainAt
@@ -122,15 +122,15 @@
 // cannotReport reports whether a machine's heartbeats do not arrive, though it may answer
 // direct calls.
 func (c *Controller) cannotReport(machine *replica.Machine, now time.Time) bool {
-	return health.CannotReport(machine.Agent.LastHeartbeat, c.hearingSince(machine), now, c.settings.Workers.LeaseDuration)
+	return health.CannotReport(machine.Agent.LastHeartbeat, c.inContactSince(machine), now, c.settings.Workers.LeaseDuration)
 }
 
 // silenceOf returns how long a machine has given this owner no sign of life. The time in
 // which this process was paused does not count.
 func (c *Controller) silenceOf(machine *replica.Machine, now time.Time) time.Duration {
 	since := machine.Agent.LastContact
-	if listening := c.listeningSince(machine); listening.After(since) {
-		since = listening
+	if receiving := c.receivingSince(machine); receiving.After(since) {
+		since = receiving
 	}
 	return now.Sub(since)
 }
--- a/internal/coordination/controller/leases.go
+++ b/internal/coordination/controller/leases.go
@@ -30,15 +30,15 @@
 // final and forgotten.
 func (c *Controller) isCancelledTask(status protocol.TaskStatus) bool {
 	jobID, _, _ := protocol.ParseTaskName(status.Task)
-	isForgotten := c.view.Jobs[jobID] == nil && c.view.FinalJobs[jobID].State != ""
-	return status.Phase != protocol.TaskExited && (c.view.CancelledJobs[jobID] != nil || isForgotten)
+	isRemoved := c.view.Jobs[jobID] == nil && c.view.FinalJobs[jobID].State != ""
+	return status.Phase != protocol.TaskExited && (c.view.CancelledJobs[jobID] != nil || isRemoved)
 }
 
-// extendLeaseUnread does the same for a controller that started behind a partition and has
+// extendLeaseWithoutRecords does the same for a controller that started behind a partition and has
 // read no records: the agent's own token is the only one that it knows.
-func (c *Controller) extendLeaseUnread(heartbeat *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
-	heardState := c.store.LastSuccess().After(c.startedAt)
-	start := failover.ColdStart{Uptime: now.Sub(c.startedAt), HeardAnyone: heardState || len(c.view.MachineTypes) > 0 || len(c.membership.lastContact) > 0}
+func (c *Controller) extendLeaseWithoutRecords(heartbeat *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
+	stateReached := c.store.LastSuccess().After(c.startedAt)
+	start := failover.ColdStart{Uptime: now.Sub(c.startedAt), HeardAnyone: stateReached || len(c.view.MachineTypes) > 0 || len(c.membership.lastContact) > 0}
 	for _, peer := range c.settings.Peers {
 		start.HasRemotePeers = start.HasRemotePeers || peer.Zone != c.settings.Zone
 	}
--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -16,9 +16,9 @@
 	// probeTimeout is no multiple of probeLoopInterval: whether a probe ends before or
 	// after the pass at the same instant would be left to chance.
 	probeTimeout = 1480 * time.Millisecond
-	// unheardFenceFactor is by how much longer a new owner waits for a machine that it has
+	// newOwnerFenceFactor is by how much longer a new owner waits for a machine that it has
 	// not heard yet.
-	unheardFenceFactor = 2
+	newOwnerFenceFactor = 2
 	// ownFaultFenceFactor is by how much longer a machine is waited for while the silence
 	// seems to be this controller's own fault.
 	ownFaultFenceFactor = 3
@@ -49,7 +49,7 @@
 func (c *Controller) reconcileMachine(shard *replica.Shard, machine *replica.Machine, now time.Time) {
 	silence := c.silenceOf(machine, now)
 	if machine.Agent.Heartbeat == nil {
-		c.reconcileUnheard(shard, machine, silence, now)
+		c.reconcileWithoutHeartbeat(shard, machine, silence, now)
 		return
 	}
 	if c.shouldProbe(machine, silence, now) {
@@ -69,13 +69,13 @@
 	}
 }
 
-// reconcileUnheard does the same for a machine that this process has not heard yet: it may
+// reconcileWithoutHeartbeat does the same for a machine that this process has not heard yet: it may
 // be booting, or call another controller.
-func (c *Controller) reconcileUnheard(shard *replica.Shard, machine *replica.Machine, silence time.Duration, now time.Time) {
+func (c *Controller) reconcileWithoutHeartbeat(shard *replica.Shard, machine *replica.Machine, silence time.Duration, now time.Time) {
 	if machine.ListedAddress != "" && silence > c.policy.SuspectAfter && !machine.Detector.Probing {
 		c.probeMachine(machine)
 	}
-	overdue := silence > c.fenceDelay(machine, unheardFenceFactor*c.policy.FenceAfter, now)
+	overdue := silence > c.fenceDelay(machine, newOwnerFenceFactor*c.policy.FenceAfter, now)
 	if overdue && len(machine.Use.Slots) > 0 && !machine.Lifecycle.Returning {
 		c.log.Info("machine fenced, not heard by its new owner", "host", machine.Host)
 		c.returnMachine(shard, machine)
@@ -94,8 +94,8 @@
 // heartbeats do not arrive: its lease expires again and again, with all that is placed
 // there.
 func (c *Controller) isUnreachable(shard *replica.Shard, machine *replica.Machine, silence time.Duration, now time.Time) bool {
-	answersOnly := health.Unreachable(machine.Agent.LastHeartbeat, c.hearingSince(machine), now, c.settings.Workers.LeaseDuration) && silence <= c.policy.SuspectAfter
-	return answersOnly && !machine.Lifecycle.Returning && !c.isOwnFault(shard, now) && !c.isStateDown(now) && machine.RunsNothingPlaced()
+	answersProbesOnly := health.Unreachable(machine.Agent.LastHeartbeat, c.inContactSince(machine), now, c.settings.Workers.LeaseDuration) && silence <= c.policy.SuspectAfter
+	return answersProbesOnly && !machine.Lifecycle.Returning && !c.isOwnFault(shard, now) && !c.isStateDown(now) && machine.RunsNothingPlaced()
 }
 
 // cannotShowToken reports whether a machine has to be fenced that does not receive the
--- a/internal/coordination/controller/reconcile.go
+++ b/internal/coordination/controller/reconcile.go
@@ -197,7 +197,7 @@
 	if task.hasCompleted() {
 		return c.classifyCompleted(job, task, now)
 	}
-	if hasLeft(machine) {
+	if isReturned(machine) {
 		return outcomeGone
 	}
 	if machine.Agent.Heartbeat == nil {
@@ -227,8 +227,8 @@
 	return outcomePending
 }
 
-// hasLeft reports whether the cloud has taken a machine back.
-func hasLeft(machine *replica.Machine) bool {
+// isReturned reports whether the cloud has taken a machine back.
+func isReturned(machine *replica.Machine) bool {
 	return machine.Lifecycle.Gone || machine.Record.State == records.MachineGone
 }
 
@@ -238,7 +238,7 @@
 // started the task again there. The token prevents a limited team's use from being lowered
 // while the task runs.
 func (c *Controller) classifyCompleted(job *replica.Job, task *placedTask, now time.Time) outcome {
-	if !task.machine.ShowsToken(task.shard) && !hasLeft(task.machine) {
+	if !task.machine.ShowsToken(task.shard) && !isReturned(task.machine) {
 		return outcomePending
 	}
 	c.recordCompletion(job, task.claim.Spec, task.machine, task.name, now)
@@ -291,7 +291,7 @@
 // hear of it.
 func (c *Controller) sendStart(task *placedTask, now time.Time) {
 	commands := &task.machine.Commands
-	if !c.hearsNobody(now) && !task.hasQueuedStart() && now.Sub(commands.StartSentAt[task.name]) > resendInterval && task.machine.Record.State == records.MachineInUse {
+	if !c.hasNoContact(now) && !task.hasQueuedStart() && now.Sub(commands.StartSentAt[task.name]) > resendInterval && task.machine.Record.State == records.MachineInUse {
 		commands.StartSentAt[task.name] = now
 		c.queueCommands(task.shard, task.machine, protocol.StartCommand(task.name, task.placement.Attempt))
 	}
--- a/internal/coordination/controller/versions_test.go
+++ b/internal/coordination/controller/versions_test.go
@@ -48,44 +48,44 @@
 	}
 }
 
-// formerJob is a job's record as the version in production reads it, which ignores fields that
+// productionJob is a job's record as the version in production reads it, which ignores fields that
 // it does not know.
-type formerJob struct {
-	Spec  *protocol.Submission `json:"d,omitempty"`
-	At    []string             `json:"q,omitempty"`
-	Born  int64                `json:"b,omitempty"`
-	State string               `json:"x,omitempty"`
-	Tasks int                  `json:"n,omitempty"`
-	Size  int                  `json:"k,omitempty"`
-	Ended int64                `json:"e,omitempty"`
+type productionJob struct {
+	Spec          *protocol.Submission `json:"d,omitempty"`
+	Shards        []string             `json:"q,omitempty"`
+	AcceptedAtMs  int64                `json:"b,omitempty"`
+	State         string               `json:"x,omitempty"`
+	Tasks         int                  `json:"n,omitempty"`
+	ChunkSize     int                  `json:"k,omitempty"`
+	CancelledAtMs int64                `json:"e,omitempty"`
 }
 
 // isFinal reports whether that version considers a job over: it starts none of its tasks then,
 // and answers its users with the state.
-func (j *formerJob) isFinal() bool { return j.State != "" }
+func (j *productionJob) isFinal() bool { return j.State != "" }
 
 // The version in production starts no task of a blocked job or of one that was cancelled while
 // it was blocked, and treats a released job like any other.
 func TestProductionReadsBlockedJobs(t *testing.T) {
 	spec := &protocol.Submission{JobID: "wk-7", Shape: protocol.ShapeArray, Tasks: 3, CPUs: 2}
-	read := func(record *records.Job) *formerJob {
+	read := func(record *records.Job) *productionJob {
 		t.Helper()
 		raw, err := protocol.Encode(record)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var former formerJob
-		if err := json.Unmarshal(raw, &former); err != nil {
+		var decoded productionJob
+		if err := json.Unmarshal(raw, &decoded); err != nil {
 			t.Fatal(err)
 		}
-		return &former
+		return &decoded
 	}
 	blocked := read(&records.Job{State: records.JobBlocked, Spec: spec, Dependencies: records.JobIDs{"wk-1", "wk-000002"}, AcceptedAtMs: 5})
 	if !blocked.isFinal() || blocked.State != protocol.JobPending {
 		t.Errorf("a blocked job would be started: %+v", blocked)
 	}
 	released := read(&records.Job{Spec: spec, Shards: []string{"n0", "n1"}, AcceptedAtMs: 5, ReleasedAtMs: 9, ChunkSize: 3})
-	if released.isFinal() || released.Spec.Tasks != 3 || len(released.At) != 2 || released.Size != 3 {
+	if released.isFinal() || released.Spec.Tasks != 3 || len(released.Shards) != 2 || released.ChunkSize != 3 {
 		t.Errorf("a released job is not an ordinary one: %+v", released)
 	}
 	cancelled := read(&records.Job{State: protocol.JobCancelled, Tasks: 3, CancelledAtMs: 9})
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -60,7 +60,7 @@
 		return false
 	}
 	if t.Age > limit {`},
-	{"who hears nobody begins nothing", "coordination/controller/reconcile.go", `if !c.hearsNobody(now) && `, `if `},
+	{"who hears nobody begins nothing", "coordination/controller/reconcile.go", `if !c.hasNoContact(now) && `, `if `},
 	{"all cancellations are repeated", "coordination/controller/peers.go", `c.nextRepeated = jobID`, `c.nextRepeated = ""`},
 	{"the bound counts from the record", "coordination/replica/job.go", `record.CancelledAtMs != 0 && at.Before(j.FinalAt)`, `false && at.Before(j.FinalAt)`},
 	{"team limits are conditions", "coordination/controller/limits.go", `return append(compares, kv.Compare{Key: key, Version: usage.Version}), []kv.Op`, `return compares, []kv.Op`},
@@ -69,7 +69,7 @@
 	{"a shard starts within its allotment", "coordination/controller/limits.go", `!grows || (c.view.KnowsUse(holder) && more <= c.view.Quota.Allowance(team, holder, replica.TaskResources(claim.Spec)))`, `true || more < 0 || holder == ""`},
 	{"claims of unknown size are not nothing", "coordination/replica/teams.go", `			if claim.Record == nil || claim.Record.Shard == holder || (claim.Record.Shard == "" && holder == quota.CrossShard) {`, `			if false && claim.Record == nil && holder == "" {`},
 	{"the larger of two versions counts", "coordination/replica/claim.go", `return max(c.PlacedCount(), len(c.Pending.Placements))`, `return c.PlacedCount()`},
-	{"what became of a start is found out", "coordination/controller/commit.go", `for err != nil && insist && life`, `for err != nil && false && insist && life`},
+	{"what became of a start is found out", "coordination/controller/commit.go", `for err != nil && mustRead && processCtx`, `for err != nil && false && mustRead && processCtx`},
 	{"only who decides for a holder gives", "coordination/quota/transfers.go", `[]kv.Compare{own, {Key`, `[]kv.Compare{{Key`},
 	{"gifts under way are given", "coordination/quota/allotments.go", `left := team.grants()[holder].Minus(team.transferring[holder]).Minus(`, `left := team.grants()[holder].Minus(`},
 	{"a limit is divided once all starts are known", "coordination/quota/limits.go", `divideLimit(t *teamState, s ClusterState) (change LimitChange, due bool) {
@@ -125,15 +125,15 @@
 		return false, false // the old attempt has to be gone first
 	}
 `, ``},
-	{"done frees a placement under the present token only", "coordination/controller/reconcile.go", `if !task.machine.ShowsToken(task.shard) && !hasLeft(task.machine) {
+	{"done frees a placement under the present token only", "coordination/controller/reconcile.go", `if !task.machine.ShowsToken(task.shard) && !isReturned(task.machine) {
 		return outcomePending`, `if false {
 		return outcomePending`},
 	{"orders of an earlier token are void", "coordination/controller/shards.go", `		machine.Commands.Pending = nil
 		delete(c.pendingCommands, machine)
 `, `		_ = machine
 `},
-	{"adoption and a hire's answer exclude one another", "coordination/controller/adoption.go", `			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + provision.Name, Value: &again})
-`, `			_ = again
+	{"adoption and a hire's answer exclude one another", "coordination/controller/adoption.go", `			ops = append(ops, kv.Op{Key: records.ProvisionPrefix + provision.Name, Value: &unchanged})
+`, `			_ = unchanged
 `},
 	{"the lead is known by its record", "coordination/controller/leadership.go", `c.leadership.isSelf = record.Node == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli(); c.leadership.isSelf {`, `c.leadership.isSelf = record.Node == c.settings.NodeName && record.StartedAtMs == c.startedAt.UnixMilli() && !c.leadership.campaigning; c.leadership.isSelf {`},
 	{"no empty set of claims without a job", "coordination/replica/view_claims.go", `if delete(set, claim.Key); len(set) == 0 {`, `if delete(set, claim.Key); false {`},
