--- a/internal/coordination/controller/claims.go
+++ b/internal/coordination/controller/claims.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// conflictPause is how long a claim is left alone after a commit of it failed.
+	// conflictPause is the time after a failed commit of a claim before the next one.
 	conflictPause = 150 * time.Millisecond
-	// dropRetryPause is the same for the removal of a claim.
+	// dropRetryPause is the time after a failed removal of a claim before the next attempt.
 	dropRetryPause = 200 * time.Millisecond
 )
 
-// claimChange is a new version of a claim, with the part of its transaction that carries
-// the change of its team's use.
+// claimChange is a new version of a claim with the conditions and operations of its
+// transaction. newClaimChange sets those that the limit of the claim's team requires.
 type claimChange struct {
 	claim    *replica.Claim
 	next     *records.Claim
 	compares []kv.Compare
 	ops      []kv.Op
-	usage    *replica.TeamUsage // whose record the transaction writes; nil: none
+	usage    *replica.TeamUsage // the team usage whose record the transaction writes; nil: none
 }
 
-// newClaimChange prepares a change of a claim of a shard, or of a gang across shards if
-// the shard is empty. It reports whether the team's limit permits the change now.
+// newClaimChange prepares a new version of a claim of a shard, or of a gang across shards if
+// shardName is empty, and reports whether the team's limit permits that version now.
 func (c *Controller) newClaimChange(shardName string, claim *replica.Claim, next *records.Claim) (*claimChange, bool) {
 	compares, ops, usage, ok := c.reserveTeamUse(shardName, claim, next)
 	return &claimChange{claim: claim, next: next, compares: compares, ops: ops, usage: usage}, ok
 }
 
-// beginChange marks a change as being committed: its capacity is in use from now on, and
-// nothing else writes the record of the team's use.
+// beginChange marks a change as being committed: from now on its placements use capacity, and
+// no other transaction of this controller writes the team's usage record.
 func (c *Controller) beginChange(change *claimChange) {
 	if change.usage != nil {
 		change.usage.Writing = true
@@ -45,7 +45,7 @@
 	c.view.SetPending(change.claim, change.next)
 }
 
-// commitChange commits a change. done runs once the change is not pending any more.
+// commitChange commits a change. done runs after the change is no longer marked as pending.
 func (c *Controller) commitChange(priority kv.Priority, change *claimChange, done func(error)) {
 	c.beginChange(change)
 	c.commit(priority, change.compares, change.ops, 0, func(err error) {
@@ -58,14 +58,14 @@
 }
 
 // claimCompares returns the conditions of every change of a shard's claim: the shard is
-// still owned under the same fencing token, and the claim is at the version decided on,
-// which is 0 for a claim that must not exist yet.
+// still owned under the same fencing token, and the claim has the version on which the
+// change is based, which is 0 for a claim that must not exist yet.
 func claimCompares(shard *replica.Shard, claim *replica.Claim) []kv.Compare {
 	return []kv.Compare{{Key: records.ShardPrefix + shard.Name, Version: shard.FencingToken}, {Key: claim.Key, Version: claim.Version}}
 }
 
-// commitPlacements commits placements, with the claim itself when it is new. It reports
-// whether a commit has begun.
+// commitPlacements commits a version of a claim with new placements, and creates the claim
+// if the entry has none. It reports whether a commit has begun.
 func (c *Controller) commitPlacements(shard *replica.Shard, entry *placement.QueueEntry, next *records.Claim) bool {
 	if entry.Claim != nil {
 		return c.updateClaim(shard, entry.Claim, next, claimPriority(entry.Spec), func(err error) {
@@ -85,15 +85,15 @@
 	return true
 }
 
-// reconcileCommitted reconciles a claim whose placements are committed, so that its tasks
-// start at once.
+// reconcileCommitted reconciles a claim right after its placements are committed, so that
+// the start commands are sent at once.
 func (c *Controller) reconcileCommitted(shard *replica.Shard, claim *replica.Claim) {
 	if job := c.view.Jobs[claim.JobID]; job != nil && c.view.IsActive(shard) && claim.Record != nil {
 		c.reconcileClaim(shard, job, claim, time.Now())
 	}
 }
 
-// claimPriority returns the priority of a claim's commit. Those of arrays come after others.
+// claimPriority returns the priority of a claim's commit. Claims of arrays rank below others.
 func claimPriority(spec *protocol.Submission) kv.Priority {
 	if spec.Shape == protocol.ShapeArray {
 		return kv.PriorityArrayClaim
@@ -101,9 +101,10 @@
 	return kv.PriorityClaim
 }
 
-// prepareClaim adds a new claim to the view while its commit is under way, so that its
-// capacity is in use, and returns the transaction's conditions and changes. It reports
-// whether the team's limit permits the claim now.
+// prepareClaim adds a new claim to the view before its commit, so that its placements use
+// capacity while the commit is in progress. It returns the transaction's conditions and the
+// operations for the team's usage record, and reports whether the team's limit permits the
+// claim now.
 func (c *Controller) prepareClaim(shard *replica.Shard, claim *replica.Claim, next *records.Claim) ([]kv.Compare, []kv.Op, bool) {
 	change, ok := c.newClaimChange(shard.Name, claim, next)
 	if !ok {
@@ -115,15 +116,15 @@
 	return append(change.compares, claimCompares(shard, claim)...), change.ops, true
 }
 
-// initialClaim is the claim of a job that is being accepted or released, made in the same
-// transaction. It is empty if there is none.
+// initialClaim is a claim that is created in the transaction that accepts or releases its
+// job. The zero value means that no claim is created.
 type initialClaim struct {
 	claim    *replica.Claim
 	shard    *replica.Shard
 	compares []kv.Compare
 }
 
-// ops returns the claim's part of the transaction.
+// ops returns the operation that writes the claim, or nil if there is no claim.
 func (f initialClaim) ops() []kv.Op {
 	if f.claim == nil {
 		return nil
@@ -131,7 +132,7 @@
 	return []kv.Op{{Key: f.claim.Key, Value: f.claim.Pending}}
 }
 
-// finish ends the claim's commit.
+// finish processes the result of the transaction that contained the claim, if there is one.
 func (f initialClaim) finish(controller *Controller, err error) {
 	if f.claim != nil {
 		controller.finishClaim(f.shard, f.claim, err)
@@ -139,7 +140,8 @@
 }
 
 // claimImmediately prepares the claim of a job that is being accepted or released, if this
-// node owns one of its shards and that shard has capacity for all of its tasks.
+// node owns one of the given shards, that shard has capacity for all of the job's tasks, and
+// no earlier work of the shard would be overtaken.
 func (c *Controller) claimImmediately(spec *protocol.Submission, shardNames []string, now time.Time) initialClaim {
 	size := c.chunkSize(spec, shardNames)
 	if size < spec.Tasks || c.isLimited(spec) {
@@ -169,7 +171,7 @@
 }
 
 // placeAllTasks returns the first version of a claim with all tasks of a job placed on a
-// shard's machines, or nil if it has no capacity for all of them.
+// shard's machines, or nil if the shard lacks capacity for some of them.
 func (c *Controller) placeAllTasks(shard *replica.Shard, entry *placement.QueueEntry, now time.Time) *records.Claim {
 	const firstAttempt = 1
 	capacities := c.capacities(shard, now)
@@ -185,8 +187,8 @@
 	return next
 }
 
-// hasEarlierWork reports whether others of at least this priority wait already: a new job
-// must not pass them.
+// hasEarlierWork reports whether a shard's queue holds an entry with at least the priority
+// and GPUs of a new job, which the new job must not overtake.
 func (c *Controller) hasEarlierWork(shard *replica.Shard, spec *protocol.Submission, now time.Time) bool {
 	for _, entry := range c.queue(shard, now) {
 		if entry.Spec.Priority() >= spec.Priority() && entry.Spec.GPUs >= spec.GPUs {
@@ -196,8 +198,8 @@
 	return false
 }
 
-// recordCompletions adds completions that are not recorded yet to a version of a claim
-// that is about to be committed anyway.
+// recordCompletions adds unrecorded completions to a version of a claim that is committed for
+// another reason.
 func (c *Controller) recordCompletions(claim *replica.Claim, next *records.Claim) {
 	next.Placements = slices.DeleteFunc(next.Placements, func(placed records.Placement) bool {
 		if !c.isProvenCompleted(claim, &placed) {
@@ -209,7 +211,7 @@
 }
 
 // isProvenCompleted reports whether a machine shows under the current fencing token that a
-// placement's task has completed. Tasks of a gang complete together, not one by one.
+// placement's task has completed. It is false for tasks of gangs, which complete together.
 func (c *Controller) isProvenCompleted(claim *replica.Claim, placed *records.Placement) bool {
 	machine := c.view.Machines[placed.Host]
 	if machine == nil || claim.Spec.Shape == protocol.ShapeGang || !machine.ShowsToken(c.view.Shards[machine.Record.Shard]) {
@@ -219,12 +221,12 @@
 	return task.hasCompleted()
 }
 
-// updateClaim commits a new version of a claim that this shard holds, and reports whether
-// the commit has begun. done, if set, runs after it.
+// updateClaim commits a new version of a claim that the shard holds, and reports whether the
+// commit has begun. done, if not nil, runs after the commit.
 func (c *Controller) updateClaim(shard *replica.Shard, claim *replica.Claim, next *records.Claim, priority kv.Priority, done func(error)) bool {
 	if next.MaxEncodedSize() > c.store.MaxValueBytes() {
-		// It was written before the state service lowered its limits. Each task that ends
-		// makes it smaller; until it fits, its agents go on listing what has ended.
+		// The record was written before the state service lowered its limits. It shrinks with
+		// each task that ends; until it fits, the agents keep listing the ended tasks.
 		return false
 	}
 	change, ok := c.newClaimChange(shard.Name, claim, next)
@@ -248,13 +250,12 @@
 	return true
 }
 
-// finishJob commits a job's end together with that of its last chunk, and reports whether
-// the commit has begun.
+// finishJob commits that a job is done together with the completion of its last chunk, and
+// reports whether the commit has begun.
 //
-// The claims of the other chunks are no conditions: recorded completion is final, and a
-// claim is removed only once its job is final, which the job's own condition excludes. This
-// keeps the transaction within the limits of the state service, which two dozen claims
-// may exceed.
+// The claims of the other chunks need no conditions: a recorded completion is final, and a
+// claim is removed only once its job is final, which the condition on the job's version
+// excludes. Conditions on two dozen claims could exceed the state service's transaction limits.
 func (c *Controller) finishJob(shard *replica.Shard, job *replica.Job, claim *replica.Claim, next *records.Claim) bool {
 	if !areOtherChunksComplete(job, claim) {
 		return false
@@ -285,8 +286,8 @@
 	return true
 }
 
-// areOtherChunksComplete reports whether all chunks of a job are claimed and all but one, the last
-// to be recorded, are recorded as complete.
+// areOtherChunksComplete reports whether all chunks of a job are claimed and all except last
+// are recorded as complete.
 func areOtherChunksComplete(job *replica.Job, last *replica.Claim) bool {
 	if len(job.Claims) != job.Chunks {
 		return false
@@ -300,7 +301,7 @@
 	return true
 }
 
-// dropClaim removes the claim of a final job once nothing of it is left.
+// dropClaim removes the claim of a final job once the claim has no placements left.
 func (c *Controller) dropClaim(shard *replica.Shard, claim *replica.Claim) {
 	empty := claim.Record.Clone()
 	empty.Placements = nil
@@ -317,8 +318,9 @@
 	})
 }
 
-// finishClaim ends the commit of a new claim: its tasks start at once, or, when another
-// shard has claimed the chunk, the view drops it.
+// finishClaim processes the result of the commit of a new claim. After a success the claim is
+// reconciled at once, which starts its tasks. After a failure the claim is removed from the
+// view, unless a record of the chunk, such as another shard's claim, has been read meanwhile.
 func (c *Controller) finishClaim(shard *replica.Shard, claim *replica.Claim, err error) {
 	c.view.SetPending(claim, nil)
 	if usage := c.view.Teams[claim.Spec.Team]; usage != nil && c.isLimited(claim.Spec) {
@@ -344,7 +346,7 @@
 	c.reconcileClaim(shard, job, claim, time.Now())
 }
 
-// dropUncommitted removes a claim from the view whose first version was not committed.
+// dropUncommitted removes a claim from the view if no version of the claim is recorded.
 func (c *Controller) dropUncommitted(claim *replica.Claim) {
 	if claim.Record == nil && c.view.Claims[claim.Key] == claim {
 		c.view.DropClaim(claim)
--- a/internal/coordination/controller/claims_test.go
+++ b/internal/coordination/controller/claims_test.go
@@ -10,9 +10,10 @@
 	"madderslip/internal/storage/records"
 )
 
-// Two attempts of this controller at the same chunk, its shard's and the leader's, may place
-// the same task on the same machine. The end of the first must leave the other's slot in the
-// index: without it the machine's capacity would be allocated twice.
+// A controller may commit two claims of the same chunk at once, one as shard owner and one as
+// leader, that place the same task on the same machine. When the first commit fails, the slot
+// of the other claim must stay in the index: otherwise the machine's capacity would be
+// allocated twice.
 func TestFailedClaimKeepsOtherClaimsSlot(t *testing.T) {
 	controller := newFleet(t, 30)
 	controller.mu.Lock()
@@ -34,9 +35,9 @@
 	}
 }
 
-// An attempt at a claim may fail after another shard has finished the job, whose record was
-// read again without its description. The attempt ends like any other that fails, and the
-// process goes on.
+// The commit of a claim may fail after another shard has finished the job, whose record was
+// then read again without its spec. The failure must be processed without a panic, and the
+// claim must keep its spec.
 func TestFailedClaimKeepsSpecOfFinishedJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := newTestController(idleStore{})
@@ -51,7 +52,7 @@
 		controller.view.ApplyJob("wk-1", &records.Job{State: protocol.JobDone, Tasks: 1}, 6)
 		controller.finishClaim(controller.view.Shard("n0"), claim, kv.ErrCompareFailed)
 		if claim.Pending != nil || claim.Spec == nil {
-			t.Errorf("being committed %v, description %v", claim.Pending, claim.Spec)
+			t.Errorf("after the failed commit: pending version %v, spec %v", claim.Pending, claim.Spec)
 		}
 	})
 }
--- a/internal/coordination/controller/commit.go
+++ b/internal/coordination/controller/commit.go
@@ -9,14 +9,14 @@
 	"madderslip/internal/storage/kv"
 )
 
-// commit submits a transaction. done runs with the lock held, after the view shows the
-// outcome: the written records, or what the failed keys hold now.
+// commit submits a transaction. done runs with the lock held, after the view holds the
+// outcome: the written records, or the present records of the keys whose conditions failed.
 func (c *Controller) commit(priority kv.Priority, compares []kv.Compare, ops []kv.Op, within time.Duration, done func(error)) {
 	c.commitWithRevision(priority, compares, ops, within, func(err error, _ uint64) { done(err) })
 }
 
-// commitWithRevision submits a transaction as commit does, and passes to done the state
-// service's revision at its answer, or 0 if it did not answer.
+// commitWithRevision submits a transaction as commit does, and passes to done the revision
+// that the state service answered with, or 0 if it did not answer.
 func (c *Controller) commitWithRevision(priority kv.Priority, compares []kv.Compare, ops []kv.Op, within time.Duration, done func(error, uint64)) {
 	txn := &kv.Txn{Compares: compares, Ops: ops, Priority: priority}
 	if within > 0 {
@@ -41,14 +41,14 @@
 }
 
 // refreshAfter reads keys of a failed transaction again before done runs. A transaction
-// without a deadline reserves something: its caller may not go on before the outcome is
-// known.
+// without a deadline reserves resources, so its caller must not continue before the outcome
+// is known.
 func (c *Controller) refreshAfter(txn *kv.Txn, result kv.Result, keys []string, done func(error, uint64)) {
 	c.refreshCount++
 	go c.refreshKeys(c.refreshCount, keys, result.Revision, txn.Deadline.IsZero(), func(read bool) {
 		if !read && txn.Priority == kv.PriorityUser {
-			// The view may be newer than the condition and still older than what another
-			// node has answered users, so that the outcome is unknown here.
+			// A view newer than the failed condition may still be older than the records
+			// from which another node has answered users, so the outcome counts as unknown.
 			done(kv.ErrOutcomeUnknown, 0)
 			return
 		}
@@ -56,8 +56,8 @@
 	})
 }
 
-// keysToRefresh lists the keys to be read again after a transaction failed: another
-// decision from the same view would only fail again.
+// keysToRefresh lists the keys to be read again after a transaction failed. Another
+// transaction based on the same view would fail as well.
 func (c *Controller) keysToRefresh(result kv.Result, txn *kv.Txn) []string {
 	var keys []string
 	for _, compare := range txn.Compares {
@@ -74,19 +74,21 @@
 }
 
 // needsRefresh reports whether the key of a failed condition must be read: the watch has
-// not delivered a newer version yet, or the transaction answers a user. For users the view
-// may be newer than the condition and still older than what another node has answered.
+// not delivered a newer version yet, or the transaction answers a user. Users may have been
+// answered by another node from records that are newer than the view, even if the view is
+// newer than the condition.
 func (c *Controller) needsRefresh(txn *kv.Txn, compare kv.Compare) bool {
 	return txn.Priority == kv.PriorityUser || c.view.Versions[compare.Key] <= compare.Version
 }
 
-// refreshKeys reads keys into the view and then calls done with the lock held and with
-// whether all of them were read. With mustRead set it goes on until each is read, or the
-// watch has reached the revision at which the transaction failed. That prevents a limited
-// team's start of unknown outcome from missing in what the team uses.
+// refreshKeys reads keys into the view and then calls done, with the lock held, to report
+// whether all keys were read. If mustRead is set, each read is repeated until it succeeds or
+// the watch has reached the revision at which the transaction failed. Otherwise a limited
+// team's start of unknown outcome could be missing from the team's usage.
 //
-// Reads that begin at the same instant, after transactions that were sent together, start a
-// nanosecond apart in the order of their numbers: they compete for the same requests.
+// Reads after transactions that were sent together begin at the same instant and compete for
+// the same requests. They start a nanosecond apart, so that they compete in the order of their
+// numbers.
 func (c *Controller) refreshKeys(number int, keys []string, revision uint64, mustRead bool, done func(read bool)) {
 	c.mu.Lock()
 	processCtx := c.ctx
@@ -117,8 +119,8 @@
 	c.wake()
 }
 
-// hasReached reports whether the watch has delivered everything up to a revision; 0: the
-// revision is unknown. It takes the lock itself.
+// hasReached reports whether the watch has delivered all changes up to a revision. It returns
+// false for 0, an unknown revision. The caller must not hold the lock.
 func (c *Controller) hasReached(revision uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +128,7 @@
 }
 
 const (
-	refreshTimeout    = 2 * time.Second // of the first read of all keys
+	refreshTimeout    = 2 * time.Second // bounds the first reads of all keys together
 	refreshRetryPause = 300*time.Millisecond + 71*time.Nanosecond
-	refreshStartSlots = 1000 // that are told apart by their start
+	refreshStartSlots = 1000 // number of distinct start times of reads that begin at one instant
 )
--- a/internal/coordination/controller/commit_test.go
+++ b/internal/coordination/controller/commit_test.go
@@ -11,10 +11,10 @@
 	"madderslip/internal/storage/records"
 )
 
-// A start whose transaction failed, as far as is known, may have been committed by an earlier
-// sending of it. Until its claim has been read, however long that takes, it counts in what
-// its team uses. A user's transaction has a deadline, and its answer does not wait for the
-// read.
+// A transaction that starts a task may be reported as failed although an earlier sending of it
+// was committed. Until the claim has been read, however long that takes, the task must count
+// in its team's usage. A transaction with a deadline, such as a user's, must be answered
+// without waiting for the read.
 func TestFailedStartCountsUntilItsClaimIsRead(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -40,17 +40,17 @@
 				time.Sleep(time.Second)
 				controller.mu.Lock()
 				if use := controller.view.UsedBy("t", "n0"); test.within == 0 && (use.CPUs != 2 || !answeredAt.IsZero()) {
-					t.Errorf("uses %v before the claim is read", use)
+					t.Errorf("team usage %v before the claim is read", use)
 				}
 				controller.mu.Unlock()
 				time.Sleep(time.Minute)
 				controller.mu.Lock()
 				defer controller.mu.Unlock()
 				if use := controller.view.UsedBy("t", "n0"); test.within == 0 && (use.CPUs != 2 || claim.Record == nil) {
-					t.Errorf("uses %v though the start was committed", use)
+					t.Errorf("team usage %v though the start was committed", use)
 				}
 				if test.within > 0 && answeredAt.Sub(began) > 2*time.Second {
-					t.Errorf("its caller was answered after %v", answeredAt.Sub(began))
+					t.Errorf("the caller was answered after %v", answeredAt.Sub(began))
 				}
 			})
 		})
