--- a/internal/coordination/controller/reconcile.go
+++ b/internal/coordination/controller/reconcile.go
@@ -10,38 +10,38 @@
 	"madderslip/internal/storage/records"
 )
 
-// reconcileClaims compares the claims of a shard that have changed with what the machines
-// show: ended tasks are recorded, missing ones started, unwanted ones stopped.
+// reconcileClaims compares those claims of a shard that are marked dirty with what the machines
+// show: it records ended tasks, starts missing tasks and stops tasks that must not run.
 func (c *Controller) reconcileClaims(shard *replica.Shard, now time.Time) {
 	for _, claim := range c.view.TakeDirtyClaims(shard, now) {
 		job := c.view.Jobs[claim.JobID]
 		if claim.Record == nil || claim.Pending != nil || job == nil || claim.Spec == nil {
-			continue // marked again when that changes
+			continue // the claim is marked dirty again once it can be reconciled
 		}
 		c.reconcileClaim(shard, job, claim, now)
 	}
 }
 
-// outcome is the state of a placement as far as it is proven.
+// outcome is the proven state of a placement.
 type outcome int
 
 const (
-	outcomeRunning   outcome = iota // the task is, or may be, on its machine
-	outcomePending                  // the same, and the placement must be checked again
+	outcomeRunning   outcome = iota // the task is or may be on its machine
+	outcomePending                  // the task is or may be on its machine, and the placement must be checked again
 	outcomeCompleted                // the task has completed
-	outcomeGone                     // the task is not on its machine and can't start there any more
+	outcomeGone                     // the task is not on its machine and cannot start there any more
 )
 
 // claimReconciliation is the result of comparing a claim with what the machines show.
 type claimReconciliation struct {
 	next    *records.Claim // the claim without the placements that have ended
 	changed bool           // next differs from the committed version
-	urgent  bool           // next is committed without waiting for further completions
-	recheck bool           // the claim is to be checked again soon
+	urgent  bool           // next is committed without a delay to collect further completions
+	recheck bool           // the claim must be checked again after recheckDelay
 }
 
-// reconcileClaim classifies a claim's placements, sends the commands that follow, and
-// commits what has changed.
+// reconcileClaim classifies a claim's placements, sends the resulting commands to the machines,
+// and commits the claim if it has changed.
 func (c *Controller) reconcileClaim(shard *replica.Shard, job *replica.Job, claim *replica.Claim, now time.Time) {
 	result := c.newReconciliation(job, claim)
 	if hasLostGangTask(claim) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// newReconciliation returns a reconciliation with none of the claim's placements yet. What
-// ends is committed at once where other shards wait for it within the team's limit.
+// newReconciliation returns a reconciliation to which no placement of the claim is added yet. It
+// is urgent if the claim's team has a limit and other shards may wait for a share of it.
 func (c *Controller) newReconciliation(job *replica.Job, claim *replica.Claim) *claimReconciliation {
 	next := claim.Record.Clone()
 	next.Placements = next.Placements[:0]
@@ -86,8 +86,8 @@
 	return &claimReconciliation{next: next, urgent: urgent, recheck: job.Record.IsFinal()}
 }
 
-// hasLostGangTask reports whether a gang that was placed whole has lost a task, so that its
-// attempt must end.
+// hasLostGangTask reports whether a gang, which is always placed as a whole, has lost a
+// placement, so that its attempt must end.
 func hasLostGangTask(claim *replica.Claim) bool {
 	placed := len(claim.Record.Placements)
 	return claim.Spec.Shape == protocol.ShapeGang && placed > 0 && placed+claim.Record.CompletedCount() < claim.Record.TaskCount
@@ -122,8 +122,8 @@
 	return claim.Record.Shard == "" && machine != nil && machine.Record.Shard != shard.Name
 }
 
-// endPlacement updates a claim for a placement whose task is gone. With one task of a gang
-// the attempt of all of them ends.
+// endPlacement updates a claim for a placement whose task is gone. If one task of a gang is
+// gone, the attempt of the whole gang ends.
 func (c *Controller) endPlacement(job *replica.Job, claim *replica.Claim, placement *records.Placement) {
 	if _, evicted := claim.Evictions[placement.Task]; !evicted && claim.Spec.Shape == protocol.ShapeService && !job.Record.IsFinal() {
 		c.log.Info("service replica lost", "task", protocol.TaskName(claim.JobID, placement.Task), "attempt", placement.Attempt, "host", placement.Host)
@@ -134,7 +134,8 @@
 	}
 }
 
-// completeGang marks every task of a gang completed if one is: a gang completes together.
+// completeGang marks every task of a gang as completed if any is, because a gang completes as a
+// whole.
 func (r *claimReconciliation) completeGang() {
 	if r.next.CompletedCount() == 0 || r.next.IsComplete() {
 		return
@@ -145,10 +146,11 @@
 	r.changed = true
 }
 
-// commitReconciled commits a reconciled claim and reports whether a commit has begun. A
-// completion alone is held back for a while so that one write records several: until then
-// its agent goes on listing it, and its capacity already counts as free. One write for each
-// of some hundred tasks a second exceeds the state service's budget.
+// commitReconciled commits a reconciled claim and reports whether a commit has begun. Unless
+// the commit is urgent, it is delayed by CompletionBatchDelay so that one write records several
+// completions: one write for each of some hundred tasks per second would
+// exceed the state service's budget. Until the commit the agent keeps listing the completed
+// task, and the task's capacity already counts as free.
 func (c *Controller) commitReconciled(shard *replica.Shard, claim *replica.Claim, result *claimReconciliation, now time.Time) bool {
 	if claim.CompletionSeenAt.IsZero() {
 		claim.CompletionSeenAt = now
@@ -159,14 +161,14 @@
 	return c.updateClaim(shard, claim, result.next, kv.PriorityCompletion, nil)
 }
 
-// placedTask is a placement and what its machine shows of it.
+// placedTask is a placement together with the task status that its machine shows.
 type placedTask struct {
 	shard     *replica.Shard
 	claim     *replica.Claim
 	placement *records.Placement
 	machine   *replica.Machine
 	name      string
-	status    *protocol.TaskStatus // of any attempt; nil: the machine does not show the task
+	status    *protocol.TaskStatus // the task's status, of any attempt; nil: the machine does not show the task
 }
 
 // isShown reports whether the machine shows the placement's attempt of the task.
@@ -184,9 +186,10 @@
 	return t.hasExited() && t.status.Cause == protocol.CauseDone
 }
 
-// classifyPlacement determines a placement's outcome from proof alone: the agent's own
-// status under the current fencing token with no command outstanding, or a machine that the
-// cloud has taken back. Silence proves nothing.
+// classifyPlacement determines a placement's outcome. A placement ends only on proof: either
+// the agent's own status under the current fencing token, with no start of an uncompleted
+// attempt unconfirmed, or the cloud's confirmation that the machine is returned. A machine's
+// silence is never proof.
 func (c *Controller) classifyPlacement(shard *replica.Shard, job *replica.Job, claim *replica.Claim, placement *records.Placement, now time.Time) outcome {
 	machine := c.view.Machines[placement.Host]
 	if machine == nil {
@@ -213,30 +216,31 @@
 		}
 		c.sendStop(task, grace, now)
 		return outcomePending
-	case task.status != nil: // another attempt of it is still there
+	case task.status != nil: // the machine shows another attempt of the task
 		return outcomePending
 	case !machine.ShowsToken(shard):
 		return outcomePending
 	case stop, c.isOverLimit(claim.Spec), machine.Detector.Reachability.CannotReceive(), c.cannotReport(machine, now) && !c.isStateDown(now):
-		// Under a limit lowered since, what runs may go on, but nothing more may start. A
-		// machine that cannot receive would not start the task, and one that cannot report
-		// would lose it with its lease, which is more than an outage lets start elsewhere.
+		// If the team's limit was lowered, running tasks continue but no task may start. A
+		// machine that cannot receive would not start the task. A machine that cannot report
+		// would lose the task when its lease expires; but while the state service is down the
+		// task cannot be placed elsewhere either, so it is started anyway.
 		return task.classifyNotStarted()
 	}
 	c.sendStart(task, now)
 	return outcomePending
 }
 
-// isReturned reports whether the cloud has taken a machine back.
+// isReturned reports whether the cloud has confirmed that a machine is returned.
 func isReturned(machine *replica.Machine) bool {
 	return machine.Lifecycle.Gone || machine.Record.State == records.MachineGone
 }
 
-// classifyCompleted classifies a placement whose task has completed. Completion is final,
-// but a status under an earlier fencing token does not prove that the task is off the
-// machine: the agent's epoch may have ended since, and another owner of the shard may have
-// started the task again there. The token prevents a limited team's use from being lowered
-// while the task runs.
+// classifyCompleted classifies a placement whose task has completed. Completion is final, but a
+// status under an earlier fencing token does not prove that the task is no longer on the
+// machine: the agent epoch may have ended since, and another owner of the shard may have
+// started the task there again. Requiring the current token prevents a limited team's usage
+// from being lowered while the task runs.
 func (c *Controller) classifyCompleted(job *replica.Job, task *placedTask, now time.Time) outcome {
 	if !task.machine.ShowsToken(task.shard) && !isReturned(task.machine) {
 		return outcomePending
@@ -255,17 +259,17 @@
 		return outcomePending
 	}
 	if task.status.Cause == protocol.CauseGangTimeout && !stop {
-		// The task waited too long for the others, whose images may take longer still.
-		// Once reaped it starts again, in the same attempt and on the same machine: ending
-		// the attempt would throw away the images that the others have fetched.
+		// The task waited too long for the other tasks of its gang, which may still be
+		// fetching images. Once reaped, it starts again in the same attempt and on the same
+		// machine: ending the attempt would waste the images fetched so far.
 		return outcomePending
 	}
 	c.recordTaskEnd(job, task.machine, task.status, now)
 	return outcomeGone
 }
 
-// classifyNotStarted classifies a placement that its machine does not show and that must
-// not start any more: it is gone once no start of it can arrive late.
+// classifyNotStarted classifies a placement that its machine does not show and that must not
+// start any more. The placement is gone once no earlier start command can be executed late.
 func (t *placedTask) classifyNotStarted() outcome {
 	if t.machine.HasUnconfirmedStart(t.name, t.placement.Attempt) {
 		t.shard.RequestNewToken(t.machine)
@@ -274,8 +278,8 @@
 	return outcomeGone
 }
 
-// sendStop queues the stop of a task, again after resendInterval. A task that writes its
-// checkpoint is left to it while it has grace.
+// sendStop queues a stop command for a task and repeats it after resendInterval. A task that is
+// writing its checkpoint is not stopped while it has a grace period.
 func (c *Controller) sendStop(task *placedTask, grace time.Duration, now time.Time) {
 	commands := &task.machine.Commands
 	mayInterrupt := task.status.Phase != protocol.TaskCheckpointing || grace == 0
@@ -285,10 +289,11 @@
 	}
 }
 
-// sendStart queues the start of a task that is committed but not on its machine: it was
-// never started, or was lost with the agent's epoch. The same attempt may start again, since
-// nothing else can hold it, unless its job may have been cancelled where this node can't
-// hear of it.
+// sendStart queues a start command for a task that is placed but not on its machine, because it
+// was never started or was lost when the agent epoch ended. The same attempt may start again,
+// since it can run nowhere else. Nothing is started while this controller has contact neither
+// with the state service nor with another controller: it could not learn that the job was
+// cancelled.
 func (c *Controller) sendStart(task *placedTask, now time.Time) {
 	commands := &task.machine.Commands
 	if !c.hasNoContact(now) && !task.hasQueuedStart() && now.Sub(commands.StartSentAt[task.name]) > resendInterval && task.machine.Record.State == records.MachineInUse {
@@ -297,7 +302,7 @@
 	}
 }
 
-// hasQueuedStart reports whether a start of the task is queued or being sent.
+// hasQueuedStart reports whether a start command of the task is queued or being sent.
 func (t *placedTask) hasQueuedStart() bool {
 	return slices.ContainsFunc(t.machine.Commands.Pending, isStartOf(t.name)) || slices.ContainsFunc(t.machine.Commands.InFlight, isStartOf(t.name))
 }
@@ -308,14 +313,15 @@
 }
 
 const (
-	// checkpointMargin is added to the time that a checkpoint takes.
+	// checkpointMargin is added to the duration of a checkpoint to get the grace period.
 	checkpointMargin = 2 * time.Second
-	// maxEvictionDelay is how long past its grace an evicted task may run before it is
-	// stopped without any.
+	// maxEvictionDelay is how long an evicted task may run beyond its grace period before it
+	// is stopped without one.
 	maxEvictionDelay = 10 * time.Second
 )
 
-// shouldStop reports whether a placement must end, and returns the grace for its checkpoint.
+// shouldStop reports whether a placement must end, and returns the grace period for its
+// checkpoint.
 func (c *Controller) shouldStop(claim *replica.Claim, placement *records.Placement, now time.Time) (time.Duration, bool) {
 	job := c.view.Jobs[claim.JobID]
 	if job == nil || job.Record == nil || claim.Spec == nil {
