--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -12,11 +12,13 @@
 	"madderslip/internal/transport"
 )
 
-// heartbeatRetrySeconds is when an agent comes back whose heartbeat can't be served now.
+// heartbeatRetrySeconds is after how many seconds an agent repeats a heartbeat that cannot be
+// processed now.
 const heartbeatRetrySeconds = 1
 
-// observeHeartbeat records an agent's heartbeat, or its answer to a direct call. It returns
-// false for one that a newer one has overtaken or that may be of an earlier incarnation.
+// observeHeartbeat records an agent's heartbeat, received by itself or as the answer to a direct
+// call. It records nothing and returns false if a newer heartbeat is already recorded or if the
+// heartbeat may be of an earlier incarnation of the agent.
 func (c *Controller) observeHeartbeat(machine *replica.Machine, heartbeat *protocol.Heartbeat) bool {
 	if machine.Agent.Heartbeat != nil {
 		incarnation := replica.IncarnationOf(heartbeat)
@@ -28,10 +30,10 @@
 	return true
 }
 
-// recordRestart records the first heartbeat of a machine's later incarnation, an answer to
-// a direct call. Messages of the earlier incarnation may still arrive and look newer: one
-// of them could show a task as exited that runs again. So a higher fencing token is
-// published, and until the machine shows it no message of the machine counts.
+// recordRestart records the answer to a direct call that proves that a machine has restarted.
+// Messages of the earlier incarnation may still arrive and look newer than those of the present
+// one: such a message could show a task as exited that runs again. So a higher fencing token is
+// requested, and until the machine shows that token its further messages are ignored.
 func (c *Controller) recordRestart(shard *replica.Shard, machine *replica.Machine, heartbeat *protocol.Heartbeat) {
 	c.log.Info("agent restarted", "host", machine.Host, "sequence", heartbeat.Sequence, "last_sequence", machine.Agent.Heartbeat.Sequence, "agent_epoch", heartbeat.AgentEpoch)
 	machine.Agent.MinToken = max(machine.Agent.MinToken, machine.Agent.Heartbeat.FencingToken, shard.FencingToken)
@@ -42,7 +44,8 @@
 	c.recordHeartbeat(machine, heartbeat)
 }
 
-// recordHeartbeat makes a heartbeat the newest of its machine and marks what it changes.
+// recordHeartbeat stores a heartbeat as the newest of its machine and marks the claims that must
+// be reconciled because of it.
 func (c *Controller) recordHeartbeat(machine *replica.Machine, heartbeat *protocol.Heartbeat) {
 	now := time.Now()
 	previous, previousTasks := machine.Agent.Heartbeat, machine.Agent.Tasks
@@ -53,7 +56,7 @@
 		machine.Detector.Reachability.RecordNewEpoch(now)
 	}
 	if c.silenceOf(machine, now) > c.policy.SuspectAfter {
-		machine.Agent.HeardAgainAt = now // its heartbeats may take a moment longer than its answers
+		machine.Agent.HeardAgainAt = now // heartbeats may arrive a moment later than answers to probes
 	}
 	machine.Agent.Heartbeat, machine.Agent.LastContact = heartbeat, now
 	c.recordTaskStatuses(machine, heartbeat, now)
@@ -67,7 +70,7 @@
 	c.markChangedTasks(machine, previous, previousTasks)
 }
 
-// recordTaskStatuses replaces what a machine's agent showed of its tasks.
+// recordTaskStatuses replaces the recorded task statuses of a machine with those of a heartbeat.
 func (c *Controller) recordTaskStatuses(machine *replica.Machine, heartbeat *protocol.Heartbeat, now time.Time) {
 	machine.Agent.Tasks = make(map[string]*protocol.TaskStatus, len(heartbeat.Tasks))
 	for i := range heartbeat.Tasks {
@@ -84,7 +87,8 @@
 	}
 }
 
-// recordRunning records when a task was first seen running, and that its image is there.
+// recordRunning records when a task was first reported as running, and that the machine's cache
+// holds the task's image.
 func (c *Controller) recordRunning(machine *replica.Machine, status *protocol.TaskStatus, now time.Time) {
 	if _, known := machine.Agent.RunningSince[status.Task]; known {
 		return
@@ -96,10 +100,10 @@
 	}
 }
 
-// markChangedTasks marks the claims to be reconciled of which the newest heartbeat shows
-// something else than the previous one: a task's phase or attempt, or its absence. A new
-// token or epoch marks all. If anything has changed, the machine's free capacity is
-// computed anew.
+// markChangedTasks marks as dirty the claims of tasks whose phase, attempt or presence differs
+// between the newest heartbeat and the previous one. A new fencing token or agent epoch marks
+// the claims of all tasks of the machine. After any change the machine's free capacity is
+// computed again.
 func (c *Controller) markChangedTasks(machine *replica.Machine, previous *protocol.Heartbeat, previousTasks map[string]*protocol.TaskStatus) {
 	heartbeat := machine.Agent.Heartbeat
 	newEpoch := previous == nil || previous.FencingToken != heartbeat.FencingToken || previous.AgentEpoch != heartbeat.AgentEpoch
@@ -118,8 +122,8 @@
 	}
 }
 
-// hasStatusChanged reports whether a task is shown in another phase or attempt than
-// before. nil: it is not shown.
+// hasStatusChanged reports whether the phase or attempt of a task differs between two
+// heartbeats. A nil status, of a task that a heartbeat does not list, counts as a change.
 func hasStatusChanged(before, after *protocol.TaskStatus) bool {
 	return before == nil || after == nil || before.Phase != after.Phase || before.Attempt != after.Attempt
 }
@@ -138,8 +142,8 @@
 	reply(response)
 }
 
-// respondToHeartbeat accepts a heartbeat of a machine that this process acts for, and
-// otherwise tells the agent whom to call or extends its lease.
+// respondToHeartbeat accepts a heartbeat of a machine whose shard this process owns. Otherwise it
+// redirects the agent to the shard's owner, extends the agent's lease, or turns the agent away.
 func (c *Controller) respondToHeartbeat(heartbeat *protocol.Heartbeat) transport.Response {
 	if !c.view.Loaded {
 		if extension, ok := c.extendLeaseWithoutRecords(heartbeat, time.Now()); ok {
@@ -163,14 +167,15 @@
 	case shard.FencingToken == 0:
 		return c.respondWithoutToken(shard, heartbeat)
 	case heartbeat.FencingToken > shard.FencingToken:
-		// Another controller owns the shard by now. A 200 would keep the agent here
-		// while its lease expires.
+		// Another controller has acquired the shard since. A response with status 200 would
+		// keep the agent with this controller while its lease expires.
 		return misdirected
 	}
 	return c.acceptHeartbeat(shard, machine, heartbeat)
 }
 
-// respondToUnrecorded answers a machine without a record, which the leader alone records.
+// respondToUnrecorded answers the agent of a machine without a record. Only the leader records
+// such machines, so the agent is redirected to the leader if that is another live controller.
 func (c *Controller) respondToUnrecorded(heartbeat *protocol.Heartbeat) transport.Response {
 	c.noteUnrecorded(heartbeat.Host, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
 	if _, live := c.view.Nodes[c.leadership.node]; live && c.leadership.node != c.settings.NodeName {
@@ -179,7 +184,7 @@
 	return unavailable(heartbeatRetrySeconds)
 }
 
-// respondWithoutToken answers a machine of a shard whose token this process does not hold.
+// respondWithoutToken answers the agent of a machine whose shard this process does not own.
 func (c *Controller) respondWithoutToken(shard *replica.Shard, heartbeat *protocol.Heartbeat) transport.Response {
 	if shard.Record != nil && shard.Record.Owner != c.settings.NodeName {
 		if extension, ok := c.extendLease(shard, heartbeat, time.Now()); ok {
@@ -192,15 +197,15 @@
 	return unavailable(heartbeatRetrySeconds)
 }
 
-// acceptHeartbeat records a heartbeat and answers with the commands to clean up.
+// acceptHeartbeat records a heartbeat and answers with the machine's cleanup commands.
 func (c *Controller) acceptHeartbeat(shard *replica.Shard, machine *replica.Machine, heartbeat *protocol.Heartbeat) transport.Response {
 	mayBeRestarted := machine.Agent.Heartbeat != nil && health.MayBeRestarted(replica.IncarnationOf(machine.Agent.Heartbeat), replica.IncarnationOf(heartbeat))
 	if mayBeRestarted && !machine.Detector.Probing {
 		c.probeMachine(machine)
 	}
 	answer := protocol.HeartbeatResponse{FencingToken: shard.FencingToken, Commands: []protocol.Command{}}
-	// A heartbeat that may be late is no reason for commands, and the newest one recorded
-	// may be of an earlier incarnation.
+	// If the agent may have restarted, this heartbeat may be late or the recorded one may be of
+	// an earlier incarnation. Neither is a basis for commands.
 	if !mayBeRestarted && c.observeHeartbeat(machine, heartbeat) {
 		machine.Agent.LastHeartbeat = time.Now()
 	}
@@ -214,13 +219,13 @@
 	return transport.Response{Status: http.StatusOK, Body: body}
 }
 
-// cleanupCommands returns the commands of a heartbeat's answer: a stop for what should not
-// run, and a reap for what has exited and is recorded. Commands in answers are never
-// executed late, which is why reaps are sent in no other way.
+// cleanupCommands returns the commands of the answer to a heartbeat: a stop for each task that
+// must not run, and a reap for each exited task whose end is recorded. Commands in answers are
+// never executed late; reaps are therefore sent only in answers.
 func (c *Controller) cleanupCommands(shard *replica.Shard, machine *replica.Machine) []protocol.Command {
 	shownToken := machine.Agent.Heartbeat.FencingToken
 	if !machine.ShowsToken(shard) && shownToken != 0 && shownToken < shard.FencingToken {
-		return nil // the agent has yet to show the token: its next heartbeat is waited for
+		return nil // no commands before a heartbeat shows the current token
 	}
 	var commands []protocol.Command
 	now := time.Now()
@@ -243,8 +248,9 @@
 	return commands
 }
 
-// cleanupPlaced returns the command for a task that is placed on its machine, if it needs
-// one: a stop, or a reap so that a gang's task which waited too long can start again.
+// cleanupPlaced returns the cleanup command for a task that is placed on its machine, and reports
+// whether the task needs one: a stop, or a reap so that a gang's task that exited because it
+// waited too long for the others can start again.
 func (c *Controller) cleanupPlaced(machine *replica.Machine, claim *replica.Claim, placement *records.Placement, status *protocol.TaskStatus, now time.Time) (protocol.Command, bool) {
 	grace, stop := c.shouldStop(claim, placement, now)
 	exited := status.Phase == protocol.TaskExited
--- a/internal/coordination/controller/heartbeats_test.go
+++ b/internal/coordination/controller/heartbeats_test.go
@@ -9,8 +9,8 @@
 	"madderslip/internal/protocol"
 )
 
-// A heartbeat that may be of an earlier incarnation of the agent, or of a later one, is
-// answered without commands: they would follow from what the other incarnation showed. The
+// A heartbeat that may be of another incarnation of the agent than the newest recorded one is
+// answered without commands, which would be based on the tasks of the wrong incarnation. The
 // machine is probed instead.
 func TestHeartbeatOfUnclearIncarnationGetsNoCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -43,9 +43,9 @@
 	})
 }
 
-// A machine with which contact is restored after a long silence answers probes before it
-// sends a heartbeat: the machines of a shard whose controller had lost them for a minute must
-// not count as unable to report for that. One that goes on answering without heartbeats must.
+// After a partition that lasted a minute a machine may answer probes before its first heartbeat
+// arrives. Such a machine must not count as unable to report at once, but must if it keeps
+// answering probes without sending heartbeats.
 func TestRestoredMachineHasTimeToReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := newFleet(t, 30)
@@ -64,11 +64,11 @@
 		time.Sleep(time.Minute)
 		answerProbes(3 * time.Second)
 		if controller.cannotReport(machine, time.Now()) {
-			t.Error("counts as unable to report as contact is restored")
+			t.Error("counts as unable to report just after contact was restored")
 		}
 		answerProbes(6 * time.Second)
 		if !controller.cannotReport(machine, time.Now()) {
-			t.Error("does not count as unable to report though it sends no heartbeat")
+			t.Error("does not count as unable to report though it sends no heartbeats")
 		}
 		sequence++
 		controller.respondToHeartbeat(heartbeatOf(machine, sequence))
