--- a/internal/coordination/controller/commands.go
+++ b/internal/coordination/controller/commands.go
@@ -20,7 +20,7 @@
 	return shard != nil && shard.FencingToken != 0 && machine.Record.State == records.MachineInUse
 }
 
-// queueCommands queues commands for a machine until they are next sent.
+// queueCommands queues commands for a machine until the next sendPendingCommands or sendCommands.
 func (c *Controller) queueCommands(shard *replica.Shard, machine *replica.Machine, commands ...protocol.Command) {
 	if !mayCommand(shard, machine) || machine.Address() == "" {
 		return
@@ -29,7 +29,7 @@
 	c.pendingCommands[machine] = struct{}{}
 }
 
-// sendPendingCommands sends the queued commands, those for one machine together.
+// sendPendingCommands sends the queued commands, with one call for each machine.
 func (c *Controller) sendPendingCommands(shard *replica.Shard) {
 	machines := slices.SortedFunc(maps.Keys(c.pendingCommands), compareHosts)
 	clear(c.pendingCommands)
@@ -44,8 +44,8 @@
 // commandTimeout bounds a call that sends commands.
 const commandTimeout = 3 * time.Second
 
-// sendCommands sends a machine's queued commands, if any, with the fencing token. Only one
-// call to a machine is under way at a time; what is queued meanwhile follows it.
+// sendCommands sends the fencing token and a machine's queued commands, if there are any. At most
+// one call to a machine is in progress at a time; commands queued meanwhile are sent after it.
 func (c *Controller) sendCommands(shard *replica.Shard, machine *replica.Machine) {
 	if machine.Commands.Sending || machine.Agent.Heartbeat == nil {
 		return
@@ -67,13 +67,13 @@
 	}()
 }
 
-// callCommands sends commands to a machine and reads the heartbeat that it answers with.
+// callCommands sends commands to a machine and decodes the heartbeat in the answer.
 func (c *Controller) callCommands(ctx context.Context, address string, request protocol.CommandRequest, heartbeat *protocol.Heartbeat) (int, error) {
 	return c.callJSON(ctx, address, http.MethodPost, protocol.PathCommands, request, heartbeat, commandTimeout)
 }
 
-// recordCommandOutcome records the outcome of a call that sent commands, and sends what was queued
-// meanwhile.
+// recordCommandOutcome records the outcome of a call that sent commands, and sends the commands
+// queued meanwhile.
 func (c *Controller) recordCommandOutcome(machine *replica.Machine, request protocol.CommandRequest, heartbeat *protocol.Heartbeat, status int, err error) {
 	machine.Commands.Sending = false
 	machine.Commands.InFlight = nil
@@ -92,9 +92,9 @@
 	c.wake()
 }
 
-// isCommandOutcomeUnknown reports whether the commands of a call may have been executed or
-// may yet be. An agent answers 409 to an outdated token or to another epoch than its own,
-// and executes nothing.
+// isCommandOutcomeUnknown reports whether the commands of a call may have been executed, or may
+// still be, although the call did not succeed. An agent that answers 409, to an outdated fencing
+// token or to an agent epoch other than its own, executes nothing.
 func isCommandOutcomeUnknown(status int, err error) bool {
 	if err != nil {
 		return !errors.Is(err, transport.ErrNotSent)
@@ -102,7 +102,7 @@
 	return status != http.StatusOK && status != http.StatusConflict
 }
 
-// recordUnknownStarts records the starts of a request of unknown outcome.
+// recordUnknownStarts records the start commands of a request whose outcome is unknown.
 func recordUnknownStarts(machine *replica.Machine, request protocol.CommandRequest) {
 	for _, command := range request.Commands {
 		if command.Verb == protocol.VerbStart {
--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -13,18 +13,19 @@
 
 const (
 	probeLoopInterval = 300 * time.Millisecond
-	// probeTimeout is no multiple of probeLoopInterval: whether a probe ends before or
-	// after the pass at the same instant would be left to chance.
+	// probeTimeout is not a multiple of probeLoopInterval, so that a probe never times out at
+	// the instant of a pass of the loop. Their order would be left to chance.
 	probeTimeout = 1480 * time.Millisecond
-	// newOwnerFenceFactor is by how much longer a new owner waits for a machine that it has
-	// not heard yet.
+	// newOwnerFenceFactor multiplies the fence delay of a machine that this process has not
+	// been in contact with since it became the shard owner.
 	newOwnerFenceFactor = 2
-	// ownFaultFenceFactor is by how much longer a machine is waited for while the silence
-	// seems to be this controller's own fault.
+	// ownFaultFenceFactor multiplies the fence delay while the silence of a shard's machines
+	// seems to be caused by this controller's own links.
 	ownFaultFenceFactor = 3
 )
 
-// probeLoop probes silent machines and fences those that do not answer.
+// probeLoop periodically detects partitions, probes and fences silent machines, updates their
+// quarantine, records their images, and enforces cancellations.
 func (c *Controller) probeLoop(ctx context.Context) {
 	for c.pause(ctx, probeLoopInterval) {
 		c.mu.Lock()
@@ -45,7 +46,7 @@
 	}
 }
 
-// reconcileMachine probes a machine and fences it, each if it is time.
+// reconcileMachine probes or fences a machine if that is due.
 func (c *Controller) reconcileMachine(shard *replica.Shard, machine *replica.Machine, now time.Time) {
 	silence := c.silenceOf(machine, now)
 	if machine.Agent.Heartbeat == nil {
@@ -69,45 +70,46 @@
 	}
 }
 
-// reconcileWithoutHeartbeat does the same for a machine that this process has not heard yet: it may
-// be booting, or call another controller.
+// reconcileWithoutHeartbeat probes or fences, if that is due, a machine of which this process has
+// no heartbeat yet. The machine may be booting, or its agent may call another controller.
 func (c *Controller) reconcileWithoutHeartbeat(shard *replica.Shard, machine *replica.Machine, silence time.Duration, now time.Time) {
 	if machine.ListedAddress != "" && silence > c.policy.SuspectAfter && !machine.Detector.Probing {
 		c.probeMachine(machine)
 	}
 	overdue := silence > c.fenceDelay(machine, newOwnerFenceFactor*c.policy.FenceAfter, now)
 	if overdue && len(machine.Use.Slots) > 0 && !machine.Lifecycle.Returning {
-		c.log.Info("machine fenced, not heard by its new owner", "host", machine.Host)
+		c.log.Info("machine fenced, no contact with new owner", "host", machine.Host)
 		c.returnMachine(shard, machine)
 	}
 }
 
-// shouldProbe reports whether to probe a machine that has been heard before. One that
-// cannot report shows only in an answer that its lease has expired, and what it ran.
+// shouldProbe reports whether to probe a machine of which this process has a heartbeat. A machine
+// that cannot report is probed more often, because only its answers show whether its lease has
+// expired and which tasks it runs.
 func (c *Controller) shouldProbe(machine *replica.Machine, silence time.Duration, now time.Time) bool {
 	silent := silence > c.policy.ProbeAfter || machine.Detector.Reachability.ShouldProbe(now, machine.Agent.LastContact)
 	due := silent || (silence > c.settings.Workers.HeartbeatInterval/2 && c.cannotReport(machine, now))
 	return due && !machine.Detector.Probing
 }
 
-// isUnreachable reports whether a machine has to be fenced that answers probes while its
-// heartbeats do not arrive: its lease expires again and again, with all that is placed
-// there.
+// isUnreachable reports whether a machine must be fenced because it answers probes while its
+// heartbeats do not arrive. Its lease expires repeatedly, and each time the tasks placed there
+// are lost.
 func (c *Controller) isUnreachable(shard *replica.Shard, machine *replica.Machine, silence time.Duration, now time.Time) bool {
 	answersProbesOnly := health.Unreachable(machine.Agent.LastHeartbeat, c.inContactSince(machine), now, c.settings.Workers.LeaseDuration) && silence <= c.policy.SuspectAfter
 	return answersProbesOnly && !machine.Lifecycle.Returning && !c.isOwnFault(shard, now) && !c.isStateDown(now) && machine.RunsNothingPlaced()
 }
 
-// cannotShowToken reports whether a machine has to be fenced that does not receive the
-// fencing token, so that no heartbeat of it proves anything. What was placed there is gone:
-// its lease expired while it received nothing.
+// cannotShowToken reports whether a machine must be fenced because it does not receive the current
+// fencing token, without which its heartbeats prove nothing. The tasks placed there are lost,
+// because its lease expired while it received nothing.
 func (c *Controller) cannotShowToken(shard *replica.Shard, machine *replica.Machine, now time.Time) bool {
 	outdated := machine.Detector.Reachability.CannotReceive() && !machine.ShowsToken(shard) && !machine.Lifecycle.Returning
 	return outdated && len(machine.Use.Slots) > 0 && !c.isStateDown(now) && machine.RunsNothingPlaced()
 }
 
-// isSilentTooLong reports whether a machine has to be fenced for its silence. A probe must
-// have failed since it was last heard: heartbeats alone may be delayed.
+// isSilentTooLong reports whether a machine must be fenced because it is silent. A probe must have
+// failed since the last contact, because heartbeats alone may be delayed.
 func (c *Controller) isSilentTooLong(shard *replica.Shard, machine *replica.Machine, silence time.Duration, now time.Time) bool {
 	limit := c.silenceLimit(machine, silence, now)
 	unanswered := machine.Detector.UnansweredAt.After(machine.Agent.LastContact)
@@ -115,9 +117,9 @@
 		return false
 	}
 	if c.isOwnFault(shard, now) && silence < ownFaultFenceFactor*limit {
-		return false // the shard is given away instead, see isCutOff
+		return false // the shard is transferred to another controller instead, see isCutOff
 	}
-	return !c.isStateDown(now) // no return can be recorded then, and the machine may be heard before one can
+	return !c.isStateDown(now) // in an outage no return can be recorded, and contact may be restored before it ends
 }
 
 // silenceLimit returns how long a machine may be silent before it is fenced.
@@ -127,13 +129,13 @@
 		limit = c.policy.FenceReplicasAfter
 	}
 	if !machine.Agent.PreemptionNoticeAt.IsZero() {
-		limit = c.policy.SuspectAfter // a spot instance whose end was announced
+		limit = c.policy.SuspectAfter // a spot instance whose preemption was announced
 	}
 	return c.fenceDelay(machine, limit, now)
 }
 
-// probeMachine asks a machine for its heartbeat. An answer proves that the machine is alive
-// even if its heartbeats do not arrive.
+// probeMachine requests a heartbeat from a machine's agent. An answer proves that the machine is
+// alive even if its heartbeats do not arrive.
 func (c *Controller) probeMachine(machine *replica.Machine) {
 	machine.Detector.Probing = true
 	address, ctx, sentAt, before := machine.Address(), c.ctx, time.Now(), machine.Agent.Heartbeat
@@ -151,8 +153,8 @@
 	}()
 }
 
-// recordProbeAnswer records an answer to a probe. before is the machine's newest heartbeat
-// as the probe was sent.
+// recordProbeAnswer records an answer to a probe. before is the machine's newest heartbeat at the
+// time when the probe was sent.
 func (c *Controller) recordProbeAnswer(machine *replica.Machine, before, heartbeat *protocol.Heartbeat) {
 	machine.Detector.Reachability.RecordAnswer(time.Now())
 	shard := c.view.Shards[machine.Record.Shard]
@@ -165,16 +167,16 @@
 		c.stopCancelledTasks(machine, heartbeat)
 		return
 	}
-	// The machine answers and has yet to see the token: an earlier owner, which neither the
-	// state service nor the other controllers reach, may still serve its agent. Once the
-	// machine has seen the token, no answer of that owner counts any more.
+	// The machine answers but has not received the current token yet: an earlier owner that is
+	// cut off from the state service and from the other controllers may still answer its agent.
+	// Once the machine has received the token, the agent ignores the answers of that owner.
 	if machine.Record.State == records.MachineInUse && heartbeat.FencingToken < shard.FencingToken {
 		c.sendCommands(shard, machine)
 	}
 }
 
-// recordProbeFailure records that a machine did not answer a probe, unless this process was
-// paused meanwhile and could not receive the answer.
+// recordProbeFailure records that a machine did not answer a probe, unless this process was paused
+// after it sent the probe and so could not receive the answer.
 func (c *Controller) recordProbeFailure(machine *replica.Machine, sentAt time.Time) {
 	c.observePause(time.Now())
 	if sentAt.After(c.pauses.ResumedAt()) {
