--- a/internal/coordination/controller/adoption.go
+++ b/internal/coordination/controller/adoption.go
@@ -10,31 +10,32 @@
 	"madderslip/internal/storage/records"
 )
 
-// unrecordedHost is a machine without a record.
+// unrecordedHost is a machine that exists but has no record.
 type unrecordedHost struct {
 	firstSeen time.Time
-	recording bool   // it is being recorded in shard
+	recording bool   // its record in shard is being committed
 	shard     string // empty unless recording
 	kind      replica.MachineKind
 }
 
 const (
-	// provisionAnswerGrace is how long a machine without a record is left to the answer of a
-	// request, which may just be in transit and names the machine's shard.
+	// provisionAnswerGrace is how long a machine without a record is not adopted while provision
+	// requests are unanswered: the answer that names the machine, and so assigns it to a shard,
+	// may be in transit.
 	provisionAnswerGrace  = 3 * time.Second
 	adoptionCommitTimeout = 5 * time.Second
 )
 
-// noteUnrecorded notes a machine without a record. The leader alone records such machines:
-// several controllers that choose shards at once, none aware of the others, would all put
-// theirs into the same one.
+// noteUnrecorded notes a machine without a record, if this controller is the leader. Only the
+// leader records such machines: several controllers that choose shards at the same time,
+// independently of each other, would all choose the same shard.
 func (c *Controller) noteUnrecorded(host, typeName, zone string, spot bool) {
 	if _, seen := c.provisioner.unrecorded[host]; !seen && c.isLeader() {
 		c.provisioner.unrecorded[host] = unrecordedHost{firstSeen: time.Now(), kind: replica.MachineKind{Type: typeName, Zone: zone, Spot: spot}}
 	}
 }
 
-// adoptMachines records the machines noted, all of a kind together.
+// adoptMachines records the machines that were noted, grouped by kind.
 func (c *Controller) adoptMachines(now time.Time) {
 	grace := time.Duration(0)
 	if len(c.view.Provisions) > 0 {
@@ -56,7 +57,7 @@
 	}
 }
 
-// adoptGroup commits one record for machines of a kind.
+// adoptGroup commits one record for several machines of a kind.
 func (c *Controller) adoptGroup(kind replica.MachineKind, hosts []string, now time.Time) {
 	record := c.newProvision(kind, now)
 	record.Count = len(hosts)
@@ -66,7 +67,7 @@
 	ops := []kv.Op{{Key: key, Value: record}}
 	compares, ops = c.excludeAnswers(kind, compares, ops)
 	if len(ops) > c.settings.RecordLimits().MaxTxnOps {
-		c.dropUnrecorded(hosts) // until fewer requests are without an answer
+		c.dropUnrecorded(hosts) // they are noted again; the adoption fits once fewer requests are unanswered
 		return
 	}
 	c.commit(kv.PriorityLease, compares, ops, adoptionCommitTimeout, func(err error) {
@@ -77,16 +78,15 @@
 	})
 }
 
-// dropUnrecorded forgets machines noted without a record; they are noted again if they
-// still have none.
+// dropUnrecorded removes noted machines. They are noted again if they still have no record.
 func (c *Controller) dropUnrecorded(hosts []string) {
 	for _, host := range hosts {
 		delete(c.provisioner.unrecorded, host)
 	}
 }
 
-// allocateAdopted chooses a shard for each machine and enters the machines into a record, by
-// shard.
+// allocateAdopted chooses a shard for each machine and adds the machines to a record in the
+// order of their shards.
 func (c *Controller) allocateAdopted(record *records.Provision, kind replica.MachineKind, hosts []string) {
 	byShard := make(map[string][]string)
 	for _, host := range hosts {
@@ -102,11 +102,12 @@
 	}
 }
 
-// excludeAnswers adds to an adoption the requests of its kind that are without an answer:
-// one of them may have brought the machines. If its answer is recorded first, the adoption
-// fails. If the adoption is first, the request's record gets a new version, and an answer
-// that was about to be recorded, or is recorded late, fails. This prevents a machine from
-// being put into two shards with two owners.
+// excludeAnswers adds a condition and a write for each unanswered provision request of the kind to
+// the transaction of an adoption: the machines may have been provisioned by one of these
+// requests. If the answer to the request is committed first, the adoption fails. If the
+// adoption is committed first, the request's record gets a new version, and a commit of the
+// answer based on the old version fails. This prevents a machine from being assigned to two
+// shards with two owners.
 func (c *Controller) excludeAnswers(kind replica.MachineKind, compares []kv.Compare, ops []kv.Op) ([]kv.Compare, []kv.Op) {
 	for _, name := range slices.Sorted(maps.Keys(c.view.Provisions)) {
 		provision := c.view.Provisions[name]
@@ -119,20 +120,20 @@
 	return compares, ops
 }
 
-// kindOf returns the kind of machine that a request is for.
+// kindOf returns the kind of machine that a provision record is for.
 func kindOf(record *records.Provision) replica.MachineKind {
 	return replica.MachineKind{Type: record.Type, Zone: record.Zone, Spot: record.Spot}
 }
 
-// shardSizes is the machines of each shard, there or coming: the CPUs of all, and how many
-// are of one zone and type.
+// shardSizes is the size of each shard, machines that are being provisioned or adopted included:
+// the CPUs of all its machines, and the number of its machines of one zone and type.
 type shardSizes struct {
 	zone, typeName string
 	cpus           map[string]float64
 	matching       map[string]int
 }
 
-// add counts machines of a kind in a shard.
+// add adds machines of a kind to a shard.
 func (s *shardSizes) add(shard string, kind replica.MachineKind, count int, cpus float64) {
 	s.cpus[shard] += cpus * float64(count)
 	if kind.Zone == s.zone && kind.Type == s.typeName {
@@ -146,9 +147,9 @@
 	return s.matching[shard] < s.matching[other] || (s.matching[shard] == s.matching[other] && s.cpus[shard] < s.cpus[other])
 }
 
-// smallestShard returns the shard with the fewest machines of a zone and type, the one with
-// the fewest CPUs among equals, or "" if there is none. Shards that nobody owns yet count as
-// well, which prevents the first one acquired from getting every machine.
+// smallestShard returns the shard with the fewest machines of a zone and type, among several of
+// these the one with the fewest CPUs, or "" if there is no shard. Unowned shards count as well,
+// which prevents the first shard that is acquired from getting every machine.
 func (c *Controller) smallestShard(zone, typeName string) string {
 	sizes := shardSizes{zone: zone, typeName: typeName, cpus: make(map[string]float64), matching: make(map[string]int)}
 	for _, shard := range c.view.Shards {
--- a/internal/coordination/controller/failuredetection.go
+++ b/internal/coordination/controller/failuredetection.go
@@ -7,15 +7,15 @@
 	"madderslip/internal/coordination/replica"
 )
 
-// observePause records that this process runs. A pause of the process shows afterwards as
-// time in which it heard nobody, and is logged.
+// observePause records that this process runs. A gap since the previous call that counts as a pause
+// of the process is logged; during a pause the process receives no messages.
 func (c *Controller) observePause(now time.Time) {
 	if pause := c.pauses.Observe(now); pause > 0 {
 		c.log.Info("process paused", "pause", pause)
 	}
 }
 
-// detectPartitions records which zones seem to be partitioned from this controller's.
+// detectPartitions records which zones seem to be partitioned from this controller's zone.
 func (c *Controller) detectPartitions(now time.Time) {
 	if len(c.settings.Zones) < 2 {
 		return
@@ -29,10 +29,10 @@
 	}
 }
 
-// machineSilences lists how long each machine is silent, of the shards that this process
-// acts for. It leaves out those that may be booting, and those that have not been due yet
-// since their shard was taken over: counted as heard, the machines of a failed neighbour
-// would hide a partition until their new owner has fenced its own.
+// machineSilences lists how long each machine of the shards that this process acts for has been
+// silent. It omits machines that may be booting, and machines whose first heartbeat since the
+// takeover of their shard is not due yet. If these counted as not silent, the machines of a
+// failed controller would hide a partition until this controller had fenced its own machines.
 func (c *Controller) machineSilences(now time.Time) []health.MachineSilence {
 	var silences []health.MachineSilence
 	for _, shard := range c.view.Shards {
@@ -51,7 +51,7 @@
 	return silences
 }
 
-// peerStatuses lists which of the other controllers are alive.
+// peerStatuses lists the other controllers with their zones and whether they are alive.
 func (c *Controller) peerStatuses(now time.Time) []health.PeerStatus {
 	statuses := make([]health.PeerStatus, 0, len(c.settings.Peers))
 	for _, peer := range c.settings.Peers {
@@ -61,33 +61,34 @@
 	return statuses
 }
 
-// isPartitioned reports whether a zone seems partitioned, or seemed so less than a lease
-// ago: after a partition its agents take a while to come back, and the delay prevents
-// their machines from being fenced for the length of the whole partition.
+// isPartitioned reports whether a zone seemed partitioned within the last agent lease. After a
+// partition its agents need a while to reconnect; without the delay their machines would be
+// fenced then, because their silence includes the whole partition.
 func (c *Controller) isPartitioned(zone string, now time.Time) bool {
 	at, seen := c.partitionSeenAt[zone]
 	return seen && now.Sub(at) < c.settings.Workers.LeaseDuration
 }
 
-// fenceDelay returns how long a machine may be silent: usual, or longer while its zone
-// seems partitioned.
+// fenceDelay returns how long a machine may be silent before it is fenced: usual, or longer
+// while its zone seems partitioned.
 func (c *Controller) fenceDelay(machine *replica.Machine, usual time.Duration, now time.Time) time.Duration {
 	return health.FenceDelay(usual, c.policy.PartitionPatience, c.isPartitioned(machine.Record.Zone, now))
 }
 
-// stateDownAfter is how long the state service may have executed nothing before users are
-// turned away at once rather than in the end: longer than the time between two renewals of
-// a lease.
+// stateDownAfter is the time without any executed call after which the state service counts as
+// down, so that requests of users fail at once rather than in the end. It is longer than the
+// time between two renewals of a lease.
 const stateDownAfter = 2500 * time.Millisecond
 
-// isStateDown reports whether the state service has executed nothing of this controller's
-// for a while: in an outage, or by a fault of the controller's own.
+// isStateDown reports whether the state service has executed no call of this controller for
+// longer than stateDownAfter, because of an outage or of a fault of this controller.
 func (c *Controller) isStateDown(now time.Time) bool {
 	return now.Sub(c.store.LastSuccess()) > stateDownAfter
 }
 
-// hasNoContact reports whether this controller has heard neither the state service nor
-// another controller for a while, so that it can't know what others have confirmed to users.
+// hasNoContact reports whether this controller has recently had contact neither with the state
+// service nor with another controller, so that its view may lack changes, such as
+// cancellations, that other controllers have confirmed to users.
 func (c *Controller) hasNoContact(now time.Time) bool {
 	for name := range c.peerClients {
 		if now.Sub(c.membership.lastContact[name]) < peerStatusTTL {
@@ -98,12 +99,12 @@
 }
 
 // maxHeartbeatGap returns the longest time between two heartbeats of a healthy machine: the
-// heartbeat interval, give or take a quarter, and a little more.
+// heartbeat interval, which varies by up to a quarter, plus a small margin.
 func (c *Controller) maxHeartbeatGap() time.Duration {
 	return c.settings.Workers.HeartbeatInterval * 13 / 10
 }
 
-// receivingSince returns since when this process could receive a machine's heartbeats.
+// receivingSince returns since when this process has been able to receive a machine's heartbeats.
 func (c *Controller) receivingSince(machine *replica.Machine) time.Time {
 	if resumed := c.pauses.ResumedAt(); resumed.After(machine.AdoptedAt) {
 		return resumed
@@ -111,7 +112,8 @@
 	return machine.AdoptedAt
 }
 
-// inContactSince returns since when this process hears a machine, if only by its answers.
+// inContactSince returns since when this process has been in contact with a machine, by its
+// heartbeats or only by its answers to probes.
 func (c *Controller) inContactSince(machine *replica.Machine) time.Time {
 	if since := c.receivingSince(machine); since.After(machine.Agent.HeardAgainAt) {
 		return since
@@ -125,8 +127,8 @@
 	return health.CannotReport(machine.Agent.LastHeartbeat, c.inContactSince(machine), now, c.settings.Workers.LeaseDuration)
 }
 
-// silenceOf returns how long a machine has given this owner no sign of life. The time in
-// which this process was paused does not count.
+// silenceOf returns the time since the last contact with a machine. Time before this process
+// adopted the machine and time before the end of the last pause of this process do not count.
 func (c *Controller) silenceOf(machine *replica.Machine, now time.Time) time.Duration {
 	since := machine.Agent.LastContact
 	if receiving := c.receivingSince(machine); receiving.After(since) {
@@ -135,11 +137,11 @@
 	return now.Sub(since)
 }
 
-// isOwnFault reports whether nearly all of a shard's machines are silent together, which
-// indicates a fault of this controller's own links. Machines that become silent at one
-// instant do not look silent for the same time, since each has its own heartbeat phase. So
-// a little more than one heartbeat interval is the threshold, which is reached before the
-// first machine is due for fencing. The result is kept for one pass.
+// isOwnFault reports whether nearly all of a shard's machines are silent at the same time, which
+// indicates a fault of this controller's own links. Machines that become unreachable at one
+// instant seem silent for different times, because the phases of their heartbeats differ. The
+// threshold is therefore only a little more than one heartbeat interval (maxHeartbeatGap), so that
+// it is reached before the first machine is due for fencing. The result is cached for one pass.
 func (c *Controller) isOwnFault(shard *replica.Shard, now time.Time) bool {
 	if !shard.IsolationCheckedAt.Equal(now) {
 		shard.IsolationCheckedAt, shard.SelfIsolated = now, c.leastLoadedPeer() != "" && c.isSelfIsolated(shard, c.maxHeartbeatGap(), now)
--- a/internal/coordination/controller/leases.go
+++ b/internal/coordination/controller/leases.go
@@ -11,10 +11,10 @@
 	"madderslip/internal/transport"
 )
 
-// extendLease answers an agent of a shard that this controller does not own, if its lease
-// is to be extended: with the shard's recorded token and without commands. It does not for
-// an agent that shows a task of a cancelled job: nothing here but the expiry of the lease
-// can stop the task.
+// extendLease returns the answer that extends the lease of an agent whose shard this controller
+// does not own, with the shard's recorded token and without commands, and reports whether the
+// lease may be extended. It may not for an agent that shows a task of a cancelled job, because
+// this controller cannot stop the task otherwise than by letting the lease expire.
 func (c *Controller) extendLease(shard *replica.Shard, heartbeat *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
 	contact := failover.LastContact{State: c.store.LastSuccess(), Owner: c.membership.lastContact[shard.Record.Owner]}
 	if heartbeat.FencingToken > shard.Version || !failover.MayExtendLease(contact, now, c.policy.NodeLease) {
@@ -26,16 +26,17 @@
 	return leaseOnlyResponse(shard.Version)
 }
 
-// isCancelledTask reports whether a task has not exited though its job is cancelled, or is
-// final and forgotten.
+// isCancelledTask reports whether a task has not exited although its job is cancelled, or is final
+// and removed from the view.
 func (c *Controller) isCancelledTask(status protocol.TaskStatus) bool {
 	jobID, _, _ := protocol.ParseTaskName(status.Task)
 	isRemoved := c.view.Jobs[jobID] == nil && c.view.FinalJobs[jobID].State != ""
 	return status.Phase != protocol.TaskExited && (c.view.CancelledJobs[jobID] != nil || isRemoved)
 }
 
-// extendLeaseWithoutRecords does the same for a controller that started behind a partition and has
-// read no records: the agent's own token is the only one that it knows.
+// extendLeaseWithoutRecords does the same as extendLease for a controller that started behind a
+// partition and has read no records. The answer carries the token that the agent itself shows,
+// because this controller has no other.
 func (c *Controller) extendLeaseWithoutRecords(heartbeat *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
 	stateReached := c.store.LastSuccess().After(c.startedAt)
 	start := failover.ColdStart{Uptime: now.Sub(c.startedAt), HeardAnyone: stateReached || len(c.view.MachineTypes) > 0 || len(c.membership.lastContact) > 0}
@@ -48,7 +49,8 @@
 	return leaseOnlyResponse(heartbeat.FencingToken)
 }
 
-// leaseOnlyResponse returns an answer that extends a lease and commands nothing.
+// leaseOnlyResponse returns an answer that extends a lease and carries no commands, and reports
+// whether it could be encoded.
 func leaseOnlyResponse(token uint64) (transport.Response, bool) {
 	body, err := protocol.Encode(protocol.HeartbeatResponse{FencingToken: token, Commands: []protocol.Command{}})
 	return transport.Response{Status: http.StatusOK, Body: body}, err == nil
