--- a/internal/coordination/controller/probation_test.go
+++ b/internal/coordination/controller/probation_test.go
@@ -11,8 +11,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// A job that fails wherever it runs is tried with one task at a time; a gang is tried whole,
-// since nothing less starts.
+// A job whose tasks fail on several machines is on probation and starts one task at a time. A
+// gang on probation starts all its tasks, because a gang cannot start in part.
 func TestJobOnProbationIsTriedWithOneTask(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for shape, want := range map[protocol.Shape]int{protocol.ShapeArray: 1, protocol.ShapeService: 1, protocol.ShapeGang: 30} {
