--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -119,7 +119,7 @@
 	if c.isOwnFault(shard, now) && silence < ownFaultFenceFactor*limit {
 		return false // the shard is transferred to another controller instead, see isCutOff
 	}
-	return !c.isStateDown(now) // in an outage no return can be recorded, and contact may be restored before it ends
+	return !c.isStateDown(now) // in an outage no return can be recorded, and contact may be restored before the outage ends
 }
 
 // silenceLimit returns how long a machine may be silent before it is fenced.
--- a/internal/coordination/controller/reconcile.go
+++ b/internal/coordination/controller/reconcile.go
@@ -148,9 +148,9 @@
 
 // commitReconciled commits a reconciled claim and reports whether a commit has begun. Unless
 // the commit is urgent, it is delayed by CompletionBatchDelay so that one write records several
-// completions: one write for each of some hundred tasks per second would
-// exceed the state service's budget. Until the commit the agent keeps listing the completed
-// task, and the task's capacity already counts as free.
+// completions: one write for each of some hundred tasks per second would exceed the state
+// service's budget. Until the commit the agent keeps listing the completed task, and the task's
+// capacity already counts as free.
 func (c *Controller) commitReconciled(shard *replica.Shard, claim *replica.Claim, result *claimReconciliation, now time.Time) bool {
 	if claim.CompletionSeenAt.IsZero() {
 		claim.CompletionSeenAt = now
