--- a/internal/coordination/controller/commit_test.go
+++ b/internal/coordination/controller/commit_test.go
@@ -14,7 +14,7 @@
 // A transaction that starts a task may be reported as failed although an earlier sending of it
 // was committed. Until the claim has been read, however long that takes, the task must count
 // in its team's usage. A transaction with a deadline, such as a user's, must be answered
-// without waiting for the read.
+// without waiting until the read succeeds.
 func TestFailedStartCountsUntilItsClaimIsRead(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -13,8 +13,8 @@
 
 const (
 	probeLoopInterval = 300 * time.Millisecond
-	// probeTimeout is not a multiple of probeLoopInterval, so that a probe never times out at
-	// the instant of a pass of the loop. Their order would be left to chance.
+	// probeTimeout is not a multiple of probeLoopInterval, so that a probe sent in one pass does
+	// not time out at the instant of another, when their order would be left to chance.
 	probeTimeout = 1480 * time.Millisecond
 	// newOwnerFenceFactor multiplies the fence delay of a machine that this process has not
 	// been in contact with since it became the shard owner.
