--- a/internal/coordination/controller/accept.go
+++ b/internal/coordination/controller/accept.go
@@ -24,7 +24,7 @@
 	}
 	shards := c.chooseShards(spec, now)
 	record := &records.Job{Spec: spec, Shards: shards, AcceptedAtMs: now.UnixMilli(), ChunkSize: c.chunkSize(spec, shards)}
-	first := c.claimImmediately(spec, shards, now)
+	first := c.prepareInitialClaim(spec, shards, now)
 	c.addQueued(shards, spec)
 	c.recordJob(spec.JobID, record, first, reply)
 }
--- a/internal/coordination/controller/claims.go
+++ b/internal/coordination/controller/claims.go
@@ -139,10 +139,10 @@
 	}
 }
 
-// claimImmediately prepares the claim of a job that is being accepted or released, if this
+// prepareInitialClaim prepares the claim of a job that is being accepted or released, if this
 // node owns one of the given shards, that shard has capacity for all of the job's tasks, and
 // no earlier work of the shard would be overtaken.
-func (c *Controller) claimImmediately(spec *protocol.Submission, shardNames []string, now time.Time) initialClaim {
+func (c *Controller) prepareInitialClaim(spec *protocol.Submission, shardNames []string, now time.Time) initialClaim {
 	size := c.chunkSize(spec, shardNames)
 	if size < spec.Tasks || c.isLimited(spec) {
 		return initialClaim{}
--- a/internal/coordination/controller/dependencies.go
+++ b/internal/coordination/controller/dependencies.go
@@ -205,7 +205,7 @@
 	}
 	raised := dag.Inherit(blocked.Spec, c.view.Dependencies.Urgency(blocked.ID, c.estimateRuntime), 0)
 	c.dependencies.releasing[blocked.ID] = true
-	c.commitRelease(blocked, record, c.claimImmediately(raised, shards, now))
+	c.commitRelease(blocked, record, c.prepareInitialClaim(raised, shards, now))
 }
 
 // commitRelease commits the record that releases a job, and once more without the claim if
