--- a/internal/coordination/controller/versions_test.go
+++ b/internal/coordination/controller/versions_test.go
@@ -52,11 +52,11 @@
 // unknown fields.
 type productionJob struct {
 	Spec          *protocol.Submission `json:"d,omitempty"`
-	Shards        []string             `json:"q,omitempty"`
+	ShardNames    []string             `json:"q,omitempty"`
 	AcceptedAtMs  int64                `json:"b,omitempty"`
 	State         string               `json:"x,omitempty"`
 	Tasks         int                  `json:"n,omitempty"`
-	ChunkSize     int                  `json:"k,omitempty"`
+	TasksPerChunk int                  `json:"k,omitempty"`
 	CancelledAtMs int64                `json:"e,omitempty"`
 }
 
@@ -85,7 +85,7 @@
 		t.Errorf("a blocked job is not treated as final and pending: %+v", blocked)
 	}
 	released := read(&records.Job{Spec: spec, Shards: []string{"n0", "n1"}, AcceptedAtMs: 5, ReleasedAtMs: 9, ChunkSize: 3})
-	if released.isFinal() || released.Spec.Tasks != 3 || len(released.Shards) != 2 || released.ChunkSize != 3 {
+	if released.isFinal() || released.Spec.Tasks != 3 || len(released.ShardNames) != 2 || released.TasksPerChunk != 3 {
 		t.Errorf("a released job is not treated like any other: %+v", released)
 	}
 	cancelled := read(&records.Job{State: protocol.JobCancelled, Tasks: 3, CancelledAtMs: 9})
