--- a/internal/coordination/controller/accept.go
+++ b/internal/coordination/controller/accept.go
@@ -24,9 +24,9 @@
 	}
 	shards := c.chooseShards(spec, now)
 	record := &records.Job{Spec: spec, Shards: shards, AcceptedAtMs: now.UnixMilli(), ChunkSize: c.chunkSize(spec, shards)}
-	first := c.claimImmediately(spec, shards, now)
+	initial := c.claimImmediately(spec, shards, now)
 	c.addQueued(shards, spec)
-	c.recordJob(spec.JobID, record, first, reply)
+	c.recordJob(spec.JobID, record, initial, reply)
 }
 
 // addQueued adds a job to what this controller has queued at shards since their last report.
@@ -37,22 +37,22 @@
 }
 
 // recordJob records that a job is accepted, with the claim on it if there is one.
-func (c *Controller) recordJob(jobID string, record *records.Job, first initialClaim, reply func(transport.Response)) {
+func (c *Controller) recordJob(jobID string, record *records.Job, initial initialClaim, reply func(transport.Response)) {
 	until := time.Now().Add(submitTimeout)
 	key := records.JobPrefix + jobID
-	compares := append([]kv.Compare{{Key: key, Version: 0}}, first.compares...)
-	ops := append([]kv.Op{{Key: key, Value: record}}, first.ops()...)
+	compares := append([]kv.Compare{{Key: key, Version: 0}}, initial.compares...)
+	ops := append([]kv.Op{{Key: key, Value: record}}, initial.ops()...)
 	c.commit(kv.PriorityUser, compares, ops, submitTimeout, func(err error) {
-		first.finish(c, err)
+		initial.finish(c, err)
 		switch {
 		case err == nil:
-			c.log.Debug("job accepted", "job", jobID, "shards", record.Shards, "dependencies", len(record.Dependencies), "claimed", first.claim != nil)
+			c.log.Debug("job accepted", "job", jobID, "shards", record.Shards, "dependencies", len(record.Dependencies), "claimed", initial.claim != nil)
 			c.replyStatus(jobID, http.StatusCreated, time.Until(until), reply)
 			c.broadcastAccepted(key, record)
 		case errors.Is(err, kv.ErrTooLarge) && !errors.Is(err, kv.ErrOutcomeUnknown):
 			reply(badRequest(errRecordTooLarge))
 		case errors.Is(err, kv.ErrCompareFailed):
-			c.resolveAcceptConflict(jobID, record, first, until, reply)
+			c.resolveAcceptConflict(jobID, record, initial, until, reply)
 		default:
 			reply(c.retryLater(kv.PriorityUser, time.Now()))
 		}
@@ -61,13 +61,13 @@
 
 // resolveAcceptConflict answers a submission whose transaction found a record changed: that
 // of the job, which another controller has accepted, or one that the claim depends on.
-func (c *Controller) resolveAcceptConflict(jobID string, record *records.Job, first initialClaim, until time.Time, reply func(transport.Response)) {
+func (c *Controller) resolveAcceptConflict(jobID string, record *records.Job, initial initialClaim, until time.Time, reply func(transport.Response)) {
 	switch status := c.jobStatus(jobID); {
 	case status.final:
 		c.replyStatus(jobID, http.StatusOK, time.Until(until), reply)
 	case status.known:
 		c.confirmStatus(jobID, submitTimeout/2, func() { reply(unavailable(shortRetry)) }, reply)
-	case first.claim != nil:
+	case initial.claim != nil:
 		c.recordUnclaimed(records.JobPrefix+jobID, record, reply)
 	default:
 		reply(c.retryLater(kv.PriorityUser, time.Now()))
--- a/internal/coordination/controller/attribution.go
+++ b/internal/coordination/controller/attribution.go
@@ -40,25 +40,25 @@
 // recordTaskFailure records a failure against the task's job and its machine. A quarantined
 // machine's failures do not count against jobs.
 func (c *Controller) recordTaskFailure(job *replica.Job, machine *replica.Machine, status *protocol.TaskStatus, now time.Time) {
-	began, ok := machine.Agent.RunningSince[status.Task]
+	startedAt, ok := machine.Agent.RunningSince[status.Task]
 	if !ok {
-		began = now
+		startedAt = now
 	}
 	verdict := job.Evidence.Verdict(now)
 	if !machine.Quarantine.Active {
-		job.Evidence.RecordFailure(machine.Host, now.Sub(began), c.random.Float64(), now)
+		job.Evidence.RecordFailure(machine.Host, now.Sub(startedAt), c.random.Float64(), now)
 	}
-	machine.Quarantine.Evidence.RecordFailure(job.ID, began, now)
-	c.corroborateJob(job, now)
+	machine.Quarantine.Evidence.RecordFailure(job.ID, startedAt, now)
+	c.checkForLongRun(job, now)
 	if verdict != quarantine.Suspect && job.Evidence.Verdict(now) == quarantine.Suspect {
 		c.log.Info("job on probation", "job", job.ID, "failed_hosts", strings.Join(job.Evidence.FailedHosts(), ","))
 	}
 	c.updateQuarantine(machine, now)
 }
 
-// corroborateJob looks for a task of a failing job that runs elsewhere for long enough to
+// checkForLongRun looks for a task of a failing job that runs elsewhere for long enough to
 // show that the job is not at fault.
-func (c *Controller) corroborateJob(job *replica.Job, now time.Time) {
+func (c *Controller) checkForLongRun(job *replica.Job, now time.Time) {
 	if !job.Evidence.Failing(now) {
 		return
 	}
@@ -80,9 +80,9 @@
 		return false
 	}
 	status := machine.Agent.Tasks[slot.TaskName]
-	began, ok := machine.Agent.RunningSince[slot.TaskName]
+	startedAt, ok := machine.Agent.RunningSince[slot.TaskName]
 	running := ok && status != nil && status.Phase == protocol.TaskRunning
-	return running && job.Evidence.OutlastsFailures(now.Sub(began))
+	return running && job.Evidence.OutlastsFailures(now.Sub(startedAt))
 }
 
 // updateQuarantine quarantines a machine that the evidence is against, or releases it.
@@ -95,7 +95,7 @@
 		if job == nil {
 			return quarantine.Unknown
 		}
-		c.corroborateJob(job, now)
+		c.checkForLongRun(job, now)
 		return job.Evidence.Verdict(now)
 	}, now)
 	if faulty == machine.Quarantine.Active {
@@ -119,13 +119,13 @@
 // times of its class.
 func (c *Controller) recordCompletion(job *replica.Job, spec *protocol.Submission, machine *replica.Machine, task string, now time.Time) {
 	job.Evidence.Succeeded(now)
-	began, ok := machine.Agent.RunningSince[task]
+	startedAt, ok := machine.Agent.RunningSince[task]
 	if !ok || spec.RunEstimateS <= 0 {
 		return
 	}
 	delete(machine.Agent.RunningSince, task)
-	machine.Quarantine.Evidence.Succeeded(began)
-	ratio := min(max(now.Sub(began).Seconds()/spec.RunEstimateS, minRuntimeRatio), maxRuntimeRatio)
+	machine.Quarantine.Evidence.Succeeded(startedAt)
+	ratio := min(max(now.Sub(startedAt).Seconds()/spec.RunEstimateS, minRuntimeRatio), maxRuntimeRatio)
 	if observed, ok := c.runtimeRatios[spec.Class]; ok {
 		ratio = observed*(1-runtimeRatioWeight) + ratio*runtimeRatioWeight
 	}
--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -60,7 +60,7 @@
 			}
 		}
 	}
-	c.probeMisplaced(pass.probes, now)
+	c.probeMisplacedTasks(pass.probes, now)
 	if len(pass.unrecorded) > 0 && !c.provisioner.returningUnrecorded {
 		slices.Sort(pass.unrecorded)
 		hosts := pass.unrecorded[:min(len(pass.unrecorded), maxReturnsPerCall)]
@@ -76,18 +76,18 @@
 	if machine == nil || machine.Lifecycle.Gone {
 		return
 	}
-	late := false
+	mustReturn := false
 	if c.view.IsActive(c.view.Shards[machine.Record.Shard]) {
-		late = c.mayRunTask(machine, slot) && c.enforceCancellation(job, machine, pass.now)
+		mustReturn = c.mayRunTask(machine, slot) && c.enforceCancellation(job, machine, pass.now)
 	} else if machine.Record.State == records.MachineInUse {
 		task := c.misplacedTask(job, machine, slot, pass.now)
-		late = pass.mayAct && task.ShouldReturn(c.settings.Workers.CancelDeadline, c.isStateDown(pass.now)) && !c.isRefusedAlone(pass.now)
+		mustReturn = pass.mayAct && task.ShouldReturn(c.settings.Workers.CancelDeadline, c.isStateDown(pass.now)) && !c.isRefusedAlone(pass.now)
 		mayProbe := pass.mayAct && !machine.Detector.Probing && machine.Address() != ""
 		if mayProbe && task.ShouldProbe(c.settings.Workers.CancelDeadline) {
 			pass.probes[machine] = true
 		}
 	}
-	if late && !slices.Contains(pass.unrecorded, machine.Host) {
+	if mustReturn && !slices.Contains(pass.unrecorded, machine.Host) {
 		pass.unrecorded = append(pass.unrecorded, machine.Host)
 	}
 }
@@ -160,10 +160,10 @@
 // made a second.
 const maxCancelProbes = 20
 
-// probeMisplaced probes machines, those first that were not probed for longest. Each
+// probeMisplacedTasks probes machines, those first that were not probed for longest. Each
 // controller begins at another place of the list, so that together they probe all of them
 // sooner.
-func (c *Controller) probeMisplaced(due map[*replica.Machine]bool, now time.Time) {
+func (c *Controller) probeMisplacedTasks(due map[*replica.Machine]bool, now time.Time) {
 	machines := slices.SortedFunc(maps.Keys(due), compareHosts)
 	controllers := append(slices.Collect(maps.Keys(c.peerClients)), c.settings.NodeName)
 	slices.Sort(controllers)
@@ -193,12 +193,12 @@
 	c.log.Info("cancelled tasks stopped on a machine of another owner", "host", machine.Host, "shard", machine.Record.Shard, "tasks", len(request.Commands), "task", request.Commands[0].Task)
 	address, ctx := machine.Address(), c.ctx
 	go func() {
-		var after protocol.Heartbeat
-		status, err := c.callCommands(ctx, address, request, &after)
+		var answer protocol.Heartbeat
+		status, err := c.callCommands(ctx, address, request, &answer)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if err == nil && status == http.StatusOK && after.Host == machine.Host {
-			c.observeHeartbeat(machine, &after)
+		if err == nil && status == http.StatusOK && answer.Host == machine.Host {
+			c.observeHeartbeat(machine, &answer)
 		}
 	}()
 }
--- a/internal/coordination/controller/cancellations_test.go
+++ b/internal/coordination/controller/cancellations_test.go
@@ -11,7 +11,7 @@
 // A cancellation may be known ahead of the watch, which then brings a claim committed before
 // it. The claim must find its job, so that its machine is reconciled: a job forgotten for
 // having no claims would have to be read again, which is not possible in an outage.
-func TestClaimFindsJobCancelledAheadOfWatch(t *testing.T) {
+func TestClaimIsAttachedToJobCancelledAheadOfWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := newTestController(idleStore{})
 		controller.mu.Lock()
--- a/internal/coordination/controller/dependencies.go
+++ b/internal/coordination/controller/dependencies.go
@@ -36,16 +36,16 @@
 
 // dependencies is what a controller remembers of jobs that depend on others.
 type dependencies struct {
-	releasing          map[string]bool         // blocked jobs whose record is being changed
+	updating           map[string]bool         // blocked jobs whose record is being changed
 	recordingCancelled int                     // how many of those changes record a cancellation
 	reading            bool                    // the records of jobs that others depend on are being read
 	raisedJobs         map[string]*replica.Job // jobs that inherit urgency from their dependents
-	appliedChanges     uint64                  // the graph's changes up to which urgency was propagated
-	appliedAt          time.Time               // when it last was
+	propagatedChanges  uint64                  // the graph's changes up to which urgency was propagated
+	propagatedAt       time.Time               // when it last was
 }
 
 func newDependencies() dependencies {
-	return dependencies{releasing: make(map[string]bool), raisedJobs: make(map[string]*replica.Job)}
+	return dependencies{updating: make(map[string]bool), raisedJobs: make(map[string]*replica.Job)}
 }
 
 // blockedStatus returns what the cache says of a blocked job; for any other it is not known.
@@ -92,18 +92,18 @@
 		return
 	}
 	unfinished, cancelled := c.view.Dependencies.Resolve(spec.Dependencies)
-	own := *spec
-	own.Dependencies = nil
+	recorded := *spec
+	recorded.Dependencies = nil
 	now := time.Now()
 	switch {
 	case cancelled:
-		record := &records.Job{State: protocol.JobCancelled, Tasks: own.Tasks, CancelledAtMs: now.UnixMilli()}
-		c.recordJob(own.JobID, record, initialClaim{}, reply)
+		record := &records.Job{State: protocol.JobCancelled, Tasks: recorded.Tasks, CancelledAtMs: now.UnixMilli()}
+		c.recordJob(recorded.JobID, record, initialClaim{}, reply)
 	case len(unfinished) > 0:
-		record := &records.Job{State: records.JobBlocked, Spec: &own, Dependencies: unfinished, AcceptedAtMs: now.UnixMilli()}
-		c.recordJob(own.JobID, record, initialClaim{}, reply)
+		record := &records.Job{State: records.JobBlocked, Spec: &recorded, Dependencies: unfinished, AcceptedAtMs: now.UnixMilli()}
+		c.recordJob(recorded.JobID, record, initialClaim{}, reply)
 	default:
-		c.acceptJob(&own, reply)
+		c.acceptJob(&recorded, reply)
 	}
 }
 
@@ -192,7 +192,7 @@
 // the records, so the job's own revision is the only condition. The claim goes into the same
 // transaction if this controller can make it at once.
 func (c *Controller) releaseJob(blocked dag.Job, now time.Time) {
-	if c.dependencies.releasing[blocked.ID] || len(c.dependencies.releasing) >= maxReleasing || len(c.view.MachineTypes) == 0 {
+	if c.dependencies.updating[blocked.ID] || len(c.dependencies.updating) >= maxReleasing || len(c.view.MachineTypes) == 0 {
 		return
 	}
 	shards := c.chooseShards(blocked.Spec, now)
@@ -204,44 +204,44 @@
 		ChunkSize:    c.chunkSize(blocked.Spec, shards),
 	}
 	raised := dag.Inherit(blocked.Spec, c.view.Dependencies.Urgency(blocked.ID, c.estimateRuntime), 0)
-	c.dependencies.releasing[blocked.ID] = true
+	c.dependencies.updating[blocked.ID] = true
 	c.commitRelease(blocked, record, c.claimImmediately(raised, shards, now))
 }
 
 // commitRelease commits the record that releases a job, and once more without the claim if
 // only that failed.
-func (c *Controller) commitRelease(blocked dag.Job, record *records.Job, first initialClaim) {
+func (c *Controller) commitRelease(blocked dag.Job, record *records.Job, initial initialClaim) {
 	key := records.JobPrefix + blocked.ID
-	compares := append([]kv.Compare{{Key: key, Version: blocked.Revision}}, first.compares...)
-	ops := append([]kv.Op{{Key: key, Value: record}}, first.ops()...)
+	compares := append([]kv.Compare{{Key: key, Version: blocked.Revision}}, initial.compares...)
+	ops := append([]kv.Op{{Key: key, Value: record}}, initial.ops()...)
 	c.addQueued(record.Shards, blocked.Spec)
 	c.commit(kv.PriorityClaim, compares, ops, submitTimeout, func(err error) {
-		first.finish(c, err)
+		initial.finish(c, err)
 		if err == nil {
-			c.log.Debug("job released", "job", blocked.ID, "class", blocked.Spec.Class, "shards", record.Shards, "claimed", first.claim != nil)
+			c.log.Debug("job released", "job", blocked.ID, "class", blocked.Spec.Class, "shards", record.Shards, "claimed", initial.claim != nil)
 			c.broadcastJob(key)
-		} else if errors.Is(err, kv.ErrCompareFailed) && first.claim != nil {
+		} else if errors.Is(err, kv.ErrCompareFailed) && initial.claim != nil {
 			if cached, isBlocked := c.view.Dependencies.Lookup(blocked.ID); isBlocked && cached.Revision == blocked.Revision {
 				c.commitRelease(blocked, record, initialClaim{}) // only the claim failed
 				return
 			}
 		}
-		delete(c.dependencies.releasing, blocked.ID)
+		delete(c.dependencies.updating, blocked.ID)
 	})
 }
 
 // recordCancelled records that a job is cancelled because one that it depends on is. Its
 // users are answered so already.
 func (c *Controller) recordCancelled(blocked dag.Job, since time.Time) {
-	if c.dependencies.releasing[blocked.ID] || c.dependencies.recordingCancelled >= maxCancelRecords {
+	if c.dependencies.updating[blocked.ID] || c.dependencies.recordingCancelled >= maxCancelRecords {
 		return
 	}
-	c.dependencies.releasing[blocked.ID] = true
+	c.dependencies.updating[blocked.ID] = true
 	c.dependencies.recordingCancelled++
 	key := records.JobPrefix + blocked.ID
 	record := &records.Job{State: protocol.JobCancelled, Tasks: blocked.Spec.Tasks, CancelledAtMs: since.UnixMilli()}
 	c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: blocked.Revision}}, []kv.Op{{Key: key, Value: record}}, cancelRecordTimeout, func(error) {
-		delete(c.dependencies.releasing, blocked.ID)
+		delete(c.dependencies.updating, blocked.ID)
 		c.dependencies.recordingCancelled--
 	})
 }
@@ -255,10 +255,10 @@
 	}
 	jobIDs = jobIDs[:min(len(jobIDs), maxJobReads)]
 	c.dependencies.reading = true
-	life := c.ctx
+	ctx := c.ctx
 	go func() {
 		for _, jobID := range jobIDs {
-			if c.readDependency(life, jobID) != nil {
+			if c.readDependency(ctx, jobID) != nil {
 				break
 			}
 		}
@@ -291,11 +291,11 @@
 // those, and withdraws them where no job depends on them any more.
 func (c *Controller) propagateUrgency(now time.Time) {
 	state := &c.dependencies
-	isUnchanged := state.appliedChanges == c.view.Dependencies.Changes()
-	if isUnchanged && (len(state.raisedJobs) == 0 || now.Sub(state.appliedAt) < urgencyInterval) {
+	isUnchanged := state.propagatedChanges == c.view.Dependencies.Changes()
+	if isUnchanged && (len(state.raisedJobs) == 0 || now.Sub(state.propagatedAt) < urgencyInterval) {
 		return
 	}
-	state.appliedChanges, state.appliedAt = c.view.Dependencies.Changes(), now
+	state.propagatedChanges, state.propagatedAt = c.view.Dependencies.Changes(), now
 	c.view.Dependencies.InvalidateUrgency()
 	for _, jobID := range c.view.Dependencies.DependencyIDs() {
 		if job := c.view.Jobs[jobID]; job != nil && job.Record != nil {
--- a/internal/coordination/controller/helpers_test.go
+++ b/internal/coordination/controller/helpers_test.go
@@ -136,7 +136,7 @@
 	for _, machine := range controller.view.Shards["n0"].Machines {
 		controller.respondToHeartbeat(heartbeatOf(machine, 1))
 	}
-	controller.pass(time.Now())
+	controller.runPass(time.Now())
 	return controller
 }
 
--- a/internal/coordination/controller/replies.go
+++ b/internal/coordination/controller/replies.go
@@ -87,9 +87,9 @@
 	}})
 }
 
-// replyWhenRead answers once the watch has reached a revision that the state service had
+// replyAtRevision answers once the watch has reached a revision that the state service had
 // after the question came in: a linearizable read of all the jobs that this one depends on.
-func (c *Controller) replyWhenRead(jobID string, revision uint64, until time.Time, reply func(transport.Response)) {
+func (c *Controller) replyAtRevision(jobID string, revision uint64, until time.Time, reply func(transport.Response)) {
 	if revision == 0 {
 		reply(unavailable(shortRetry))
 		return
@@ -119,9 +119,9 @@
 
 // confirmStatus answers a question about a job. A final state never changes, so the cache
 // suffices; anything else is confirmed by the state service, since another controller may
-// have answered this user with something newer. absent is called in place of reply for a
+// have answered this user with something newer. onNotFound is called in place of reply for a
 // job that was never accepted.
-func (c *Controller) confirmStatus(jobID string, within time.Duration, absent func(), reply func(transport.Response)) {
+func (c *Controller) confirmStatus(jobID string, within time.Duration, onNotFound func(), reply func(transport.Response)) {
 	status := c.jobStatus(jobID)
 	if status.final {
 		c.replyStatus(jobID, http.StatusOK, within, reply)
@@ -136,14 +136,14 @@
 	c.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + jobID, Version: version}}, nil, within, func(err error, revision uint64) {
 		switch {
 		case err == nil && c.isUndecided(jobID):
-			c.replyWhenRead(jobID, revision, until, reply)
+			c.replyAtRevision(jobID, revision, until, reply)
 		case err == nil && c.jobStatus(jobID).known:
 			// The cache may have changed meanwhile, and is at least as new.
 			c.replyStatus(jobID, http.StatusOK, time.Until(until), reply)
 		case err == nil:
-			absent()
+			onNotFound()
 		case errors.Is(err, kv.ErrCompareFailed):
-			c.replyRefreshed(jobID, version, until, absent, reply)
+			c.replyAfterRefresh(jobID, version, until, onNotFound, reply)
 		default:
 			reply(c.retryLater(kv.PriorityUser, time.Now()))
 		}
@@ -167,15 +167,15 @@
 	return transport.Response{}, false
 }
 
-// replyRefreshed answers a question about a job of which the cache had an older version, and
+// replyAfterRefresh answers a question about a job of which the cache had an older version, and
 // which has just been read again.
-func (c *Controller) replyRefreshed(jobID string, old uint64, until time.Time, absent func(), reply func(transport.Response)) {
+func (c *Controller) replyAfterRefresh(jobID string, old uint64, until time.Time, onNotFound func(), reply func(transport.Response)) {
 	status := c.jobStatus(jobID)
 	switch {
 	case !status.known || status.version == old:
 		reply(unavailable(shortRetry))
 	case c.isUndecided(jobID): // once: a blocked job's record is written once
-		c.confirmStatus(jobID, time.Until(until), absent, reply)
+		c.confirmStatus(jobID, time.Until(until), onNotFound, reply)
 	default:
 		c.replyStatus(jobID, http.StatusOK, time.Until(until), reply)
 	}
--- a/internal/coordination/controller/replies_test.go
+++ b/internal/coordination/controller/replies_test.go
@@ -18,7 +18,7 @@
 // failed the watch has brought the acceptance, not yet the cancellation. It must answer with
 // what it has read since the question or ask the user to retry: "pending" would be older than
 // "cancelled".
-func TestAnswersAreNoOlderThanTheQuestion(t *testing.T) {
+func TestStatusIsReadAfterQueryArrived(t *testing.T) {
 	key := records.JobPrefix + "wk-1"
 	spec := &protocol.Submission{JobID: "wk-1", Team: "open", Shape: protocol.ShapeService, Tasks: 1}
 	raw, err := protocol.Encode(&records.Job{Spec: spec, State: protocol.JobCancelled, Tasks: 1})
@@ -65,7 +65,7 @@
 // controller from a repetition, was cancelled there. The user is answered with the newest
 // status; and with the cancellation only once the watch has reached it, so that this
 // controller knows every claim committed before it, or not at all.
-func TestCancellationIsAnsweredOnceItsClaimsAreKnown(t *testing.T) {
+func TestCancellationIsAnsweredOnceWatchReachesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := newTestController(&readingStore{})
 		controller.mu.Lock()
--- a/internal/coordination/controller/usercancel.go
+++ b/internal/coordination/controller/usercancel.go
@@ -18,25 +18,25 @@
 // the given time. A job that is final is answered as it is.
 func (c *Controller) cancelJob(jobID string, until time.Time, reply func(transport.Response)) {
 	status := c.jobStatus(jobID)
-	left := time.Until(until)
+	remaining := time.Until(until)
 	switch {
 	case status.final:
-		c.replyStatus(jobID, http.StatusOK, left, reply)
-	case !c.view.Loaded || left < minCommitTime:
+		c.replyStatus(jobID, http.StatusOK, remaining, reply)
+	case !c.view.Loaded || remaining < minCommitTime:
 		reply(unavailable(shortRetry))
 	case c.isStateDown(time.Now()):
 		reply(c.retryLater(kv.PriorityUser, time.Now()))
 	case !status.known:
-		c.cancelUnknown(jobID, until, left, reply)
+		c.cancelUnknown(jobID, until, remaining, reply)
 	default:
-		c.commitCancellation(jobID, status.version, until, left, reply)
+		c.commitCancellation(jobID, status.version, until, remaining, reply)
 	}
 }
 
 // cancelUnknown cancels a job that the cache does not have: it asks the state service
 // whether the job was ever accepted.
-func (c *Controller) cancelUnknown(jobID string, until time.Time, left time.Duration, reply func(transport.Response)) {
-	c.commit(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + jobID, Version: 0}}, nil, left, func(err error) {
+func (c *Controller) cancelUnknown(jobID string, until time.Time, remaining time.Duration, reply func(transport.Response)) {
+	c.commit(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + jobID, Version: 0}}, nil, remaining, func(err error) {
 		if err == nil {
 			reply(jobNotFound)
 		} else if c.jobStatus(jobID).known {
@@ -49,10 +49,10 @@
 
 // commitCancellation commits the cancellation of a version of a job, and tries again if the
 // job has changed since.
-func (c *Controller) commitCancellation(jobID string, version uint64, until time.Time, left time.Duration, reply func(transport.Response)) {
+func (c *Controller) commitCancellation(jobID string, version uint64, until time.Time, remaining time.Duration, reply func(transport.Response)) {
 	record := c.cancelledRecord(jobID, time.Now())
 	key := records.JobPrefix + jobID
-	c.commit(kv.PriorityUser, []kv.Compare{{Key: key, Version: version}}, []kv.Op{{Key: key, Value: record}}, left, func(err error) {
+	c.commit(kv.PriorityUser, []kv.Compare{{Key: key, Version: version}}, []kv.Op{{Key: key, Value: record}}, remaining, func(err error) {
 		switch {
 		case err == nil:
 			c.broadcastJob(key)
--- a/internal/coordination/controller/workloop.go
+++ b/internal/coordination/controller/workloop.go
@@ -60,7 +60,7 @@
 		urgent := c.view.Urgent
 		if c.view.Loaded {
 			c.view.Urgent = false
-			c.pass(startedAt)
+			c.runPass(startedAt)
 		}
 		c.mu.Unlock()
 		if !c.pause(ctx, throttle.Pause(time.Since(startedAt), urgent)) {
@@ -69,13 +69,13 @@
 	}
 }
 
-// pass does all work that is due now, shard by shard in the order of their names.
-func (c *Controller) pass(now time.Time) {
+// runPass does all work that is due now, shard by shard in the order of their names.
+func (c *Controller) runPass(now time.Time) {
 	c.expirePreemptions(now)
 	c.propagateUrgency(now)
 	for _, name := range c.view.ShardNames() {
 		if shard := c.view.Shards[name]; c.view.IsActive(shard) {
-			c.passShard(shard, now)
+			c.runShardPass(shard, now)
 		}
 	}
 	if c.isLeader() {
@@ -87,8 +87,8 @@
 	c.readOrphanJobs(now)
 }
 
-// passShard does the work of one owned shard that is due now.
-func (c *Controller) passShard(shard *replica.Shard, now time.Time) {
+// runShardPass does the work of one owned shard that is due now.
+func (c *Controller) runShardPass(shard *replica.Shard, now time.Time) {
 	if now.Sub(shard.SweptAt) > sweepInterval {
 		c.view.MarkAllDirty(shard)
 	}
