--- a/internal/coordination/controller/attribution.go
+++ b/internal/coordination/controller/attribution.go
@@ -10,15 +10,17 @@
 )
 
 const (
-	// rejectedPause is how long nothing is placed on a machine that refused a start.
+	// rejectedPause is how long nothing is placed on a machine that rejected a start command.
 	rejectedPause = 2 * time.Second
-	// unknownJobPause is how long nothing of a job is placed that an agent does not know.
+	// unknownJobPause is how long no task of a job is placed after an agent rejected one
+	// because the job is unknown to it.
 	unknownJobPause = 2 * time.Second
-	// quarantineGrace is how long a machine is quarantined before it is returned: the next
-	// attempt elsewhere of the jobs that failed there may yet exonerate it.
+	// quarantineGrace is how long a machine is quarantined before it is returned. Meanwhile
+	// the next attempts of the failed jobs on other machines may show that the machine is not
+	// at fault.
 	quarantineGrace = 5 * time.Second
-	// Observed run times count up to these multiples of the estimate, each with this weight
-	// against what was observed before.
+	// The ratio of a task's run time to its estimate is clamped to these bounds and enters the
+	// moving average of the job's class with this weight.
 	minRuntimeRatio    = 0.1
 	maxRuntimeRatio    = 10
 	runtimeRatioWeight = 0.1
@@ -56,8 +58,8 @@
 	c.updateQuarantine(machine, now)
 }
 
-// checkForLongRun looks for a task of a failing job that runs elsewhere for long enough to
-// show that the job is not at fault.
+// checkForLongRun records a success for a failing job if a task of it has run on a machine that
+// is not quarantined for long enough to show that the job is not at fault.
 func (c *Controller) checkForLongRun(job *replica.Job, now time.Time) {
 	if !job.Evidence.Failing(now) {
 		return
@@ -72,8 +74,8 @@
 	}
 }
 
-// outlastsFailures reports whether a task runs on a machine that is not quarantined, for
-// longer than its job's failures took.
+// outlastsFailures reports whether a task runs on a machine that is not quarantined, and has
+// outlasted the failed runs of its job.
 func outlastsFailures(job *replica.Job, slot *replica.Slot, now time.Time) bool {
 	machine := slot.Host.Machine
 	if machine == nil || machine.Quarantine.Active {
@@ -85,7 +87,8 @@
 	return running && job.Evidence.OutlastsFailures(now.Sub(startedAt))
 }
 
-// updateQuarantine quarantines a machine that the evidence is against, or releases it.
+// updateQuarantine quarantines a machine or releases it from quarantine, according to the
+// evidence of the failures on it.
 func (c *Controller) updateQuarantine(machine *replica.Machine, now time.Time) {
 	if !machine.Quarantine.Evidence.Failing() && !machine.Quarantine.Active {
 		return
@@ -115,8 +118,8 @@
 	}
 }
 
-// recordCompletion records what a completed task shows of its job, its machine and the run
-// times of its class.
+// recordCompletion records a completed task as a success of its job and its machine, and its
+// run time for the job's class.
 func (c *Controller) recordCompletion(job *replica.Job, spec *protocol.Submission, machine *replica.Machine, task string, now time.Time) {
 	job.Evidence.Succeeded(now)
 	startedAt, ok := machine.Agent.RunningSince[task]
--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -13,42 +13,45 @@
 	"madderslip/internal/storage/records"
 )
 
-// No task may outlive the cancellation of its job by more than the cancel deadline, whatever
-// delays its stop. A machine that keeps one is fenced:
+// No task may run for longer than the cancel deadline after the cancellation of its job,
+// whatever delays the stop command. A machine that still runs such a task is fenced:
 //
-//   - at once if it has been silent and did not answer when probed, for its stop cannot
-//     arrive, and whatever else fails soon would keep it;
-//   - after two fifths of the deadline, if it was heard or should have been (see
-//     health.CancelledTask);
-//   - after half of it without a record, if the state service does not take one.
+//   - at once if it is silent and did not answer a probe: a stop command cannot reach it, and
+//     a further fault soon after could prevent the fencing;
+//   - after two fifths of the deadline if its owner has received a heartbeat from it, or
+//     should have by then (see health.CancelledTask);
+//   - after half of the deadline, without a record, if the state service accepts no record.
 //
-// A controller that may not act for the machine's shard acts too: it probes the machine and
-// stops the cancelled tasks that the machine shows (see health.MisplacedTask).
+// A controller that may not act for the machine's shard also enforces the deadline: it probes
+// the machine and stops the cancelled tasks that the machine reports, and returns the machine
+// as a last resort (see health.MisplacedTask).
 //
-// The times count from the record of the cancellation, so they go on through restarts. They
-// do not depend on reconciliation, which skips a claim while a version of it is being
-// committed: in an outage, for as long as the outage lasts.
+// The times count from the recorded cancellation, so a restart does not reset them. The
+// enforcement does not depend on the reconciliation of claims, which skips a claim while a
+// version of it is being committed: in an outage, for as long as the outage lasts.
 
-// peerContactTime is the time within which every controller that is there has been heard:
-// peers send a message every second.
+// peerContactTime is the time within which a message of every reachable controller has
+// arrived: controllers send one another a message every second.
 const peerContactTime = 2500 * time.Millisecond
 
-// refusedAloneAfter is for how long the state service must have executed nothing of this
-// controller's while it serves others.
+// refusedAloneAfter is the time in which the state service must have executed no call of this
+// controller, while it serves others, for isRefusedAlone to hold.
 const refusedAloneAfter = 4 * time.Second
 
-// cancellationPass collects what one pass over the cancelled jobs finds to be due.
+// cancellationPass collects the returns and probes that one pass over the cancelled jobs finds
+// to be due.
 type cancellationPass struct {
 	now time.Time
-	// mayAct tells that this process has run for long enough to know what others have done
-	// about a cancellation, and not its age alone: it has neither just started nor just
-	// resumed after a pause.
+	// mayAct is set if this process has neither just started nor just resumed after a pause.
+	// Until then it has the age of a cancellation, but may not have received what other
+	// controllers have done about it.
 	mayAct     bool
 	unrecorded []string // hosts to be returned without a record
 	probes     map[*replica.Machine]bool
 }
 
-// enforceCancellations acts on the machines that may keep tasks of cancelled jobs.
+// enforceCancellations fences, returns or probes the machines that may still run tasks of
+// cancelled jobs, each once that is due.
 func (c *Controller) enforceCancellations(now time.Time) {
 	pass := cancellationPass{now: now, probes: make(map[*replica.Machine]bool)}
 	pass.mayAct = c.pauses.Stable(now, peerContactTime) && now.Sub(c.startedAt) > peerContactTime
@@ -70,7 +73,8 @@
 	}
 }
 
-// enforceOnSlot acts on the machine of one placement of a cancelled job.
+// enforceOnSlot fences the machine of one placement of a cancelled job, or adds the machine to
+// the pass's returns or probes, if that is due.
 func (c *Controller) enforceOnSlot(pass *cancellationPass, job *replica.Job, slot *replica.Slot) {
 	machine := slot.Host.Machine
 	if machine == nil || machine.Lifecycle.Gone {
@@ -101,8 +105,8 @@
 	return !machine.ShowsToken(c.view.Shards[machine.Record.Shard]) || machine.HasUnconfirmedStart(slot.TaskName, slot.Attempt)
 }
 
-// enforceCancellation fences a machine if it is time, and reports whether the return must
-// not wait for a record any longer.
+// enforceCancellation fences a machine if that is due, and reports whether the machine must be
+// returned without waiting any longer for a record.
 func (c *Controller) enforceCancellation(job *replica.Job, machine *replica.Machine, now time.Time) bool {
 	limit, shard := c.settings.Workers.CancelDeadline, c.view.Shards[machine.Record.Shard]
 	cancelled := health.CancelledTask{Age: now.Sub(job.FinalAt), Heard: machine.ShowsToken(shard), OwnedFor: now.Sub(shard.OwnedSince),
@@ -114,22 +118,22 @@
 		c.log.Info("machine fenced for a cancelled task", "host", machine.Host, "job", job.ID, "age", cancelled.Age, "silent", cancelled.Silent)
 		c.returnMachine(shard, machine)
 	}
-	// A process that has just resumed after a pause knows the age alone, not what others
-	// have done about the cancellation meanwhile.
+	// A process that has just resumed after a pause may not have received what other
+	// controllers have done about the cancellation meanwhile.
 	return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == records.MachineInUse && !c.isRefusedAlone(now) && c.pauses.Stable(now, peerContactTime)
 }
 
 // isSilentByItself reports whether a machine is silent and did not answer a probe while
-// other machines are heard. Silence that is this controller's own fault, or a partition's,
-// does not count, which prevents healthy machines from being fenced for the one cancelled
-// task on each.
+// heartbeats of other machines arrive. Silence caused by this controller's own links or by a
+// partition does not count, which prevents healthy machines from being fenced for a single
+// cancelled task on each.
 func (c *Controller) isSilentByItself(shard *replica.Shard, machine *replica.Machine, now time.Time) bool {
 	silent := machine.Agent.Heartbeat != nil && c.silenceOf(machine, now) > c.policy.SuspectAfter && machine.Detector.UnansweredAt.After(machine.Agent.LastContact)
 	return silent && !c.isOwnFault(shard, now) && !c.isPartitioned(machine.Record.Zone, now)
 }
 
-// misplacedTask returns what this controller knows of a cancelled task on a machine of a
-// shard that it may not act for.
+// misplacedTask returns what this controller has observed of a cancelled task on a machine
+// whose shard it may not act for.
 func (c *Controller) misplacedTask(job *replica.Job, machine *replica.Machine, slot *replica.Slot, now time.Time) health.MisplacedTask {
 	unansweredAt := machine.Detector.UnansweredAt
 	task := health.MisplacedTask{Age: now.Sub(job.FinalAt), SinceProbe: now.Sub(machine.Detector.CancelProbeAt),
@@ -144,8 +148,9 @@
 	return task
 }
 
-// findingOf returns what a machine shows of a cancelled task. An exit for want of the rest
-// of its gang counts as absence: the owner reaps the task to start it again.
+// findingOf returns whether a machine's heartbeat lists a cancelled task, and if so, whether the
+// task has exited. A task that exited because the rest of its gang did not start in time counts
+// as absent: the owner reaps the task in order to start it again.
 func findingOf(status *protocol.TaskStatus, slot *replica.Slot) health.Finding {
 	switch {
 	case status != nil && status.Phase != protocol.TaskExited:
@@ -156,13 +161,13 @@
 	return health.Ended
 }
 
-// maxCancelProbes bounds the machines that are probed in one pass; some three passes are
-// made a second.
+// maxCancelProbes bounds the machines that are probed in one pass. There are about three
+// passes a second.
 const maxCancelProbes = 20
 
-// probeMisplacedTasks probes machines, those first that were not probed for longest. Each
-// controller begins at another place of the list, so that together they probe all of them
-// sooner.
+// probeMisplacedTasks probes the machines that are due, the least recently probed ones first.
+// Each controller starts at a different position of the list, so that together the controllers
+// probe all machines sooner.
 func (c *Controller) probeMisplacedTasks(due map[*replica.Machine]bool, now time.Time) {
 	machines := slices.SortedFunc(maps.Keys(due), compareHosts)
 	controllers := append(slices.Collect(maps.Keys(c.peerClients)), c.settings.NodeName)
@@ -176,12 +181,12 @@
 	}
 }
 
-// stopCancelledTasks stops the tasks of cancelled jobs that a machine has just shown, of a
-// shard that this controller may not act for. The stop carries the token and the agent
-// epoch that the machine itself has shown: it raises nothing, and a machine that has seen a
-// newer token refuses it. Nothing may follow on a cancellation but the end of its tasks,
-// and their names are not used again; so the stop is right from whoever sends it, late or
-// twice.
+// stopCancelledTasks stops the tasks of cancelled jobs that a machine has just reported, where
+// this controller may not act for the machine's shard. The request carries the fencing token
+// and the agent epoch of the machine's own heartbeat: it raises neither, and a machine that
+// has received a newer token refuses the request. After a cancellation a job's tasks can only
+// end, and their names are not used again, so the stop commands are correct from any
+// controller, also if they arrive late or twice.
 func (c *Controller) stopCancelledTasks(machine *replica.Machine, heartbeat *protocol.Heartbeat) {
 	if heartbeat.FencingToken == 0 || machine.Record.State != records.MachineInUse {
 		return
@@ -203,8 +208,8 @@
 	}()
 }
 
-// cancelledTaskStops returns a stop for each task of a cancelled job that a heartbeat shows
-// as not exited.
+// cancelledTaskStops returns a stop command for each task of a cancelled job that a heartbeat
+// lists as not exited.
 func (c *Controller) cancelledTaskStops(heartbeat *protocol.Heartbeat) []protocol.Command {
 	var stops []protocol.Command
 	for i := range heartbeat.Tasks {
@@ -216,19 +221,19 @@
 	return stops
 }
 
-// isRefusedAlone reports whether the state service has served other controllers just now
-// and this one not for a while. Then the next owner of this one's shards does what is
-// needed, with a record.
+// isRefusedAlone reports whether the state service serves other controllers and has executed
+// no call of this one for refusedAloneAfter. In that case the next owner of this controller's
+// shards returns the machines, with a record.
 func (c *Controller) isRefusedAlone(now time.Time) bool {
 	return now.Sub(c.store.LastSuccess()) >= refusedAloneAfter && c.isStateServingOthers(now)
 }
 
-// returnUnrecorded returns machines whose return could not be recorded. The cloud's 200
-// proves them gone as any other does. A return that is carried out late, twice, or by a
-// node that owns the shard no longer takes away a machine that kept a cancelled task when
-// the call was sent, with whatever was placed there since. To its owner that is a machine
-// lost without notice, found and proved as such; no task counts as gone by it, and no name
-// is used again.
+// returnUnrecorded returns machines whose return could not be recorded. As for any return, the
+// cloud's status 200 proves that they are gone. A call that is executed late or twice, or that
+// a node makes which no longer owns the shard, removes a machine that had a cancelled task when
+// the call was sent, together with the tasks placed there since. Its owner handles the machine
+// as one that was lost without notice: the loss is detected and proved as usual, no task counts
+// as gone because of the call, and no task name is used again.
 func (c *Controller) returnUnrecorded(ctx context.Context, hosts []string) {
 	status, err := c.callReturn(ctx, hosts)
 	c.mu.Lock()
--- a/internal/coordination/controller/dependencies.go
+++ b/internal/coordination/controller/dependencies.go
@@ -14,41 +14,42 @@
 	"madderslip/internal/transport"
 )
 
-// Package dag decides about jobs that depend on others. The methods here carry its decisions
-// out: a blocked job's record becomes an ordinary one once all that it depends on is done,
-// and a final one once it is cancelled with a job that it depends on. The latter only brings
-// the records up to date: what is cancelled follows from those that exist already.
+// Package dag decides when jobs that depend on others are ready or cancelled. The methods in
+// this file carry out its decisions: a blocked job's record is replaced by that of a queued job
+// once all its dependencies are done, and by a final one once a dependency is cancelled. The
+// latter only brings the record up to date, since the cancellation follows from the records
+// that exist already.
 
-// dependencyVersion is the version of job dependencies that this controller announces in its
-// record.
+// dependencyVersion is the version of job dependencies that this controller supports. It is
+// announced in the controller's record.
 const dependencyVersion = 1
 
 const (
 	releaseDelay        = 300 * time.Millisecond // after a job has become ready
 	releaseStagger      = 500 * time.Millisecond // between one controller's turn and the next's
-	cancelRecordDelay   = 3 * time.Second        // after a job has been cancelled with another
+	cancelRecordDelay   = 3 * time.Second        // after a job was cancelled with a dependency
 	cancelRecordStagger = 5 * time.Second        // between one controller's turn and the next's
 	cancelRecordTimeout = 10 * time.Second
-	maxReleasing        = 24              // at a time
-	maxCancelRecords    = 4               // at a time
-	urgencyInterval     = 2 * time.Second // between two passes over the raised jobs while nothing changes
+	maxReleasing        = 24              // record changes in progress at which no further job is released
+	maxCancelRecords    = 4               // cancellations being recorded at a time
+	urgencyInterval     = 2 * time.Second // between two updates of the raised jobs while the graph does not change
 )
 
-// dependencies is what a controller remembers of jobs that depend on others.
+// dependencies is a controller's own state about jobs that depend on others.
 type dependencies struct {
 	updating           map[string]bool         // blocked jobs whose record is being changed
 	recordingCancelled int                     // how many of those changes record a cancellation
-	reading            bool                    // the records of jobs that others depend on are being read
+	reading            bool                    // a goroutine is reading the records of dependencies
 	raisedJobs         map[string]*replica.Job // jobs that inherit urgency from their dependents
-	propagatedChanges  uint64                  // the graph's changes up to which urgency was propagated
-	propagatedAt       time.Time               // when it last was
+	propagatedChanges  uint64                  // the graph's change counter when urgency was last propagated
+	propagatedAt       time.Time               // when urgency was last propagated
 }
 
 func newDependencies() dependencies {
 	return dependencies{updating: make(map[string]bool), raisedJobs: make(map[string]*replica.Job)}
 }
 
-// blockedStatus returns what the cache says of a blocked job; for any other it is not known.
+// blockedStatus returns a blocked job's cached status; that of any other job is not known.
 func (c *Controller) blockedStatus(jobID string) cachedStatus {
 	blocked, isBlocked := c.view.Dependencies.Lookup(jobID)
 	if !isBlocked {
@@ -61,16 +62,16 @@
 	return status
 }
 
-// isUndecided reports whether a job is blocked and may have been cancelled by a cancellation
-// that this controller has not read yet: the job's own record does not show that.
+// isUndecided reports whether a job is blocked and may have been cancelled with a dependency
+// whose cancellation this controller has not read yet. The job's own record does not show that.
 func (c *Controller) isUndecided(jobID string) bool {
 	graph := c.view.Dependencies
 	_, isBlocked := graph.Lookup(jobID)
 	return isBlocked && !graph.IsReady(jobID) && !graph.IsCancelled(jobID)
 }
 
-// allSupportDependencies reports whether every live controller supports blocked jobs. One
-// that does not would start at once what it accepts.
+// allSupportDependencies reports whether every live controller supports blocked jobs. A
+// controller that does not would start a job with dependencies as soon as it accepts the job.
 func (c *Controller) allSupportDependencies() bool {
 	for _, node := range c.view.Nodes {
 		if node.DependencyVersion < dependencyVersion {
@@ -81,7 +82,7 @@
 }
 
 // acceptDependent accepts a job that depends on others, once it is certain that each of
-// those was accepted.
+// its dependencies was accepted.
 func (c *Controller) acceptDependent(spec *protocol.Submission, until time.Time, reply func(transport.Response)) {
 	if !c.allSupportDependencies() || time.Until(until) < minCommitTime {
 		reply(unavailable(shortRetry))
@@ -107,8 +108,8 @@
 	}
 }
 
-// unknownJobs lists those jobs of which the cache has no record. A job's record is never
-// removed, so a cached one proves that the job was accepted.
+// unknownJobs lists the jobs whose records are not cached. A job's record is never removed, so
+// a cached record proves that the job was accepted.
 func (c *Controller) unknownJobs(jobIDs []string) (missing []string) {
 	for _, jobID := range jobIDs {
 		if !c.jobStatus(jobID).known {
@@ -118,13 +119,14 @@
 	return missing
 }
 
-// maxProvedJobs bounds the compares of one transaction that asks whether jobs exist. It fits
-// the lowest limits with which the state service can be used.
+// maxProvedJobs bounds the dependencies whose existence one transaction checks. It fits the
+// lowest limits with which the state service can be used.
 const maxProvedJobs = 12
 
-// proveDependencies asks the state service whether jobs were accepted of which the cache has
-// no record. If neither any of them was nor the job itself, the submission is rejected; those
-// that were are in the cache afterwards, and the submission is tried again.
+// proveDependencies checks with the state service whether dependencies whose records are not
+// cached were accepted. If none of them was accepted, nor the submitted job itself, the
+// submission is rejected. Otherwise the records of those accepted are cached afterwards, and
+// the submission is processed again.
 func (c *Controller) proveDependencies(spec *protocol.Submission, missing []string, until time.Time, reply func(transport.Response)) {
 	missing = missing[:min(len(missing), maxProvedJobs)]
 	compares := []kv.Compare{{Key: records.JobPrefix + spec.JobID, Version: 0}}
@@ -145,8 +147,9 @@
 	})
 }
 
-// releaseDependents releases the jobs for which a job whose end was just committed here was
-// the last unfinished dependency. No other controller has read of that end yet.
+// releaseDependents releases the jobs whose last unfinished dependency was a job whose end this
+// controller has just committed. It does not wait for its turn, since no other controller has
+// read that record yet.
 func (c *Controller) releaseDependents(jobID string, now time.Time) {
 	for _, resolved := range c.view.Dependencies.ReadyJobs() {
 		if resolved.LastDependency == jobID {
@@ -155,9 +158,9 @@
 	}
 }
 
-// reconcileDependencies brings the records of blocked jobs in line with what is decided about
-// them. Each controller waits for its turn, which keeps several from trying at once; the
-// compare of the job's version decides.
+// reconcileDependencies commits the records of blocked jobs that are ready or cancelled. Each
+// controller waits for its turn, which keeps several from attempting the same change at once;
+// the compare of the job's version lets only one succeed.
 func (c *Controller) reconcileDependencies(now time.Time) {
 	if c.view.Dependencies.Len() == 0 || c.isStateDown(now) {
 		return
@@ -176,7 +179,8 @@
 	c.readDependencies()
 }
 
-// dependencyTurn returns how many live controllers act before this one.
+// dependencyTurn returns how many live controllers have their turn before this one, as a factor
+// for the stagger times.
 func (c *Controller) dependencyTurn() time.Duration {
 	turn := time.Duration(0)
 	for _, name := range c.view.LiveNodes() {
@@ -188,9 +192,9 @@
 	return turn
 }
 
-// releaseJob admits a job to the queues all of whose dependencies are done. They stay done in
-// the records, so the job's own revision is the only condition. The claim goes into the same
-// transaction if this controller can make it at once.
+// releaseJob admits a blocked job to the queues once all its dependencies are done. A job that
+// is done stays done, so the blocked job's own revision is the only condition. If this
+// controller can claim the job at once, the claim goes into the same transaction.
 func (c *Controller) releaseJob(blocked dag.Job, now time.Time) {
 	if c.dependencies.updating[blocked.ID] || len(c.dependencies.updating) >= maxReleasing || len(c.view.MachineTypes) == 0 {
 		return
@@ -208,8 +212,8 @@
 	c.commitRelease(blocked, record, c.claimImmediately(raised, shards, now))
 }
 
-// commitRelease commits the record that releases a job, and once more without the claim if
-// only that failed.
+// commitRelease commits the record that releases a job, and retries without the claim if only
+// the claim's conditions failed.
 func (c *Controller) commitRelease(blocked dag.Job, record *records.Job, initial initialClaim) {
 	key := records.JobPrefix + blocked.ID
 	compares := append([]kv.Compare{{Key: key, Version: blocked.Revision}}, initial.compares...)
@@ -230,8 +234,8 @@
 	})
 }
 
-// recordCancelled records that a job is cancelled because one that it depends on is. Its
-// users are answered so already.
+// recordCancelled records that a job is cancelled because a dependency is. Status queries are
+// answered accordingly before that.
 func (c *Controller) recordCancelled(blocked dag.Job, since time.Time) {
 	if c.dependencies.updating[blocked.ID] || c.dependencies.recordingCancelled >= maxCancelRecords {
 		return
@@ -246,8 +250,8 @@
 	})
 }
 
-// readDependencies reads the records of jobs that others depend on and that the cache no
-// longer has: it keeps a bounded number of those that are over.
+// readDependencies reads the records of dependencies that are not cached, since the cache keeps
+// only a bounded number of final jobs.
 func (c *Controller) readDependencies() {
 	jobIDs := c.view.Dependencies.UnknownDependencies()
 	if len(jobIDs) == 0 || c.dependencies.reading {
@@ -279,16 +283,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.view.JobState(jobID) == dag.Unknown {
-		// The version is known although the record was dropped; with it the item would be
-		// ignored.
+		// The cached version may remain although the record was dropped. The item would then
+		// be ignored as not newer.
 		delete(c.view.Versions, item.Key)
 		c.view.ApplyItem(item)
 	}
 	return nil
 }
 
-// propagateUrgency gives the jobs that others depend on the priority and the deadlines of
-// those, and withdraws them where no job depends on them any more.
+// propagateUrgency gives jobs the priority and the deadlines of their dependents, and withdraws
+// both from jobs that no longer have dependents.
 func (c *Controller) propagateUrgency(now time.Time) {
 	state := &c.dependencies
 	isUnchanged := state.propagatedChanges == c.view.Dependencies.Changes()
@@ -310,8 +314,8 @@
 	}
 }
 
-// inheritUrgency works out what an open job inherits from those that depend on it, and has
-// its claims reconciled if that has changed.
+// inheritUrgency computes the urgency that an open job inherits from its dependents, and marks
+// the job's claims dirty if its description changes.
 func (c *Controller) inheritUrgency(job *replica.Job) {
 	graph := c.view.Dependencies
 	if job.Record.IsFinal() || job.Record.Spec == nil {
@@ -342,9 +346,9 @@
 	c.view.Unplaced[job.ID] = job
 }
 
-// inheritsAlready reports whether a job has been raised from its present description to the
-// same priority and use of spot instances. Its description is then kept, since a new one of
-// the same content would have all its claims reconciled.
+// inheritsAlready reports whether a job has already been raised, from its present description,
+// to the same priority and use of spot instances. The inherited description is then kept, since
+// a new one with the same content would cause all the job's claims to be reconciled.
 func inheritsAlready(job *replica.Job, raised *protocol.Submission) bool {
 	inherited := job.Inherited
 	return inherited.From == job.Record.Spec && inherited.Spec.PriorityClass == raised.PriorityClass && inherited.Spec.AllowSpot == raised.AllowSpot
--- a/internal/coordination/controller/usercancel.go
+++ b/internal/coordination/controller/usercancel.go
@@ -11,11 +11,11 @@
 	"madderslip/internal/transport"
 )
 
-// minCommitTime is the time that a request must have left for a transaction on its behalf.
+// minCommitTime is the time that a request must have left for a transaction to be sent for it.
 const minCommitTime = 200 * time.Millisecond
 
-// cancelJob commits a user's cancellation of a job and answers, at the latest soon after
-// the given time. A job that is final is answered as it is.
+// cancelJob commits a user's cancellation of a job and answers, at the latest shortly after
+// until. If the job is final already, the response is its status.
 func (c *Controller) cancelJob(jobID string, until time.Time, reply func(transport.Response)) {
 	status := c.jobStatus(jobID)
 	remaining := time.Until(until)
@@ -33,8 +33,8 @@
 	}
 }
 
-// cancelUnknown cancels a job that the cache does not have: it asks the state service
-// whether the job was ever accepted.
+// cancelUnknown cancels a job that is not cached, if the state service confirms that the job
+// was accepted.
 func (c *Controller) cancelUnknown(jobID string, until time.Time, remaining time.Duration, reply func(transport.Response)) {
 	c.commit(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + jobID, Version: 0}}, nil, remaining, func(err error) {
 		if err == nil {
@@ -47,8 +47,8 @@
 	})
 }
 
-// commitCancellation commits the cancellation of a version of a job, and tries again if the
-// job has changed since.
+// commitCancellation commits a job's cancellation, conditional on the job's version, and
+// retries if the job has changed since.
 func (c *Controller) commitCancellation(jobID string, version uint64, until time.Time, remaining time.Duration, reply func(transport.Response)) {
 	record := c.cancelledRecord(jobID, time.Now())
 	key := records.JobPrefix + jobID
@@ -65,8 +65,8 @@
 	})
 }
 
-// cancelledRecord returns a known job's record once its user has cancelled it. A blocked job
-// has no tasks, so its description is not needed any more.
+// cancelledRecord returns the record of a known job that its user cancels. None of a blocked
+// job's tasks has been placed, so the record does not need the job's description.
 func (c *Controller) cancelledRecord(jobID string, now time.Time) *records.Job {
 	if blocked, isBlocked := c.view.Dependencies.Lookup(jobID); isBlocked {
 		return &records.Job{State: protocol.JobCancelled, Tasks: blocked.Spec.Tasks, CancelledAtMs: now.UnixMilli()}
