--- a/internal/coordination/controller/accept.go
+++ b/internal/coordination/controller/accept.go
@@ -11,15 +11,15 @@
 	"madderslip/internal/transport"
 )
 
-// errRecordTooLarge is the answer to a submission whose record the state service refuses.
+// errRecordTooLarge rejects a submission whose record exceeds the state service's size limit.
 var errRecordTooLarge = errors.New("the job's record is larger than the state service takes")
 
-// acceptJob records a job. If this controller owns one of the shards chosen for it and there
-// is capacity, the claim goes into the same transaction and the start follows at once.
+// acceptJob records a job. If this controller owns one of the shards chosen for the job and
+// that shard has capacity, the same transaction claims the job, and its tasks start at once.
 func (c *Controller) acceptJob(spec *protocol.Submission, reply func(transport.Response)) {
 	now := time.Now()
 	if backlog := c.backlog(kv.PriorityUser, now); backlog.Unavailable || backlog.ShouldShed(submitTimeout) {
-		reply(c.retryLater(kv.PriorityUser, now)) // at once: its time would run out in the queue
+		reply(c.retryLater(kv.PriorityUser, now)) // refused at once, since it would time out in the queue
 		return
 	}
 	shards := c.chooseShards(spec, now)
@@ -29,14 +29,16 @@
 	c.recordJob(spec.JobID, record, initial, reply)
 }
 
-// addQueued adds a job to what this controller has queued at shards since their last report.
+// addQueued adds a job's CPUs to those that this controller has queued at shards since the
+// last reports of their loads.
 func (c *Controller) addQueued(shards []string, spec *protocol.Submission) {
 	for _, name := range shards {
 		c.shardLoads.queuedSince[name] += spec.CPUs * float64(spec.Tasks)
 	}
 }
 
-// recordJob records that a job is accepted, with the claim on it if there is one.
+// recordJob commits the record of an accepted job, together with its initial claim if there
+// is one, and answers the submission.
 func (c *Controller) recordJob(jobID string, record *records.Job, initial initialClaim, reply func(transport.Response)) {
 	until := time.Now().Add(submitTimeout)
 	key := records.JobPrefix + jobID
@@ -59,8 +61,9 @@
 	})
 }
 
-// resolveAcceptConflict answers a submission whose transaction found a record changed: that
-// of the job, which another controller has accepted, or one that the claim depends on.
+// resolveAcceptConflict answers a submission whose transaction failed because a record has
+// changed: the job's, since another controller has accepted the job, or one that the claim is
+// conditional on.
 func (c *Controller) resolveAcceptConflict(jobID string, record *records.Job, initial initialClaim, until time.Time, reply func(transport.Response)) {
 	switch status := c.jobStatus(jobID); {
 	case status.final:
@@ -74,7 +77,8 @@
 	}
 }
 
-// recordUnclaimed records a job once more, without the claim that failed.
+// recordUnclaimed commits the record of an accepted job again, without the claim that made
+// the first commit fail.
 func (c *Controller) recordUnclaimed(key string, record *records.Job, reply func(transport.Response)) {
 	c.commit(kv.PriorityUser, []kv.Compare{{Key: key, Version: 0}}, []kv.Op{{Key: key, Value: record}}, submitTimeout/2, func(err error) {
 		if err != nil {
--- a/internal/coordination/controller/admission.go
+++ b/internal/coordination/controller/admission.go
@@ -9,12 +9,12 @@
 	"madderslip/internal/transport"
 )
 
-// peerStatusTTL is how long what another controller reports of itself counts: its backlog,
-// its contact, and whether it reaches the state service.
+// peerStatusTTL is how long the status of another controller is valid: its backlog, that it
+// was in contact, and that it reaches the state service.
 const peerStatusTTL = 3 * time.Second
 
 // shareStateBudget sets this controller's share of the state service's request budgets: by
-// need if all live controllers have reported theirs lately, else evenly.
+// backlog if all live controllers have reported theirs within peerStatusTTL, else evenly.
 func (c *Controller) shareStateBudget(now time.Time) {
 	names := c.view.LiveNodes()
 	own := slices.Index(names, c.settings.NodeName)
@@ -36,7 +36,7 @@
 	c.store.SetBudgetShare(admission.BudgetShare(backlogs, own))
 }
 
-// backlog returns what is queued ahead of a transaction of a priority.
+// backlog returns the work queued ahead of a new transaction of a priority.
 func (c *Controller) backlog(priority kv.Priority, now time.Time) admission.Backlog {
 	backlog := admission.Backlog{Unavailable: c.isStateDown(now)}
 	backlog.Pending, backlog.Rate = c.store.Backlog(priority)
@@ -44,8 +44,9 @@
 }
 
 // isStateServingOthers reports whether the state service serves other controllers and not
-// this one. A controller that turns every user away at once has the fewest open connections,
-// so the load balancer sends it ever more of them while it looks healthy.
+// this one. Such a controller refuses every user at once and thus has the fewest open
+// connections, so the load balancer sends it more and more users for as long as it reports
+// that it is ready.
 func (c *Controller) isStateServingOthers(now time.Time) bool {
 	if !c.isStateDown(now) {
 		return false
@@ -58,8 +59,9 @@
 	return false
 }
 
-// retryLater returns the response that turns a user away, with when to come back: soon if
-// another controller can serve the user, else when the backlog should be worked off.
+// retryLater returns the response that refuses a user's request for now. The user should
+// retry soon if another controller can serve the request, else once the backlog should have
+// drained.
 func (c *Controller) retryLater(priority kv.Priority, now time.Time) transport.Response {
 	if c.isStateServingOthers(now) {
 		return unavailable(shortRetry)
@@ -67,8 +69,8 @@
 	return retryAfter(c.backlog(priority, now), c.random.Float64())
 }
 
-// retryAfter returns the response that turns a user away until a backlog should be worked
-// off. jitter, from 0 to 1, spreads the users over time.
+// retryAfter returns the response that refuses a user's request until a backlog should have
+// drained. jitter, from 0 to 1, spreads the retries of several users over time.
 func retryAfter(backlog admission.Backlog, jitter float64) transport.Response {
 	return unavailable(int(backlog.RetryAfter(jitter) / time.Second))
 }
--- a/internal/coordination/controller/replies.go
+++ b/internal/coordination/controller/replies.go
@@ -13,15 +13,15 @@
 	"madderslip/internal/transport"
 )
 
-// cachedStatus is a job's status as the cache has it.
+// cachedStatus is a job's status as derived from the cache.
 type cachedStatus struct {
 	answer  protocol.JobStatus
-	version uint64 // of the record it comes from; 0: there is none
+	version uint64 // of the record that it is derived from; 0: there is none
 	final   bool   // the job is over, so the status never changes
 	known   bool   // the job was accepted
 }
 
-// jobStatus returns what the cache says of a job.
+// jobStatus returns a job's cached status.
 func (c *Controller) jobStatus(jobID string) cachedStatus {
 	answer := protocol.JobStatus{JobID: jobID, Phase: protocol.JobPending}
 	if final, ok := c.view.FinalJobs[jobID]; ok {
@@ -58,12 +58,13 @@
 	send     func(reached bool) // reached is false if the deadline came first
 }
 
-// replyStatus answers with what the cache says of a job, which is known. That a job is
-// cancelled is answered once the watch has reached the cancellation: nothing of the job is
-// placed after that revision, so this controller then knows every machine that may have a
-// task of it, and can end it when no other controller can. Answered at once, a claim that an
-// owner committed just before it was cut off could be known to nobody else in an outage.
-// Unless the watch comes as far within the time given the user is asked to retry.
+// replyStatus answers with the cached status of a known job. The answer that a job is cancelled
+// is sent once the watch has reached the cancellation: no task of the job is placed after that
+// revision, so this controller's view then has every machine that may run a task of the job,
+// and this controller can end the tasks when no other can. If the answer were sent at once, a
+// claim that its owner committed just before it was cut off could be missing from the views of
+// all other controllers in an outage. If the watch does not reach the cancellation in time, the
+// user is asked to retry.
 func (c *Controller) replyStatus(jobID string, status int, within time.Duration, reply func(transport.Response)) {
 	cached := c.jobStatus(jobID)
 	answer := cached.answer
@@ -75,7 +76,7 @@
 		return
 	}
 	if now := time.Now(); c.isStateDown(now) {
-		reply(c.retryLater(kv.PriorityUser, now)) // the watch will not come in time
+		reply(c.retryLater(kv.PriorityUser, now)) // the watch will not reach the revision in time
 		return
 	}
 	c.pendingReplies = append(c.pendingReplies, pendingReply{cached.version, time.Now().Add(within), func(reached bool) {
@@ -87,8 +88,9 @@
 	}})
 }
 
-// replyAtRevision answers once the watch has reached a revision that the state service had
-// after the question came in: a linearizable read of all the jobs that this one depends on.
+// replyAtRevision answers a status query once the watch has reached the revision that the state
+// service had after the query arrived: a linearizable read of all the jobs that this one
+// depends on.
 func (c *Controller) replyAtRevision(jobID string, revision uint64, until time.Time, reply func(transport.Response)) {
 	if revision == 0 {
 		reply(unavailable(shortRetry))
@@ -117,10 +119,10 @@
 	})
 }
 
-// confirmStatus answers a question about a job. A final state never changes, so the cache
-// suffices; anything else is confirmed by the state service, since another controller may
-// have answered this user with something newer. onNotFound is called in place of reply for a
-// job that was never accepted.
+// confirmStatus answers a status query for a job. A final status never changes, so it is
+// answered from the cache. Any other status is confirmed by the state service, since another
+// controller may have answered this user with a newer one. onNotFound is called in place of
+// reply for a job that was never accepted.
 func (c *Controller) confirmStatus(jobID string, within time.Duration, onNotFound func(), reply func(transport.Response)) {
 	status := c.jobStatus(jobID)
 	if status.final {
@@ -138,7 +140,7 @@
 		case err == nil && c.isUndecided(jobID):
 			c.replyAtRevision(jobID, revision, until, reply)
 		case err == nil && c.jobStatus(jobID).known:
-			// The cache may have changed meanwhile, and is at least as new.
+			// The cached status may be newer than the confirmed one, but never older.
 			c.replyStatus(jobID, http.StatusOK, time.Until(until), reply)
 		case err == nil:
 			onNotFound()
@@ -150,8 +152,8 @@
 	})
 }
 
-// refuseConfirmation returns the answer to a question that the state service can't confirm
-// within the time given, and reports whether it can't.
+// refuseConfirmation returns the response to a status query that the state service can't
+// confirm within the given time, and reports whether that is so.
 func (c *Controller) refuseConfirmation(within time.Duration, now time.Time) (refusal transport.Response, isRefused bool) {
 	switch {
 	case !c.view.Loaded:
@@ -167,14 +169,14 @@
 	return transport.Response{}, false
 }
 
-// replyAfterRefresh answers a question about a job of which the cache had an older version, and
-// which has just been read again.
+// replyAfterRefresh answers a status query for a job whose cached version, old, was outdated and
+// whose record has just been read again.
 func (c *Controller) replyAfterRefresh(jobID string, old uint64, until time.Time, onNotFound func(), reply func(transport.Response)) {
 	status := c.jobStatus(jobID)
 	switch {
 	case !status.known || status.version == old:
 		reply(unavailable(shortRetry))
-	case c.isUndecided(jobID): // once: a blocked job's record is written once
+	case c.isUndecided(jobID): // happens at most once: the record of a blocked job is written once
 		c.confirmStatus(jobID, time.Until(until), onNotFound, reply)
 	default:
 		c.replyStatus(jobID, http.StatusOK, time.Until(until), reply)
--- a/internal/coordination/controller/responses.go
+++ b/internal/coordination/controller/responses.go
@@ -8,8 +8,8 @@
 	"madderslip/internal/transport"
 )
 
-// shortRetry is after how many seconds a client may ask again when what it asks for needs
-// only a moment more, or another controller to answer.
+// shortRetry is the number of seconds after which a client may retry a request that this
+// controller can serve a moment later, or another controller now.
 const shortRetry = 1
 
 // Responses whose body never changes.
@@ -18,7 +18,7 @@
 	misdirected = transport.Response{Status: http.StatusMisdirectedRequest, Body: []byte("{}")}
 )
 
-// errorResponse returns a response that says in its body what is wrong.
+// errorResponse returns a response whose body holds an error message.
 func errorResponse(status int, message string) transport.Response {
 	body, _ := json.Marshal(map[string]string{"error": message}) // strings always encode
 	return transport.Response{Status: status, Body: body}
@@ -41,7 +41,8 @@
 	return transport.Response{Status: http.StatusMisdirectedRequest, Body: body}
 }
 
-// unavailable returns a response that turns a client away for so many seconds.
+// unavailable returns a response that refuses a request and lets the client retry after a
+// number of seconds.
 func unavailable(retryAfter int) transport.Response {
 	response := errorResponse(http.StatusServiceUnavailable, "not now")
 	response.RetryAfter = retryAfter
--- a/internal/coordination/controller/users.go
+++ b/internal/coordination/controller/users.go
@@ -9,13 +9,15 @@
 	"madderslip/internal/transport"
 )
 
-// Users wait 5 s for submissions and 2 s for polls; answers come before that.
+// Users time out after 5 s for submissions and 2 s for status queries. Responses are sent
+// before that.
 const (
 	submitTimeout = 4 * time.Second
 	queryTimeout  = 1700 * time.Millisecond
 )
 
-// Handle answers a request of the public address. It calls reply once, now or later.
+// Handle answers a request to the public address. It calls reply exactly once, before or after
+// it returns.
 func (c *Controller) Handle(method, target string, body []byte, reply func(transport.Response)) {
 	route, id := protocol.MatchRoute(method, target)
 	switch route {
@@ -36,10 +38,11 @@
 	}
 }
 
-// handleReady answers whether this controller is ready: it is once it has read the records.
-// It is not while it alone is refused by the state service, so that the load balancer sends
-// users to the controllers that are served. In an outage that all share it stays ready:
-// turning users away helps nobody then, and finished jobs are still answered.
+// handleReady answers the load balancer's health check. The controller is ready once it has
+// read the records and the machine types, except while the state service serves other
+// controllers and not this one: the load balancer then sends users to those others. In an
+// outage that affects all controllers it stays ready, since no other controller could serve
+// the users, and status queries for finished jobs are still answered.
 func (c *Controller) handleReady(reply func(transport.Response)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +58,7 @@
 	return c.view.Loaded && len(c.view.MachineTypes) > 0
 }
 
-// handleQuery answers a question about a job's status.
+// handleQuery answers a status query for a job.
 func (c *Controller) handleQuery(jobID string, reply func(transport.Response)) {
 	if !protocol.ValidJobID(jobID) {
 		reply(jobNotFound)
@@ -66,8 +69,8 @@
 	c.confirmStatus(jobID, queryTimeout, func() { reply(jobNotFound) }, reply)
 }
 
-// handleSubmit answers a submission. A job that was accepted before is answered with its
-// status, also when the repeated submission is not valid: the first one counts.
+// handleSubmit answers a submission. If the job was accepted before, the response is its
+// status, even if the repeated submission is not valid: only the first submission counts.
 func (c *Controller) handleSubmit(body []byte, reply func(transport.Response)) {
 	jobID, err := protocol.ParseJobID(body)
 	if err != nil {
@@ -81,7 +84,7 @@
 	case c.jobStatus(jobID).known:
 		c.confirmStatus(jobID, submitTimeout, func() { reply(unavailable(shortRetry)) }, reply)
 	case err != nil:
-		// Another controller may have accepted a job of this id.
+		// Another controller may have accepted a job with this ID.
 		c.confirmStatus(jobID, submitTimeout, func() { reply(badRequest(err)) }, reply)
 	case !c.isInitialized():
 		reply(unavailable(shortRetry))
