--- a/internal/coordination/controller/collaborators.go
+++ b/internal/coordination/controller/collaborators.go
@@ -9,15 +9,15 @@
 	"madderslip/internal/storage/kv"
 )
 
-// StateStore is the state service as this package uses it. Its errors are those of package
-// kv.
+// StateStore is the part of the state service's client that this package uses. Its errors are
+// those of package kv.
 type StateStore interface {
-	// Get reads one key; the item of a key without a record has no value.
+	// Get reads one key. If the key has no record, the value of the item is nil.
 	Get(ctx context.Context, key string) (kv.Item, error)
-	// List reads all records, as of the revision that it returns.
+	// List reads all records. A watch from the returned revision misses no later change.
 	List(ctx context.Context) ([]kv.Item, uint64, error)
-	// Watch returns the changes after a revision, up to the one that it returns, and waits
-	// for them for as long as block if there are none yet.
+	// Watch returns the changes after a revision, and the revision up to which they are
+	// complete. If there are none yet, it waits for them for at most block.
 	Watch(ctx context.Context, from uint64, block time.Duration) ([]kv.Item, uint64, error)
 	// GrantLease returns a new lease.
 	GrantLease(ctx context.Context, ttl time.Duration) (kv.LeaseID, error)
@@ -29,16 +29,18 @@
 	HasPending(priority kv.Priority) int
 	// SetBudgetShare sets this controller's share, from 0 to 1, of the request budgets.
 	SetBudgetShare(share float64)
-	// MaxValueBytes returns how large an encoded record may be.
+	// MaxValueBytes returns the maximum size of an encoded record.
 	MaxValueBytes() int
-	// ObserveVersion notes the version of a key that was read elsewhere.
+	// ObserveVersion records a version of a key that was received by other means, so that
+	// queued transactions that require an older version need not be sent.
 	ObserveVersion(key string, version uint64, exists bool)
-	// LastSuccess returns when the state service last answered.
+	// LastSuccess returns when the state service last executed a call of this controller.
 	LastSuccess() time.Time
-	// Backlog returns how many changes are queued ahead of a priority, and how many are
-	// sent in a second.
+	// Backlog returns how many changes are queued ahead of a new transaction of a priority,
+	// and how many changes a second the budget allows.
 	Backlog(priority kv.Priority) (changes int, rate float64)
-	// ReadBacklog returns the same for reads.
+	// ReadBacklog returns how many transactions that only compare versions are queued, and
+	// how many of these a second are executed at least.
 	ReadBacklog() (waiting int, rate float64)
 }
 
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -17,12 +17,12 @@
 	"madderslip/internal/storage/kv"
 )
 
-// tolerance is what rounding may leave of sums that should be equal.
+// tolerance bounds the rounding error between sums of resources that should be equal.
 const tolerance = protocol.ResourceTolerance
 
-// Controller is one controller. Its fields are guarded by mu, but for the collaborators and
-// what is set once; methods that do not take the lock themselves expect it to be held by
-// the caller.
+// Controller is one controller. mu guards its fields, except for the collaborators and the
+// fields that are set once. Methods that do not take the lock themselves must be called with
+// it held.
 type Controller struct {
 	settings        protocol.Settings
 	policy          policy.Policy
@@ -37,7 +37,7 @@
 	waitWhilePaused func(context.Context)
 
 	mu              sync.Mutex
-	ctx             context.Context // of Run: the process's life
+	ctx             context.Context // passed to Run; ends with the process
 	view            *replica.View
 	membership      membership
 	leadership      leadership
@@ -47,23 +47,23 @@
 	dependencies    dependencies
 	quotaSync       quotaSync
 	pauses          health.PauseDetector
-	partitionSeenAt map[string]time.Time // by zone: when it last seemed partitioned
+	partitionSeenAt map[string]time.Time // by zone: when the zone last seemed partitioned
 	runtimeRatios   map[string]float64   // by job class: observed run time over the estimate
 	pendingReplies  []pendingReply
 	pendingCommands map[*replica.Machine]struct{} // machines with commands to send
-	claimIntents    []string                      // keys of new claims of which the other controllers are not notified yet
-	nextRepeated    string                        // the cancelled job whose turn to be repeated is next
-	readingOrphans  bool                          // the jobs of orphaned claims are being read
-	refreshCount    int                           // reads of keys after failed transactions, so far; it numbers them
-	gangsSearchedAt time.Time                     // when capacity for gangs was last sought
+	claimIntents    []string                      // keys of new claims not yet announced to the other controllers
+	nextRepeated    string                        // the cancelled job with which the next message's repeated cancellations begin
+	readingOrphans  bool                          // a goroutine is reading the jobs of orphaned claims
+	refreshCount    int                           // refreshes of keys started after failed transactions; each is numbered by the count
+	gangsSearchedAt time.Time                     // when capacity for gangs was last searched for
 	scratch         capacityScratch
 }
 
-// membership is what the controllers know of one another beside the records, each by the
-// other's name.
+// membership holds this process's lease and what the other controllers report in messages,
+// by the sender's name.
 type membership struct {
 	lease            kv.LeaseID             // of this process; 0: none
-	lastContact      map[string]time.Time   // when each was last in contact
+	lastContact      map[string]time.Time   // when the last message of each arrived
 	stateReachableAt map[string]time.Time   // when each last reported that it reaches the state service
 	backlogs         map[string]peerBacklog // changes queued at each, as it last reported
 }
@@ -77,10 +77,10 @@
 	}
 }
 
-// shardLoads is how loaded each shard is, from which the shards of a new job are chosen.
+// shardLoads holds the load of each shard, by which the shards of a new job are chosen.
 type shardLoads struct {
 	reported    map[string]replica.ReportedLoad // by shard
-	queuedSince map[string]float64              // by shard: CPUs that this controller queued there since its last report
+	queuedSince map[string]float64              // by shard: CPUs that this controller queued there since the shard's last report
 }
 
 // newShardLoads returns empty loads.
@@ -88,13 +88,14 @@
 	return shardLoads{reported: make(map[string]replica.ReportedLoad), queuedSince: make(map[string]float64)}
 }
 
-// capacityScratch is memory reused by each pass over a queue.
+// capacityScratch holds buffers that are reused each time a shard's capacities are computed.
 type capacityScratch struct {
 	capacities []placement.Capacity
 	list       []*placement.Capacity
 }
 
-// peerBacklog is how many changes were queued at another controller at a time.
+// peerBacklog is the number of changes queued at another controller, and when its report
+// arrived.
 type peerBacklog struct {
 	changes int
 	at      time.Time
@@ -109,8 +110,8 @@
 	Peers    map[string]PeerClient
 	Log      *slog.Logger
 	Rand     *rand.Rand
-	// WaitWhilePaused, if set, is called before each turn of a loop and returns once the
-	// process is to go on: tests pause a controller with it.
+	// WaitWhilePaused, if set, is called before each iteration of a loop and blocks while the
+	// controller is paused. Tests set it.
 	WaitWhilePaused func(context.Context)
 }
 
@@ -118,7 +119,7 @@
 	// initialCloudShare is the part of the cloud's request rate that the controllers share
 	// evenly until the leader is known.
 	initialCloudShare = 0.8
-	// cloudBurst is how many requests to the cloud may follow one another at once.
+	// cloudBurst is how many requests to the cloud the rate limiter allows at once.
 	cloudBurst = 3
 )
 
@@ -160,11 +161,12 @@
 	return controller
 }
 
-// loopStagger is how far apart the loops start. Their periods are multiples of one another, so
-// loops that start together would compete for the lock in every turn.
+// loopStagger is the time between the starts of successive loops. The periods of the loops are
+// multiples of one another, so loops that start together would compete for the lock in every
+// iteration.
 const loopStagger = 1370 * time.Microsecond
 
-// Run starts the loops and returns when the context has ended and the loops with it.
+// Run starts the loops and returns once the context has ended and all loops have returned.
 func (c *Controller) Run(ctx context.Context) {
 	c.mu.Lock()
 	c.ctx = ctx
@@ -181,7 +183,7 @@
 	wg.Wait()
 }
 
-// wake asks for a pass of the work loop soon.
+// wake requests a pass of the work loop without waiting for it.
 func (c *Controller) wake() {
 	select {
 	case c.wakeUp <- struct{}{}:
@@ -189,7 +191,8 @@
 	}
 }
 
-// pause waits between two turns of a loop, and reports whether the loop should go on.
+// pause waits between two iterations of a loop, also for as long as the controller is paused,
+// and reports whether the loop should continue.
 func (c *Controller) pause(ctx context.Context, d time.Duration) bool {
 	if !pause(ctx, d) {
 		return false
@@ -198,7 +201,7 @@
 	return ctx.Err() == nil
 }
 
-// pause waits for a time, and reports whether the context is still alive then.
+// pause waits for a time and reports whether the context has not ended meanwhile.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/coordination/controller/recount.go
+++ b/internal/coordination/controller/recount.go
@@ -6,16 +6,16 @@
 	"madderslip/internal/storage/records"
 )
 
-// Recount compares the indexes of the view with a count from scratch, and returns an error
-// that says where they differ. It is for tests: it walks over everything.
+// Recount recomputes the indexes of the view and returns an error that lists where the
+// maintained indexes differ. It is meant for tests, since it walks the whole view.
 func (c *Controller) Recount() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.view.Recount()
 }
 
-// Residue lists what this controller still keeps in memory of jobs and of work in progress.
-// It is for tests, which expect nothing once no job is open.
+// Residue lists the state of jobs and of work in progress that this controller still holds in
+// memory. It is meant for tests, which expect an empty list once no job is open.
 func (c *Controller) Residue() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/coordination/controller/watch.go
+++ b/internal/coordination/controller/watch.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// watchPause spaces watches out: each costs a request of the budget, and urgent changes
-	// are also sent between the controllers.
+	// watchPause is the time between two watches. Each uses a request of the budget, and
+	// controllers send one another urgent changes directly.
 	watchPause      = 90 * time.Millisecond
-	watchTimeout    = 10 * time.Second // for which a watch waits for changes
+	watchTimeout    = 10 * time.Second // how long a watch waits for changes
 	watchRetryPause = 300 * time.Millisecond
 	listRetryPause  = 500 * time.Millisecond
 )
 
-// watchLoop keeps the view up to date: it reads all records, follows their changes, and
-// begins anew when the changes it needs are compacted.
+// watchLoop keeps the view up to date: it reads all records and then applies their changes. It
+// reads all records again when the next changes have been compacted.
 func (c *Controller) watchLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		items, revision, err := c.store.List(ctx)
@@ -35,7 +35,7 @@
 	}
 }
 
-// followChanges applies the changes after a revision until they are compacted or the
+// followChanges applies the changes after a revision until the next ones are compacted or the
 // context ends.
 func (c *Controller) followChanges(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
--- a/internal/coordination/controller/workloop.go
+++ b/internal/coordination/controller/workloop.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// batchDelay lets changes that arrive together be handled by one pass. It is odd, as
-	// all pauses of loops are: see loopStagger.
+	// batchDelay lets changes that arrive together be handled by one pass. Its odd number of
+	// nanoseconds keeps it from ending at the same instant as the pause of another loop; see
+	// loopStagger.
 	batchDelay = time.Millisecond + 29*time.Nanosecond
 	// passInterval is the time between passes when nothing changes.
 	passInterval = 500*time.Millisecond + 31*time.Nanosecond
@@ -23,11 +24,12 @@
 	resendInterval = 700 * time.Millisecond
 	// claimRetryPause is how long a chunk is left to other shards after a failed claim.
 	claimRetryPause = time.Second
-	// recheckDelay is the time after which an unsettled claim is reconciled again.
+	// recheckDelay is the time after which a claim with changes still outstanding is
+	// reconciled again.
 	recheckDelay = 250 * time.Millisecond
 	// sweepInterval is how often all claims of a shard are reconciled.
 	sweepInterval = 5 * time.Second
-	// maxJobReads bounds how many jobs are read in one go.
+	// maxJobReads bounds how many jobs are read in one batch.
 	maxJobReads = 32
 	// jobReadTimeout bounds the read of one job.
 	jobReadTimeout = 2 * time.Second
@@ -35,12 +37,12 @@
 	orphanRetryPause = time.Second
 )
 
-// throttle bounds the part of the time that passes take, so that requests are answered
-// however long passes are.
+// throttle limits the fraction of time that passes of the work loop take, so that requests are
+// answered even if passes take long.
 var throttle = admission.Throttle{MaxShare: 0.25, MinPause: 15 * time.Millisecond, IdlePause: 50 * time.Millisecond, MaxPause: 150 * time.Millisecond}
 
 // workLoop reconciles placements with heartbeats and schedules the queues, whenever
-// something has changed and a few times a second.
+// something has changed and otherwise about every passInterval.
 func (c *Controller) workLoop(ctx context.Context) {
 	for {
 		tick := time.NewTimer(passInterval)
@@ -69,7 +71,7 @@
 	}
 }
 
-// runPass does all work that is due now, shard by shard in the order of their names.
+// runPass does all work that is due now. Shards are processed in the order of their names.
 func (c *Controller) runPass(now time.Time) {
 	c.expirePreemptions(now)
 	c.propagateUrgency(now)
@@ -94,15 +96,15 @@
 	}
 	c.reconcileClaims(shard, now)
 	c.holdForGangs(shard, now)
-	// Without a change a pass over the queue would find what the last one found.
+	// Unless something has changed, another pass over the queue has the same result.
 	if shard.Changed || now.Sub(shard.ScheduledAt) >= passInterval {
 		shard.Changed, shard.ScheduledAt = false, now
 		c.scheduleShard(shard, now)
 	}
 }
 
-// broadcastIntents tells the other controllers which claims this pass has begun to commit,
-// and which it preempts for.
+// broadcastIntents sends the other controllers the keys of the claims that this pass has
+// begun to commit, and of those that it preempts tasks for.
 func (c *Controller) broadcastIntents() {
 	if len(c.claimIntents)+len(c.preemptions.intents) == 0 {
 		return
@@ -111,11 +113,11 @@
 	c.claimIntents, c.preemptions.intents = nil, nil
 }
 
-// readOrphanJobs reads the jobs of claims whose job this node has forgotten or not
-// seen: a cancelled job can be forwarded ahead of its claim. One goroutine reads
-// at a time, which prevents thousands of reads from waiting for the request budget until
-// the process runs out of memory and its watch falls behind so far that cancelled tasks
-// run on.
+// readOrphanJobs reads the jobs of claims whose job is not in the view, because the job was
+// dropped or has not been received: a cancelled job can be forwarded ahead of its claim. Only
+// one goroutine reads at a time, which prevents thousands of reads from waiting for the
+// request budget until the process runs out of memory and its watch falls so far behind that
+// cancelled tasks continue to run.
 func (c *Controller) readOrphanJobs(now time.Time) {
 	if c.readingOrphans || len(c.view.OrphanClaims) == 0 {
 		return
@@ -129,7 +131,7 @@
 	go func() {
 		for _, jobID := range jobIDs {
 			if err := c.readOrphanJob(ctx, jobID); err != nil {
-				break // the others would fail as well
+				break // the other reads would fail as well
 			}
 		}
 		c.mu.Lock()
