--- a/internal/coordination/controller/bench_test.go
+++ b/internal/coordination/controller/bench_test.go
@@ -10,7 +10,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// The cost of one event must not grow with the fleet, since the number of events does:
+// BenchmarkFleet measures the cost of single events on fleets of several sizes. The cost of one
+// event must not grow with the fleet, since the number of events does:
 //
 //	go test ./internal/coordination/controller -run '^$' -bench . -benchmem
 func BenchmarkFleet(b *testing.B) {
@@ -36,7 +37,7 @@
 		})
 		b.Run(fmt.Sprintf("claim/%d", machines), func(b *testing.B) {
 			controller := newFleet(b, machines)
-			key := records.ClaimKey("wk-1000", 1) // another controller's
+			key := records.ClaimKey("wk-1000", 1) // of a shard of another controller
 			raw, _ := protocol.Encode(controller.view.Claims[key].Record)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/internal/coordination/controller/cancellations_test.go
+++ b/internal/coordination/controller/cancellations_test.go
@@ -8,9 +8,10 @@
 	"madderslip/internal/storage/records"
 )
 
-// A cancellation may be known ahead of the watch, which then brings a claim committed before
-// it. The claim must find its job, so that its machine is reconciled: a job forgotten for
-// having no claims would have to be read again, which is not possible in an outage.
+// A controller may receive a cancellation ahead of the watch, which then delivers a claim that
+// was committed before the cancellation. The claim must be attached to its job, so that its
+// machine is reconciled: a job that was dropped because it had no claims would have to be read
+// again, which is not possible in an outage.
 func TestClaimIsAttachedToJobCancelledAheadOfWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := newTestController(idleStore{})
@@ -25,7 +26,7 @@
 		key := records.ClaimKey("wk-1", 0)
 		view.Apply(key, claimOfOneTask("n1", "vm-1"), 7)
 		if claim := view.Claims[key]; claim == nil || claim.Spec == nil || view.CancelledJobs["wk-1"] == nil || view.CancelledJobs["wk-1"].Claims[0] != claim || len(view.OrphanClaims) != 0 {
-			t.Errorf("the claim has not found its job: %+v", claim)
+			t.Errorf("the claim is not attached to its job: %+v", claim)
 		}
 		view.ReachRevision(8)
 		if view.Jobs["wk-1"] == nil || view.Jobs["wk-2"] != nil || view.FinalJobs["wk-2"].State != protocol.JobCancelled || len(view.EarlyCancellations) != 0 {
--- a/internal/coordination/controller/helpers_test.go
+++ b/internal/coordination/controller/helpers_test.go
@@ -18,7 +18,7 @@
 	"madderslip/internal/storage/records"
 )
 
-// idleStore accepts transactions and answers none.
+// idleStore accepts transactions and never executes them.
 type idleStore struct{ StateStore }
 
 func (idleStore) Submit(*kv.Txn)                      {}
@@ -31,7 +31,7 @@
 	return kv.Item{}, kv.ErrNotExecuted
 }
 
-// unavailableStore has executed nothing for long.
+// unavailableStore has not executed a call for a long time.
 type unavailableStore struct{ idleStore }
 
 func (unavailableStore) LastSuccess() time.Time { return time.Time{} }
@@ -59,10 +59,10 @@
 	return s.item, s.err
 }
 
-// lateReadingStore keeps the last transaction and answers so many reads with an error before
-// it answers with an item.
+// lateReadingStore keeps the last transaction. It answers failedReads reads with an error, and
+// later ones with an item.
 type lateReadingStore struct {
-	StateStore  // not asked for anything else
+	StateStore  // nil: no other method is called
 	txn         *kv.Txn
 	failedReads int
 	item        kv.Item
@@ -85,7 +85,7 @@
 }
 
 // newTestController returns a controller of the node n0 that logs nothing. peers are the
-// names of the others.
+// names of the other nodes.
 func newTestController(store StateStore, peers ...string) *Controller {
 	settings := protocol.Settings{NodeName: "n0"}
 	for _, name := range peers {
@@ -94,12 +94,12 @@
 	return New(Options{Settings: settings, Store: store, Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1))})
 }
 
-// claimOfOneTask is a claim's record whose only task is placed on a host.
+// claimOfOneTask returns the record of a claim whose only task is placed on a host.
 func claimOfOneTask(shard, host string) *records.Claim {
 	return &records.Claim{Shard: shard, TaskCount: 1, Placements: []records.Placement{{Task: 0, Attempt: 1, Host: host}}}
 }
 
-// fleetSettings are the settings of one of three controllers.
+// fleetSettings returns the settings of one of three controllers.
 func fleetSettings() protocol.Settings {
 	return protocol.Settings{
 		NodeName:      "n0",
@@ -115,9 +115,9 @@
 	}
 }
 
-// newFleet returns a controller that owns one of three shards of so many machines together,
-// all of them full: eight tasks each, of arrays of 64 tasks in chunks of 32. Its log lines are
-// formatted, as in a benchmark they should be, and dropped.
+// newFleet returns a controller that owns one of three shards with the given number of machines
+// in total. Each machine is full, with eight tasks of arrays of 64 tasks in chunks of 32. Log
+// lines are formatted and discarded, so that benchmarks include the cost of formatting.
 func newFleet(t testing.TB, machines int) *Controller {
 	t.Helper()
 	settings := fleetSettings()
@@ -140,8 +140,8 @@
 	return controller
 }
 
-// addFullMachines adds machines, ten in a row to each of the three shards, and the claims
-// that fill them.
+// addFullMachines adds machines, ten at a time to each of the three shards in turn, and the
+// claims that fill them.
 func addFullMachines(controller *Controller, machines int) {
 	for i := 0; i < machines; i += 30 {
 		provision := &records.Provision{
@@ -170,17 +170,17 @@
 	}
 }
 
-// arrayJob is the record of an array of 64 tasks in two chunks.
+// arrayJob returns the record of an array of 64 tasks in two chunks.
 func arrayJob(jobID string, cpus float64) *records.Job {
 	spec := &protocol.Submission{JobID: jobID, Class: "c", Team: "t", Shape: protocol.ShapeArray, PriorityClass: "normal", Tasks: 64,
 		CPUs: cpus, MemoryGB: 4, Image: "img", ImageGB: 1, RunEstimateS: 30}
 	return &records.Job{Spec: spec, Shards: []string{"n0", "n1"}, ChunkSize: 32}
 }
 
-// hostName is the name of a fleet's machine.
+// hostName returns the host name of machine i of a fleet.
 func hostName(i int) string { return fmt.Sprintf("vm-%06d", i) }
 
-// heartbeatOf is a heartbeat that shows every task placed on a machine as running.
+// heartbeatOf returns a heartbeat that lists every task placed on a machine as running.
 func heartbeatOf(machine *replica.Machine, sequence uint64) *protocol.Heartbeat {
 	heartbeat := &protocol.Heartbeat{Host: machine.Host, Address: "10.0.0.1:9000", Type: machine.Record.Type, Zone: machine.Record.Zone, AgentEpoch: 1, Sequence: sequence, FencingToken: 10}
 	for name, slot := range machine.Use.Slots {
--- a/internal/coordination/controller/replies_test.go
+++ b/internal/coordination/controller/replies_test.go
@@ -13,11 +13,11 @@
 	"madderslip/internal/transport"
 )
 
-// Another controller has answered a user that the job is cancelled, and the user asks this one
-// at once. It does not know the job as the question comes in; by the time its compare has
-// failed the watch has brought the acceptance, not yet the cancellation. It must answer with
-// what it has read since the question or ask the user to retry: "pending" would be older than
-// "cancelled".
+// Another controller has answered a user that a job is cancelled, and the user at once queries
+// this controller, which has no record of the job. By the time the compare of its query has
+// failed, the watch has delivered the job's acceptance, but not yet the cancellation. The
+// controller must answer with a record that was read after the query arrived, or ask the user
+// to retry: "pending" would be older than "cancelled".
 func TestStatusIsReadAfterQueryArrived(t *testing.T) {
 	key := records.JobPrefix + "wk-1"
 	spec := &protocol.Submission{JobID: "wk-1", Team: "open", Shape: protocol.ShapeService, Tasks: 1}
@@ -61,10 +61,11 @@
 	}
 }
 
-// The state service may confirm a submission's record after the job, known to another
-// controller from a repetition, was cancelled there. The user is answered with the newest
-// status; and with the cancellation only once the watch has reached it, so that this
-// controller knows every claim committed before it, or not at all.
+// The state service may confirm the record of a submission after the job was cancelled through
+// another controller, which received a repetition of the submission. The answer must be the
+// newest status. It must say that the job is cancelled only once the watch has reached the
+// cancellation, so that this controller's view has every claim committed before that; if the
+// watch does not reach it in time, the user is asked to retry.
 func TestCancellationIsAnsweredOnceWatchReachesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := newTestController(&readingStore{})
--- a/internal/coordination/controller/trace_test.go
+++ b/internal/coordination/controller/trace_test.go
@@ -11,10 +11,10 @@
 	"madderslip/internal/simtest"
 )
 
-// The traces in testdata are scripts that people read: a time, an actor, what it does or what
-// must hold by then. The emulator checks the rules throughout. Traces that were found by a
-// seed name it in their first line and are played with the same seed, since it decides which
-// messages are lost.
+// TestTraces plays the traces in testdata. Each step of a trace names a time and an actor, and
+// what the actor does or what must hold by then. The emulator checks the rules throughout. A
+// trace that was found by a seed names the seed in its first line and is played with the same
+// seed, since that decides which messages are lost.
 func TestTraces(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
