--- a/internal/coordination/controller/workloop.go
+++ b/internal/coordination/controller/workloop.go
@@ -20,7 +20,8 @@
 	batchDelay = time.Millisecond + 29*time.Nanosecond
 	// passInterval is the time between passes when nothing changes.
 	passInterval = 500*time.Millisecond + 31*time.Nanosecond
-	// resendInterval is the time after which a start or stop without effect is sent again.
+	// resendInterval is the time after which a start or stop command without effect is sent
+	// again.
 	resendInterval = 700 * time.Millisecond
 	// claimRetryPause is how long a chunk is left to other shards after a failed claim.
 	claimRetryPause = time.Second
