--- a/internal/storage/kv/send.go
+++ b/internal/storage/kv/send.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// HasPending counts the transactions of a priority that wait for the budget.
-func (c *Client) HasPending(priority Priority) int {
+// PendingCount counts the transactions of a priority that wait for the budget.
+func (c *Client) PendingCount(priority Priority) int {
 	return c.queue.count(func(t *Txn) bool { return t.Priority == priority })
 }
 
