--- a/internal/coordination/controller/dependencies.go
+++ b/internal/coordination/controller/dependencies.go
@@ -259,10 +259,10 @@
 	}
 	jobIDs = jobIDs[:min(len(jobIDs), maxJobReads)]
 	c.dependencies.reading = true
-	ctx := c.ctx
+	runCtx := c.ctx
 	go func() {
 		for _, jobID := range jobIDs {
-			if c.readDependency(ctx, jobID) != nil {
+			if c.readDependency(runCtx, jobID) != nil {
 				break
 			}
 		}
