--- a/internal/coordination/controller/dependencies.go
+++ b/internal/coordination/controller/dependencies.go
@@ -14,41 +14,42 @@
 	"madderslip/internal/transport"
 )
 
-// Package dag decides about jobs that depend on others. The methods here carry its decisions
-// out: a blocked job's record becomes an ordinary one once all that it depends on is done,
-// and a final one once it is cancelled with a job that it depends on. The latter only brings
-// the records up to date: what is cancelled follows from those that exist already.
+// Package dag decides when jobs that depend on others are ready or cancelled. The methods in
+// this file carry out its decisions: a blocked job's record is replaced by that of a queued job
+// once all its dependencies are done, and by a final one once a dependency is cancelled. The
+// latter only brings the record up to date, since the cancellation follows from the records
+// that exist already.
 
-// dependencyVersion is the version of job dependencies that this controller announces in its
-// record.
+// dependencyVersion is the version of job dependencies that this controller supports. It is
+// announced in the controller's record.
 const dependencyVersion = 1
 
 const (
 	releaseDelay        = 300 * time.Millisecond // after a job has become ready
 	releaseStagger      = 500 * time.Millisecond // between one controller's turn and the next's
-	cancelRecordDelay   = 3 * time.Second        // after a job has been cancelled with another
+	cancelRecordDelay   = 3 * time.Second        // after a job was cancelled with a dependency
 	cancelRecordStagger = 5 * time.Second        // between one controller's turn and the next's
 	cancelRecordTimeout = 10 * time.Second
-	maxReleasing        = 24              // at a time
-	maxCancelRecords    = 4               // at a time
-	urgencyInterval     = 2 * time.Second // between two passes over the raised jobs while nothing changes
+	maxReleasing        = 24              // record changes in progress at which no further job is released
+	maxCancelRecords    = 4               // cancellations being recorded at a time
+	urgencyInterval     = 2 * time.Second // between two updates of the raised jobs while the graph does not change
 )
 
-// dependencies is what a controller remembers of jobs that depend on others.
+// dependencies is a controller's own state about jobs that depend on others.
 type dependencies struct {
-	releasing          map[string]bool         // blocked jobs whose record is being changed
+	updating           map[string]bool         // blocked jobs whose record is being changed
 	recordingCancelled int                     // how many of those changes record a cancellation
-	reading            bool                    // the records of jobs that others depend on are being read
+	reading            bool                    // a goroutine is reading the records of dependencies
 	raisedJobs         map[string]*replica.Job // jobs that inherit urgency from their dependents
-	appliedChanges     uint64                  // the graph's changes up to which urgency was propagated
-	appliedAt          time.Time               // when it last was
+	propagatedChanges  uint64                  // the graph's change counter when urgency was last propagated
+	propagatedAt       time.Time               // when urgency was last propagated
 }
 
 func newDependencies() dependencies {
-	return dependencies{releasing: make(map[string]bool), raisedJobs: make(map[string]*replica.Job)}
+	return dependencies{updating: make(map[string]bool), raisedJobs: make(map[string]*replica.Job)}
 }
 
-// blockedStatus returns what the cache says of a blocked job; for any other it is not known.
+// blockedStatus returns a blocked job's cached status; that of any other job is not known.
 func (c *Controller) blockedStatus(jobID string) cachedStatus {
 	blocked, isBlocked := c.view.Dependencies.Lookup(jobID)
 	if !isBlocked {
@@ -61,16 +62,16 @@
 	return status
 }
 
-// isUndecided reports whether a job is blocked and may have been cancelled by a cancellation
-// that this controller has not read yet: the job's own record does not show that.
+// isUndecided reports whether a job is blocked and may have been cancelled with a dependency
+// whose cancellation this controller has not read yet. The job's own record does not show that.
 func (c *Controller) isUndecided(jobID string) bool {
 	graph := c.view.Dependencies
 	_, isBlocked := graph.Lookup(jobID)
 	return isBlocked && !graph.IsReady(jobID) && !graph.IsCancelled(jobID)
 }
 
-// allSupportDependencies reports whether every live controller supports blocked jobs. One
-// that does not would start at once what it accepts.
+// allSupportDependencies reports whether every live controller supports blocked jobs. A
+// controller that does not would start a job with dependencies as soon as it accepts the job.
 func (c *Controller) allSupportDependencies() bool {
 	for _, node := range c.view.Nodes {
 		if node.DependencyVersion < dependencyVersion {
@@ -81,7 +82,7 @@
 }
 
 // acceptDependent accepts a job that depends on others, once it is certain that each of
-// those was accepted.
+// its dependencies was accepted.
 func (c *Controller) acceptDependent(spec *protocol.Submission, until time.Time, reply func(transport.Response)) {
 	if !c.allSupportDependencies() || time.Until(until) < minCommitTime {
 		reply(unavailable(shortRetry))
@@ -92,23 +93,23 @@
 		return
 	}
 	unfinished, cancelled := c.view.Dependencies.Resolve(spec.Dependencies)
-	own := *spec
-	own.Dependencies = nil
+	recorded := *spec
+	recorded.Dependencies = nil
 	now := time.Now()
 	switch {
 	case cancelled:
-		record := &records.Job{State: protocol.JobCancelled, Tasks: own.Tasks, CancelledAtMs: now.UnixMilli()}
-		c.recordJob(own.JobID, record, initialClaim{}, reply)
+		record := &records.Job{State: protocol.JobCancelled, Tasks: recorded.Tasks, CancelledAtMs: now.UnixMilli()}
+		c.recordJob(recorded.JobID, record, initialClaim{}, reply)
 	case len(unfinished) > 0:
-		record := &records.Job{State: records.JobBlocked, Spec: &own, Dependencies: unfinished, AcceptedAtMs: now.UnixMilli()}
-		c.recordJob(own.JobID, record, initialClaim{}, reply)
+		record := &records.Job{State: records.JobBlocked, Spec: &recorded, Dependencies: unfinished, AcceptedAtMs: now.UnixMilli()}
+		c.recordJob(recorded.JobID, record, initialClaim{}, reply)
 	default:
-		c.acceptJob(&own, reply)
+		c.acceptJob(&recorded, reply)
 	}
 }
 
-// unknownJobs lists those jobs of which the cache has no record. A job's record is never
-// removed, so a cached one proves that the job was accepted.
+// unknownJobs lists the jobs whose records are not cached. A job's record is never removed, so
+// a cached record proves that the job was accepted.
 func (c *Controller) unknownJobs(jobIDs []string) (missing []string) {
 	for _, jobID := range jobIDs {
 		if !c.jobStatus(jobID).known {
@@ -118,13 +119,14 @@
 	return missing
 }
 
-// maxProvedJobs bounds the compares of one transaction that asks whether jobs exist. It fits
-// the lowest limits with which the state service can be used.
+// maxProvedJobs bounds the dependencies whose existence one transaction checks. It fits the
+// lowest limits with which the state service can be used.
 const maxProvedJobs = 12
 
-// proveDependencies asks the state service whether jobs were accepted of which the cache has
-// no record. If neither any of them was nor the job itself, the submission is rejected; those
-// that were are in the cache afterwards, and the submission is tried again.
+// proveDependencies checks with the state service whether dependencies whose records are not
+// cached were accepted. If none of them was accepted, nor the submitted job itself, the
+// submission is rejected. Otherwise the records of those accepted are cached afterwards, and
+// the submission is processed again.
 func (c *Controller) proveDependencies(spec *protocol.Submission, missing []string, until time.Time, reply func(transport.Response)) {
 	missing = missing[:min(len(missing), maxProvedJobs)]
 	compares := []kv.Compare{{Key: records.JobPrefix + spec.JobID, Version: 0}}
@@ -145,8 +147,9 @@
 	})
 }
 
-// releaseDependents releases the jobs for which a job whose end was just committed here was
-// the last unfinished dependency. No other controller has read of that end yet.
+// releaseDependents releases the jobs whose last unfinished dependency was a job whose end this
+// controller has just committed. It does not wait for its turn, since no other controller has
+// read that record yet.
 func (c *Controller) releaseDependents(jobID string, now time.Time) {
 	for _, resolved := range c.view.Dependencies.ReadyJobs() {
 		if resolved.LastDependency == jobID {
@@ -155,9 +158,9 @@
 	}
 }
 
-// reconcileDependencies brings the records of blocked jobs in line with what is decided about
-// them. Each controller waits for its turn, which keeps several from trying at once; the
-// compare of the job's version decides.
+// reconcileDependencies commits the records of blocked jobs that are ready or cancelled. Each
+// controller waits for its turn, which keeps several from attempting the same change at once;
+// the compare of the job's version lets only one succeed.
 func (c *Controller) reconcileDependencies(now time.Time) {
 	if c.view.Dependencies.Len() == 0 || c.isStateDown(now) {
 		return
@@ -176,7 +179,8 @@
 	c.readDependencies()
 }
 
-// dependencyTurn returns how many live controllers act before this one.
+// dependencyTurn returns how many live controllers have their turn before this one, as a factor
+// for the stagger times.
 func (c *Controller) dependencyTurn() time.Duration {
 	turn := time.Duration(0)
 	for _, name := range c.view.LiveNodes() {
@@ -188,11 +192,11 @@
 	return turn
 }
 
-// releaseJob admits a job to the queues all of whose dependencies are done. They stay done in
-// the records, so the job's own revision is the only condition. The claim goes into the same
-// transaction if this controller can make it at once.
+// releaseJob admits a blocked job to the queues once all its dependencies are done. A job that
+// is done stays done, so the blocked job's own revision is the only condition. If this
+// controller can claim the job at once, the claim goes into the same transaction.
 func (c *Controller) releaseJob(blocked dag.Job, now time.Time) {
-	if c.dependencies.releasing[blocked.ID] || len(c.dependencies.releasing) >= maxReleasing || len(c.view.MachineTypes) == 0 {
+	if c.dependencies.updating[blocked.ID] || len(c.dependencies.updating) >= maxReleasing || len(c.view.MachineTypes) == 0 {
 		return
 	}
 	shards := c.chooseShards(blocked.Spec, now)
@@ -204,50 +208,50 @@
 		ChunkSize:    c.chunkSize(blocked.Spec, shards),
 	}
 	raised := dag.Inherit(blocked.Spec, c.view.Dependencies.Urgency(blocked.ID, c.estimateRuntime), 0)
-	c.dependencies.releasing[blocked.ID] = true
+	c.dependencies.updating[blocked.ID] = true
 	c.commitRelease(blocked, record, c.prepareInitialClaim(raised, shards, now))
 }
 
-// commitRelease commits the record that releases a job, and once more without the claim if
-// only that failed.
-func (c *Controller) commitRelease(blocked dag.Job, record *records.Job, first initialClaim) {
+// commitRelease commits the record that releases a job, and retries without the claim if only
+// the claim's conditions failed.
+func (c *Controller) commitRelease(blocked dag.Job, record *records.Job, initial initialClaim) {
 	key := records.JobPrefix + blocked.ID
-	compares := append([]kv.Compare{{Key: key, Version: blocked.Revision}}, first.compares...)
-	ops := append([]kv.Op{{Key: key, Value: record}}, first.ops()...)
+	compares := append([]kv.Compare{{Key: key, Version: blocked.Revision}}, initial.compares...)
+	ops := append([]kv.Op{{Key: key, Value: record}}, initial.ops()...)
 	c.addQueued(record.Shards, blocked.Spec)
 	c.commit(kv.PriorityClaim, compares, ops, submitTimeout, func(err error) {
-		first.finish(c, err)
+		initial.finish(c, err)
 		if err == nil {
-			c.log.Debug("job released", "job", blocked.ID, "class", blocked.Spec.Class, "shards", record.Shards, "claimed", first.claim != nil)
+			c.log.Debug("job released", "job", blocked.ID, "class", blocked.Spec.Class, "shards", record.Shards, "claimed", initial.claim != nil)
 			c.broadcastJob(key)
-		} else if errors.Is(err, kv.ErrCompareFailed) && first.claim != nil {
+		} else if errors.Is(err, kv.ErrCompareFailed) && initial.claim != nil {
 			if cached, isBlocked := c.view.Dependencies.Lookup(blocked.ID); isBlocked && cached.Revision == blocked.Revision {
 				c.commitRelease(blocked, record, initialClaim{}) // only the claim failed
 				return
 			}
 		}
-		delete(c.dependencies.releasing, blocked.ID)
+		delete(c.dependencies.updating, blocked.ID)
 	})
 }
 
-// recordCancelled records that a job is cancelled because one that it depends on is. Its
-// users are answered so already.
+// recordCancelled records that a job is cancelled because a dependency is. Status queries are
+// answered accordingly before that.
 func (c *Controller) recordCancelled(blocked dag.Job, since time.Time) {
-	if c.dependencies.releasing[blocked.ID] || c.dependencies.recordingCancelled >= maxCancelRecords {
+	if c.dependencies.updating[blocked.ID] || c.dependencies.recordingCancelled >= maxCancelRecords {
 		return
 	}
-	c.dependencies.releasing[blocked.ID] = true
+	c.dependencies.updating[blocked.ID] = true
 	c.dependencies.recordingCancelled++
 	key := records.JobPrefix + blocked.ID
 	record := &records.Job{State: protocol.JobCancelled, Tasks: blocked.Spec.Tasks, CancelledAtMs: since.UnixMilli()}
 	c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: blocked.Revision}}, []kv.Op{{Key: key, Value: record}}, cancelRecordTimeout, func(error) {
-		delete(c.dependencies.releasing, blocked.ID)
+		delete(c.dependencies.updating, blocked.ID)
 		c.dependencies.recordingCancelled--
 	})
 }
 
-// readDependencies reads the records of jobs that others depend on and that the cache no
-// longer has: it keeps a bounded number of those that are over.
+// readDependencies reads the records of dependencies that are not cached, since the cache keeps
+// only a bounded number of final jobs.
 func (c *Controller) readDependencies() {
 	jobIDs := c.view.Dependencies.UnknownDependencies()
 	if len(jobIDs) == 0 || c.dependencies.reading {
@@ -255,10 +259,10 @@
 	}
 	jobIDs = jobIDs[:min(len(jobIDs), maxJobReads)]
 	c.dependencies.reading = true
-	life := c.ctx
+	runCtx := c.ctx
 	go func() {
 		for _, jobID := range jobIDs {
-			if c.readDependency(life, jobID) != nil {
+			if c.readDependency(runCtx, jobID) != nil {
 				break
 			}
 		}
@@ -279,23 +283,23 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.view.JobState(jobID) == dag.Unknown {
-		// The version is known although the record was dropped; with it the item would be
-		// ignored.
+		// The cached version may remain although the record was dropped. The item would then
+		// be ignored as not newer.
 		delete(c.view.Versions, item.Key)
 		c.view.ApplyItem(item)
 	}
 	return nil
 }
 
-// propagateUrgency gives the jobs that others depend on the priority and the deadlines of
-// those, and withdraws them where no job depends on them any more.
+// propagateUrgency gives jobs the priority and the deadlines of their dependents, and withdraws
+// both from jobs that no longer have dependents.
 func (c *Controller) propagateUrgency(now time.Time) {
 	state := &c.dependencies
-	isUnchanged := state.appliedChanges == c.view.Dependencies.Changes()
-	if isUnchanged && (len(state.raisedJobs) == 0 || now.Sub(state.appliedAt) < urgencyInterval) {
+	isUnchanged := state.propagatedChanges == c.view.Dependencies.Changes()
+	if isUnchanged && (len(state.raisedJobs) == 0 || now.Sub(state.propagatedAt) < urgencyInterval) {
 		return
 	}
-	state.appliedChanges, state.appliedAt = c.view.Dependencies.Changes(), now
+	state.propagatedChanges, state.propagatedAt = c.view.Dependencies.Changes(), now
 	c.view.Dependencies.InvalidateUrgency()
 	for _, jobID := range c.view.Dependencies.DependencyIDs() {
 		if job := c.view.Jobs[jobID]; job != nil && job.Record != nil {
@@ -310,8 +314,8 @@
 	}
 }
 
-// inheritUrgency works out what an open job inherits from those that depend on it, and has
-// its claims reconciled if that has changed.
+// inheritUrgency computes the urgency that an open job inherits from its dependents, and marks
+// the job's claims dirty if its description changes.
 func (c *Controller) inheritUrgency(job *replica.Job) {
 	graph := c.view.Dependencies
 	if job.Record.IsFinal() || job.Record.Spec == nil {
@@ -342,9 +346,9 @@
 	c.view.Unplaced[job.ID] = job
 }
 
-// inheritsAlready reports whether a job has been raised from its present description to the
-// same priority and use of spot instances. Its description is then kept, since a new one of
-// the same content would have all its claims reconciled.
+// inheritsAlready reports whether a job has already been raised, from its present description,
+// to the same priority and use of spot instances. The inherited description is then kept, since
+// a new one with the same content would cause all the job's claims to be reconciled.
 func inheritsAlready(job *replica.Job, raised *protocol.Submission) bool {
 	inherited := job.Inherited
 	return inherited.From == job.Record.Spec && inherited.Spec.PriorityClass == raised.PriorityClass && inherited.Spec.AllowSpot == raised.AllowSpot
--- a/internal/coordination/controller/schedule.go
+++ b/internal/coordination/controller/schedule.go
@@ -61,7 +61,7 @@
 		// places many tasks. With writes of one or two tasks each, machines would be idle
 		// for seconds: a task whose placement is not committed yet can neither run nor be
 		// preempted.
-		delaysArrays:   c.store.HasPending(kv.PriorityArrayClaim) > 0,
+		delaysArrays:   c.store.PendingCount(kv.PriorityArrayClaim) > 0,
 		failedRequests: make(map[placement.RequestKey]bool),
 		largestFree:    placement.LargestFree(capacities),
 	}
