--- a/internal/coordination/replica/apply.go
+++ b/internal/coordination/replica/apply.go
@@ -10,8 +10,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// recordKind is a kind of record: how its keys begin, what it decodes into, and how the view
-// applies it.
+// recordKind is a kind of record: the prefix of its keys, the type that its values decode
+// into, and the function that applies a record to the view.
 type recordKind struct {
 	prefix    string
 	wholeKey  bool // the prefix is the whole key
@@ -19,7 +19,8 @@
 	apply     func(v *View, key string, record any, version uint64)
 }
 
-// recordKinds lists the kinds of records. No prefix begins with another.
+// recordKinds lists the kinds of records. No prefix begins with another one, so a key
+// matches at most one kind.
 var recordKinds = []recordKind{
 	byName(records.JobPrefix, (*View).ApplyJob),
 	byKey(records.ClaimPrefix, (*View).ApplyClaim),
@@ -62,21 +63,22 @@
 	}
 }
 
-// byName returns a kind whose records are applied by what follows the prefix in their key.
+// byName returns a kind whose records are applied by the part of their key that follows the
+// prefix.
 func byName[T any](prefix string, apply func(v *View, name string, record *T, version uint64)) recordKind {
 	return byKey(prefix, func(v *View, key string, record *T, version uint64) {
 		apply(v, strings.TrimPrefix(key, prefix), record, version)
 	})
 }
 
-// single returns a kind of which there is one record.
+// single returns a kind that has only one record, under the given key.
 func single[T any](key string, apply func(v *View, key string, record *T, version uint64)) recordKind {
 	kind := byKey(key, apply)
 	kind.wholeKey = true
 	return kind
 }
 
-// kindOf returns the kind of the record under a key, or nil if the view knows none.
+// kindOf returns the kind of the record under a key, or nil if no kind has such keys.
 func kindOf(key string) *recordKind {
 	for i := range recordKinds {
 		kind := &recordKinds[i]
@@ -87,8 +89,8 @@
 	return nil
 }
 
-// NewRecord returns an empty record of the type kept under a key, or nil if the view knows
-// none.
+// NewRecord returns an empty record of the type that is stored under a key, or nil if no
+// kind of record has such keys.
 func NewRecord(key string) any {
 	if kind := kindOf(key); kind != nil {
 		return kind.newRecord()
@@ -96,9 +98,9 @@
 	return nil
 }
 
-// Apply applies a record to the cache; a nil record means that there is none. Versions that
-// are not newer than the cached one are ignored: the watch, the controller's own commits and
-// its reads arrive in any order.
+// Apply applies a record to the cache; a nil record means that the key has none. Versions
+// that are not newer than the cached one are ignored, since the results of the watch, of the
+// controller's own commits and of its reads arrive in any order.
 func (v *View) Apply(key string, record any, version uint64) {
 	if version <= v.Versions[key] {
 		return
@@ -131,8 +133,8 @@
 	v.Apply(item.Key, record, item.Version)
 }
 
-// Relist applies a complete reading as of a revision. Cached records that it lacks were
-// removed meanwhile.
+// Relist applies the list of all records as of a revision. Cached records of this revision
+// or an earlier one that the list lacks have been deleted, and are removed from the cache.
 func (v *View) Relist(items []kv.Item, revision uint64) {
 	listed := make(map[string]bool, len(items))
 	for _, item := range items {
@@ -153,8 +155,8 @@
 	v.ReachRevision(revision)
 }
 
-// ReachRevision notes that the watch is complete up to a revision. Jobs that were kept only
-// because the watch could still bring claims of them are forgotten.
+// ReachRevision records that the watch is complete up to a revision. Cancelled jobs that
+// were kept only because the watch could still deliver claims of them are dropped.
 func (v *View) ReachRevision(revision uint64) {
 	v.Revision = max(v.Revision, revision)
 	for _, jobID := range slices.Sorted(maps.Keys(v.EarlyCancellations)) {
--- a/internal/coordination/replica/view.go
+++ b/internal/coordination/replica/view.go
@@ -11,10 +11,10 @@
 )
 
 // View is one controller's cache of the records, with indexes derived from them. It is
-// fed by the watch, by the controller's own commits and by reads, in any order; older
-// versions than the cached one are ignored.
+// updated by the watch, by the controller's own commits and by reads, in any order; versions
+// older than the cached one are ignored.
 //
-// The view has no lock: its owner's guards every method and field.
+// The view has no lock of its own: the lock of its owner guards every method and field.
 type View struct {
 	// Loaded is set once all records have been read.
 	Loaded bool
@@ -25,46 +25,46 @@
 
 	Nodes    map[string]NodeInfo // the live controllers
 	Shards   map[string]*Shard
-	Machines map[string]*Machine // by host, those that are gone included
-	Jobs     map[string]*Job     // open, or final with claims left to clear
-	Claims   map[string]*Claim   // by key, those being committed for the first time included
-	// OrphanClaims are claims read before their job, by job and key. No set is empty.
+	Machines map[string]*Machine // by host, including those that are gone
+	Jobs     map[string]*Job     // open jobs, and final ones whose claims are not all removed
+	Claims   map[string]*Claim   // by key, including those whose first version is being committed
+	// OrphanClaims are claims read before their job, by job ID and key. No inner map is empty.
 	OrphanClaims     map[string]map[string]*Claim
 	FinalJobs        map[string]FinalJob // at most maxFinalJobs
 	Dependencies     *dag.Graph          // blocked jobs and what they depend on
 	Teams            map[string]*TeamUsage
 	Quota            *quota.Manager
-	Provisions       map[string]*Provision              // whose answer is not recorded yet
+	Provisions       map[string]*Provision              // by name: those whose answer is not recorded yet
 	Groups           map[string]MachineGroup            // by the provision's name
-	GangReservations map[string]*GangReservation        // by job
+	GangReservations map[string]*GangReservation        // by job ID
 	ImageRecords     map[string]*records.ImageLocations // by key
-	// MachineTypes are the cloud's by name, as the controller last fetched them.
+	// MachineTypes are the cloud's machine types by name, as the controller last fetched them.
 	MachineTypes map[string]*protocol.MachineType
 
 	// Indexes derived from the above.
-	Hosts              map[string]*HostUse // that are known or that a claim names
-	CrossShardClaims   map[*Claim]struct{} // on machines of several shards
+	Hosts              map[string]*HostUse // those that have a machine record or that a claim names
+	CrossShardClaims   map[*Claim]struct{} // claims that are placed across shards
 	UseByShard         map[TeamShard]quota.Resources
-	UseByTeam          map[string]quota.Resources // across all shards
+	UseByTeam          map[string]quota.Resources // summed over all shards and cross-shard claims
 	ServiceUse         map[string]quota.Resources // by team: of services, whose tasks do not end by themselves
-	CommittedUse       map[string]quota.Resources // by team: what is placed however commits in progress end
-	CancelledJobs      map[string]*Job            // cancelled, with claims left
-	EarlyCancellations map[string]*Job            // cancellations known ahead of the watch
-	Unplaced           map[string]*Job            // a task may be without a machine
-	Returns            map[string]*Machine        // recorded as being returned, not carried out
+	CommittedUse       map[string]quota.Resources // by team: of placements that stay whether or not commits in progress succeed
+	CancelledJobs      map[string]*Job            // cancelled jobs that are in Jobs
+	EarlyCancellations map[string]*Job            // cancelled jobs whose cancellation was applied ahead of the watch
+	Unplaced           map[string]*Job            // jobs that may have an unplaced task
+	Returns            map[string]*Machine        // machines recorded as being returned, until they are recorded as gone
 
-	// Urgent is set when something has changed that should not wait for the next regular pass.
-	// The owner clears it.
+	// Urgent is set by a change that should not wait for the longer of the pauses between
+	// passes. The owner clears it.
 	Urgent bool
-	// GPUJobSeenAt is when a job that needs GPUs was last seen to arrive.
+	// GPUJobSeenAt is when an open job that needs GPUs was last added.
 	GPUJobSeenAt time.Time
 
 	log      *slog.Logger
 	observer Observer
 }
 
-// New returns an empty view. configured are the teams of the settings; with allotments
-// unset no team limit is divided among shards.
+// New returns an empty view. configured are the teams of the settings; if allotments is
+// false, no team limit is divided among shards.
 func New(configured map[string]protocol.Team, allotments bool, log *slog.Logger, observer Observer) *View {
 	view := &View{
 		log:                log,
