--- a/internal/coordination/replica/capacity.go
+++ b/internal/coordination/replica/capacity.go
@@ -7,19 +7,20 @@
 	"madderslip/internal/protocol"
 )
 
-// CapacityCache is what a machine has free and when more of it will be, kept until something
-// about its tasks changes.
+// CapacityCache caches the free capacity of a machine, the expected releases of more, and the
+// tasks that may be preempted. It is marked stale when the machine's record or tasks change.
 type CapacityCache struct {
-	Free  protocol.MachineResources // unless Stale
+	Free  protocol.MachineResources // valid unless Stale is set
 	Stale bool
-	// Releases and Victims are in order, unless DetailsStale.
+	// Releases is sorted by time, and Victims so that those to be preempted first come first.
+	// Both are valid unless DetailsStale is set.
 	Releases     []Release
 	Victims      []Victim
 	DetailsStale bool
-	UnknownUse   bool // something of unknown size runs there
+	UnknownUse   bool // a task of unknown size is placed on the machine or reported by its agent
 }
 
-// Release is a running task with the time at which its capacity is expected back.
+// Release is a placed task with the time at which its capacity is expected to become free.
 type Release struct {
 	At   time.Time
 	Spec *protocol.Submission
@@ -33,11 +34,11 @@
 	StartedAt time.Time
 }
 
-// Name identifies the placement that is to be stopped, as reservations record it.
+// Name identifies the placement to be preempted, in the form that reservations record.
 func (v *Victim) Name() string { return fmt.Sprintf("%s#%d@%s", v.Claim.Key, v.Task, v.Host) }
 
 // LostWork returns the work, in CPU seconds, that preempting the task now would lose. A task
-// without CPUs counts as one with a CPU.
+// with less than one CPU counts as a task with one.
 func (v *Victim) LostWork(now time.Time) float64 {
 	spec := v.Claim.Spec
 	lost := now.Sub(v.StartedAt).Seconds()
@@ -47,9 +48,9 @@
 	return max(lost, 0) * max(spec.CPUs, 1)
 }
 
-// FreeCapacity returns what a machine has left: everything that is or may be on it counts,
-// recorded or only reported. A task that the agent reports as exited uses no capacity, even
-// before its end is recorded.
+// FreeCapacity returns a machine's free capacity. Every task that is or may be on the machine
+// uses capacity, whether its placement is recorded or only its agent reports it. A task that
+// the agent reports as exited uses none, even before its end is recorded.
 func (v *View) FreeCapacity(machine *Machine) protocol.MachineResources {
 	if !machine.Capacity.Stale {
 		return machine.Capacity.Free
@@ -64,14 +65,15 @@
 	}
 	for name, status := range machine.Agent.Tasks {
 		if status.Phase != protocol.TaskExited && machine.Use.Slots[name] == nil {
-			machine.allocate(v.SpecOfTask(name)) // orphaned, and about to be stopped
-			machine.Capacity.Stale = true        // its job may be forgotten any moment, and its size with it
+			machine.allocate(v.SpecOfTask(name)) // a task without a placement, which will be stopped
+			machine.Capacity.Stale = true        // its size becomes unknown when its job is dropped from the view
 		}
 	}
 	return machine.Capacity.Free
 }
 
-// allocate subtracts a task's use from the free capacity. A nil spec is of unknown size.
+// allocate subtracts a task's use from the free capacity. A nil spec means a task of unknown
+// size.
 func (m *Machine) allocate(spec *protocol.Submission) {
 	if spec == nil {
 		m.Capacity.UnknownUse = true
--- a/internal/coordination/replica/claim.go
+++ b/internal/coordination/replica/claim.go
@@ -11,8 +11,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// Claim is a claimed chunk of a job: its record, the version of it that is being committed,
-// and what the controller remembers about it.
+// Claim is a claimed chunk of a job: its record, the version of the record that is being
+// committed, and the state that the controller keeps beside them.
 type Claim struct {
 	Key              string
 	JobID            string
@@ -20,21 +20,21 @@
 	Record           *records.Claim // nil while the first version is being committed
 	Version          uint64
 	Pending          *records.Claim       // the version being committed; nil: none
-	Spec             *protocol.Submission // the job's; nil until the job is known
-	Evictions        map[int]time.Time    // tasks to be stopped, and since when
-	RetryAt          time.Time            // earliest next commit after a conflict
-	PreemptedFor     map[SlotKey]string   // tasks stopped for the guarantee of a job of another team
-	HaltedAttempt    uint64               // gang: the attempt that is being ended; 0: none
-	CheckAt          time.Time            // not reconciled before
-	CompletionSeenAt time.Time            // when the first completion not recorded yet was seen
-	UnplacedSince    time.Time            // since when a pass over the queue has placed none of it
+	Spec             *protocol.Submission // the job's description; nil until the job is read
+	Evictions        map[int]time.Time    // by task to be stopped: when its eviction began
+	RetryAt          time.Time            // after a failure: earliest next commit, or next read of an orphan's job
+	PreemptedFor     map[SlotKey]string   // by task preempted for another team's guarantee: the key of that team's claim
+	HaltedAttempt    uint64               // the attempt of a gang that is being ended; 0: none
+	CheckAt          time.Time            // earliest next reconciliation
+	CompletionSeenAt time.Time            // when the first completion that is not recorded yet was observed
+	UnplacedSince    time.Time            // when a pass over the queue first found no task of the claim placed
 
-	// Written by View.Reindex alone.
+	// Written by View.Reindex alone, except specChanged, which View.SetSpec sets.
 	Slots       map[SlotKey]*Slot
 	Tally       Tally
-	Shard       string // that the claim is indexed under; empty: none
-	generation  uint32
-	specChanged bool
+	Shard       string // the shard under which the claim is indexed; empty: none
+	generation  uint32 // increases with each Reindex
+	specChanged bool   // Spec was replaced since the last Reindex
 }
 
 // Latest returns the version being committed, or else the committed one.
@@ -45,14 +45,14 @@
 	return c.Record
 }
 
-// Halted reports whether a gang's present attempt is being ended. The attempt's number
-// decides: with several owners not each of them observes the end of an attempt's last task,
-// and a flag that outlived its attempt would end the next one too.
+// Halted reports whether a gang's present attempt is being ended. It compares the attempt's
+// number: not every owner of a gang's shards observes the end of the attempt's last task, so
+// a flag could outlive its attempt and end the next one too.
 func (c *Claim) Halted() bool {
 	return c.Record != nil && c.HaltedAttempt != 0 && c.HaltedAttempt == c.Record.LastAttempt
 }
 
-// SortedSlots lists a claim's slots by task and host.
+// SortedSlots lists a claim's slots, sorted by task and host.
 func (c *Claim) SortedSlots() []*Slot {
 	keys := slices.SortedFunc(maps.Keys(c.Slots), func(a, b SlotKey) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), strings.Compare(a.Host, b.Host))
@@ -64,8 +64,8 @@
 	return slots
 }
 
-// OccupyingCount counts the tasks of a claim that use capacity: those that have exited do
-// not, though their end may be recorded later.
+// OccupyingCount counts the tasks of a claim that use capacity. A task that its agent reports
+// as exited uses none, even before its end is recorded.
 func (c *Claim) OccupyingCount() int {
 	count := 0
 	for _, slot := range c.Slots {
@@ -84,9 +84,9 @@
 	return len(c.Record.Placements)
 }
 
-// ReservedCount counts the placements for which a claim is charged to its team. Of the
-// committed version and the one being committed the larger counts: tasks on their way in
-// may be there already, and tasks on their way out may stay.
+// ReservedCount counts the placements for which a claim is charged to its team: the larger
+// number of the committed version and the version being committed. Placements that the commit
+// adds may exist already, and those that it removes stay if it fails.
 func (c *Claim) ReservedCount() int {
 	if c.Pending != nil {
 		return max(c.PlacedCount(), len(c.Pending.Placements))
@@ -94,7 +94,8 @@
 	return c.PlacedCount()
 }
 
-// CommittedCount counts the placements that a claim has however the commit in progress ends.
+// CommittedCount counts the placements that a claim has whether or not the commit in progress
+// succeeds.
 func (c *Claim) CommittedCount() int {
 	if c.Pending != nil {
 		return min(c.PlacedCount(), len(c.Pending.Placements))
--- a/internal/coordination/replica/commandqueue.go
+++ b/internal/coordination/replica/commandqueue.go
@@ -7,21 +7,21 @@
 	"madderslip/internal/protocol"
 )
 
-// CommandQueue is what is sent to a machine, one call at a time.
+// CommandQueue holds the commands for a machine, which are sent in one call at a time.
 type CommandQueue struct {
 	Pending     []protocol.Command   // not sent yet
 	Sending     bool                 // a call is in progress
-	InFlight    []protocol.Command   // in that call
+	InFlight    []protocol.Command   // the commands of the call in progress
 	Unknown     []UnknownStart       // starts of unknown outcome
 	StartSentAt map[string]time.Time // by task: when a start was last sent
 	StopSentAt  map[string]time.Time // by task: when a stop was last sent
 }
 
-// UnknownStart is a start sent directly whose outcome is unknown. The network or a machine
-// that hangs may delay it for minutes and then execute it, as long as fencing token and
-// agent epoch still match. Until the machine shows a higher token or a later epoch, the
-// agent must not forget the attempt, since the late command would then start it again, nor
-// may the attempt count as gone.
+// UnknownStart is a start sent directly whose outcome is unknown. The network or a hanging
+// machine may delay the command for minutes, and the agent still executes it if fencing token
+// and agent epoch match. Until the machine shows a higher token or a later epoch, the attempt
+// must not be reaped, since the late command would then start it again, and it must not count
+// as gone.
 type UnknownStart struct {
 	Task         string
 	Attempt      uint64
@@ -30,7 +30,7 @@
 	SentAt       time.Time
 }
 
-// HasUnconfirmedStart reports whether a start of this attempt may still be executed.
+// HasUnconfirmedStart reports whether a start of a task's attempt may still be executed.
 func (m *Machine) HasUnconfirmedStart(task string, attempt uint64) bool {
 	same := func(command protocol.Command) bool {
 		return command.Verb == protocol.VerbStart && command.Task == task && command.Attempt == attempt
--- a/internal/coordination/replica/job.go
+++ b/internal/coordination/replica/job.go
@@ -8,7 +8,7 @@
 	"madderslip/internal/storage/records"
 )
 
-// Job is an accepted job that is open, or final with claims left to clear.
+// Job is an accepted job that is open, or final with claims that are not removed yet.
 type Job struct {
 	ID         string
 	Record     *records.Job
@@ -16,31 +16,32 @@
 	Chunks     int
 	ChunkSize  int                    // tasks in a chunk
 	Claims     map[int]*Claim         // by chunk
-	SeenAt     time.Time              // when this controller first saw it
-	FinalAt    time.Time              // when this controller saw it final, or its cancellation was accepted
-	NotifiedAt map[string]time.Time   // cancelled: when each other controller last confirmed that it knows
-	Evidence   quarantine.JobEvidence // for and against it, after failures
-	NotBefore  time.Time              // no start before this: an agent does not know of it yet
-	LeftUntil  map[int]time.Time      // chunks left to another shard until then
+	SeenAt     time.Time              // when this controller added it to the view
+	FinalAt    time.Time              // when its cancellation was accepted, or else when this controller first read it as final
+	NotifiedAt map[string]time.Time   // by other controller: when it last confirmed the job's cancellation
+	Evidence   quarantine.JobEvidence // of failures, and of successes after them
+	NotBefore  time.Time              // earliest next start, after an agent did not find the job
+	LeftUntil  map[int]time.Time      // by chunk: not claimed before, since another shard claims it
 	Inherited  Inheritance            // from the jobs that depend on it
-	claimKeys  []string               // of its claims, by chunk; made when first asked for
+	claimKeys  []string               // of its claims, by chunk; built by the first call of ClaimKey
 }
 
-// Inheritance is what an open job has from those that depend on it.
+// Inheritance is the priority and the deadline that an open job inherits from the jobs that
+// depend on it.
 type Inheritance struct {
-	From     *protocol.Submission // the description that was raised
-	Spec     *protocol.Submission // the same with the higher priority; nil: its own counts
-	FinishBy time.Time            // when it should be done for their deadlines; zero: any time
+	From     *protocol.Submission // the job's own description from which Spec was derived
+	Spec     *protocol.Submission // a copy of From with the inherited priority and use of spot instances; nil: the job's own description applies
+	FinishBy time.Time            // when the job should be done for the deadlines of its dependents; zero: none
 }
 
-// FinalJob is what is kept of a job that is over.
+// FinalJob is the cached summary of a final job that has no claims left.
 type FinalJob struct {
 	State   string
 	Tasks   int
 	Version uint64
 }
 
-// Spec returns the job's description, with the priority that counts now.
+// Spec returns the job's description with what it inherits.
 func (j *Job) Spec() *protocol.Submission {
 	if j.Inherited.Spec != nil {
 		return j.Inherited.Spec
@@ -48,8 +49,8 @@
 	return j.Record.Spec
 }
 
-// SubmittedAt returns when the job was accepted: deadlines count from then, also those of a
-// job that was blocked on others first.
+// SubmittedAt returns the time from which the job's deadlines count: SeenAt, or, for a job
+// that was blocked at first, the recorded time of its acceptance, not of its release.
 func (j *Job) SubmittedAt() time.Time {
 	if j.Record.ReleasedAtMs != 0 {
 		return time.UnixMilli(j.Record.AcceptedAtMs)
@@ -62,8 +63,8 @@
 	return time.UnixMilli(max(j.Record.AcceptedAtMs, j.Record.ReleasedAtMs))
 }
 
-// ClaimKey returns the key of a chunk's claim. The keys are kept because each pass over a
-// queue asks for them, and building them takes a tenth of a pass.
+// ClaimKey returns the key of a chunk's claim. The keys are cached because each pass over a
+// queue needs them, and building them takes a tenth of the time of a pass.
 func (j *Job) ClaimKey(chunk int) string {
 	if len(j.claimKeys) < j.Chunks {
 		j.claimKeys = make([]string, j.Chunks)
@@ -74,7 +75,8 @@
 	return j.claimKeys[chunk]
 }
 
-// Progress returns how many tasks of a job are done and running, for display.
+// Progress returns how many tasks of a job are done and how many are placed, which are
+// displayed as running.
 func (j *Job) Progress() (done, running int) {
 	for _, claim := range j.Claims {
 		if claim.Record != nil {
@@ -85,14 +87,15 @@
 	return done, running
 }
 
-// OnProbation reports whether a job fails wherever it runs: one task of it at a time is
-// tried, in capacity that no other work wants, and nothing is preempted or provisioned for
-// it.
+// OnProbation reports whether a job is on probation because it fails on every machine. One of
+// its tasks, or its whole gang, is tried at a time, in capacity that no other work needs, and
+// nothing is preempted or provisioned for it.
 func (j *Job) OnProbation(now time.Time) bool {
 	return j.Evidence.Verdict(now) == quarantine.Suspect
 }
 
-// ProbationRunning reports whether a task of a job on probation is placed.
+// ProbationRunning reports whether a task of the job is placed, so that no other is tried
+// while the job is on probation.
 func (j *Job) ProbationRunning() bool {
 	for _, claim := range j.Claims {
 		if record := claim.Latest(); record != nil && len(record.Placements) > 0 {
@@ -102,8 +105,8 @@
 	return false
 }
 
-// setChunks derives from a job's record how it is cut into chunks. Every controller
-// must cut a job the same way, so the record alone decides.
+// setChunks sets the number and the size of a job's chunks. Every controller must divide a
+// job in the same way, so they depend on the job's record alone.
 func (j *Job) setChunks(record *records.Job) {
 	if record.Spec != nil {
 		j.ChunkSize = max(1, record.ChunkSize)
@@ -111,9 +114,9 @@
 	}
 }
 
-// setFinal notes when a job became final. A cancellation counts from when its user's
-// request was accepted: counted from when this process read it, every restart would give
-// the machine that keeps the job's tasks the full time again.
+// setFinal sets FinalAt. For a cancellation it is the time at which the user's request was
+// accepted: if it were the time at which this process read the record, every restart would
+// give a machine that keeps tasks of the job the full cancel deadline again.
 func (j *Job) setFinal(record *records.Job, now time.Time) {
 	j.FinalAt = now
 	if at := time.UnixMilli(record.CancelledAtMs); record.CancelledAtMs != 0 && at.Before(j.FinalAt) {
