--- a/internal/coordination/replica/gangs.go
+++ b/internal/coordination/replica/gangs.go
@@ -7,18 +7,18 @@
 	"madderslip/internal/storage/records"
 )
 
-// gangRetryPause is for how long no capacity is reserved again for a job whose reservation
-// has ended.
+// gangRetryPause is how long after the end of a job's reservation no capacity is reserved
+// for the job again.
 const gangRetryPause = 20 * time.Second
 
 // GangReservation is the reservation of capacity across shards for one gang. The leader
-// makes it, the owners of the shards add their holds.
+// creates the reservation, and the shards' owners add their holds.
 type GangReservation struct {
 	Record  records.GangReservation
 	Version uint64               // 0: there is no record
 	Writing bool                 // a change of the record is in progress
 	Holds   map[string]*GangHold // by shard
-	RetryAt time.Time            // not made again before
+	RetryAt time.Time            // earliest next reservation for the job
 }
 
 // GangHold is the capacity that one shard's owner keeps free for a gang.
@@ -26,10 +26,10 @@
 	Record  records.GangHold
 	Version uint64         // 0: there is no record
 	Writing bool           // a change of the record is in progress
-	Pending map[string]int // tasks by host, as being recorded
+	Pending map[string]int // tasks by host in the version being committed
 }
 
-// GangReservation returns a job's reservation, and makes an empty one if there is none.
+// GangReservation returns a job's reservation, and creates an empty one if there is none.
 func (v *View) GangReservation(jobID string) *GangReservation {
 	reservation := v.GangReservations[jobID]
 	if reservation == nil {
@@ -50,8 +50,8 @@
 	reservation.Record, reservation.Version = *record, version
 }
 
-// ApplyGangHold applies the record of one shard's hold. name is the job's and the shard's,
-// with a slash between them.
+// ApplyGangHold applies the record of one shard's hold. name consists of the job's ID and the
+// shard's name, separated by a slash.
 func (v *View) ApplyGangHold(name string, record *records.GangHold, version uint64) {
 	jobID, shard, _ := strings.Cut(name, "/")
 	reservation := v.GangReservation(jobID)
--- a/internal/coordination/replica/images.go
+++ b/internal/coordination/replica/images.go
@@ -8,26 +8,27 @@
 	"madderslip/internal/storage/records"
 )
 
-// ImageParts is into how many records the images of a shard's machines are divided.
+// ImageParts is the number of image records of a shard, each of which lists the images of a
+// part of the shard's machines.
 const ImageParts = 4
 
-// Estimates, in bytes, of what the parts of an image record take once encoded.
+// Estimated sizes, in bytes, of the parts of an encoded image record.
 const (
 	imageRecordBytes = 64 // the record itself
-	imageNameBytes   = 30 // an image's entry, beside its name
-	imageHostBytes   = 6  // a host's entry, beside its name
+	imageNameBytes   = 30 // an image's entry, without its name
+	imageHostBytes   = 6  // a host's entry, without its name
 	imageIndexBytes  = 4  // one image of a host
 )
 
-// imagePart returns the record in which a host's images are listed.
+// imagePart returns the number of the part to which a host belongs.
 func imagePart(host string) int {
 	hash := fnv.New32a()
 	hash.Write([]byte(host))
 	return int(hash.Sum32() % ImageParts)
 }
 
-// ImagesOfPart returns the record of one part of a shard's machines and their images. It
-// stops before the machine with which the record would exceed a limit of bytes.
+// ImagesOfPart returns the record of one part of a shard's machines and their images. The
+// record ends before the machine with which its estimated size would exceed limit, in bytes.
 func ImagesOfPart(shard *Shard, part, limit int) *records.ImageLocations {
 	record := &records.ImageLocations{Hosts: make(map[string][]int)}
 	index := make(map[string]int)
@@ -55,8 +56,8 @@
 	return record
 }
 
-// SameImages reports whether two records list the same images on the same hosts. In which
-// order a host used them does not count.
+// SameImages reports whether two records list the same images on the same hosts, in any
+// order. A nil b equals a record without hosts.
 func SameImages(a, b *records.ImageLocations) bool {
 	if b == nil || len(a.Hosts) != len(b.Hosts) {
 		return b == nil && len(a.Hosts) == 0
@@ -74,8 +75,8 @@
 	return true
 }
 
-// ApplyImages applies an image record to the machines that it lists, except those whose
-// images this process tracks itself. A nil record changes nothing.
+// ApplyImages applies an image record to the machines that it lists, except those of a shard
+// that this process owns: it tracks their images itself. A nil record changes nothing.
 func (v *View) ApplyImages(key string, record *records.ImageLocations) {
 	if record == nil {
 		return
@@ -88,8 +89,8 @@
 	}
 }
 
-// recallImages reads a machine's images from the records, unless the machine is no longer
-// in use or this process owns its shard and so knows better.
+// recallImages sets a machine's images from the cached image records, unless the machine is
+// no longer in use, or this process owns the machine's shard and tracks the images itself.
 func (v *View) recallImages(machine *Machine) {
 	record := v.ImageRecords[records.ImagePrefix+machine.Record.Shard+"/"+strconv.Itoa(imagePart(machine.Host))]
 	if record == nil || machine.Record.State != records.MachineInUse || v.Shard(machine.Record.Shard).FencingToken != 0 {
--- a/internal/coordination/replica/index.go
+++ b/internal/coordination/replica/index.go
@@ -10,24 +10,25 @@
 	"madderslip/internal/storage/records"
 )
 
-// The indexes over claims answer, without a walk over all of them, what is on a machine, what
-// a shard's claims are, and what a team uses. They are kept up to date by Reindex alone.
+// The indexes over claims give the tasks on a machine, the claims of a shard and the use of a
+// team without iterating over all claims. Reindex alone updates them.
 
-// TeamShard identifies a team's use of one shard.
+// TeamShard identifies a team's use of one shard, or, with an empty Shard, of claims across
+// shards.
 type TeamShard struct{ Team, Shard string }
 
-// Tally is what a claim adds to the sums of its team's use.
+// Tally is the share of a claim in the sums of its team's use.
 type Tally struct {
 	Key       TeamShard
-	Use       quota.Resources
+	Use       quota.Resources // of the placements for which the team is charged
 	Counted   bool            // the claim is in the sums
-	Permanent bool            // it does not end by itself: replicas of services
-	Committed quota.Resources // what is placed however a commit in progress ends
+	Permanent bool            // the tasks do not end by themselves: replicas of services
+	Committed quota.Resources // of the placements that stay whether or not a commit in progress succeeds
 }
 
-// Reindex brings the indexes in line with a claim. It is called after every change of the
-// claim's record, of the version being committed, of its job's description, and of whether
-// the claim exists.
+// Reindex updates the indexes for a claim. It is called after every change of the claim's
+// record, of the version being committed and of its job's description, and after the claim is
+// added or removed.
 func (v *View) Reindex(claim *Claim) {
 	claim.generation++
 	exists := v.Claims[claim.Key] == claim
@@ -47,8 +48,8 @@
 	}
 }
 
-// hasUrgentTasks reports whether tasks of a claim are without a machine that should not
-// wait. Arrays may.
+// hasUrgentTasks reports whether a claim has unplaced tasks that should be placed without
+// delay. Tasks of arrays may wait.
 func (c *Claim) hasUrgentTasks() bool {
 	record := c.Latest()
 	if c.Spec == nil || c.Spec.Shape == protocol.ShapeArray || record == nil {
@@ -57,8 +58,8 @@
 	return record.TaskCount > record.CompletedCount()+len(record.Placements)
 }
 
-// enterSlots enters the placements of a claim's committed version and of the one being
-// committed.
+// enterSlots adds slots for the placements of a claim's committed version and of the version
+// being committed.
 func (v *View) enterSlots(claim *Claim) {
 	if claim.Slots == nil {
 		claim.Slots = make(map[SlotKey]*Slot)
@@ -72,7 +73,7 @@
 	}
 }
 
-// enterSlot enters one placement of a claim.
+// enterSlot adds the slot of one placement of a claim, or updates it if it exists.
 func (v *View) enterSlot(claim *Claim, p *records.Placement) {
 	key := SlotKey{p.Task, p.Host}
 	slot := claim.Slots[key]
@@ -89,7 +90,8 @@
 	slot.generation = claim.generation
 }
 
-// removeOldSlots removes the slots of a claim that no present version of it has.
+// removeOldSlots removes the slots of a claim whose placements are in neither its committed
+// version nor the version being committed, and all slots of a claim that was removed.
 func (v *View) removeOldSlots(claim *Claim) {
 	for key, slot := range claim.Slots {
 		if slot.generation == claim.generation {
@@ -97,7 +99,7 @@
 		}
 		delete(claim.Slots, key)
 		delete(claim.PreemptedFor, key)
-		// Another attempt at the same claim may have entered its own slot there.
+		// Another attempt to claim the same chunk may have added its own slot there.
 		if slot.Host.Slots[slot.TaskName] == slot {
 			delete(slot.Host.Slots, slot.TaskName)
 		}
@@ -108,8 +110,8 @@
 	}
 }
 
-// updateTally replaces a claim's earlier share of the sums, and its place in the shards'
-// sets of claims, by the present one.
+// updateTally computes a claim's share of the sums and its membership in the shards' sets of
+// claims anew.
 func (v *View) updateTally(claim *Claim, exists bool) {
 	claim.specChanged = false
 	v.subtractTally(claim)
@@ -135,7 +137,8 @@
 	}
 }
 
-// firstCommitted returns the committed version, or else the one being committed.
+// firstCommitted returns the committed version, or, if there is none, the one being
+// committed.
 func (c *Claim) firstCommitted() *records.Claim {
 	if c.Record != nil {
 		return c.Record
@@ -177,7 +180,8 @@
 	v.UseByTeam[team] = v.UseByTeam[team].Plus(tally.Use)
 }
 
-// moveToShard moves a claim to a shard's set of claims, or out of any if shard is empty.
+// moveToShard moves a claim to a shard's set of claims, or removes it from its set if shard
+// is empty.
 func (v *View) moveToShard(claim *Claim, shard string) {
 	if claim.Shard == shard {
 		return
@@ -192,7 +196,8 @@
 	claim.Shard = shard
 }
 
-// MarkDirty has a claim reconciled in the next pass.
+// MarkDirty marks a claim to be reconciled in the next pass: by the owner of its shard, or,
+// for a claim across shards, by the owners of all shards.
 func (v *View) MarkDirty(claim *Claim) {
 	if claim.Shard != "" {
 		shard := v.Shard(claim.Shard)
@@ -207,7 +212,8 @@
 	}
 }
 
-// MarkAllDirty has all of a shard's claims reconciled in the next pass.
+// MarkAllDirty marks all of a shard's claims, and all claims across shards, to be reconciled
+// in the next pass.
 func (v *View) MarkAllDirty(shard *Shard) {
 	for claim := range shard.Claims {
 		v.MarkDirty(claim)
@@ -218,9 +224,8 @@
 	shard.SweptAt, shard.Changed = time.Now(), true
 }
 
-// TakeDirtyClaims removes the marks of those claims of a shard that are to be reconciled
-// now, and returns the claims in the order of their keys. Those whose RetryAt or CheckAt
-// has not come stay marked.
+// TakeDirtyClaims returns the marked claims of a shard that are due, sorted by key, and
+// removes their marks. Claims whose RetryAt or CheckAt is not reached yet stay marked.
 func (v *View) TakeDirtyClaims(shard *Shard, now time.Time) []*Claim {
 	var due []*Claim
 	for claim := range shard.Dirty {
--- a/internal/coordination/replica/machine.go
+++ b/internal/coordination/replica/machine.go
@@ -14,10 +14,10 @@
 // controller has sent to it and concluded about it.
 type Machine struct {
 	Host          string
-	ListedAddress string // in the cloud's list
+	ListedAddress string // the address in the cloud's list of machines
 	Record        records.Machine
 	Version       uint64
-	AdoptedAt     time.Time // when this process first saw it, or acquired its shard
+	AdoptedAt     time.Time // when this process added it to the view, or later acquired its shard
 	Use           *HostUse
 	Images        []records.CachedImage // in its cache, as far as known; most recently used last
 
@@ -33,39 +33,40 @@
 type AgentState struct {
 	Heartbeat          *protocol.Heartbeat             // the newest, by epoch and sequence; nil: none yet
 	Tasks              map[string]*protocol.TaskStatus // by name, as the newest heartbeat lists them
-	LastContact        time.Time                       // latest contact, answers to probes included
-	LastHeartbeat      time.Time                       // when a heartbeat of its own last arrived
+	LastContact        time.Time                       // when the newest heartbeat or answer to a direct call arrived
+	LastHeartbeat      time.Time                       // when a heartbeat last arrived that the agent sent by itself
 	HeardAgainAt       time.Time                       // when contact was last restored after a silence
 	RunningSince       map[string]time.Time            // by task: when it was first reported as running
-	PreemptionNoticeAt time.Time                       // when a spot instance announced its end; zero: it has not
+	PreemptionNoticeAt time.Time                       // when the agent of a spot instance first reported a preemption notice; zero: none
 	// MinToken is set when the machine has restarted: only a heartbeat that shows a higher
-	// fencing token is of its present incarnation. 0: it has not restarted.
+	// fencing token is certainly of the machine's present incarnation. 0: no restart observed.
 	MinToken uint64
 }
 
-// FailureDetector is what direct probes of a machine have shown.
+// FailureDetector holds the results of probes and other direct calls to a machine.
 type FailureDetector struct {
 	Probing       bool      // a probe is in progress
-	UnansweredAt  time.Time // when it last failed to answer a probe
+	UnansweredAt  time.Time // when a probe last failed
 	Reachability  health.Reachability
-	CancelProbeAt time.Time // when a controller that does not own it last asked it for cancelled tasks
+	CancelProbeAt time.Time // when this controller last probed the machine for cancelled tasks without acting for its shard
 }
 
-// QuarantineState is whether a machine may be given work.
+// QuarantineState is whether tasks may be placed on a machine, judged by the tasks that
+// failed or were refused there.
 type QuarantineState struct {
 	Evidence       quarantine.MachineEvidence
-	Active         bool      // it may not
+	Active         bool      // the machine is quarantined
 	ChangedAt      time.Time // when Active last changed
-	RejectingUntil time.Time // no start before, after it refused one for want of capacity
+	RejectingUntil time.Time // no start before, since the agent refused one for lack of capacity
 }
 
-// Lifecycle is where a machine stands between boot and return.
+// Lifecycle is the state of a machine between boot and return.
 type Lifecycle struct {
-	Overdue       bool      // it did not come up in time
-	IdleSince     time.Time // since when it is not needed; zero: it is
+	Overdue       bool      // it did not boot in the expected time
+	IdleSince     time.Time // since when it is idle; zero: it is in use
 	DrainingSince time.Time // zero: it is not being drained
-	Returning     bool      // a commit or a call to return it is in progress
-	ReturnRetryAt time.Time // not tried again before
+	Returning     bool      // a commit of its return is in progress
+	ReturnRetryAt time.Time // earliest next attempt to return it or to record that it is gone
 	Gone          bool      // the cloud has confirmed its return, which may not be recorded yet
 }
 
@@ -79,9 +80,9 @@
 	return slices.ContainsFunc(m.Images, func(cached records.CachedImage) bool { return cached.Name == image })
 }
 
-// RecordImageUse makes an image of so many GB the machine's most recently used, and drops
-// those used longest ago that its cache, of so many GB, can't hold beside it. A cache of 0 is
-// unbounded.
+// RecordImageUse makes an image the machine's most recently used one, and removes the least
+// recently used images that no longer fit the machine's cache. sizeGB is the image's size and
+// cacheGB the cache's; a cache of 0 GB is unbounded.
 func (m *Machine) RecordImageUse(name string, sizeGB, cacheGB float64) {
 	m.Images = slices.DeleteFunc(m.Images, func(cached records.CachedImage) bool { return cached.Name == name })
 	m.Images = append(m.Images, records.CachedImage{Name: name, SizeGB: sizeGB})
@@ -95,8 +96,8 @@
 	}
 }
 
-// RunsOnlyReplicas reports whether a machine runs replicas of services and nothing else,
-// none of which is being moved.
+// RunsOnlyReplicas reports whether all tasks placed on a machine are replicas of services and
+// none of them is being moved.
 func (m *Machine) RunsOnlyReplicas() bool {
 	for _, slot := range m.Use.Slots {
 		isMoving := slot.Claim.Pending != nil || len(slot.Claim.Evictions) > 0
@@ -107,7 +108,7 @@
 	return true
 }
 
-// RunsReplicas reports whether a machine runs a replica of a service.
+// RunsReplicas reports whether a replica of a service is placed on a machine.
 func (m *Machine) RunsReplicas() bool {
 	for _, slot := range m.Use.Slots {
 		if slot.isReplica() {
@@ -125,26 +126,26 @@
 	return m.ListedAddress
 }
 
-// Kind returns what a provision for a machine like this one asks for.
+// Kind returns the kind of machine that this one is, as provision requests name it.
 func (m *Machine) Kind() MachineKind {
 	return MachineKind{m.Record.Type, m.Record.Zone, m.Record.Spot}
 }
 
-// IncarnationOf returns from which incarnation of an agent a heartbeat is.
+// IncarnationOf returns the position of a heartbeat among the messages of its agent.
 func IncarnationOf(heartbeat *protocol.Heartbeat) health.Incarnation {
 	return health.Incarnation{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence, FencingToken: heartbeat.FencingToken}
 }
 
-// ShowsToken reports whether a machine's heartbeat shows the shard's current fencing token:
-// then no command of an earlier owner is executed any more, and the heartbeat lists every
-// task.
+// ShowsToken reports whether a machine's newest heartbeat is of its present incarnation and
+// shows the shard's current fencing token. In that case the agent executes no more commands
+// of an earlier owner, and the heartbeat lists every task on the machine.
 func (m *Machine) ShowsToken(shard *Shard) bool {
 	return m.Agent.Heartbeat != nil && shard.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= shard.FencingToken &&
 		IncarnationOf(m.Agent.Heartbeat).Valid(m.Agent.MinToken)
 }
 
-// RunsNothingPlaced reports whether the agent shows none of what is placed on the machine as
-// running there.
+// RunsNothingPlaced reports whether the agent reports each task that is placed on the machine
+// as exited or not at all.
 func (m *Machine) RunsNothingPlaced() bool {
 	for name := range m.Use.Slots {
 		if status := m.Agent.Tasks[name]; status != nil && status.Phase != protocol.TaskExited {
@@ -154,7 +155,7 @@
 	return true
 }
 
-// RunsTasks reports whether the agent shows any task that has not exited.
+// RunsTasks reports whether the agent reports any task that has not exited.
 func (m *Machine) RunsTasks() bool {
 	for _, task := range m.Agent.Tasks {
 		if task.Phase != protocol.TaskExited {
--- a/internal/coordination/replica/machinekind.go
+++ b/internal/coordination/replica/machinekind.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// MachineKind is what a provision asks for.
+// MachineKind is the kind of machine that a provision request names.
 type MachineKind struct {
 	Type, Zone string
 	Spot       bool
