--- a/internal/coordination/replica/nodes.go
+++ b/internal/coordination/replica/nodes.go
@@ -11,14 +11,14 @@
 // NodeInfo is a live controller, as its own record describes it.
 type NodeInfo struct {
 	Version           uint64
-	Since             time.Time // when this process first saw the record
-	QuotaVersion      int       // of the quota protocol that it supports
-	DependencyVersion int       // of the job dependencies that it supports
-	TeamsHash         uint64    // of the team limits in its settings
+	Since             time.Time // when this process first read the record
+	QuotaVersion      int       // version of the quota protocol that the controller supports
+	DependencyVersion int       // version of job dependencies that the controller supports
+	TeamsHash         uint64    // hash of the team limits in the controller's settings
 }
 
-// ReportedLoad is a shard's load with the time at which its owner worked it out or it was
-// received.
+// ReportedLoad is a shard's load with the time at which this controller computed it, as the
+// shard's owner, or received it.
 type ReportedLoad struct {
 	Load protocol.ShardLoad
 	At   time.Time
@@ -40,7 +40,7 @@
 	v.observer.NodesChanged()
 }
 
-// LiveNodes lists the controllers whose lease holds, by name.
+// LiveNodes lists the names of the controllers whose leases have not expired, sorted.
 func (v *View) LiveNodes() []string {
 	names := make([]string, 0, len(v.Nodes))
 	for name := range v.Nodes {
--- a/internal/coordination/replica/provisions.go
+++ b/internal/coordination/replica/provisions.go
@@ -6,24 +6,24 @@
 	"madderslip/internal/storage/records"
 )
 
-// Provision is a request for machines to which the cloud's answer is not recorded yet.
+// Provision is a request for machines; the cloud's answer to it is not recorded yet.
 type Provision struct {
 	Name          string
 	Record        records.Provision
 	Version       uint64    // 0: the request is not recorded yet
 	Busy          bool      // a call or a commit for it is in progress
-	RetryAt       time.Time // not tried again before
-	AnsweredHosts []string  // machines that the cloud has named, until the cache is complete
+	RetryAt       time.Time // earliest next attempt
+	AnsweredHosts []string  // the machines in the cloud's answer, while the view is not complete up to Version
 }
 
-// MachineGroup is the machines that one provision's record stands for.
+// MachineGroup is the machines that are recorded by one provision's record.
 type MachineGroup struct {
 	Hosts   []string
 	Version uint64
 }
 
-// ApplyProvision applies a provision's record. Once it names the machines it is their
-// record, until one is returned and gets a record of its own.
+// ApplyProvision applies a provision's record. Once the record names machines, it is the
+// record of each of them, until the machine is returned and gets a record of its own.
 func (v *View) ApplyProvision(name string, record *records.Provision, version uint64) {
 	delete(v.Groups, name)
 	switch {
--- a/internal/coordination/replica/recount.go
+++ b/internal/coordination/replica/recount.go
@@ -10,20 +10,20 @@
 	"madderslip/internal/storage/records"
 )
 
-// tolerance is what rounding may leave of sums that should be equal.
+// tolerance is the difference that rounding may cause between sums that should be equal.
 const tolerance = protocol.ResourceTolerance
 
-// recount is what the indexes should hold, worked out from the claims alone.
+// recount is the expected content of the indexes, computed from the claims alone.
 type recount struct {
 	placed    map[string]map[string]*Claim // by host and task name
 	use       map[TeamShard]quota.Resources
 	committed map[string]quota.Resources // by team
-	shards    map[*Claim]string          // the shard under which each claim belongs
+	shards    map[*Claim]string          // the shard of each claim; empty: placed across shards
 }
 
-// Recount works out from the claims alone what the indexes should hold, and returns an error
-// that says where they differ. UseByTeam and ServiceUse are not compared. It is for tests: it
-// walks over everything.
+// Recount computes the expected content of the indexes from the claims alone, and returns an
+// error that describes the first difference. UseByTeam and ServiceUse are not compared. It is
+// for tests, since it iterates over all claims, hosts and machines.
 func (v *View) Recount() error {
 	counted := v.countFromClaims()
 	for _, check := range []func(*recount) error{v.checkHosts, v.checkUse, v.checkShards} {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// countFromClaims works out what the indexes should hold.
+// countFromClaims computes the expected content of the indexes.
 func (v *View) countFromClaims() recount {
 	counted := recount{
 		placed:    make(map[string]map[string]*Claim),
@@ -81,50 +81,51 @@
 func (v *View) checkHosts(counted *recount) error {
 	for host, use := range v.Hosts {
 		if len(use.Slots) != len(counted.placed[host]) {
-			return fmt.Errorf("%s has %d slots, counted %d", host, len(use.Slots), len(counted.placed[host]))
+			return fmt.Errorf("host %s is indexed with %d slots, counted %d", host, len(use.Slots), len(counted.placed[host]))
 		}
 		for name, slot := range use.Slots {
 			if counted.placed[host][name] != slot.Claim {
-				return fmt.Errorf("%s: slot of %s is another claim's", host, name)
+				return fmt.Errorf("host %s: the slot of task %s belongs to another claim", host, name)
 			}
 		}
 	}
 	for host := range counted.placed {
 		if v.Hosts[host] == nil {
-			return fmt.Errorf("%s is not known", host)
+			return fmt.Errorf("host %s has placements and is not indexed", host)
 		}
 	}
 	return nil
 }
 
-// checkUse compares what each team uses, by shard and however commits in progress end.
+// checkUse compares each team's use by shard, and its use whether or not commits in progress
+// succeed.
 func (v *View) checkUse(counted *recount) error {
 	for key, use := range counted.use {
 		if got := v.UseByShard[key]; math.Abs(got.CPUs-use.CPUs) > tolerance || math.Abs(got.GPUs-use.GPUs) > tolerance {
-			return fmt.Errorf("%v uses %v, counted %v", key, got, use)
+			return fmt.Errorf("use by team and shard %v is indexed as %v, counted %v", key, got, use)
 		}
 	}
 	for team, got := range v.CommittedUse {
 		committed := counted.committed[team]
 		if !got.Within(committed) || !committed.Within(got) {
-			return fmt.Errorf("%s has %v committed, counted %v", team, got, committed)
+			return fmt.Errorf("committed use of team %s is indexed as %v, counted %v", team, got, committed)
 		}
 	}
 	for key, got := range v.UseByShard {
 		if _, isCounted := counted.use[key]; !isCounted && (got.CPUs > tolerance || got.GPUs > tolerance) {
-			return fmt.Errorf("%v uses %v, counted nothing", key, got)
+			return fmt.Errorf("use by team and shard %v is indexed as %v, counted none", key, got)
 		}
 	}
 	return nil
 }
 
-// checkShards compares each shard's claims and machines. Claims that no shard has must be
-// indexed as those of several shards, and no others.
+// checkShards compares each shard's claims and machines. Of the claims that no shard lists,
+// those without a shard must be in the index of cross-shard claims, and no others.
 func (v *View) checkShards(counted *recount) error {
 	for _, shard := range v.Shards {
 		for claim := range shard.Claims {
 			if counted.shards[claim] != shard.Name {
-				return fmt.Errorf("%s is not a claim of %s", claim.Key, shard.Name)
+				return fmt.Errorf("claim %s is indexed under shard %s, which does not hold it", claim.Key, shard.Name)
 			}
 			delete(counted.shards, claim)
 		}
@@ -134,20 +135,21 @@
 	}
 	for claim, shard := range counted.shards {
 		if _, crossShard := v.CrossShardClaims[claim]; (shard == "") != crossShard {
-			return fmt.Errorf("%s is in no index", claim.Key)
+			return fmt.Errorf("claim %s of shard %q: in the index of cross-shard claims: %t", claim.Key, shard, crossShard)
 		}
 	}
 	return nil
 }
 
-// checkMachines compares the kinds of a shard's machines, and the free capacity of each.
+// checkMachines compares the number of a shard's machines of each kind, and the cached free
+// capacity of each machine.
 func (v *View) checkMachines(shard *Shard) error {
 	kinds := make(map[MachineKind]int)
 	for _, machine := range shard.Machines {
 		kinds[machine.Kind()]++
 	}
 	if !maps.Equal(kinds, shard.Kinds) {
-		return fmt.Errorf("%s has %v, counted %v", shard.Name, shard.Kinds, kinds)
+		return fmt.Errorf("machines by kind of shard %s are indexed as %v, counted %v", shard.Name, shard.Kinds, kinds)
 	}
 	for _, machine := range shard.Machines {
 		cached := machine.Capacity.Free
@@ -156,7 +158,7 @@
 		}
 		machine.Capacity.Stale = true
 		if v.FreeCapacity(machine); machine.Capacity.Free != cached {
-			return fmt.Errorf("%s had %v free, counted %v", machine.Host, cached, machine.Capacity.Free)
+			return fmt.Errorf("free capacity of host %s is cached as %v, counted %v", machine.Host, cached, machine.Capacity.Free)
 		}
 	}
 	return nil
--- a/internal/coordination/replica/shard.go
+++ b/internal/coordination/replica/shard.go
@@ -8,21 +8,21 @@
 	"madderslip/internal/storage/records"
 )
 
-// Shard is a set of machines with one owner at a time, with what this controller remembers
-// about it.
+// Shard is a set of machines with one owner at a time, with the state that this controller
+// keeps beside the shard's record.
 type Shard struct {
 	Name    string
 	Record  *records.Shard // nil: never owned
 	Version uint64
 	Ownership
 
-	Machines []*Machine          // in use, by host
-	Kinds    map[MachineKind]int // how many of them there are of each kind
-	Claims   map[*Claim]struct{} // that place tasks on its machines alone
-	Dirty    map[*Claim]struct{} // to be reconciled
+	Machines []*Machine          // those in use, sorted by host
+	Kinds    map[MachineKind]int // number of Machines by kind
+	Claims   map[*Claim]struct{} // claims that place tasks on the shard's machines alone
+	Dirty    map[*Claim]struct{} // claims to be reconciled
 
 	Changed     bool      // something has changed since the last pass over the queue
-	ScheduledAt time.Time // when that pass was
+	ScheduledAt time.Time // when the last pass over the queue began
 	SweptAt     time.Time // when all claims were last marked dirty
 	Load        ReportedLoad
 
@@ -31,43 +31,44 @@
 	Isolation
 }
 
-// Ownership is who acts for a shard.
+// Ownership is the state of a shard's ownership, as far as this process observes it or
+// changes it.
 type Ownership struct {
 	// FencingToken is the revision at which this process acquired the shard; 0: it does
 	// not own it.
 	FencingToken   uint64
 	OwnedSince     time.Time
 	Writing        bool // a change of the shard's record is in progress
-	NeedsNewToken  bool // to invalidate commands of unknown outcome
+	NeedsNewToken  bool // a new token is needed, to invalidate messages or commands sent under the present one
 	TokenRaisedAt  time.Time
-	OwnerlessSince time.Time // since when its owner is seen to be absent
-	// NewOwner is the controller that reports that it has acquired the shard since, ahead of
-	// the record, and NewOwnerToken its fencing token. Empty: none.
+	OwnerlessSince time.Time // since when this process observes that the owner's lease has expired; zero: it has not
+	// NewOwner is a controller that has notified this one that it acquired the shard, before
+	// the shard's record of this arrived, and NewOwnerToken is its fencing token. Empty: none.
 	NewOwner      string
 	NewOwnerToken uint64
 }
 
-// ImageRecording is the progress of recording which images a shard's machines hold.
+// ImageRecording is the progress of recording which images a shard's machines cache.
 type ImageRecording struct {
 	RecordingImages  bool
 	ImagesRecordedAt time.Time
-	ImagePart        int // the part recorded last
+	ImagePart        int // the part that was recorded or compared last
 }
 
-// Consolidation is when machines of a shard were last drained to be returned.
+// Consolidation is the progress of draining machines of a shard to return them.
 type Consolidation struct {
-	DrainedAt              time.Time // when a machine was last drained for it
-	ConsolidationCheckedAt time.Time // when a machine worth draining was last sought
+	DrainedAt              time.Time // when the drain of a machine last began
+	ConsolidationCheckedAt time.Time // when the shard was last searched for a machine worth draining
 }
 
-// Isolation is whether a shard's machines are silent because this controller itself is cut
-// off, as last determined.
+// Isolation is whether the silence of a shard's machines indicates a fault of this
+// controller's own network links, as last determined.
 type Isolation struct {
 	SelfIsolated       bool
 	IsolationCheckedAt time.Time
 }
 
-// Shard returns a shard, and makes it if the view does not have it yet.
+// Shard returns a shard, and creates it if the view does not have it yet.
 func (v *View) Shard(name string) *Shard {
 	shard := v.Shards[name]
 	if shard == nil {
@@ -82,17 +83,18 @@
 	return shard
 }
 
-// IsActive reports whether this process may act for a shard: it owns it, and the view holds
-// everything that earlier owners committed.
+// IsActive reports whether this process may act for a shard: it owns the shard, and the view
+// holds everything that earlier owners committed.
 func (v *View) IsActive(shard *Shard) bool {
 	return shard != nil && shard.FencingToken != 0 && v.Revision >= shard.FencingToken
 }
 
-// RequestNewToken asks for a new fencing token, which ends the wait for a machine's starts
-// of unknown outcome. It does so only for a machine that has been in contact since such a
-// start, and that is not suspected of missing what is sent to it: no other could show the
-// token, and each token is sent to every machine of the shard. This prevents several hundred
-// calls every few seconds without effect while sixty machines hang.
+// RequestNewToken requests a new fencing token if a machine has starts of unknown outcome:
+// once the machine shows the token, these starts cannot be executed any more. The machine
+// must have been in contact since such a start and must not be suspected of not receiving
+// calls, since no other machine could show the token, and each token is sent to every machine
+// of the shard. This prevents several hundred calls every few seconds without effect while
+// sixty machines hang.
 func (s *Shard) RequestNewToken(machine *Machine) {
 	isHeardSince := func(start UnknownStart) bool { return machine.Agent.LastContact.After(start.SentAt) }
 	if !machine.Detector.Reachability.Suspect() && slices.ContainsFunc(machine.Commands.Unknown, isHeardSince) {
@@ -100,14 +102,14 @@
 	}
 }
 
-// AddMachine adds a machine to those in use.
+// AddMachine adds a machine to the shard's machines in use.
 func (s *Shard) AddMachine(machine *Machine) {
 	at, _ := slices.BinarySearchFunc(s.Machines, machine.Host, compareHost)
 	s.Machines = slices.Insert(s.Machines, at, machine)
 	s.Kinds[machine.Kind()]++
 }
 
-// RemoveMachine removes a machine from those in use, if it is one of them.
+// RemoveMachine removes a machine from the shard's machines in use, if it is one of them.
 func (s *Shard) RemoveMachine(machine *Machine) {
 	at, found := slices.BinarySearchFunc(s.Machines, machine.Host, compareHost)
 	if !found {
@@ -124,7 +126,7 @@
 // compareHost compares a machine's host with another host.
 func compareHost(machine *Machine, host string) int { return strings.Compare(machine.Host, host) }
 
-// ShardNames lists the shards by name.
+// ShardNames lists the names of the shards, sorted.
 func (v *View) ShardNames() []string {
 	names := make([]string, 0, len(v.Shards))
 	for name := range v.Shards {
--- a/internal/coordination/replica/slot.go
+++ b/internal/coordination/replica/slot.go
@@ -10,10 +10,11 @@
 	Attempt    uint64
 	TaskName   string
 	Host       *HostUse
-	generation uint32 // the claim's when Reindex last found the placement
+	generation uint32 // the claim's generation when Reindex last found the placement
 }
 
-// Exited reports whether the machine's agent reports the task as ended, recorded or not.
+// Exited reports whether the machine's agent reports the task's attempt as exited, whether or
+// not the end is recorded.
 func (s *Slot) Exited(machine *Machine) bool {
 	status := machine.Agent.Tasks[s.TaskName]
 	return status != nil && status.Attempt == s.Attempt && status.Phase == protocol.TaskExited
@@ -30,15 +31,15 @@
 	Host string
 }
 
-// HostUse is what claims place on a host. It stands apart from the machine because a claim
-// may be read before the machine that it names.
+// HostUse holds the slots on a host. It is separate from Machine because a claim may be read
+// before the record of a machine that the claim names.
 type HostUse struct {
 	Name    string
-	Machine *Machine         // nil until the machine is known
+	Machine *Machine         // nil until the machine's record is read
 	Slots   map[string]*Slot // by task name
 }
 
-// HostUse returns the use of a host, and makes it if there is none yet.
+// HostUse returns the use of a host, and creates it if there is none yet.
 func (v *View) HostUse(host string) *HostUse {
 	use := v.Hosts[host]
 	if use == nil {
--- a/internal/coordination/replica/teams.go
+++ b/internal/coordination/replica/teams.go
@@ -6,14 +6,15 @@
 	"madderslip/internal/storage/records"
 )
 
-// TeamUsage is the record by which claims of one team are kept within its limit.
+// TeamUsage is a team's usage record, by which the claims of the team are kept within its
+// limit while the limit is not allotted.
 type TeamUsage struct {
 	Record  records.TeamUsage
 	Version uint64
 	Writing bool // a change of the record is in progress
 }
 
-// Team returns a team's usage record, and makes an empty one if there is none.
+// Team returns a team's usage record, and creates an empty one if there is none.
 func (v *View) Team(name string) *TeamUsage {
 	usage := v.Teams[name]
 	if usage == nil {
@@ -35,8 +36,8 @@
 // TaskResources returns what one task of a job uses of its team's limit and guarantee.
 func TaskResources(spec *protocol.Submission) quota.Resources { return spec.TaskResources() }
 
-// UsedBy returns what a team has placed in a shard, or across shards if the holder is
-// quota.CrossShard.
+// UsedBy returns the resources for which a team is charged in a shard, or, if the holder is
+// quota.CrossShard, across shards.
 func (v *View) UsedBy(team, holder string) quota.Resources {
 	if holder == quota.CrossShard {
 		holder = ""
@@ -44,8 +45,8 @@
 	return v.UseByShard[TeamShard{team, holder}]
 }
 
-// KnowsUse reports whether the size of all that a holder's claims place is known. A claim
-// can be read before its job; until then its use can be charged to no team.
+// KnowsUse reports whether all claims of a holder are charged to their teams. A claim can be
+// read before its job; until the job is read, the use of the claim cannot be charged.
 func (v *View) KnowsUse(holder string) bool {
 	for _, claims := range v.OrphanClaims {
 		for _, claim := range claims {
