--- a/internal/coordination/replica/recount.go
+++ b/internal/coordination/replica/recount.go
@@ -125,7 +125,7 @@
 	for _, shard := range v.Shards {
 		for claim := range shard.Claims {
 			if counted.shards[claim] != shard.Name {
-				return fmt.Errorf("claim %s is indexed under shard %s, which does not hold it", claim.Key, shard.Name)
+				return fmt.Errorf("claim %s is indexed under shard %s, which is not its shard", claim.Key, shard.Name)
 			}
 			delete(counted.shards, claim)
 		}
@@ -135,7 +135,7 @@
 	}
 	for claim, shard := range counted.shards {
 		if _, crossShard := v.CrossShardClaims[claim]; (shard == "") != crossShard {
-			return fmt.Errorf("claim %s of shard %q: in the index of cross-shard claims: %t", claim.Key, shard, crossShard)
+			return fmt.Errorf("claim %s is wrongly in, or missing from, the index of cross-shard claims", claim.Key)
 		}
 	}
 	return nil
