--- a/internal/coordination/replica/view_claims.go
+++ b/internal/coordination/replica/view_claims.go
@@ -9,7 +9,7 @@
 )
 
 // TouchesShard reports whether a claim has placements on a shard's machines. A claim without
-// any counts for the first shard, so that one owner clears it.
+// placements counts as one of the first shard by name, so that exactly one owner removes it.
 func (v *View) TouchesShard(claim *Claim, shard string) bool {
 	record := claim.Latest() // nil while the first version is being committed
 	if record == nil || len(record.Placements) == 0 {
@@ -32,8 +32,8 @@
 	return claims
 }
 
-// ClaimOf returns the claim of a job's chunk, one that is being committed for the first time
-// included, or nil.
+// ClaimOf returns the claim of a job's chunk, also if its first version is still being
+// committed, or nil if there is none.
 func (v *View) ClaimOf(job *Job, chunk int) *Claim {
 	if claim := job.Claims[chunk]; claim != nil {
 		return claim
@@ -41,7 +41,7 @@
 	return v.Claims[job.ClaimKey(chunk)]
 }
 
-// ZonesOf lists the zones of a claim's placements, one for each placement.
+// ZonesOf lists the zones of a claim's committed placements, one entry for each placement.
 func (v *View) ZonesOf(claim *Claim) []string {
 	var zones []string
 	if claim.Record == nil {
@@ -55,9 +55,10 @@
 	return zones
 }
 
-// SetSpec gives a claim its job's description. A nil description changes nothing: the record
-// of a job that is over may have none, and a commit in progress for a job that another shard
-// has finished needs the claim's own when it fails.
+// SetSpec sets a claim's description to that of its job. A nil description changes nothing:
+// the record of a final job may have none, and if a commit of the claim was in progress while
+// another shard finished the job, the failure of that commit is handled with the description
+// that the claim has.
 func (v *View) SetSpec(claim *Claim, spec *protocol.Submission) {
 	if spec != nil && claim.Spec != spec {
 		claim.Spec, claim.specChanged = spec, true
@@ -98,15 +99,16 @@
 	v.Reindex(claim)
 	if job != nil && job.Chunks > 1 && record.IsComplete() {
 		for _, other := range job.Claims {
-			v.MarkDirty(other) // the job may be over
+			v.MarkDirty(other) // all chunks of the job may be complete
 		}
 	}
 }
 
-// attachOrOrphan attaches a claim to its job, or keeps it for when the job is read. This is
-// done also when this controller has a commit of its own in progress and another shard's
-// claim arrives: left unattached, the other's tasks would look orphaned to this controller,
-// which would stop them once it takes over that shard.
+// attachOrOrphan attaches a claim to its job, or keeps it as an orphan until the job is read.
+// This is done for the record of another shard's claim too, while this controller's own
+// commit of a claim on the same chunk is in progress: if it were not attached, the other
+// shard's tasks would look orphaned to this controller, which would stop them after taking
+// over that shard.
 func (v *View) attachOrOrphan(job *Job, claim *Claim) {
 	if job != nil && job.Record != nil {
 		v.Attach(job, claim)
@@ -118,12 +120,13 @@
 	v.OrphanClaims[claim.JobID][claim.Key] = claim
 }
 
-// DropClaim removes a claim from the view, and its job if that is over.
+// DropClaim removes a claim from the view, and with it the claim's job if the job is final and
+// has no other claims.
 func (v *View) DropClaim(claim *Claim) {
 	delete(v.Claims, claim.Key)
 	v.Reindex(claim)
 	if set := v.OrphanClaims[claim.JobID]; set != nil {
-		// An empty set that stayed would have its job looked up in every pass.
+		// An empty set left here would cause its job to be read anew for every pass.
 		if delete(set, claim.Key); len(set) == 0 {
 			delete(v.OrphanClaims, claim.JobID)
 		}
--- a/internal/coordination/replica/view_jobs.go
+++ b/internal/coordination/replica/view_jobs.go
@@ -8,8 +8,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// maxFinalJobs bounds the finished jobs answered from memory; older ones are read from the
-// state service.
+// maxFinalJobs bounds the final jobs about which requests are answered from memory; any others
+// are read from the state service.
 const maxFinalJobs = 200_000
 
 // IsCancelled reports whether a job's cancellation is committed.
@@ -20,7 +20,8 @@
 	return v.FinalJobs[jobID].State == protocol.JobCancelled
 }
 
-// JobState returns the state of a job that is not blocked, as far as cached.
+// JobState returns the state of a job that is not blocked, or dag.Unknown if the job is not
+// cached.
 func (v *View) JobState(jobID string) dag.State {
 	if final, ok := v.FinalJobs[jobID]; ok {
 		return dependencyState(final.State)
@@ -31,7 +32,7 @@
 	return dag.Unknown
 }
 
-// dependencyState returns what a job's recorded state means to those that depend on it.
+// dependencyState returns a job's recorded state as the dependency graph represents it.
 func dependencyState(state string) dag.State {
 	switch state {
 	case protocol.JobDone:
@@ -42,8 +43,8 @@
 	return dag.Unfinished
 }
 
-// ApplyBlockedJob applies a version of a job's record to the graph of dependencies. It
-// reports whether that is all: a blocked job is nowhere else.
+// ApplyBlockedJob applies a version of a job's record to the dependency graph. It reports
+// whether the job is blocked: such a job is kept in the graph alone.
 func (v *View) ApplyBlockedJob(jobID string, record *records.Job, version uint64) bool {
 	if record.State != records.JobBlocked {
 		v.Dependencies.ObserveState(jobID, dependencyState(record.State), time.Now())
@@ -101,8 +102,8 @@
 	return job
 }
 
-// setJobRecord replaces a job's record and what follows from it. A record without a
-// description keeps that of the one before.
+// setJobRecord replaces a job's record and updates the fields and indexes that depend on the
+// record. If the new record has no description, that of the previous one is kept.
 func (v *View) setJobRecord(job *Job, record *records.Job, version uint64) {
 	if record.Spec == nil && job.Record != nil && job.Record.Spec != nil {
 		described := *record
@@ -133,14 +134,14 @@
 // HasClaims reports whether claims of a job were read before the job.
 func (v *View) HasClaims(jobID string) bool { return len(v.OrphanClaims[jobID]) > 0 }
 
-// Attach makes a claim one of its job's.
+// Attach adds a claim to its job.
 func (v *View) Attach(job *Job, claim *Claim) {
 	job.Claims[claim.Chunk] = claim
 	v.SetSpec(claim, job.Spec())
 }
 
-// rememberFinal keeps a small entry of a final job, in place of any other if there are too
-// many.
+// rememberFinal adds a summary of a final job. If there are maxFinalJobs already, an arbitrary
+// one is evicted.
 func (v *View) rememberFinal(jobID string, record *records.Job, version uint64) {
 	if len(v.FinalJobs) >= maxFinalJobs {
 		for old := range v.FinalJobs {
@@ -152,14 +153,15 @@
 	v.FinalJobs[jobID] = FinalJob{State: record.State, Tasks: record.Tasks, Version: version}
 }
 
-// mayHaveClaims reports whether a job's cancellation is known ahead of the watch, which may
-// yet bring claims of it. Such a job is kept: in an outage it cannot be read again for
-// them, and its claims would be reconciled by no controller.
+// mayHaveClaims reports whether a job's cancellation was applied ahead of the watch, which may
+// still deliver claims of the job. Such a job is kept in the view: in an outage of the state
+// service it could not be read again for these claims, and no controller would reconcile them.
 func (v *View) mayHaveClaims(record *records.Job, version uint64) bool {
 	return v.Loaded && record.State == protocol.JobCancelled && version > v.Revision
 }
 
-// forgetIfOver drops a job that is final and has no claims left.
+// forgetIfOver drops a job that is final and has no claims left, unless the watch may still
+// deliver claims of it.
 func (v *View) forgetIfOver(job *Job) {
 	if v.mayHaveClaims(job.Record, job.Version) {
 		v.EarlyCancellations[job.ID] = job
@@ -172,7 +174,7 @@
 	}
 }
 
-// SpecOfTask returns the description of a task's job, or nil if the job is not known.
+// SpecOfTask returns the description of a task's job, or nil if the job is not in the view.
 func (v *View) SpecOfTask(task string) *protocol.Submission {
 	jobID, _, ok := protocol.ParseTaskName(task)
 	if job := v.Jobs[jobID]; ok && job != nil && job.Record != nil {
--- a/internal/coordination/replica/view_machines.go
+++ b/internal/coordination/replica/view_machines.go
@@ -57,8 +57,9 @@
 	return machine
 }
 
-// releaseMemory drops what is not needed of a machine that is gone. Only the tombstone stays,
-// and what its agent has reported of tasks whose end is not recorded yet.
+// releaseMemory frees most of the memory of a machine that is gone. Its record stays as a
+// tombstone. The task statuses that its agent last reported stay too, if the end of a task
+// that is placed there is not recorded yet.
 func (m *Machine) releaseMemory() {
 	m.Agent.Heartbeat, m.Images = nil, nil
 	if len(m.Use.Slots) == 0 {
@@ -70,7 +71,8 @@
 	m.Quarantine.Evidence = quarantine.MachineEvidence{}
 }
 
-// MachineType returns the cloud's machine type of a name, or an empty one if it is not known.
+// MachineType returns the cloud's machine type of the given name, or an empty one if the cloud
+// has not listed it.
 func (v *View) MachineType(name string) protocol.MachineType {
 	if machineType := v.MachineTypes[name]; machineType != nil {
 		return *machineType
