--- a/internal/coordination/replica/apply.go
+++ b/internal/coordination/replica/apply.go
@@ -160,9 +160,9 @@
 func (v *View) ReachRevision(revision uint64) {
 	v.Revision = max(v.Revision, revision)
 	for _, jobID := range slices.Sorted(maps.Keys(v.EarlyCancellations)) {
-		if job := v.EarlyCancellations[jobID]; !v.mayHaveClaims(job.Record, job.Version) {
+		if job := v.EarlyCancellations[jobID]; !v.mayReceiveClaims(job.Record, job.Version) {
 			delete(v.EarlyCancellations, jobID)
-			v.forgetIfOver(job)
+			v.dropIfFinal(job)
 		}
 	}
 	v.observer.RevisionReached()
--- a/internal/coordination/replica/commandqueue.go
+++ b/internal/coordination/replica/commandqueue.go
@@ -32,9 +32,9 @@
 
 // HasUnconfirmedStart reports whether a start of a task's attempt may still be executed.
 func (m *Machine) HasUnconfirmedStart(task string, attempt uint64) bool {
-	same := func(command protocol.Command) bool {
+	isSameStart := func(command protocol.Command) bool {
 		return command.Verb == protocol.VerbStart && command.Task == task && command.Attempt == attempt
 	}
-	return slices.ContainsFunc(m.Commands.Pending, same) || slices.ContainsFunc(m.Commands.InFlight, same) ||
+	return slices.ContainsFunc(m.Commands.Pending, isSameStart) || slices.ContainsFunc(m.Commands.InFlight, isSameStart) ||
 		slices.ContainsFunc(m.Commands.Unknown, func(start UnknownStart) bool { return start.Task == task && start.Attempt == attempt })
 }
--- a/internal/coordination/replica/images.go
+++ b/internal/coordination/replica/images.go
@@ -84,14 +84,14 @@
 	v.ImageRecords[key] = record
 	for host := range record.Hosts {
 		if machine := v.Machines[host]; machine != nil {
-			v.recallImages(machine)
+			v.restoreImages(machine)
 		}
 	}
 }
 
-// recallImages sets a machine's images from the cached image records, unless the machine is
+// restoreImages sets a machine's images from the cached image records, unless the machine is
 // no longer in use, or this process owns the machine's shard and tracks the images itself.
-func (v *View) recallImages(machine *Machine) {
+func (v *View) restoreImages(machine *Machine) {
 	record := v.ImageRecords[records.ImagePrefix+machine.Record.Shard+"/"+strconv.Itoa(imagePart(machine.Host))]
 	if record == nil || machine.Record.State != records.MachineInUse || v.Shard(machine.Record.Shard).FencingToken != 0 {
 		return
--- a/internal/coordination/replica/index.go
+++ b/internal/coordination/replica/index.go
@@ -33,9 +33,9 @@
 	claim.generation++
 	exists := v.Claims[claim.Key] == claim
 	if exists {
-		v.enterSlots(claim)
+		v.addSlots(claim)
 	}
-	v.removeOldSlots(claim)
+	v.removeStaleSlots(claim)
 	v.updateTally(claim, exists)
 	if job := v.Jobs[claim.JobID]; job != nil {
 		v.Unplaced[claim.JobID] = job
@@ -58,23 +58,23 @@
 	return record.TaskCount > record.CompletedCount()+len(record.Placements)
 }
 
-// enterSlots adds slots for the placements of a claim's committed version and of the version
+// addSlots adds slots for the placements of a claim's committed version and of the version
 // being committed.
-func (v *View) enterSlots(claim *Claim) {
+func (v *View) addSlots(claim *Claim) {
 	if claim.Slots == nil {
 		claim.Slots = make(map[SlotKey]*Slot)
 	}
 	for _, record := range [2]*records.Claim{claim.Record, claim.Pending} {
 		if record != nil {
 			for i := range record.Placements {
-				v.enterSlot(claim, &record.Placements[i])
+				v.addSlot(claim, &record.Placements[i])
 			}
 		}
 	}
 }
 
-// enterSlot adds the slot of one placement of a claim, or updates it if it exists.
-func (v *View) enterSlot(claim *Claim, p *records.Placement) {
+// addSlot adds the slot of one placement of a claim, or updates it if it exists.
+func (v *View) addSlot(claim *Claim, p *records.Placement) {
 	key := SlotKey{p.Task, p.Host}
 	slot := claim.Slots[key]
 	if slot == nil {
@@ -90,9 +90,9 @@
 	slot.generation = claim.generation
 }
 
-// removeOldSlots removes the slots of a claim whose placements are in neither its committed
-// version nor the version being committed, and all slots of a claim that was removed.
-func (v *View) removeOldSlots(claim *Claim) {
+// removeStaleSlots removes the slots of a claim whose placements are in neither its committed
+// version nor the version being committed, or all its slots if the claim was removed.
+func (v *View) removeStaleSlots(claim *Claim) {
 	for key, slot := range claim.Slots {
 		if slot.generation == claim.generation {
 			continue
@@ -116,7 +116,7 @@
 	claim.specChanged = false
 	v.subtractTally(claim)
 	claim.Tally = Tally{}
-	record := claim.firstCommitted()
+	record := claim.committedOrPending()
 	shard, crossShard := "", false
 	if exists && record != nil {
 		shard, crossShard = record.Shard, record.Shard == ""
@@ -137,9 +137,9 @@
 	}
 }
 
-// firstCommitted returns the committed version, or, if there is none, the one being
+// committedOrPending returns the committed version, or, if there is none, the one being
 // committed.
-func (c *Claim) firstCommitted() *records.Claim {
+func (c *Claim) committedOrPending() *records.Claim {
 	if c.Record != nil {
 		return c.Record
 	}
--- a/internal/coordination/replica/recount.go
+++ b/internal/coordination/replica/recount.go
@@ -48,7 +48,7 @@
 			team := claim.Spec.Team
 			counted.committed[team] = counted.committed[team].Plus(TaskResources(claim.Spec).Times(float64(claim.CommittedCount())))
 		}
-		record := claim.firstCommitted()
+		record := claim.committedOrPending()
 		if record == nil {
 			continue
 		}
--- a/internal/coordination/replica/shard.go
+++ b/internal/coordination/replica/shard.go
@@ -96,8 +96,8 @@
 // of the shard. This prevents several hundred calls every few seconds without effect while
 // sixty machines hang.
 func (s *Shard) RequestNewToken(machine *Machine) {
-	isHeardSince := func(start UnknownStart) bool { return machine.Agent.LastContact.After(start.SentAt) }
-	if !machine.Detector.Reachability.Suspect() && slices.ContainsFunc(machine.Commands.Unknown, isHeardSince) {
+	hasContactSince := func(start UnknownStart) bool { return machine.Agent.LastContact.After(start.SentAt) }
+	if !machine.Detector.Reachability.Suspect() && slices.ContainsFunc(machine.Commands.Unknown, hasContactSince) {
 		s.NeedsNewToken = true
 	}
 }
--- a/internal/coordination/replica/view_claims.go
+++ b/internal/coordination/replica/view_claims.go
@@ -134,7 +134,7 @@
 	if job := v.Jobs[claim.JobID]; job != nil {
 		delete(job.Claims, claim.Chunk)
 		if job.Record != nil {
-			v.forgetIfOver(job)
+			v.dropIfFinal(job)
 		}
 	}
 }
--- a/internal/coordination/replica/view_jobs.go
+++ b/internal/coordination/replica/view_jobs.go
@@ -76,8 +76,8 @@
 	}
 	job := v.Jobs[jobID]
 	if job == nil {
-		if record.IsFinal() && !v.HasClaims(jobID) && !v.mayHaveClaims(record, version) {
-			v.rememberFinal(jobID, record, version)
+		if record.IsFinal() && !v.HasClaims(jobID) && !v.mayReceiveClaims(record, version) {
+			v.addFinalJob(jobID, record, version)
 			return
 		}
 		job = v.addJob(jobID, record)
@@ -89,7 +89,7 @@
 		v.SetSpec(claim, job.Spec())
 		v.MarkDirty(claim)
 	}
-	v.forgetIfOver(job)
+	v.dropIfFinal(job)
 }
 
 // addJob adds a job that the view does not have yet.
@@ -140,37 +140,38 @@
 	v.SetSpec(claim, job.Spec())
 }
 
-// rememberFinal adds a summary of a final job. If there are maxFinalJobs already, an arbitrary
+// addFinalJob adds a summary of a final job. If there are maxFinalJobs already, an arbitrary
 // one is evicted.
-func (v *View) rememberFinal(jobID string, record *records.Job, version uint64) {
+func (v *View) addFinalJob(jobID string, record *records.Job, version uint64) {
 	if len(v.FinalJobs) >= maxFinalJobs {
-		for old := range v.FinalJobs {
-			delete(v.FinalJobs, old)
-			delete(v.Versions, records.JobPrefix+old)
+		for evicted := range v.FinalJobs {
+			delete(v.FinalJobs, evicted)
+			delete(v.Versions, records.JobPrefix+evicted)
 			break
 		}
 	}
 	v.FinalJobs[jobID] = FinalJob{State: record.State, Tasks: record.Tasks, Version: version}
 }
 
-// mayHaveClaims reports whether a job's cancellation was applied ahead of the watch, which may
-// still deliver claims of the job. Such a job is kept in the view: in an outage of the state
-// service it could not be read again for these claims, and no controller would reconcile them.
-func (v *View) mayHaveClaims(record *records.Job, version uint64) bool {
+// mayReceiveClaims reports whether a job's cancellation was applied ahead of the watch, which
+// may still deliver claims of the job. Such a job is kept in the view: in an outage of the
+// state service it could not be read again for these claims, and no controller would reconcile
+// them.
+func (v *View) mayReceiveClaims(record *records.Job, version uint64) bool {
 	return v.Loaded && record.State == protocol.JobCancelled && version > v.Revision
 }
 
-// forgetIfOver drops a job that is final and has no claims left, unless the watch may still
+// dropIfFinal drops a job that is final and has no claims left, unless the watch may still
 // deliver claims of it.
-func (v *View) forgetIfOver(job *Job) {
-	if v.mayHaveClaims(job.Record, job.Version) {
+func (v *View) dropIfFinal(job *Job) {
+	if v.mayReceiveClaims(job.Record, job.Version) {
 		v.EarlyCancellations[job.ID] = job
 		return
 	}
 	if job.Record.IsFinal() && len(job.Claims) == 0 && v.Jobs[job.ID] == job {
 		delete(v.Jobs, job.ID)
 		delete(v.CancelledJobs, job.ID)
-		v.rememberFinal(job.ID, job.Record, job.Version)
+		v.addFinalJob(job.ID, job.Record, job.Version)
 	}
 }
 
--- a/internal/coordination/replica/view_machines.go
+++ b/internal/coordination/replica/view_machines.go
@@ -53,7 +53,7 @@
 	if record.State == records.MachineInUse {
 		v.Shard(record.Shard).AddMachine(machine)
 	}
-	v.recallImages(machine)
+	v.restoreImages(machine)
 	return machine
 }
 
