--- a/internal/coordination/replica/job.go
+++ b/internal/coordination/replica/job.go
@@ -20,8 +20,8 @@
 	FinalAt    time.Time              // when its cancellation was accepted, or else when this controller first read it as final
 	NotifiedAt map[string]time.Time   // by other controller: when it last confirmed the job's cancellation
 	Evidence   quarantine.JobEvidence // of failures, and of successes after them
-	NotBefore  time.Time              // earliest next start, after an agent did not find the job
-	LeftUntil  map[int]time.Time      // by chunk: not claimed before, since another shard claims it
+	NotBefore  time.Time              // earliest next start, after an agent refused one because the job was unknown to it
+	LeftUntil  map[int]time.Time      // by chunk: earliest next claim, while another shard is expected to claim the chunk
 	Inherited  Inheritance            // from the jobs that depend on it
 	claimKeys  []string               // of its claims, by chunk; built by the first call of ClaimKey
 }
@@ -41,7 +41,8 @@
 	Version uint64
 }
 
-// Spec returns the job's description with what it inherits.
+// Spec returns the job's description, with the inherited priority and use of spot instances
+// if there are any.
 func (j *Job) Spec() *protocol.Submission {
 	if j.Inherited.Spec != nil {
 		return j.Inherited.Spec
--- a/internal/coordination/replica/machine.go
+++ b/internal/coordination/replica/machine.go
@@ -126,7 +126,7 @@
 	return m.ListedAddress
 }
 
-// Kind returns the kind of machine that this one is, as provision requests name it.
+// Kind returns the kind that a provision request for an equal machine names.
 func (m *Machine) Kind() MachineKind {
 	return MachineKind{m.Record.Type, m.Record.Zone, m.Record.Spot}
 }
--- a/internal/coordination/replica/view_claims.go
+++ b/internal/coordination/replica/view_claims.go
@@ -21,7 +21,7 @@
 	})
 }
 
-// ClaimsOfTeam lists a team's claims in a shard, in no order.
+// ClaimsOfTeam lists a team's claims in a shard, in no particular order.
 func (v *View) ClaimsOfTeam(shard *Shard, team string) []*Claim {
 	var claims []*Claim
 	for claim := range shard.Claims {
@@ -126,7 +126,7 @@
 	delete(v.Claims, claim.Key)
 	v.Reindex(claim)
 	if set := v.OrphanClaims[claim.JobID]; set != nil {
-		// An empty set left here would cause its job to be read anew for every pass.
+		// An empty set left here would cause its job to be read again in every pass.
 		if delete(set, claim.Key); len(set) == 0 {
 			delete(v.OrphanClaims, claim.JobID)
 		}
