--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -53,7 +53,7 @@
 		machine.Detector.Reachability.RecordNewEpoch(now)
 	}
 	if c.silenceOf(machine, now) > c.policy.SuspectAfter {
-		machine.Agent.HeardAgainAt = now // its heartbeats may take a moment longer than its answers
+		machine.Agent.ContactRestoredAt = now // its heartbeats may take a moment longer than its answers
 	}
 	machine.Agent.Heartbeat, machine.Agent.LastContact = heartbeat, now
 	c.recordTaskStatuses(machine, heartbeat, now)
--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -132,7 +132,7 @@
 // shard that it may not act for.
 func (c *Controller) misplacedTask(job *replica.Job, machine *replica.Machine, slot *replica.Slot, now time.Time) health.MisplacedTask {
 	unansweredAt := machine.Detector.UnansweredAt
-	task := health.MisplacedTask{Age: now.Sub(job.FinalAt), SinceProbe: now.Sub(machine.Detector.CancelProbeAt),
+	task := health.MisplacedTask{Age: now.Sub(job.FinalAt), SinceProbe: now.Sub(machine.Detector.CancellationProbedAt),
 		Unanswered: unansweredAt.After(job.FinalAt) && unansweredAt.After(machine.Agent.LastContact)}
 	if shard := c.view.Shards[machine.Record.Shard]; shard != nil && shard.Record != nil {
 		owner := shard.Record.Owner
@@ -169,9 +169,11 @@
 	slices.Sort(controllers)
 	from := slices.Index(controllers, c.settings.NodeName) * len(machines) / len(controllers)
 	machines = slices.Concat(machines[from:], machines[:from])
-	slices.SortStableFunc(machines, func(a, b *replica.Machine) int { return a.Detector.CancelProbeAt.Compare(b.Detector.CancelProbeAt) })
+	slices.SortStableFunc(machines, func(a, b *replica.Machine) int {
+		return a.Detector.CancellationProbedAt.Compare(b.Detector.CancellationProbedAt)
+	})
 	for _, machine := range machines[:min(len(machines), maxCancelProbes)] {
-		machine.Detector.CancelProbeAt = now
+		machine.Detector.CancellationProbedAt = now
 		c.probeMachine(machine)
 	}
 }
--- a/internal/coordination/controller/claims.go
+++ b/internal/coordination/controller/claims.go
@@ -327,7 +327,7 @@
 	if err != nil {
 		c.dropUncommitted(claim)
 		if job := c.view.Jobs[claim.JobID]; job != nil {
-			job.LeftUntil[claim.Chunk] = time.Now().Add(claimRetryPause)
+			job.DeferredUntil[claim.Chunk] = time.Now().Add(claimRetryPause)
 		}
 		if !errors.Is(err, kv.ErrCompareFailed) {
 			c.log.Debug("claim commit failed", "claim", claim.Key, "err", err)
--- a/internal/coordination/controller/failuredetection.go
+++ b/internal/coordination/controller/failuredetection.go
@@ -113,10 +113,10 @@
 
 // hearingSince returns since when this process hears a machine, if only by its answers.
 func (c *Controller) hearingSince(machine *replica.Machine) time.Time {
-	if since := c.listeningSince(machine); since.After(machine.Agent.HeardAgainAt) {
+	if since := c.listeningSince(machine); since.After(machine.Agent.ContactRestoredAt) {
 		return since
 	}
-	return machine.Agent.HeardAgainAt
+	return machine.Agent.ContactRestoredAt
 }
 
 // cannotReport reports whether a machine's heartbeats do not arrive, though it may answer
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -40,7 +40,7 @@
 			holder = quota.CrossShard
 		}
 		more := len(next.Placements) - claim.ReservedCount()
-		return compares, nil, nil, !grows || (c.view.KnowsUse(holder) && more <= c.view.Quota.Allowance(team, holder, replica.TaskResources(claim.Spec)))
+		return compares, nil, nil, !grows || (c.view.IsUseKnown(holder) && more <= c.view.Quota.Allowance(team, holder, replica.TaskResources(claim.Spec)))
 	}
 	usage = c.view.Team(team)
 	if usage.Writing {
@@ -145,7 +145,7 @@
 	if !c.view.Quota.IsAllotted(spec.Team) {
 		return c.allowance(spec)
 	}
-	if !c.view.KnowsUse(holder) {
+	if !c.view.IsUseKnown(holder) {
 		return 0
 	}
 	return c.view.Quota.Allowance(spec.Team, holder, replica.TaskResources(spec))
@@ -278,10 +278,10 @@
 // that was started there.
 func (c *Controller) decidesFor(holder string) (kv.Compare, bool) {
 	if holder == quota.CrossShard {
-		return kv.Compare{Key: records.LeaderKey, Version: c.leadership.version}, c.isLeader() && c.view.KnowsUse(holder)
+		return kv.Compare{Key: records.LeaderKey, Version: c.leadership.version}, c.isLeader() && c.view.IsUseKnown(holder)
 	}
 	shard := c.view.Shards[holder]
-	if !c.view.IsActive(shard) || !c.view.KnowsUse(holder) {
+	if !c.view.IsActive(shard) || !c.view.IsUseKnown(holder) {
 		return kv.Compare{}, false
 	}
 	return kv.Compare{Key: records.ShardPrefix + holder, Version: shard.FencingToken}, true
--- a/internal/coordination/controller/peers.go
+++ b/internal/coordination/controller/peers.go
@@ -281,7 +281,7 @@
 func (c *Controller) leaveToPeer(keys []string, until time.Time) {
 	for _, key := range keys {
 		if jobID, chunk, err := records.ParseClaimKey(key); err == nil && c.view.Jobs[jobID] != nil && c.view.Claims[key] == nil {
-			c.view.Jobs[jobID].LeftUntil[chunk] = until
+			c.view.Jobs[jobID].DeferredUntil[chunk] = until
 		}
 	}
 }
--- a/internal/coordination/controller/queue.go
+++ b/internal/coordination/controller/queue.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		onProbation := job.OnProbation(now)
-		if now.Before(job.NotBefore) || job.Evidence.InBackoff(now) || (onProbation && job.ProbationRunning()) {
+		if now.Before(job.NotBefore) || job.Evidence.InBackoff(now) || (onProbation && job.HasPlacements()) {
 			continue
 		}
 		var allPlaced bool
@@ -89,7 +89,7 @@
 func mayPlace(shard *replica.Shard, entry *placement.QueueEntry, now time.Time) bool {
 	claim := entry.Claim
 	if claim == nil {
-		return now.After(entry.Job.LeftUntil[entry.Chunk])
+		return now.After(entry.Job.DeferredUntil[entry.Chunk])
 	}
 	if claim.Record == nil || claim.Record.Shard != shard.Name || claim.Pending != nil || now.Before(claim.RetryAt) {
 		return false
--- a/internal/coordination/controller/workloop.go
+++ b/internal/coordination/controller/workloop.go
@@ -172,7 +172,7 @@
 		claim.RetryAt = time.Now().Add(orphanRetryPause)
 	}
 	found := err == nil && item.Value != nil
-	if !found || !c.view.HasClaims(jobID) || c.view.Jobs[jobID] != nil {
+	if !found || !c.view.HasOrphanClaims(jobID) || c.view.Jobs[jobID] != nil {
 		return
 	}
 	delete(c.view.FinalJobs, jobID)
--- a/internal/coordination/replica/job.go
+++ b/internal/coordination/replica/job.go
@@ -10,20 +10,20 @@
 
 // Job is an accepted job that is open, or final with claims that are not removed yet.
 type Job struct {
-	ID         string
-	Record     *records.Job
-	Version    uint64
-	Chunks     int
-	ChunkSize  int                    // tasks in a chunk
-	Claims     map[int]*Claim         // by chunk
-	SeenAt     time.Time              // when this controller added it to the view
-	FinalAt    time.Time              // when its cancellation was accepted, or else when this controller first read it as final
-	NotifiedAt map[string]time.Time   // by other controller: when it last confirmed the job's cancellation
-	Evidence   quarantine.JobEvidence // of failures, and of successes after them
-	NotBefore  time.Time              // earliest next start, after an agent refused one because the job was unknown to it
-	LeftUntil  map[int]time.Time      // by chunk: earliest next claim, while another shard is expected to claim the chunk
-	Inherited  Inheritance            // from the jobs that depend on it
-	claimKeys  []string               // of its claims, by chunk; built by the first call of ClaimKey
+	ID            string
+	Record        *records.Job
+	Version       uint64
+	Chunks        int
+	ChunkSize     int                    // tasks in a chunk
+	Claims        map[int]*Claim         // by chunk
+	SeenAt        time.Time              // when this controller added it to the view
+	FinalAt       time.Time              // when its cancellation was accepted, or else when this controller first read it as final
+	NotifiedAt    map[string]time.Time   // by other controller: when it last confirmed the job's cancellation
+	Evidence      quarantine.JobEvidence // of failures, and of successes after them
+	NotBefore     time.Time              // earliest next start, after an agent refused one because the job was unknown to it
+	DeferredUntil map[int]time.Time      // by chunk: earliest next claim, while another shard is expected to claim the chunk
+	Inherited     Inheritance            // from the jobs that depend on it
+	claimKeys     []string               // of its claims, by chunk; built by the first call of ClaimKey
 }
 
 // Inheritance is the priority and the deadline that an open job inherits from the jobs that
@@ -95,9 +95,9 @@
 	return j.Evidence.Verdict(now) == quarantine.Suspect
 }
 
-// ProbationRunning reports whether a task of the job is placed, so that no other is tried
+// HasPlacements reports whether a task of the job is placed, so that no other is tried
 // while the job is on probation.
-func (j *Job) ProbationRunning() bool {
+func (j *Job) HasPlacements() bool {
 	for _, claim := range j.Claims {
 		if record := claim.Latest(); record != nil && len(record.Placements) > 0 {
 			return true
--- a/internal/coordination/replica/machine.go
+++ b/internal/coordination/replica/machine.go
@@ -35,7 +35,7 @@
 	Tasks              map[string]*protocol.TaskStatus // by name, as the newest heartbeat lists them
 	LastContact        time.Time                       // when the newest heartbeat or answer to a direct call arrived
 	LastHeartbeat      time.Time                       // when a heartbeat last arrived that the agent sent by itself
-	HeardAgainAt       time.Time                       // when contact was last restored after a silence
+	ContactRestoredAt  time.Time                       // when contact was last restored after a silence
 	RunningSince       map[string]time.Time            // by task: when it was first reported as running
 	PreemptionNoticeAt time.Time                       // when the agent of a spot instance first reported a preemption notice; zero: none
 	// MinToken is set when the machine has restarted: only a heartbeat that shows a higher
@@ -45,10 +45,10 @@
 
 // FailureDetector holds the results of probes and other direct calls to a machine.
 type FailureDetector struct {
-	Probing       bool      // a probe is in progress
-	UnansweredAt  time.Time // when a probe last failed
-	Reachability  health.Reachability
-	CancelProbeAt time.Time // when this controller last probed the machine for cancelled tasks without acting for its shard
+	Probing              bool      // a probe is in progress
+	UnansweredAt         time.Time // when a probe last failed
+	Reachability         health.Reachability
+	CancellationProbedAt time.Time // when this controller last probed the machine for cancelled tasks without acting for its shard
 }
 
 // QuarantineState is whether tasks may be placed on a machine, judged by the tasks that
--- a/internal/coordination/replica/teams.go
+++ b/internal/coordination/replica/teams.go
@@ -45,9 +45,9 @@
 	return v.UseByShard[TeamShard{team, holder}]
 }
 
-// KnowsUse reports whether all claims of a holder are charged to their teams. A claim can be
+// IsUseKnown reports whether all claims of a holder are charged to their teams. A claim can be
 // read before its job; until the job is read, the use of the claim cannot be charged.
-func (v *View) KnowsUse(holder string) bool {
+func (v *View) IsUseKnown(holder string) bool {
 	for _, claims := range v.OrphanClaims {
 		for _, claim := range claims {
 			if claim.Record == nil || claim.Record.Shard == holder || (claim.Record.Shard == "" && holder == quota.CrossShard) {
--- a/internal/coordination/replica/view_jobs.go
+++ b/internal/coordination/replica/view_jobs.go
@@ -76,7 +76,7 @@
 	}
 	job := v.Jobs[jobID]
 	if job == nil {
-		if record.IsFinal() && !v.HasClaims(jobID) && !v.mayReceiveClaims(record, version) {
+		if record.IsFinal() && !v.HasOrphanClaims(jobID) && !v.mayReceiveClaims(record, version) {
 			v.addFinalJob(jobID, record, version)
 			return
 		}
@@ -94,7 +94,7 @@
 
 // addJob adds a job that the view does not have yet.
 func (v *View) addJob(jobID string, record *records.Job) *Job {
-	job := &Job{ID: jobID, Claims: make(map[int]*Claim), SeenAt: time.Now(), LeftUntil: make(map[int]time.Time)}
+	job := &Job{ID: jobID, Claims: make(map[int]*Claim), SeenAt: time.Now(), DeferredUntil: make(map[int]time.Time)}
 	v.Jobs[jobID] = job
 	if record.Spec != nil && record.Spec.GPUs > 0 && !record.IsFinal() {
 		v.GPUJobSeenAt = job.SeenAt
@@ -131,8 +131,8 @@
 	delete(v.OrphanClaims, job.ID)
 }
 
-// HasClaims reports whether claims of a job were read before the job.
-func (v *View) HasClaims(jobID string) bool { return len(v.OrphanClaims[jobID]) > 0 }
+// HasOrphanClaims reports whether claims of a job were read before the job.
+func (v *View) HasOrphanClaims(jobID string) bool { return len(v.OrphanClaims[jobID]) > 0 }
 
 // Attach adds a claim to its job.
 func (v *View) Attach(job *Job, claim *Claim) {
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -66,7 +66,7 @@
 	{"team limits are conditions", "coordination/controller/limits.go", `return append(compares, kv.Compare{Key: key, Version: usage.Version}), []kv.Op`, `return compares, []kv.Op`},
 	{"a start needs its limit as it was", "coordination/controller/limits.go", `	compares = append(compares, c.view.Quota.LimitCompares(team)...)`, ``},
 	{"a start needs the bookings as they were", "coordination/controller/limits.go", `hasRecord && grows {`, `hasRecord && grows && false {`},
-	{"a shard starts within its allotment", "coordination/controller/limits.go", `!grows || (c.view.KnowsUse(holder) && more <= c.view.Quota.Allowance(team, holder, replica.TaskResources(claim.Spec)))`, `true || more < 0 || holder == ""`},
+	{"a shard starts within its allotment", "coordination/controller/limits.go", `!grows || (c.view.IsUseKnown(holder) && more <= c.view.Quota.Allowance(team, holder, replica.TaskResources(claim.Spec)))`, `true || more < 0 || holder == ""`},
 	{"claims of unknown size are not nothing", "coordination/replica/teams.go", `			if claim.Record == nil || claim.Record.Shard == holder || (claim.Record.Shard == "" && holder == quota.CrossShard) {`, `			if false && claim.Record == nil && holder == "" {`},
 	{"the larger of two versions counts", "coordination/replica/claim.go", `return max(c.PlacedCount(), len(c.Pending.Placements))`, `return c.PlacedCount()`},
 	{"what became of a start is found out", "coordination/controller/commit.go", `for err != nil && insist && life`, `for err != nil && false && insist && life`},
