--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -56,7 +56,7 @@
 		machine.Detector.Reachability.RecordNewEpoch(now)
 	}
 	if c.silenceOf(machine, now) > c.policy.SuspectAfter {
-		machine.Agent.HeardAgainAt = now // heartbeats may arrive a moment later than answers to probes
+		machine.Agent.ContactRestoredAt = now // heartbeats may arrive a moment later than answers to probes
 	}
 	machine.Agent.Heartbeat, machine.Agent.LastContact = heartbeat, now
 	c.recordTaskStatuses(machine, heartbeat, now)
--- a/internal/coordination/controller/failuredetection.go
+++ b/internal/coordination/controller/failuredetection.go
@@ -115,10 +115,10 @@
 // inContactSince returns since when this process has been in contact with a machine, by its
 // heartbeats or only by its answers to probes.
 func (c *Controller) inContactSince(machine *replica.Machine) time.Time {
-	if since := c.receivingSince(machine); since.After(machine.Agent.HeardAgainAt) {
+	if since := c.receivingSince(machine); since.After(machine.Agent.ContactRestoredAt) {
 		return since
 	}
-	return machine.Agent.HeardAgainAt
+	return machine.Agent.ContactRestoredAt
 }
 
 // cannotReport reports whether a machine's heartbeats do not arrive, though it may answer
