--- a/internal/coordination/health/cancelled_tasks.go
+++ b/internal/coordination/health/cancelled_tasks.go
@@ -2,52 +2,54 @@
 
 import "time"
 
-// CancelledTask is what the owner of a machine's shard knows of a task there whose job is
-// cancelled and which may still run.
+// CancelledTask is what the owner of a machine's shard has observed of a task there whose
+// job is cancelled and which may still run.
 //
-// The limit that its methods take is the longest time that a task may run after its user
-// has been told of the cancellation.
+// The limit that its methods take is the longest time that a task may run after the
+// cancellation was confirmed to the user.
 type CancelledTask struct {
-	Age      time.Duration // since the user was told of the cancellation
-	Silent   bool          // the machine is silent and did not answer a probe
-	Heard    bool          // the machine was heard since the owner began to act for it
+	Age      time.Duration // since the cancellation was confirmed to the user
+	Silent   bool          // the machine is silent while others are not, and did not answer a probe
+	Heard    bool          // the machine has shown the owner's fencing token
 	OwnedFor time.Duration // since the owner began to act for the machine
 }
 
-// Escalation returns the age from which the limit leaves no time to wait for anything.
+// Escalation returns the age of a cancellation from which the limit leaves no time for
+// further waiting.
 func Escalation(limit time.Duration) time.Duration { return limit * 7 / 10 }
 
-// stopGrace returns the age up to which a machine that is heard may still stop the task by
-// itself.
+// stopGrace returns the age of a cancellation up to which a machine in contact is given time
+// to stop the task before it is fenced.
 func stopGrace(limit time.Duration) time.Duration { return limit * 2 / 5 }
 
-// outageRecordDeadline returns the age from which a machine is returned without a record
-// while the state service accepts none.
+// outageRecordDeadline returns the age of a cancellation from which a machine is returned
+// without a record while the state service accepts no records.
 func outageRecordDeadline(limit time.Duration) time.Duration { return limit / 2 }
 
-// slowRecordDeadline returns the same age while the state service accepts records slowly.
+// slowRecordDeadline returns the age of a cancellation from which a machine is returned
+// without a record while the state service accepts records, but slowly.
 func slowRecordDeadline(limit time.Duration) time.Duration { return limit * 3 / 4 }
 
-// contactHeartbeats is how many heartbeat timeouts a machine has to be heard in by an owner
-// that has just begun to act for it.
-const contactHeartbeats = 2
+// contactTimeouts is the number of heartbeat timeouts within which a machine has to come
+// into contact with an owner that has just begun to act for its shard.
+const contactTimeouts = 2
 
 // ShouldFence reports whether the machine has to be returned to keep the limit.
-// heartbeatTimeout is the time within which every healthy machine is heard.
+// heartbeatTimeout is the time within which a heartbeat arrives from every healthy machine.
 //
-// After a restart or a takeover an owner finds cancellations that are old already, and has
-// heard none of the machines. Most of them stop the task with their first heartbeat. They
-// have two heartbeat timeouts for it, if the limit leaves as much, which prevents a new
-// owner from fencing many machines at once with all that they run.
+// After a restart or a takeover an owner may find old cancellations before any machine has
+// come into contact. Most machines stop the task upon their first heartbeat, so each is
+// given two heartbeat timeouts if the limit leaves that time. This prevents a new owner from
+// fencing many machines at once, with all tasks that run there.
 func (t CancelledTask) ShouldFence(limit, heartbeatTimeout time.Duration) bool {
 	if t.Silent || t.Age > Escalation(limit) {
 		return true
 	}
-	return t.Age > stopGrace(limit) && (t.Heard || t.OwnedFor > contactHeartbeats*heartbeatTimeout)
+	return t.Age > stopGrace(limit) && (t.Heard || t.OwnedFor > contactTimeouts*heartbeatTimeout)
 }
 
 // ReturnUnrecorded reports whether the return of a machine that should be fenced must not
-// wait for its record any longer. isStateDown tells that the state service accepts no record.
+// wait for its record any longer. stateDown means that the state service accepts no record.
 func (t CancelledTask) ReturnUnrecorded(limit time.Duration, stateDown bool) bool {
 	if stateDown {
 		return t.Age > outageRecordDeadline(limit)
--- a/internal/coordination/health/incarnation.go
+++ b/internal/coordination/health/incarnation.go
@@ -1,31 +1,32 @@
 package health
 
-// Incarnation is the position of a worker's message in the order of that worker's messages.
+// Incarnation is the position of an agent's message in the order of the messages of one
+// incarnation of its machine.
 //
-// A machine may restart under its name within a moment: its tasks are gone, and its worker
-// counts agent epochs and heartbeats from the start. Positions order the messages of one
-// incarnation only. Late messages of the former incarnation may still arrive, and look
-// newer than all that the present one sends.
+// A machine may restart under the same name almost at once: its tasks are gone, and its
+// agent counts agent epochs and heartbeats from the start again. Positions order only the
+// messages of one incarnation. Late messages of the former incarnation may still arrive, at
+// higher positions than all messages of the present incarnation.
 type Incarnation struct {
 	AgentEpoch, Sequence, FencingToken uint64
 }
 
-// Supersedes reports whether i was sent after other, if both are of the same incarnation.
-func (i Incarnation) Supersedes(other Incarnation) bool {
-	return i.AgentEpoch > other.AgentEpoch || (i.AgentEpoch == other.AgentEpoch && i.Sequence > other.Sequence)
+// Supersedes reports whether p was sent after other, if both are of the same incarnation.
+func (p Incarnation) Supersedes(other Incarnation) bool {
+	return p.AgentEpoch > other.AgentEpoch || (p.AgentEpoch == other.AgentEpoch && p.Sequence > other.Sequence)
 }
 
-// maxReordering is by how many sequence numbers a heartbeat may fall behind answers that
-// were sent later and arrived sooner.
+// maxReordering is the largest number of sequence numbers by which a late heartbeat is
+// expected to be behind answers that were sent after it and arrived before it.
 const maxReordering = 4
 
-// MayBeRestarted reports whether a heartbeat could be of a later incarnation than the newest
-// message of its machine: its position is lower, by more than a heartbeat falls behind in
-// transit. An old message looks the same, so this proves nothing; the caller probes the
-// machine (see HasRestarted).
+// MayBeRestarted reports whether a heartbeat may be of a later incarnation than newest, the
+// newest message of its machine: its fencing token is lower, or its position is lower by
+// more than reordering in transit explains. An old message that arrives late looks the same,
+// so the caller probes the machine for proof (see HasRestarted).
 func MayBeRestarted(newest, heartbeat Incarnation) bool {
 	if heartbeat.Supersedes(newest) {
-		return heartbeat.FencingToken < newest.FencingToken // a worker never forgets a token while it runs
+		return heartbeat.FencingToken < newest.FencingToken // the token of a running agent never decreases
 	}
 	return heartbeat.AgentEpoch < newest.AgentEpoch || heartbeat.FencingToken < newest.FencingToken || heartbeat.Sequence+maxReordering < newest.Sequence
 }
@@ -37,7 +38,7 @@
 	return !answer.Supersedes(newest) || answer.FencingToken < newest.FencingToken
 }
 
-// Valid reports whether a message may be taken for one of the present incarnation. floor is
-// the highest token that the former incarnation may have seen, 0 if the machine never
-// restarted: only a message with a higher token is certainly not of the former one.
-func (i Incarnation) Valid(floor uint64) bool { return floor == 0 || i.FencingToken > floor }
+// Valid reports whether a message is certainly of the present incarnation. floor is the
+// highest token that the former incarnation may have received, 0 if the machine never
+// restarted: a message with a higher token cannot be of the former incarnation.
+func (p Incarnation) Valid(floor uint64) bool { return floor == 0 || p.FencingToken > floor }
--- a/internal/coordination/health/partition.go
+++ b/internal/coordination/health/partition.go
@@ -5,13 +5,13 @@
 // MachineSilence is how long one machine of a zone has been silent.
 type MachineSilence struct {
 	Zone   string
-	Silent time.Duration // since the last sign of life
+	Silent time.Duration // since its last heartbeat or answer to a probe
 }
 
-// PeerStatus is the state of another controller, as seen by the one that decides.
+// PeerStatus is the state of another controller, as the calling controller observes it.
 type PeerStatus struct {
 	Zone string
-	Live bool // its lease holds, or a message of it has just arrived
+	Live bool // its lease is valid, or it sent a message within the length of a lease
 }
 
 const (
@@ -22,22 +22,25 @@
 	silentTenths = 8
 )
 
-// mostlySilent reports whether there are enough machines to judge by and nearly all of them
-// are silent.
+// mostlySilent reports whether there are at least minMachines machines and nearly all of
+// them are silent.
 func mostlySilent(silent, total int) bool {
 	return total >= minMachines && silent*10 >= total*silentTenths
 }
 
-// PartitionedZones returns the zones that seem to be cut off from everything, as one
-// controller sees it. A zone is listed if all of this holds:
+// PartitionedZones returns the zones that seem to be partitioned from all others, as one
+// controller observes them. A zone is listed if all of these conditions hold:
 //
 //   - nearly all of its machines have been silent for longer than timeout;
-//   - no controller in it is live;
-//   - machines of other zones are heard, so that the fault is not the caller's;
-//   - it is not ownZone: from inside a partition all other zones look silent.
+//   - no controller in the zone is live;
+//   - at least minMachines machines of other zones are not silent, so that the fault is not
+//     in the caller's own links;
+//   - the zone is not ownZone: to a controller inside a partition all other zones look
+//     silent.
 //
 // The machines of a zone rarely fail all at once together with its controllers, whereas
-// behind a partition they go on working. So the caller gives them more time (FenceDelay).
+// behind a partition they continue to run tasks. So the caller waits longer before it fences
+// them (see FenceDelay).
 func PartitionedZones(ownZone string, machines []MachineSilence, timeout time.Duration, controllers []PeerStatus) map[string]bool {
 	zones, heardTotal := countByZone(machines, timeout)
 	partitioned := make(map[string]bool)
@@ -53,13 +56,14 @@
 	return partitioned
 }
 
-// zoneCount counts the machines of a zone.
+// zoneCount counts the machines of a zone: those silent for longer than the timeout, and
+// the others.
 type zoneCount struct{ silent, heard int }
 
 func (c zoneCount) total() int { return c.silent + c.heard }
 
-// countByZone counts the machines of each zone, and those of all zones that have been heard
-// within timeout.
+// countByZone counts the machines of each zone, and over all zones those that are not silent
+// for longer than timeout.
 func countByZone(machines []MachineSilence, timeout time.Duration) (zones map[string]zoneCount, heard int) {
 	zones = make(map[string]zoneCount)
 	for _, m := range machines {
@@ -87,7 +91,7 @@
 
 // FenceDelay returns how long a machine may be silent before it is fenced: usual, or
 // patience if that is longer and the machine's zone is partitioned. Behind a partition the
-// machine's tasks most likely go on; after patience the zone is not waited for any longer.
+// machine's tasks most likely continue to run; patience bounds the delay.
 func FenceDelay(usual, patience time.Duration, partitioned bool) time.Duration {
 	if partitioned {
 		return max(usual, patience)
--- a/internal/coordination/health/pausedetector.go
+++ b/internal/coordination/health/pausedetector.go
@@ -31,13 +31,14 @@
 // ResumedAt returns when the process last resumed after a pause, the zero time if it was
 // never paused.
 //
-// Messages of others may have been missed in the pause, so their silence counts from this
-// instant, a call that was sent before it does not count as unanswered, and nothing
-// irreversible is done on account of an age alone until others had time to report.
+// Messages of machines and peers may have been missed during the pause. Their silence
+// therefore counts from this instant, a call that was sent before it does not count as
+// unanswered, and an elapsed time alone causes nothing irreversible until the others have
+// had time to report.
 func (d *PauseDetector) ResumedAt() time.Time { return d.resumed }
 
-// Stable reports whether the process has run for longer than interval since it resumed, so
-// that everybody who sends a message once in interval has been heard.
+// Stable reports whether the process has run for longer than interval since it last resumed,
+// so that a message has arrived from every peer that sends one each interval.
 func (d *PauseDetector) Stable(now time.Time, interval time.Duration) bool {
 	return now.Sub(d.resumed) > interval
 }
--- a/internal/coordination/health/reachability.go
+++ b/internal/coordination/health/reachability.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// Reachability is what direct calls and agent epochs show of whether a machine receives
-// what is sent to it. A one-way partition lets a machine's heartbeats through while neither
-// answers nor commands arrive there: the machine seems healthy until its lease expires.
+// Reachability records what direct calls and agent epochs show about whether a machine
+// receives what is sent to it. In a one-way partition a machine's heartbeats arrive, while
+// neither the answers to them nor commands reach the machine, so that the machine seems
+// healthy until its lease expires.
 // The zero value is a machine that was never called.
 type Reachability struct {
-	lastAnswer      time.Time // to a direct call
-	lastFailure     time.Time // of a direct call
-	lastNewEpoch    time.Time // when the agent epoch rose between heartbeats
-	repeatedFailure bool      // a second call failed, and the machine was heard in between
+	lastAnswer      time.Time // when the machine last answered a direct call
+	lastFailure     time.Time // when a direct call to the machine last failed
+	lastNewEpoch    time.Time // when the agent epoch last rose between two heartbeats
+	repeatedFailure bool      // two calls failed since the last answer, with a message of the machine between them
 }
 
 // RecordAnswer records that the machine answered a direct call.
 func (r *Reachability) RecordAnswer(now time.Time) { r.lastAnswer, r.repeatedFailure = now, false }
 
 // RecordFailure records that the machine did not answer a direct call. lastContact is when
-// the machine was last heard.
+// the last message of the machine, a heartbeat or an answer, arrived.
 func (r *Reachability) RecordFailure(now, lastContact time.Time) {
 	r.repeatedFailure = r.repeatedFailure || (r.lastFailure.After(r.lastAnswer) && lastContact.After(r.lastFailure))
 	r.lastFailure = now
 }
 
-// RecordNewEpoch records that the agent epoch rose while the machine reported: no answer to
-// its heartbeats has reached the machine for the length of a lease.
+// RecordNewEpoch records that the agent epoch rose between two heartbeats: the machine has
+// received no answer to its heartbeats for the length of a lease.
 func (r *Reachability) RecordNewEpoch(now time.Time) { r.lastNewEpoch = now }
 
-// Suspect reports whether the machine would most likely not receive a command now. A
-// controller that is short of processor time suspects many machines.
+// Suspect reports whether a command sent now would most likely not reach the machine. If the
+// controller is short of processor time, this holds for many healthy machines.
 func (r *Reachability) Suspect() bool { return r.repeatedFailure }
 
-// CannotReceive reports whether the machine reports but does not receive: its lease has
-// expired, and it has not answered a direct call since. This is inferred from missing
-// answers, so it proves nothing about the machine's tasks.
+// CannotReceive reports whether the machine sends heartbeats but does not receive: its lease
+// has expired, and since then a direct call has failed and none was answered. The result is
+// inferred from missing answers, so it does not prove that the machine's tasks have ended.
 func (r *Reachability) CannotReceive() bool {
 	return r.lastNewEpoch.After(r.lastAnswer) && r.lastFailure.After(r.lastNewEpoch)
 }
@@ -42,9 +43,10 @@
 // machine.
 const reachabilityProbeInterval = 2 * time.Second
 
-// ShouldProbe reports whether to call the machine only to learn whether it receives: it has
-// missed a call or lost its lease, and was heard since the missed call. lastContact is when
-// the machine was last heard.
+// ShouldProbe reports whether to call the machine only to find out whether it receives: a
+// call failed or its lease expired since the last answer, a message of the machine arrived
+// after the failed call, and reachabilityProbeInterval has passed. lastContact is when the
+// last message of the machine arrived.
 func (r *Reachability) ShouldProbe(now, lastContact time.Time) bool {
 	inDoubt := r.lastFailure.After(r.lastAnswer) || r.lastNewEpoch.After(r.lastAnswer)
 	return inDoubt && lastContact.After(r.lastFailure) && now.Sub(r.lastFailure) >= reachabilityProbeInterval
@@ -61,8 +63,8 @@
 	return now.Sub(lastHeartbeat) > lease/2
 }
 
-// unreachableLeases is for how many leases a machine has to be unable to report before it
-// is returned.
+// unreachableLeases is the number of leases for which a machine may be unable to report
+// before it is returned.
 const unreachableLeases = 2
 
 // Unreachable reports whether the machine has been unable to report (see CannotReport) for
