--- a/internal/coordination/health/cancelled_tasks_test.go
+++ b/internal/coordination/health/cancelled_tasks_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// A machine that was not heard yet has two heartbeat timeouts to stop the task, and the
-// limit is kept whatever happens.
+// A machine that has not been in contact with a new owner is given two heartbeat timeouts to
+// stop the task. Every machine is fenced, without a record if need be, early enough to keep
+// the limit.
 func TestCancelledTaskIsFencedWithinLimit(t *testing.T) {
 	const limit, timeout = 47 * sec, 6500 * time.Millisecond
 	for name, c := range map[string]struct {
 		task       CancelledTask
-		down       bool
+		stateDown  bool
 		fence      bool
 		unrecorded bool
 	}{
@@ -24,7 +25,7 @@
 		"no record can be written":                      {CancelledTask{Age: 24 * sec, Heard: true, OwnedFor: 60 * sec}, true, true, true},
 		"records are slow":                              {CancelledTask{Age: 36 * sec, Heard: true, OwnedFor: 60 * sec}, false, true, true},
 	} {
-		if fence, unrecorded := c.task.ShouldFence(limit, timeout), c.task.ReturnUnrecorded(limit, c.down); fence != c.fence || (fence && unrecorded != c.unrecorded) {
+		if fence, unrecorded := c.task.ShouldFence(limit, timeout), c.task.ReturnUnrecorded(limit, c.stateDown); fence != c.fence || (fence && unrecorded != c.unrecorded) {
 			t.Errorf("%s: fence %v, without a record %v", name, fence, unrecorded)
 		}
 	}
--- a/internal/coordination/health/incarnation_test.go
+++ b/internal/coordination/health/incarnation_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// Messages are ordered within one incarnation. A heartbeat with a lower position raises the
-// suspicion of a restart; only an answer to a direct call proves one, since a late heartbeat
-// of the former incarnation looks the same.
+// Messages are ordered within one incarnation. A heartbeat at a lower position is a sign of a
+// restart, and only an answer to a direct call proves one, since a late heartbeat of the
+// former incarnation looks the same.
 func TestOnlyDirectAnswerProvesRestart(t *testing.T) {
 	newest := Incarnation{AgentEpoch: 1, Sequence: 88, FencingToken: 41}
 	for name, c := range map[string]struct {
-		message                         Incarnation
-		supersedes, mayBe, hasRestarted bool
+		message                                  Incarnation
+		supersedes, mayBeRestarted, hasRestarted bool
 	}{
 		"the next heartbeat":                          {Incarnation{1, 89, 41}, true, false, false},
 		"the same, under a newer token":               {Incarnation{1, 89, 50}, true, false, false},
@@ -25,7 +25,7 @@
 		if got := c.message.Supersedes(newest); got != c.supersedes {
 			t.Errorf("%s: supersedes %v", name, got)
 		}
-		if got := MayBeRestarted(newest, c.message); got != c.mayBe {
+		if got := MayBeRestarted(newest, c.message); got != c.mayBeRestarted {
 			t.Errorf("%s: may be restarted %v", name, got)
 		}
 		if got := HasRestarted(newest, c.message); got != c.hasRestarted {
@@ -33,6 +33,6 @@
 		}
 	}
 	if (Incarnation{1, 300, 41}).Valid(41) || !(Incarnation{1, 3, 42}).Valid(41) || !newest.Valid(0) {
-		t.Error("a message is valid from the first token that the former incarnation can't have seen")
+		t.Error("a message is valid only with a token above the floor, or without a floor")
 	}
 }
--- a/internal/coordination/health/isolation_test.go
+++ b/internal/coordination/health/isolation_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Silence of a shard's machines is the controller's fault if it has lost its links to the
-// workers, and the machines' fault otherwise.
+// The silence of a shard's machines counts as the controller's own fault if it has lost its
+// links to the machines, and as a fault of the machines otherwise.
 func TestSelfIsolatedTellsOwnFaultFromMachinesFault(t *testing.T) {
 	home, takenOver := ShardSilence{Home: true, Reporting: 60, Silent: 58, Lost: 58}, ShardSilence{Reporting: 60, Silent: 60, Lost: 60}
 	for name, c := range map[string]struct {
--- a/internal/coordination/health/misplaced_tasks_test.go
+++ b/internal/coordination/health/misplaced_tasks_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A controller that may not act for a machine leaves its cancelled tasks to an owner that
-// can know of them first, probes again as long as a stop may be lost or followed by another
-// start, and has the machine returned only as the last resort.
+// A controller that may not act for a machine first leaves the machine's cancelled tasks to
+// an owner that has been notified. It then probes repeatedly, since a stop command may be
+// lost or followed by another start, and has the machine returned only as the last resort.
 func TestMisplacedTaskIsProbedThenReturned(t *testing.T) {
 	const limit = 47 * sec
 	for name, c := range map[string]struct {
--- a/internal/coordination/health/partition_test.go
+++ b/internal/coordination/health/partition_test.go
@@ -17,7 +17,7 @@
 	return out
 }
 
-// concat returns the machines of all parts.
+// concat returns all machines of parts in one slice.
 func concat(parts ...[]MachineSilence) (all []MachineSilence) {
 	for _, p := range parts {
 		all = append(all, p...)
@@ -26,8 +26,8 @@
 }
 
 // A zone counts as partitioned only if nothing else explains the silence of its machines.
-// This prevents the machines of a partitioned zone from being fenced, and a failure of
-// another kind from being waited out.
+// This prevents the machines of a partitioned zone from being fenced too early, and those
+// of a zone with another failure from being fenced too late.
 func TestZoneIsPartitionedOnlyIfNothingElseExplainsSilence(t *testing.T) {
 	noneLive, allLive := []PeerStatus{{"b", false}, {"a", true}}, []PeerStatus{{"b", true}, {"a", true}}
 	for name, c := range map[string]struct {
@@ -52,7 +52,7 @@
 	}
 }
 
-// A partition gives a machine more time, never less.
+// A partition may lengthen the time until a machine is fenced and never shortens it.
 func TestPartitionNeverShortensFenceDelay(t *testing.T) {
 	if FenceDelay(11*sec, 67*sec, false) != 11*sec || FenceDelay(11*sec, 67*sec, true) != 67*sec || FenceDelay(90*sec, 67*sec, true) != 90*sec {
 		t.Error("a partition shortens the delay, or does not lengthen it")
--- a/internal/coordination/health/pausedetector_test.go
+++ b/internal/coordination/health/pausedetector_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A gap between observations beyond the threshold is a pause; a clock that steps back is
-// none.
+// A gap between two observations that exceeds the threshold counts as a pause; a clock that
+// steps back does not.
 func TestPauseDetectorMeasuresPauses(t *testing.T) {
 	at := time.Unix(1000, 0)
 	var detector PauseDetector
--- a/internal/coordination/health/reachability_test.go
+++ b/internal/coordination/health/reachability_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A machine that reports and does not receive is told apart from one that hung beyond its
-// lease, and from the many that a controller without processor time reaches late.
+// A machine that sends heartbeats and does not receive is distinguished from one that hung
+// for longer than its lease, and from the many healthy machines that answer too late while
+// the controller is short of processor time.
 func TestReachabilityDetectsMachinesThatCannotReceive(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1000, 0).Add(time.Duration(s) * sec) }
 	for name, c := range map[string]struct {
@@ -45,20 +46,21 @@
 	}
 	var r Reachability
 	if r.RecordAnswer(at(1)); r.ShouldProbe(at(29), at(28)) {
-		t.Error("probed without need")
+		t.Error("probed though it answered its last call")
 	}
 	r.RecordNewEpoch(at(30))
 	if !r.ShouldProbe(at(31), at(30)) {
 		t.Error("not probed once its agent epoch has risen")
 	}
 	if r.RecordFailure(at(32), at(31)); r.ShouldProbe(at(33), at(33)) || !r.ShouldProbe(at(35), at(33)) {
-		t.Error("probed at once again, or never")
+		t.Error("probed again before the probe interval has passed, or not after it")
 	}
 }
 
-// A machine that answers and does not report loses its tasks with each lease: it cannot
-// report after half a lease without a heartbeat, and is unreachable after two more leases.
-// A new owner, or one that was paused, has to have been there to receive heartbeats.
+// A machine that answers direct calls while its heartbeats do not arrive loses its tasks with
+// each lease. It counts as unable to report after half a lease without a heartbeat, and as
+// unreachable after two more leases. The time counts only while its owner could receive
+// heartbeats: not before a takeover or during a pause of the process.
 func TestMachineWithoutHeartbeatsBecomesUnreachable(t *testing.T) {
 	const lease = 12 * time.Second
 	now := time.Unix(1000, 0)
