--- a/internal/coordination/quarantine/attribution_test.go
+++ b/internal/coordination/quarantine/attribution_test.go
@@ -8,7 +8,7 @@
 
 const sec = time.Second
 
-// scenario is the evidence of some jobs and machines, filled by the steps of a test.
+// scenario holds the evidence about some jobs and machines, filled by the steps of a test.
 type scenario struct {
 	now      time.Time
 	jobs     map[string]*JobEvidence
@@ -35,7 +35,7 @@
 	return s.machines[host]
 }
 
-// fails has a task of a job fail on each of the hosts after one second.
+// fails records that a task of a job failed on each of the hosts after one second.
 func (s *scenario) fails(jobID string, hosts ...string) {
 	for _, host := range hosts {
 		s.job(jobID).RecordFailure(host, sec, 0.5, s.now)
@@ -43,7 +43,7 @@
 	}
 }
 
-// succeeds has a task of a job succeed on a host after 20 seconds.
+// succeeds records that a task of a job succeeded on a host after 20 seconds.
 func (s *scenario) succeeds(jobID, host string) {
 	if s.job(jobID).OutlastsFailures(20 * sec) {
 		s.job(jobID).Succeeded(s.now)
@@ -61,7 +61,9 @@
 	return out
 }
 
-// Each scenario ends with the machines that are quarantined and the jobs that are suspected.
+// Failures of a broken job must not quarantine healthy machines, and a faulty machine must be
+// quarantined although broken jobs fail there too. Each scenario ends with the machines that
+// are quarantined and the jobs that are suspected.
 func TestFailuresAreAttributedToMachineOrJob(t *testing.T) {
 	for name, c := range map[string]struct {
 		steps func(*scenario)
--- a/internal/coordination/quarantine/job.go
+++ b/internal/coordination/quarantine/job.go
@@ -8,32 +8,35 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Verdict is whether a job is known to run without failing.
+// Verdict is the assessment of a job by the recent failures and successes of its tasks.
 type Verdict int
 
 // The verdicts on a job.
 const (
-	Unknown Verdict = iota // no task of it has succeeded since a failure
-	Healthy                // a task of it has succeeded since a failure
-	Suspect                // it fails on every machine it runs on
+	Unknown Verdict = iota // no recent success, and failures on too few machines to suspect the job
+	Healthy                // a task succeeded recently, after a failure of the job
+	Suspect                // the job fails on every machine that it runs on
 )
 
 const (
-	// suspectMachines is on how many machines a job has to fail, and succeed on none, before
-	// the job is suspected. One machine may be faulty, and the next attempt is elsewhere.
-	suspectMachines = 2
+	// suspectMinMachines is the number of machines on which a job has to fail, and succeed on
+	// none, before the job is suspected. A single machine may itself be faulty, and the next
+	// attempt is made on another one.
+	suspectMinMachines = 2
 	// evidenceTTL is the age from which a failure or success no longer counts, for a job or
-	// a machine. A suspected job that found no capacity for an attempt starts anew then.
+	// a machine. A suspected job that found no capacity for another attempt by then is
+	// Unknown again.
 	evidenceTTL = 2 * time.Minute
-	// A task's run counts as a success once it lasts longer than the longest failed run by
-	// successFactor and successMargin: failures do not all take the same time.
+	// A running task counts as a success once it has run for successFactor times the longest
+	// failed run plus successMargin: failures do not all take the same time.
 	successFactor = 2
 	successMargin = 5 * time.Second
 
 	minRetryPause, maxRetryPause, retryMultiplier = 2 * time.Second, 30 * time.Second, 2
 )
 
-// JobEvidence is what is known of one job. The zero value is a job that never failed.
+// JobEvidence holds the recent failures and successes of one job. The zero value is a job
+// that never failed.
 type JobEvidence struct {
 	failedOn       map[string]time.Time // last failure, by host
 	longestFailure time.Duration        // longest run of a task that failed
@@ -42,29 +45,29 @@
 	retryAt        time.Time
 }
 
-// RecordFailure records that a task failed on a host after it ran for so long. Unless the
-// job is healthy it is in backoff from then on, for a pause that grows from 2 s to 30 s with
-// each attempt. spread, from 0 up to 1, sets the pause between a half and one and a half of
-// that, so that jobs that failed together are not retried together.
-func (j *JobEvidence) RecordFailure(host string, ran time.Duration, spread float64, now time.Time) {
+// RecordFailure records that a task failed on a host after it had run for runTime. Unless
+// the job is healthy, the job then backs off for a pause that grows from 2 s to 30 s with
+// each attempt. jitter, from 0 up to 1, scales the pause to between 0.5 and 1.5 times its
+// length, so that jobs that failed together are not retried together.
+func (j *JobEvidence) RecordFailure(host string, runTime time.Duration, jitter float64, now time.Time) {
 	j.prune(now)
 	if j.failedOn == nil {
 		j.failedOn = make(map[string]time.Time)
 	}
-	j.failedOn[host], j.longestFailure = now, max(j.longestFailure, ran)
+	j.failedOn[host], j.longestFailure = now, max(j.longestFailure, runTime)
 	sameAttempt := now.Before(j.retryAt)
 	if j.healthy(now) || sameAttempt {
-		return // if healthy, the machine is at fault, and other tasks go on
+		return // a healthy job continues, since the machine is at fault; an attempt counts once
 	}
 	if j.retryBackoff == nil {
 		j.retryBackoff = newRetryBackoff()
 	}
 	wait := j.retryBackoff.NextBackOff()
-	j.retryAt = now.Add(wait/2 + time.Duration(spread*float64(wait)))
+	j.retryAt = now.Add(wait/2 + time.Duration(jitter*float64(wait)))
 }
 
-// newRetryBackoff returns the pauses of a job that fails. They have no random part: the
-// spread is an argument of RecordFailure, so that a run can be repeated.
+// newRetryBackoff returns the backoff for the retries of a failing job. The pauses have no
+// random part: jitter is an argument of RecordFailure, so that a run is reproducible.
 func newRetryBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval, b.Multiplier = minRetryPause, maxRetryPause, retryMultiplier
@@ -73,16 +76,17 @@
 	return b
 }
 
-// OutlastsFailures reports whether a task that has run for so long counts as a success.
-func (j *JobEvidence) OutlastsFailures(ran time.Duration) bool {
-	return ran >= successFactor*j.longestFailure+successMargin
+// OutlastsFailures reports whether a task that has run for runTime counts as a success.
+func (j *JobEvidence) OutlastsFailures(runTime time.Duration) bool {
+	return runTime >= successFactor*j.longestFailure+successMargin
 }
 
-// Failing reports whether the job has failed lately and has not succeeded since.
+// Failing reports whether the job has recent failures and no recent success.
 func (j *JobEvidence) Failing(now time.Time) bool { return len(j.failedOn) > 0 && !j.healthy(now) }
 
-// healthy reports whether a task of the job has succeeded lately. A success expires, so that
-// a job that goes on failing is judged anew: only its later tasks may read what is wrong.
+// healthy reports whether a task of the job has succeeded within evidenceTTL. A success
+// expires so that a job that keeps failing is assessed again: possibly only its later tasks
+// read the input that makes them fail.
 func (j *JobEvidence) healthy(now time.Time) bool {
 	return !j.succeededAt.IsZero() && now.Sub(j.succeededAt) <= evidenceTTL
 }
@@ -98,23 +102,24 @@
 	}
 }
 
-// Exonerate drops the job's failure on a host whose machine is known to be faulty.
+// Exonerate drops the job's failure on a host whose machine is known to be faulty. The
+// backoff ends unless failures on enough other machines are left to suspect the job.
 func (j *JobEvidence) Exonerate(host string) {
 	if _, ok := j.failedOn[host]; !ok {
 		return
 	}
-	if delete(j.failedOn, host); len(j.failedOn) < suspectMachines {
+	if delete(j.failedOn, host); len(j.failedOn) < suspectMinMachines {
 		j.retryAt = time.Time{}
 	}
 }
 
-// Verdict returns what is known of the job now.
+// Verdict returns the verdict on the job by the evidence that has not expired.
 func (j *JobEvidence) Verdict(now time.Time) Verdict {
 	j.prune(now)
 	switch {
 	case j.healthy(now):
 		return Healthy
-	case len(j.failedOn) >= suspectMachines:
+	case len(j.failedOn) >= suspectMinMachines:
 		return Suspect
 	}
 	return Unknown
@@ -123,10 +128,11 @@
 // InBackoff reports whether no task of the job should start yet.
 func (j *JobEvidence) InBackoff(now time.Time) bool { return now.Before(j.retryAt) }
 
-// FailedHosts returns the hosts on which the job has failed lately, in order.
+// FailedHosts returns the hosts on which the job has failed recently, sorted.
 func (j *JobEvidence) FailedHosts() []string { return slices.Sorted(maps.Keys(j.failedOn)) }
 
-// prune drops failures older than evidenceTTL, and everything once none is left.
+// prune drops failures older than evidenceTTL. Once no failure is left, it also drops the
+// success and the longest failed run, and resets the backoff to the shortest pause.
 func (j *JobEvidence) prune(now time.Time) {
 	for host, at := range j.failedOn {
 		if now.Sub(at) > evidenceTTL {
--- a/internal/coordination/quarantine/job_test.go
+++ b/internal/coordination/quarantine/job_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A job that fails on every machine is retried after longer and longer pauses, up to a bound,
-// and at once when a task of it has succeeded.
+// A job that fails on every machine is retried after increasing pauses up to a maximum. A
+// success of one of its tasks ends the backoff at once.
 func TestRetryPausesGrowUntilSuccess(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var j JobEvidence
@@ -16,7 +16,7 @@
 		j.RecordFailure(fmt.Sprint("m", i), sec, 0.5, now)
 		j.RecordFailure(fmt.Sprint("n", i), sec, 0.5, now) // of the same attempt
 		if !j.InBackoff(now) || j.InBackoff(j.retryAt) {
-			t.Fatal("an attempt is not delayed until its time")
+			t.Fatal("the next attempt is not delayed until exactly retryAt")
 		}
 		pauses = append(pauses, j.retryAt.Sub(now))
 		now = j.retryAt
--- a/internal/coordination/quarantine/machine.go
+++ b/internal/coordination/quarantine/machine.go
@@ -9,24 +9,25 @@
 const (
 	// avoidDuration is how long a job avoids a machine on which it failed.
 	avoidDuration = 30 * time.Second
-	// The weights of a job's failures against a machine: of a job that succeeds elsewhere,
-	// of one that does and has failed there in several attempts, and of one of which
-	// nothing is known.
+	// The weights of a job's failures against a machine: of a healthy job, which succeeds
+	// elsewhere, of a healthy job that has failed there in several attempts, and of a job with
+	// the verdict Unknown.
 	weightHealthy, weightRepeated, weightUnknown = 2, 3, 1
-	// quarantineWeight is the weight from which a machine is quarantined. Two jobs of which
-	// nothing is known do not reach it: both may have been submitted with a mistake.
+	// quarantineWeight is the weight from which a machine is quarantined. Two jobs with the
+	// verdict Unknown do not reach it, since both may be broken.
 	quarantineWeight = 3
 )
 
-// MachineEvidence is what is known of one machine. The zero value is one that never failed.
+// MachineEvidence holds the recent failures of jobs on one machine. The zero value is a
+// machine on which no task has failed.
 type MachineEvidence struct {
 	failures map[string]jobFailures // by job ID
 }
 
-// jobFailures is a job's failures on a machine.
+// jobFailures holds the failures of one job on a machine.
 type jobFailures struct {
 	lastFailure time.Time
-	attempts    int // failed attempts; tasks that ran at the same time are one
+	attempts    int // failed attempts; tasks that ran at the same time count as one
 }
 
 // RecordFailure records that a task of a job, started at startedAt, failed on the machine.
@@ -43,29 +44,31 @@
 }
 
 // Succeeded records that a task started at startedAt succeeded on the machine, which drops
-// the failures before that instant. Later failures stay: a faulty machine may well complete
-// what it started before the fault.
+// the failures before that instant. Later failures stay: a faulty machine may still complete
+// tasks that it started before the fault.
 func (m *MachineEvidence) Succeeded(startedAt time.Time) {
 	maps.DeleteFunc(m.failures, func(_ string, f jobFailures) bool { return startedAt.After(f.lastFailure) })
 }
 
-// Failing reports whether a job has failed on the machine and none has succeeded since.
+// Failing reports whether a job has failed on the machine and no task that started later has
+// succeeded there.
 func (m *MachineEvidence) Failing() bool { return len(m.failures) > 0 }
 
-// Avoids reports whether a job failed on the machine lately and should be placed elsewhere.
-func (m *MachineEvidence) Avoids(jobID string, now time.Time) bool {
+// IsAvoidedBy reports whether a job failed on the machine within avoidDuration and should be
+// placed elsewhere.
+func (m *MachineEvidence) IsAvoidedBy(jobID string, now time.Time) bool {
 	f, ok := m.failures[jobID]
 	return ok && now.Sub(f.lastFailure) < avoidDuration
 }
 
-// AvoidedBy returns the IDs of the jobs that should be placed elsewhere, in order.
+// AvoidedBy returns the IDs of the jobs that should be placed elsewhere, sorted.
 func (m *MachineEvidence) AvoidedBy(now time.Time) []string {
 	var jobIDs []string
 	if len(m.failures) == 0 {
-		return nil // of most machines, each of which is asked in every pass
+		return nil // fast path: most machines have no failures, and every machine is checked in each pass
 	}
 	for _, jobID := range slices.Sorted(maps.Keys(m.failures)) {
-		if m.Avoids(jobID, now) {
+		if m.IsAvoidedBy(jobID, now) {
 			jobIDs = append(jobIDs, jobID)
 		}
 	}
@@ -73,12 +76,12 @@
 }
 
 // Quarantine weighs the failures on the machine by the verdicts on their jobs. It returns
-// the IDs of the jobs that count against the machine, in order, and reports whether it
-// should be quarantined. A later call may report false again, when a job turns out to fail
-// on every machine. Failures older than evidenceTTL are dropped.
+// the IDs of the jobs that count against the machine, sorted, and reports whether the machine
+// should be quarantined. A later call may report false again: a job that counted may turn out
+// to fail on every machine. Failures older than evidenceTTL are dropped.
 func (m *MachineEvidence) Quarantine(verdict func(jobID string) Verdict, now time.Time) ([]string, bool) {
 	weight := 0
-	var against []string
+	var countedJobs []string
 	for _, jobID := range slices.Sorted(maps.Keys(m.failures)) {
 		f := m.failures[jobID]
 		if now.Sub(f.lastFailure) > evidenceTTL {
@@ -95,7 +98,7 @@
 				weight += weightRepeated - weightHealthy
 			}
 		}
-		against = append(against, jobID)
+		countedJobs = append(countedJobs, jobID)
 	}
-	return against, weight >= quarantineWeight
+	return countedJobs, weight >= quarantineWeight
 }
