--- a/internal/coordination/health/incarnation_test.go
+++ b/internal/coordination/health/incarnation_test.go
@@ -11,16 +11,16 @@
 		message                                  Incarnation
 		supersedes, mayBeRestarted, hasRestarted bool
 	}{
-		"the next heartbeat":                          {Incarnation{1, 89, 41}, true, false, false},
-		"the same, under a newer token":               {Incarnation{1, 89, 50}, true, false, false},
-		"after its lease has expired":                 {Incarnation{2, 1, 41}, true, false, false},
-		"overtaken in transit by answers":             {Incarnation{1, 86, 41}, false, false, true},
-		"the first heartbeat after a restart":         {Incarnation{1, 1, 0}, false, true, true},
-		"a little later, with the token":              {Incarnation{1, 3, 41}, false, true, true},
-		"more heartbeats than before the restart":     {Incarnation{1, 90, 0}, true, true, true},
-		"a later sequence number of the same epoch":   {Incarnation{1, 95, 41}, true, false, false},
-		"of an agent epoch that has ended since":      {Incarnation{0, 300, 41}, false, true, true},
-		"the very message that was processed already": {newest, false, false, true},
+		"the next heartbeat":                                  {Incarnation{1, 89, 41}, true, false, false},
+		"the next heartbeat, under a newer token":             {Incarnation{1, 89, 50}, true, false, false},
+		"the first heartbeat after its lease has expired":     {Incarnation{2, 1, 41}, true, false, false},
+		"a heartbeat overtaken in transit by answers":         {Incarnation{1, 86, 41}, false, false, true},
+		"the first heartbeat after a restart":                 {Incarnation{1, 1, 0}, false, true, true},
+		"the third heartbeat after a restart, with the token": {Incarnation{1, 3, 41}, false, true, true},
+		"more heartbeats than before the restart":             {Incarnation{1, 90, 0}, true, true, true},
+		"a later sequence number of the same epoch":           {Incarnation{1, 95, 41}, true, false, false},
+		"a heartbeat of an agent epoch that has ended since":  {Incarnation{0, 300, 41}, false, true, true},
+		"the newest message a second time":                    {newest, false, false, true},
 	} {
 		if got := c.message.Supersedes(newest); got != c.supersedes {
 			t.Errorf("%s: supersedes %v", name, got)
--- a/internal/coordination/health/partition_test.go
+++ b/internal/coordination/health/partition_test.go
@@ -35,16 +35,16 @@
 		controllers []PeerStatus
 		want        string
 	}{
-		"all of b silent, its controller not live":         {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 20, 9*sec)), noneLive, "map[b:true]"},
-		"a fifth of b is heard":                            {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 16, 9*sec), machinesSilentFor("b", 4, sec)), noneLive, "map[b:true]"},
-		"a quarter of b is heard":                          {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 15, 9*sec), machinesSilentFor("b", 5, sec)), noneLive, "map[]"},
-		"b's controller is live: its machines hang":        {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 20, 9*sec)), allLive, "map[]"},
-		"not for the timeout yet":                          {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 20, 5*sec)), noneLive, "map[]"},
-		"all silent: the fault is the caller's":            {concat(machinesSilentFor("a", 20, 9*sec), machinesSilentFor("b", 20, 9*sec)), noneLive, "map[]"},
-		"the caller's zone silent":                         {concat(machinesSilentFor("a", 20, 9*sec), machinesSilentFor("b", 20, sec)), []PeerStatus{{"b", true}}, "map[]"},
-		"too few machines to tell":                         {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 2, 9*sec)), noneLive, "map[]"},
-		"no controller runs there":                         {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("c", 9, 9*sec)), allLive, "map[c:true]"},
-		"two zones partitioned, one heard besides its own": {concat(machinesSilentFor("d", 9, sec), machinesSilentFor("b", 9, 9*sec), machinesSilentFor("c", 9, 9*sec)), noneLive, "map[b:true c:true]"},
+		"all of b silent, its controller not live":     {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 20, 9*sec)), noneLive, "map[b:true]"},
+		"a fifth of b is heard":                        {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 16, 9*sec), machinesSilentFor("b", 4, sec)), noneLive, "map[b:true]"},
+		"a quarter of b is heard":                      {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 15, 9*sec), machinesSilentFor("b", 5, sec)), noneLive, "map[]"},
+		"b's controller is live: its machines hang":    {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 20, 9*sec)), allLive, "map[]"},
+		"all of b silent, but not for the timeout yet": {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 20, 5*sec)), noneLive, "map[]"},
+		"all silent: the fault is the caller's":        {concat(machinesSilentFor("a", 20, 9*sec), machinesSilentFor("b", 20, 9*sec)), noneLive, "map[]"},
+		"the caller's zone silent":                     {concat(machinesSilentFor("a", 20, 9*sec), machinesSilentFor("b", 20, sec)), []PeerStatus{{"b", true}}, "map[]"},
+		"too few machines to tell":                     {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 2, 9*sec)), noneLive, "map[]"},
+		"all of c silent, no controller runs in c":     {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("c", 9, 9*sec)), allLive, "map[c:true]"},
+		"two zones partitioned, a third is not silent": {concat(machinesSilentFor("d", 9, sec), machinesSilentFor("b", 9, 9*sec), machinesSilentFor("c", 9, 9*sec)), noneLive, "map[b:true c:true]"},
 	} {
 		if got := fmt.Sprint(PartitionedZones("a", c.machines, 6500*time.Millisecond, c.controllers)); got != c.want {
 			t.Errorf("%s: %s, wanted %s", name, got, c.want)
--- a/internal/coordination/quarantine/attribution_test.go
+++ b/internal/coordination/quarantine/attribution_test.go
@@ -73,7 +73,7 @@
 		// Two broken jobs that each failed on few machines must not quarantine a healthy
 		// machine on which both fail.
 		"two broken jobs fail on one machine": {func(s *scenario) { s.fails("broken", "a"); s.fails("wrong", "a") }, "[]"},
-		"three, and their next attempts elsewhere fail as well": {func(s *scenario) {
+		"three broken jobs fail on one machine, then on two others": {func(s *scenario) {
 			for _, jobID := range []string{"broken", "wrong", "bad"} {
 				s.fails(jobID, "a")
 			}
@@ -86,7 +86,7 @@
 			s.succeeds("good", "b")
 			s.fails("other", "a")
 		}, "[a]"},
-		"a faulty machine and one job alone, again and again": {func(s *scenario) {
+		"a faulty machine and one healthy job, in two attempts": {func(s *scenario) {
 			s.fails("good", "a")
 			s.succeeds("good", "b")
 			s.now = s.now.Add(40 * sec)
