--- a/internal/coordination/health/reachability_test.go
+++ b/internal/coordination/health/reachability_test.go
@@ -11,8 +11,8 @@
 func TestReachabilityDetectsMachinesThatCannotReceive(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(1000, 0).Add(time.Duration(s) * sec) }
 	for name, c := range map[string]struct {
-		record                 func(r *Reachability)
-		suspect, cannotReceive bool
+		record                             func(r *Reachability)
+		likelyCannotReceive, cannotReceive bool
 	}{
 		"one call is lost": {func(r *Reachability) { r.RecordAnswer(at(1)); r.RecordFailure(at(5), at(4)) }, false, false},
 		"two calls are lost, and it was heard in between": {func(r *Reachability) {
@@ -40,8 +40,8 @@
 	} {
 		var r Reachability
 		c.record(&r)
-		if r.Suspect() != c.suspect || r.CannotReceive() != c.cannotReceive {
-			t.Errorf("%s: suspect %v, cannot receive %v", name, r.Suspect(), r.CannotReceive())
+		if r.Suspect() != c.likelyCannotReceive || r.CannotReceive() != c.cannotReceive {
+			t.Errorf("%s: likely cannot receive %v, cannot receive %v", name, r.Suspect(), r.CannotReceive())
 		}
 	}
 	var r Reachability
