--- a/internal/coordination/controller/attribution.go
+++ b/internal/coordination/controller/attribution.go
@@ -65,7 +65,7 @@
 	for _, claim := range job.Claims {
 		for _, slot := range claim.Slots {
 			if outlastsFailures(job, slot, now) {
-				job.Evidence.Succeeded(now)
+				job.Evidence.RecordSuccess(now)
 				return
 			}
 		}
@@ -90,7 +90,7 @@
 	if !machine.Quarantine.Evidence.Failing() && !machine.Quarantine.Active {
 		return
 	}
-	failedJobs, faulty := machine.Quarantine.Evidence.Quarantine(func(jobID string) quarantine.Verdict {
+	failedJobs, faulty := machine.Quarantine.Evidence.ShouldQuarantine(func(jobID string) quarantine.Verdict {
 		job := c.view.Jobs[jobID]
 		if job == nil {
 			return quarantine.Unknown
@@ -110,7 +110,7 @@
 	c.log.Info("machine quarantined", "host", machine.Host, "failed_jobs", strings.Join(failedJobs, ","))
 	for _, jobID := range failedJobs {
 		if job := c.view.Jobs[jobID]; job != nil {
-			job.Evidence.Exonerate(machine.Host)
+			job.Evidence.DropFailure(machine.Host)
 		}
 	}
 }
@@ -118,13 +118,13 @@
 // recordCompletion records what a completed task shows of its job, its machine and the run
 // times of its class.
 func (c *Controller) recordCompletion(job *replica.Job, spec *protocol.Submission, machine *replica.Machine, task string, now time.Time) {
-	job.Evidence.Succeeded(now)
+	job.Evidence.RecordSuccess(now)
 	began, ok := machine.Agent.RunningSince[task]
 	if !ok || spec.RunEstimateS <= 0 {
 		return
 	}
 	delete(machine.Agent.RunningSince, task)
-	machine.Quarantine.Evidence.Succeeded(began)
+	machine.Quarantine.Evidence.RecordSuccess(began)
 	ratio := min(max(now.Sub(began).Seconds()/spec.RunEstimateS, minRuntimeRatio), maxRuntimeRatio)
 	if observed, ok := c.runtimeRatios[spec.Class]; ok {
 		ratio = observed*(1-runtimeRatioWeight) + ratio*runtimeRatioWeight
--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -116,7 +116,7 @@
 	}
 	// A process that has just resumed after a pause knows the age alone, not what others
 	// have done about the cancellation meanwhile.
-	return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == records.MachineInUse && !c.isRefusedAlone(now) && c.pauses.Stable(now, peerContactTime)
+	return cancelled.ShouldReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == records.MachineInUse && !c.isRefusedAlone(now) && c.pauses.Stable(now, peerContactTime)
 }
 
 // isSilentByItself reports whether a machine is silent and did not answer a probe while
--- a/internal/coordination/health/cancelled_tasks.go
+++ b/internal/coordination/health/cancelled_tasks.go
@@ -14,9 +14,9 @@
 	OwnedFor time.Duration // since the owner began to act for the machine
 }
 
-// Escalation returns the age of a cancellation from which the limit leaves no time for
+// escalationAge returns the age of a cancellation from which the limit leaves no time for
 // further waiting.
-func Escalation(limit time.Duration) time.Duration { return limit * 7 / 10 }
+func escalationAge(limit time.Duration) time.Duration { return limit * 7 / 10 }
 
 // stopGrace returns the age of a cancellation up to which a machine in contact is given time
 // to stop the task before it is fenced.
@@ -42,15 +42,16 @@
 // given two heartbeat timeouts if the limit leaves that time. This prevents a new owner from
 // fencing many machines at once, with all tasks that run there.
 func (t CancelledTask) ShouldFence(limit, heartbeatTimeout time.Duration) bool {
-	if t.Silent || t.Age > Escalation(limit) {
+	if t.Silent || t.Age > escalationAge(limit) {
 		return true
 	}
 	return t.Age > stopGrace(limit) && (t.Heard || t.OwnedFor > contactTimeouts*heartbeatTimeout)
 }
 
-// ReturnUnrecorded reports whether the return of a machine that should be fenced must not
-// wait for its record any longer. stateDown means that the state service accepts no record.
-func (t CancelledTask) ReturnUnrecorded(limit time.Duration, stateDown bool) bool {
+// ShouldReturnUnrecorded reports whether the return of a machine that should be fenced must
+// not wait for its record any longer. stateDown means that the state service accepts no
+// record.
+func (t CancelledTask) ShouldReturnUnrecorded(limit time.Duration, stateDown bool) bool {
 	if stateDown {
 		return t.Age > outageRecordDeadline(limit)
 	}
--- a/internal/coordination/health/cancelled_tasks_test.go
+++ b/internal/coordination/health/cancelled_tasks_test.go
@@ -25,7 +25,7 @@
 		"no record can be written":                              {CancelledTask{Age: 24 * sec, Heard: true, OwnedFor: 60 * sec}, true, true, true},
 		"records are written slowly":                            {CancelledTask{Age: 36 * sec, Heard: true, OwnedFor: 60 * sec}, false, true, true},
 	} {
-		if fence, unrecorded := c.task.ShouldFence(limit, timeout), c.task.ReturnUnrecorded(limit, c.stateDown); fence != c.fence || (fence && unrecorded != c.unrecorded) {
+		if fence, unrecorded := c.task.ShouldFence(limit, timeout), c.task.ShouldReturnUnrecorded(limit, c.stateDown); fence != c.fence || (fence && unrecorded != c.unrecorded) {
 			t.Errorf("%s: fence %v, without a record %v", name, fence, unrecorded)
 		}
 	}
--- a/internal/coordination/health/misplaced_tasks.go
+++ b/internal/coordination/health/misplaced_tasks.go
@@ -66,7 +66,7 @@
 // machine that answers is returned only in an outage, from the escalation age: while records
 // can be written, the present or next owner of the shard returns the machine with a record.
 func (t MisplacedTask) ShouldReturn(limit time.Duration, stateDown bool) bool {
-	escalated := t.Age > Escalation(limit)
+	escalated := t.Age > escalationAge(limit)
 	switch {
 	case t.Finding == Ended:
 		return false
--- a/internal/coordination/health/reachability.go
+++ b/internal/coordination/health/reachability.go
@@ -28,9 +28,10 @@
 // received no answer to its heartbeats for the length of a lease.
 func (r *Reachability) RecordNewEpoch(now time.Time) { r.lastNewEpoch = now }
 
-// Suspect reports whether a command sent now would most likely not reach the machine. If the
-// controller is short of processor time, this holds for many healthy machines.
-func (r *Reachability) Suspect() bool { return r.repeatedFailure }
+// LikelyCannotReceive reports whether a command sent now would most likely not reach the
+// machine. If the controller is short of processor time, this holds for many healthy
+// machines.
+func (r *Reachability) LikelyCannotReceive() bool { return r.repeatedFailure }
 
 // CannotReceive reports whether the machine sends heartbeats but does not receive: its lease
 // has expired, and since then a direct call has failed and none was answered. The result is
--- a/internal/coordination/health/reachability_test.go
+++ b/internal/coordination/health/reachability_test.go
@@ -40,8 +40,8 @@
 	} {
 		var r Reachability
 		c.record(&r)
-		if r.Suspect() != c.likelyCannotReceive || r.CannotReceive() != c.cannotReceive {
-			t.Errorf("%s: likely cannot receive %v, cannot receive %v", name, r.Suspect(), r.CannotReceive())
+		if r.LikelyCannotReceive() != c.likelyCannotReceive || r.CannotReceive() != c.cannotReceive {
+			t.Errorf("%s: likely cannot receive %v, cannot receive %v", name, r.LikelyCannotReceive(), r.CannotReceive())
 		}
 	}
 	var r Reachability
--- a/internal/coordination/quarantine/attribution_test.go
+++ b/internal/coordination/quarantine/attribution_test.go
@@ -46,15 +46,15 @@
 // succeeds records that a task of a job succeeded on a host after 20 seconds.
 func (s *scenario) succeeds(jobID, host string) {
 	if s.job(jobID).OutlastsFailures(20 * sec) {
-		s.job(jobID).Succeeded(s.now)
+		s.job(jobID).RecordSuccess(s.now)
 	}
-	s.machine(host).Succeeded(s.now.Add(-20 * sec))
+	s.machine(host).RecordSuccess(s.now.Add(-20 * sec))
 }
 
 // quarantined returns the hosts whose machines are quarantined now.
 func (s *scenario) quarantined() (out []string) {
 	for _, host := range []string{"a", "b", "c", "d"} {
-		if _, quarantined := s.machine(host).Quarantine(func(jobID string) Verdict { return s.job(jobID).Verdict(s.now) }, s.now); quarantined {
+		if _, quarantined := s.machine(host).ShouldQuarantine(func(jobID string) Verdict { return s.job(jobID).Verdict(s.now) }, s.now); quarantined {
 			out = append(out, host)
 		}
 	}
--- a/internal/coordination/quarantine/job.go
+++ b/internal/coordination/quarantine/job.go
@@ -91,8 +91,8 @@
 	return !j.succeededAt.IsZero() && now.Sub(j.succeededAt) <= evidenceTTL
 }
 
-// Succeeded records that a task of the job succeeded, which ends its backoff.
-func (j *JobEvidence) Succeeded(now time.Time) {
+// RecordSuccess records that a task of the job succeeded, which ends its backoff.
+func (j *JobEvidence) RecordSuccess(now time.Time) {
 	if len(j.failedOn) == 0 {
 		return
 	}
@@ -102,9 +102,9 @@
 	}
 }
 
-// Exonerate drops the job's failure on a host whose machine is known to be faulty. The
+// DropFailure drops the job's failure on a host whose machine is known to be faulty. The
 // backoff ends unless failures on enough other machines are left to suspect the job.
-func (j *JobEvidence) Exonerate(host string) {
+func (j *JobEvidence) DropFailure(host string) {
 	if _, ok := j.failedOn[host]; !ok {
 		return
 	}
--- a/internal/coordination/quarantine/job_test.go
+++ b/internal/coordination/quarantine/job_test.go
@@ -31,7 +31,7 @@
 			t.Error("jobs that fail together are retried together")
 		}
 	}
-	j.Succeeded(now)
+	j.RecordSuccess(now)
 	if j.InBackoff(now) || j.Verdict(now) != Healthy {
 		t.Error("a job that succeeded is still in backoff")
 	}
--- a/internal/coordination/quarantine/machine.go
+++ b/internal/coordination/quarantine/machine.go
@@ -43,10 +43,10 @@
 	m.failures[jobID] = f
 }
 
-// Succeeded records that a task started at startedAt succeeded on the machine, which drops
-// the failures before that instant. Later failures stay: a faulty machine may still complete
-// tasks that it started before the fault.
-func (m *MachineEvidence) Succeeded(startedAt time.Time) {
+// RecordSuccess records that a task started at startedAt succeeded on the machine, which
+// drops the failures before that instant. Later failures stay: a faulty machine may still
+// complete tasks that it started before the fault.
+func (m *MachineEvidence) RecordSuccess(startedAt time.Time) {
 	maps.DeleteFunc(m.failures, func(_ string, f jobFailures) bool { return startedAt.After(f.lastFailure) })
 }
 
@@ -75,11 +75,11 @@
 	return jobIDs
 }
 
-// Quarantine weighs the failures on the machine by the verdicts on their jobs. It returns
-// the IDs of the jobs that count against the machine, sorted, and reports whether the machine
-// should be quarantined. A later call may report false again: a job that counted may turn out
-// to fail on every machine. Failures older than evidenceTTL are dropped.
-func (m *MachineEvidence) Quarantine(verdict func(jobID string) Verdict, now time.Time) ([]string, bool) {
+// ShouldQuarantine weighs the failures on the machine by the verdicts on their jobs. It
+// returns the IDs of the jobs that count against the machine, sorted, and reports whether
+// the machine should be quarantined. A later call may report false again: a job that counted
+// may turn out to fail on every machine. Failures older than evidenceTTL are dropped.
+func (m *MachineEvidence) ShouldQuarantine(verdict func(jobID string) Verdict, now time.Time) ([]string, bool) {
 	weight := 0
 	var countedJobs []string
 	for _, jobID := range slices.Sorted(maps.Keys(m.failures)) {
--- a/internal/coordination/replica/machine.go
+++ b/internal/coordination/replica/machine.go
@@ -131,8 +131,8 @@
 }
 
 // IncarnationOf returns from which incarnation of an agent a heartbeat is.
-func IncarnationOf(heartbeat *protocol.Heartbeat) health.Incarnation {
-	return health.Incarnation{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence, FencingToken: heartbeat.FencingToken}
+func IncarnationOf(heartbeat *protocol.Heartbeat) health.MessagePosition {
+	return health.MessagePosition{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence, FencingToken: heartbeat.FencingToken}
 }
 
 // ShowsToken reports whether a machine's heartbeat shows the shard's current fencing token:
--- a/internal/coordination/replica/shard.go
+++ b/internal/coordination/replica/shard.go
@@ -95,7 +95,7 @@
 // calls every few seconds without effect while sixty machines hang.
 func (s *Shard) RequestNewToken(machine *Machine) {
 	isHeardSince := func(start UnknownStart) bool { return machine.Agent.LastContact.After(start.SentAt) }
-	if !machine.Detector.Reachability.Suspect() && slices.ContainsFunc(machine.Commands.Unknown, isHeardSince) {
+	if !machine.Detector.Reachability.LikelyCannotReceive() && slices.ContainsFunc(machine.Commands.Unknown, isHeardSince) {
 		s.NeedsNewToken = true
 	}
 }
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -53,7 +53,7 @@
 	{"command outcome unknown", "coordination/replica/commandqueue.go", `slices.ContainsFunc(m.Commands.Unknown, func(start UnknownStart) bool { return start.Task == task && start.Attempt == attempt })`, `false`},
 	{"a machine that keeps a cancelled task is fenced", "coordination/controller/probes.go", `		c.enforceCancellations(now)
 `, ``},
-	{"fenced without a record if need be", "coordination/controller/cancellations.go", `return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == records.MachineInUse && !c.isRefusedAlone(now)`, `return false`},
+	{"fenced without a record if need be", "coordination/controller/cancellations.go", `return cancelled.ShouldReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == records.MachineInUse && !c.isRefusedAlone(now)`, `return false`},
 	{"whoever knows stops cancelled tasks", "coordination/controller/probes.go", `c.stopCancelledTasks(machine, heartbeat)`, `_ = machine`},
 	{"and asks again", "coordination/health/misplaced_tasks.go", `t.SinceProbe >= interval`, `t.SinceProbe > 1000*interval`},
 	{"its owner may begin them again", "coordination/health/misplaced_tasks.go", `if t.Finding == Ended || t.Age > limit {`, `if t.Finding == Ended {
@@ -150,7 +150,7 @@
 	{"nothing new is placed on a mute machine", "coordination/controller/capacities.go", ` && !c.cannotReport(machine, now)`, ``},
 	{"a machine that stays mute is returned", "coordination/health/reachability.go", `return CannotReport(lastHeartbeat, actingSince, now.Add(-unreachableLeases*lease), lease)`, `return false`},
 	{"a machine that does not hear and lost its work is returned", "coordination/controller/probes.go", `machine.Detector.Reachability.CannotReceive() && !machine.ShowsToken(shard) && !machine.Lifecycle.Returning`, `false && !machine.Lifecycle.Returning`},
-	{"no token is raised for a machine that may not hear it", "coordination/replica/shard.go", `!machine.Detector.Reachability.Suspect() && `, ``},
+	{"no token is raised for a machine that may not hear it", "coordination/replica/shard.go", `!machine.Detector.Reachability.LikelyCannotReceive() && `, ``},
 	{"who stands in is told from machines that are silent", "coordination/health/isolation.go", `	if s.Home {
 		return true
 	}
