--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -120,7 +120,7 @@
 	}
 	// A process that has just resumed after a pause may not have received what other
 	// controllers have done about the cancellation meanwhile.
-	return cancelled.ReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == records.MachineInUse && !c.isRefusedAlone(now) && c.pauses.Stable(now, peerContactTime)
+	return cancelled.ShouldReturnUnrecorded(limit, c.isStateDown(now)) && machine.Record.State == records.MachineInUse && !c.isRefusedAlone(now) && c.pauses.Stable(now, peerContactTime)
 }
 
 // isSilentByItself reports whether a machine is silent and did not answer a probe while
--- a/internal/coordination/quarantine/attribution_test.go
+++ b/internal/coordination/quarantine/attribution_test.go
@@ -8,7 +8,7 @@
 
 const sec = time.Second
 
-// scenario is the evidence of some jobs and machines, filled by the steps of a test.
+// scenario holds the evidence about some jobs and machines, filled by the steps of a test.
 type scenario struct {
 	now      time.Time
 	jobs     map[string]*JobEvidence
@@ -35,7 +35,7 @@
 	return s.machines[host]
 }
 
-// fails has a task of a job fail on each of the hosts after one second.
+// fails records that a task of a job failed on each of the hosts after one second.
 func (s *scenario) fails(jobID string, hosts ...string) {
 	for _, host := range hosts {
 		s.job(jobID).RecordFailure(host, sec, 0.5, s.now)
@@ -43,25 +43,27 @@
 	}
 }
 
-// succeeds has a task of a job succeed on a host after 20 seconds.
+// succeeds records that a task of a job succeeded on a host after 20 seconds.
 func (s *scenario) succeeds(jobID, host string) {
 	if s.job(jobID).OutlastsFailures(20 * sec) {
-		s.job(jobID).Succeeded(s.now)
+		s.job(jobID).RecordSuccess(s.now)
 	}
-	s.machine(host).Succeeded(s.now.Add(-20 * sec))
+	s.machine(host).RecordSuccess(s.now.Add(-20 * sec))
 }
 
 // quarantined returns the hosts whose machines are quarantined now.
 func (s *scenario) quarantined() (out []string) {
 	for _, host := range []string{"a", "b", "c", "d"} {
-		if _, quarantined := s.machine(host).Quarantine(func(jobID string) Verdict { return s.job(jobID).Verdict(s.now) }, s.now); quarantined {
+		if _, quarantined := s.machine(host).ShouldQuarantine(func(jobID string) Verdict { return s.job(jobID).Verdict(s.now) }, s.now); quarantined {
 			out = append(out, host)
 		}
 	}
 	return out
 }
 
-// Each scenario ends with the machines that are quarantined and the jobs that are suspected.
+// Failures of a broken job must not quarantine healthy machines, and a faulty machine must be
+// quarantined although broken jobs fail there too. Each scenario ends with the machines that
+// are quarantined and the jobs that are suspected.
 func TestFailuresAreAttributedToMachineOrJob(t *testing.T) {
 	for name, c := range map[string]struct {
 		steps func(*scenario)
@@ -71,7 +73,7 @@
 		// Two broken jobs that each failed on few machines must not quarantine a healthy
 		// machine on which both fail.
 		"two broken jobs fail on one machine": {func(s *scenario) { s.fails("broken", "a"); s.fails("wrong", "a") }, "[]"},
-		"three, and their next attempts elsewhere fail as well": {func(s *scenario) {
+		"three broken jobs fail on one machine, then on two others": {func(s *scenario) {
 			for _, jobID := range []string{"broken", "wrong", "bad"} {
 				s.fails(jobID, "a")
 			}
@@ -84,7 +86,7 @@
 			s.succeeds("good", "b")
 			s.fails("other", "a")
 		}, "[a]"},
-		"a faulty machine and one job alone, again and again": {func(s *scenario) {
+		"a faulty machine and one healthy job, in two attempts": {func(s *scenario) {
 			s.fails("good", "a")
 			s.succeeds("good", "b")
 			s.now = s.now.Add(40 * sec)
--- a/internal/coordination/replica/machine.go
+++ b/internal/coordination/replica/machine.go
@@ -132,8 +132,8 @@
 }
 
 // IncarnationOf returns the position of a heartbeat among the messages of its agent.
-func IncarnationOf(heartbeat *protocol.Heartbeat) health.Incarnation {
-	return health.Incarnation{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence, FencingToken: heartbeat.FencingToken}
+func IncarnationOf(heartbeat *protocol.Heartbeat) health.MessagePosition {
+	return health.MessagePosition{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence, FencingToken: heartbeat.FencingToken}
 }
 
 // ShowsToken reports whether a machine's newest heartbeat is of its present incarnation and
--- a/internal/coordination/replica/shard.go
+++ b/internal/coordination/replica/shard.go
@@ -97,7 +97,7 @@
 // sixty machines hang.
 func (s *Shard) RequestNewToken(machine *Machine) {
 	hasContactSince := func(start UnknownStart) bool { return machine.Agent.LastContact.After(start.SentAt) }
-	if !machine.Detector.Reachability.Suspect() && slices.ContainsFunc(machine.Commands.Unknown, hasContactSince) {
+	if !machine.Detector.Reachability.LikelyCannotReceive() && slices.ContainsFunc(machine.Commands.Unknown, hasContactSince) {
 		s.NeedsNewToken = true
 	}
 }
