--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -21,8 +21,8 @@
 // heartbeat may be of an earlier incarnation of the agent.
 func (c *Controller) observeHeartbeat(machine *replica.Machine, heartbeat *protocol.Heartbeat) bool {
 	if machine.Agent.Heartbeat != nil {
-		incarnation := replica.IncarnationOf(heartbeat)
-		if !incarnation.Supersedes(replica.IncarnationOf(machine.Agent.Heartbeat)) || !incarnation.Valid(machine.Agent.MinToken) {
+		incarnation := replica.MessagePositionOf(heartbeat)
+		if !incarnation.Supersedes(replica.MessagePositionOf(machine.Agent.Heartbeat)) || !incarnation.Valid(machine.Agent.MinToken) {
 			return false
 		}
 	}
@@ -199,7 +199,7 @@
 
 // acceptHeartbeat records a heartbeat and answers with the machine's cleanup commands.
 func (c *Controller) acceptHeartbeat(shard *replica.Shard, machine *replica.Machine, heartbeat *protocol.Heartbeat) transport.Response {
-	mayBeRestarted := machine.Agent.Heartbeat != nil && health.MayBeRestarted(replica.IncarnationOf(machine.Agent.Heartbeat), replica.IncarnationOf(heartbeat))
+	mayBeRestarted := machine.Agent.Heartbeat != nil && health.MayBeRestarted(replica.MessagePositionOf(machine.Agent.Heartbeat), replica.MessagePositionOf(heartbeat))
 	if mayBeRestarted && !machine.Detector.Probing {
 		c.probeMachine(machine)
 	}
--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -158,7 +158,7 @@
 func (c *Controller) recordProbeAnswer(machine *replica.Machine, before, heartbeat *protocol.Heartbeat) {
 	machine.Detector.Reachability.RecordAnswer(time.Now())
 	shard := c.view.Shards[machine.Record.Shard]
-	if before != nil && machine.Agent.Heartbeat != nil && machine.Record.State == records.MachineInUse && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(heartbeat)) {
+	if before != nil && machine.Agent.Heartbeat != nil && machine.Record.State == records.MachineInUse && health.HasRestarted(replica.MessagePositionOf(before), replica.MessagePositionOf(heartbeat)) {
 		c.recordRestart(shard, machine, heartbeat)
 	} else {
 		c.observeHeartbeat(machine, heartbeat)
--- a/internal/coordination/replica/machine.go
+++ b/internal/coordination/replica/machine.go
@@ -131,8 +131,8 @@
 	return MachineKind{m.Record.Type, m.Record.Zone, m.Record.Spot}
 }
 
-// IncarnationOf returns the position of a heartbeat among the messages of its agent.
-func IncarnationOf(heartbeat *protocol.Heartbeat) health.MessagePosition {
+// MessagePositionOf returns the position of a heartbeat among the messages of its agent.
+func MessagePositionOf(heartbeat *protocol.Heartbeat) health.MessagePosition {
 	return health.MessagePosition{AgentEpoch: heartbeat.AgentEpoch, Sequence: heartbeat.Sequence, FencingToken: heartbeat.FencingToken}
 }
 
@@ -141,7 +141,7 @@
 // of an earlier owner, and the heartbeat lists every task on the machine.
 func (m *Machine) ShowsToken(shard *Shard) bool {
 	return m.Agent.Heartbeat != nil && shard.FencingToken != 0 && m.Agent.Heartbeat.FencingToken >= shard.FencingToken &&
-		IncarnationOf(m.Agent.Heartbeat).Valid(m.Agent.MinToken)
+		MessagePositionOf(m.Agent.Heartbeat).Valid(m.Agent.MinToken)
 }
 
 // RunsNothingPlaced reports whether the agent reports each task that is placed on the machine
