--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -141,7 +141,7 @@
 	{"a zone that seems cut off is not fenced", "coordination/controller/failuredetection.go", `	return seen && now.Sub(at)`, `	return false && seen && now.Sub(at)`},
 	{"no lease is kept for a cancelled task", "coordination/controller/leases.go", `status.Phase != protocol.TaskExited && (`, `false && (`},
 	{"silence counts from waking", "coordination/controller/failuredetection.go", `	if resumed := c.pauses.ResumedAt(); resumed.After(machine.AdoptedAt) {`, `	if resumed := c.pauses.ResumedAt(); false && resumed.After(machine.AdoptedAt) {`},
-	{"an answer tells that a machine began again", "coordination/controller/probes.go", `machine.Record.State == records.MachineInUse && health.HasRestarted(replica.IncarnationOf(before), replica.IncarnationOf(heartbeat)) {`, `machine.Record.State == records.MachineInUse && false {`},
+	{"an answer tells that a machine began again", "coordination/controller/probes.go", `machine.Record.State == records.MachineInUse && health.HasRestarted(replica.MessagePositionOf(before), replica.MessagePositionOf(heartbeat)) {`, `machine.Record.State == records.MachineInUse && false {`},
 	{"accounts of a former life do not count", "coordination/health/incarnation.go", `return floor == 0 || p.FencingToken > floor`, `return floor == 0 || p.FencingToken >= 0`},
 	{"a doubtful report brings no orders", "coordination/controller/agents.go", `	if !mayBeRestarted && c.view.IsActive(shard) {`, `	if c.view.IsActive(shard) {`},
 	{"registration is conditional", "coordination/controller/membership.go", `[]kv.Compare{{Key: key, Version: c.view.Nodes[c.settings.NodeName].Version}}`, `nil`},
