--- a/internal/coordination/failover/doc.go
+++ b/internal/coordination/failover/doc.go
@@ -1,13 +1,14 @@
 // Package failover decides when a controller takes over a shard whose owner's lease has
-// expired, and when a controller that does not own a shard extends the leases of its
-// workers.
+// expired, and when a controller that does not own a shard extends the leases of the
+// shard's workers.
 //
-// Nothing here guarantees exclusive ownership: the compare-and-swap of the shard's record
-// decides who owns a shard. The takeover order only spreads the attempts, so that machines
-// of failed controllers are divided and few attempts fail. A lease that is extended by a
-// controller other than the owner carries no command and no new fencing token.
+// The package does not guarantee exclusive ownership: the compare-and-swap of a shard's
+// record determines the shard's owner. The takeover order spreads the attempts over time, so
+// that the machines of failed controllers are divided among the live ones and few attempts
+// fail. A response by which a controller other than the owner extends a lease carries no
+// command and no new fencing token.
 //
 // Every function depends on its arguments alone. The package has no clock, lock, goroutine
-// or I/O. It imports the standard library alone and must not import other packages of the
+// or I/O. It imports only the standard library and must not import other packages of the
 // module.
 package failover
--- a/internal/coordination/failover/lease_extension.go
+++ b/internal/coordination/failover/lease_extension.go
@@ -2,48 +2,51 @@
 
 import "time"
 
-// LastContact is when a controller last heard from those that may renew the leases of a
-// shard's workers.
+// LastContact holds the times of a controller's last contact with the state service and with
+// the owner of a shard.
 type LastContact struct {
-	State time.Time // when the state service last executed a call
-	Owner time.Time // when the shard's owner last sent a message
+	State time.Time // when the state service last executed a call of this controller
+	Owner time.Time // when this controller last received a message from the owner
 }
 
 // MayExtendLease reports whether a controller that does not own a shard extends the leases
-// of its workers, with the shard's recorded token and without any command. It does so if
-// it has heard neither the state service nor the owner for longer than timeout: it is cut
-// off from both, and so are the workers that call it. They would otherwise be redirected to
-// an owner that they cannot reach, and lose their tasks when their leases expire.
+// of the shard's workers, with the shard's recorded fencing token and without commands. The
+// condition is that the controller has had no contact with the state service or the owner
+// for longer than timeout. The controller is then partitioned from both, and so are the
+// workers that send heartbeats to it. Without the extension these workers would be
+// redirected to an owner that they cannot reach, and lose their tasks when their leases
+// expire.
 func MayExtendLease(last LastContact, now time.Time, timeout time.Duration) bool {
 	return now.Sub(last.State) > timeout && now.Sub(last.Owner) > timeout
 }
 
-// ColdStart is what a controller knows that has not read its records since it started.
+// ColdStart describes a controller that has not read its records since its process started.
 type ColdStart struct {
 	Uptime         time.Duration // since the process started
-	HeardAnyone    bool          // state service, cloud or another controller has been heard since
+	HeardAnyone    bool          // contact with the state service, cloud or another controller since the start
 	HasRemotePeers bool          // controllers are configured in other zones
 }
 
 const (
-	// startupSettleTime is how long after its start a controller needs to hear from others
-	// if nothing is wrong.
+	// startupSettleTime is the time within which a controller that is not partitioned has
+	// contact with another process after its start.
 	startupSettleTime = 800 * time.Millisecond
-	// restartTime is the longest time that a controller is assumed to have been down before
-	// it started.
+	// restartTime is the longest time that is assumed between the end of a controller's
+	// former process and the start of the present one.
 	restartTime = 10 * time.Second
 )
 
-// MayExtendUnread reports whether a controller that could not read its records extends the
-// leases of the workers that call it, each with the token that the worker itself shows and
-// without any command. It started behind a partition, and no other controller can reach
-// these workers.
+// MayExtendUnread reports whether a controller that has not read its records since its start
+// extends the leases of the workers that send heartbeats to it, each with the fencing token
+// of the worker's own heartbeat and without commands. The condition is that the controller
+// started behind a partition, so that no other controller can reach these workers.
 //
-// Such a controller does not know which jobs are cancelled, and a stop command may have
-// been lost with its former process. So it extends leases only up to the uptime from which
-// a task that was cancelled when that process ended could outlive cancelLimit: cancelLimit
-// less one lease and restartTime. It does not do so in an outage of the state service
-// alone, in which no other controller might know of the cancellation either.
+// Such a controller has no record of cancelled jobs, and a stop command may have been lost
+// with its former process. Leases are therefore extended only up to the uptime from which a
+// task that was cancelled when the former process ended could outlive cancelLimit:
+// cancelLimit less one lease and restartTime. Leases are not extended in an outage of the
+// state service alone, in which the cancellation may have reached no other controller
+// either.
 func MayExtendUnread(start ColdStart, cancelLimit, lease time.Duration) bool {
 	partitioned := start.HasRemotePeers && !start.HeardAnyone
 	return partitioned && start.Uptime > startupSettleTime && start.Uptime < cancelLimit-lease-restartTime
--- a/internal/coordination/failover/lease_extension_test.go
+++ b/internal/coordination/failover/lease_extension_test.go
@@ -7,9 +7,10 @@
 
 const sec = time.Second
 
-// A controller extends leases that it does not own only if it hears neither the state service
-// nor the owner; any other would keep a worker from its owner. One that has not read its
-// records does so only as long as no cancelled task can outlive its limit.
+// A controller extends the leases of another owner's workers only without contact with both
+// the state service and the owner: any other controller would keep a worker from its owner. A
+// controller that has not read its records extends leases only while no cancelled task can
+// outlive its limit.
 func TestOnlyIsolatedControllerExtendsOthersLeases(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
