--- a/internal/coordination/admission/admission_test.go
+++ b/internal/coordination/admission/admission_test.go
@@ -7,7 +7,8 @@
 
 const sec = time.Second
 
-// However long a pass takes, most of the time is left for answers.
+// The pauses leave most of the time for answering requests, regardless of how long passes
+// take.
 func TestThrottleLeavesMostOfTheTime(t *testing.T) {
 	throttle := Throttle{MaxShare: 0.25, MinPause: 15 * time.Millisecond, IdlePause: 50 * time.Millisecond, MaxPause: 150 * time.Millisecond}
 	for _, c := range []struct {
@@ -19,25 +20,25 @@
 		{40 * time.Millisecond, 150 * time.Millisecond, false}, {100 * time.Millisecond, 300 * time.Millisecond, true},
 	} {
 		if got := throttle.Pause(c.took, c.urgent); got != c.want {
-			t.Errorf("after %v, urgent %v: %v, wanted %v", c.took, c.urgent, got, c.want)
+			t.Errorf("pause after a pass of %v, urgent %v: got %v, want %v", c.took, c.urgent, got, c.want)
 		}
 	}
 }
 
-// The parts never add up to more than the limit, and each has sockets.
+// The parts of a socket budget never add up to more than the limit, and each part has sockets.
 func TestSocketBudgetStaysWithinLimit(t *testing.T) {
 	for _, limit := range []int{150, 1000, 1803, 3604} {
 		for _, peers := range []int{2, 6} {
 			s := DivideSockets(limit, peers)
 			if s.Public+s.WorkerCalls+s.State+s.Peers > limit || s.Users >= s.Public || s.Users < s.Public/2 || s.WorkerCalls < 16 || s.State < 8 {
-				t.Errorf("%d with %d peers: %+v", limit, peers, s)
+				t.Errorf("limit %d with %d peers: %+v", limit, peers, s)
 			}
 		}
 	}
 }
 
-// A refused client is told when the backlog will have drained, and clients are told different
-// times.
+// The retry time of a refused client is the time in which the backlog drains, and differs
+// between clients.
 func TestRetryAfterFollowsBacklog(t *testing.T) {
 	for _, c := range []struct {
 		backlog Backlog
@@ -59,22 +60,23 @@
 	}
 }
 
-// Whatever is pending where, the shares of all controllers add up to one, and each has one.
+// The shares of all controllers add up to one for any distribution of pending changes, and
+// every controller has at least half of an even share.
 func TestBudgetSharesAddUpToOne(t *testing.T) {
 	for _, pending := range [][]int{{0}, {0, 0, 0}, {50, 0, 3}, {1000, 0, 0, 0, 0, 0, 0}} {
 		sum := 0.0
 		for own := range pending {
 			share := BudgetShare(pending, own)
 			if share < 0.5/float64(len(pending)) {
-				t.Errorf("%v: %v for %d", pending, share, own)
+				t.Errorf("%v: share %v of controller %d", pending, share, own)
 			}
 			sum += share
 		}
 		if sum < 0.999 || sum > 1.001 {
-			t.Errorf("%v: %v in all", pending, sum)
+			t.Errorf("%v: the shares add up to %v", pending, sum)
 		}
 	}
 	if busy, idle := BudgetShare([]int{50, 0, 3}, 0), BudgetShare([]int{50, 0, 3}, 1); busy < 2*idle {
-		t.Errorf("%v with a backlog, %v without", busy, idle)
+		t.Errorf("share %v with a backlog, %v without", busy, idle)
 	}
 }
--- a/internal/coordination/admission/backlog.go
+++ b/internal/coordination/admission/backlog.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Backlog is the work that waits for a rate-limited budget.
+// Backlog describes the queued operations of a rate-limited service.
 type Backlog struct {
-	Pending     int     // changes that are executed before a new one
-	Rate        float64 // changes per second that the budget allows
-	Unavailable bool    // nothing has been executed for a while
+	Pending     int     // queued operations that are executed before a new one
+	Rate        float64 // operations per second that the budget allows
+	Unavailable bool    // the service has executed nothing for a while
 }
 
-// DrainTime returns how long a new change would wait; without any rate, the longest
-// duration.
+// DrainTime returns how long a new operation would be queued, or the longest duration if the
+// rate is not above 0.
 func (b Backlog) DrainTime() time.Duration {
 	if b.Rate <= 0 {
 		return math.MaxInt64
@@ -22,20 +22,20 @@
 }
 
 const (
-	// minRetryAfter is the shortest time that a client is told to wait, and the unit to
-	// which the time is rounded.
+	// minRetryAfter is the shortest retry time, and the unit to which retry times are
+	// rounded.
 	minRetryAfter = time.Second
-	// unavailableRetryAfter is the shortest time while the budget executes nothing.
+	// unavailableRetryAfter is the shortest retry time while the service is unavailable.
 	unavailableRetryAfter = 2 * time.Second
-	// maxRetryAfter is the longest time. A client retries for a minute in all, so it is left
-	// several attempts in any case.
+	// maxRetryAfter is the longest retry time. Clients retry for a minute in all, so 20 s
+	// leaves every client several attempts.
 	maxRetryAfter = 20 * time.Second
 )
 
-// RetryAfter returns when a refused client should retry: after the backlog should have
-// drained, in whole seconds from 1 s to 20 s. spread, from 0 up to but not including 1 and
-// different for each client, adds up to as much again, which prevents clients that were
-// refused together from retrying together.
+// RetryAfter returns the time after which a refused client should retry: the drain time of
+// the backlog, in whole seconds from 1 s to 20 s. spread, from 0 up to but not including 1
+// and different for each client, lengthens the time to less than twice its value, which
+// prevents clients that were refused together from retrying together.
 func (b Backlog) RetryAfter(spread float64) time.Duration {
 	wait := min(b.DrainTime(), maxRetryAfter/2)
 	if b.Unavailable {
@@ -45,6 +45,6 @@
 	return min(max(minRetryAfter, wait.Round(minRetryAfter)), maxRetryAfter)
 }
 
-// ShouldShed reports whether a new change would not be executed within the time that its
-// client waits, so that the request is better refused at once.
+// ShouldShed reports whether a new operation would be queued for longer than its client
+// waits. Such a request should be refused at once.
 func (b Backlog) ShouldShed(within time.Duration) bool { return b.DrainTime() > within }
--- a/internal/coordination/admission/sockets.go
+++ b/internal/coordination/admission/sockets.go
@@ -3,14 +3,14 @@
 // SocketBudget is the division of the sockets that a process may hold.
 type SocketBudget struct {
 	Public      int // connections of users and workers together
-	Users       int // of the public ones, those that users may hold; further ones are refused
-	KeepAlive   int // open public connections above which each is closed after its answer
+	Users       int // open public connections above which a new connection of a user is refused
+	KeepAlive   int // open public connections above which each is closed after its response
 	WorkerCalls int // outgoing calls to workers
-	State       int // connections to state service and cloud
-	Peers       int // connections to and from other controllers, and what the system needs
+	State       int // connections to the state service and the cloud
+	Peers       int // connections to and from other controllers, and sockets that the process itself needs
 }
 
-// Fixed parts of a socket budget, and the least and most of the divided ones.
+// Fixed parts of a socket budget, and the bounds of the parts that depend on the limit.
 const (
 	stateSockets       = 24
 	systemSockets      = 16
@@ -23,11 +23,11 @@
 	minKeepAlive       = 2
 )
 
-// DivideSockets divides a limit of open sockets. State service and peers have a fixed part.
-// Users may hold five sixths of the public connections, so that workers, whose leases
-// expire, connect when users have taken all of theirs. Connections are kept open up to
+// DivideSockets divides a limit of open sockets. The parts for the state service and for
+// each peer are fixed. Users are refused above five sixths of the public part, so that
+// workers can still connect before their leases expire. Idle connections are kept open up to
 // three fifths of the public part, which prevents a controller that has taken over the
-// machines of several from holding a socket for each machine and reaching its limit.
+// machines of several others from holding a socket for each machine and reaching the limit.
 func DivideSockets(limit, peers int) SocketBudget {
 	s := SocketBudget{State: stateSockets, Peers: systemSockets + socketsPerPeer*peers}
 	s.WorkerCalls = max(minWorkerCalls, min(maxWorkerCalls, limit/workerCallsDivisor))
--- a/internal/coordination/admission/throttle.go
+++ b/internal/coordination/admission/throttle.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Throttle spaces the passes of a loop, so that requests are answered between them however
-// long a pass takes and however often one is due.
+// Throttle determines the pauses between the passes of a loop, so that requests are answered
+// between passes regardless of how long a pass takes and how often a pass is due.
 type Throttle struct {
-	MaxShare  float64       // largest part of the time that passes take, above 0 and up to 1
-	MinPause  time.Duration // shortest pause between two passes if the next one is urgent
+	MaxShare  float64       // largest share of time that passes take, above 0 and up to 1
+	MinPause  time.Duration // shortest pause between two passes if the next pass is urgent
 	IdlePause time.Duration // shortest pause otherwise
-	MaxPause  time.Duration // longest pause after passes of up to a third of it
+	MaxPause  time.Duration // longest pause after a pass that took up to a third of MaxPause
 }
 
 const (
 	// idleShareDivisor divides MaxShare while nothing urgent waits.
 	idleShareDivisor = 2
-	// maxPausePasses bounds the pause after a long pass, in durations of that pass.
+	// maxPausePasses bounds the pause after a longer pass, as a multiple of the duration of
+	// that pass.
 	maxPausePasses = 3
 )
 
-// Pause returns how long to wait after a pass that took so long. While nothing urgent waits
-// (no client expects an answer within about a second), passes take half of their share, so
-// that more changes are processed together.
+// Pause returns the pause after a pass of the duration took. While nothing urgent waits (no
+// client expects an answer within about a second), the share is half of MaxShare, so that
+// one pass processes more changes.
 func (t Throttle) Pause(took time.Duration, urgent bool) time.Duration {
 	share, shortest := t.MaxShare, t.MinPause
 	if !urgent {
