--- a/internal/coordination/placement/besteffort.go
+++ b/internal/coordination/placement/besteffort.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// BestEffortCapacity is the capacity of a shard, in CPUs, as one pass over its queue sees it.
+// BestEffortCapacity describes the capacity of a shard, in CPUs, during one pass over the
+// shard's queue.
 type BestEffortCapacity struct {
 	Total       float64 // of the machines in use
-	Free        float64 // not used by any task
-	WarmReserve float64 // of the free capacity, kept for services that are about to start
+	Free        float64 // unused, on usable machines
+	WarmReserve float64 // part of Free that is kept for services that are about to start
 	InUse       float64 // used by best-effort tasks
 	Contended   bool    // other work waits for capacity
 }
 
-// Available returns how many CPUs best-effort work may start to use now. share, from 0 to 1,
-// is the part of the total that best-effort work may use even while other work waits, as
-// far as it is free. While none waits it may use all that is free but the warm reserve, or
-// the rest of its share where that is more.
+// Available returns how many more CPUs best-effort work may use now. share, from 0 to 1, is
+// the part of Total that best-effort work may use even while other work waits, as far as
+// that part is free. While no other work waits, best-effort work may use all free capacity
+// except the warm reserve, or the free part of its remaining share if that is more.
 func (c BestEffortCapacity) Available(share float64) float64 {
 	remainingShare := share*c.Total - c.InUse
 	if c.Contended {
@@ -30,11 +31,11 @@
 // quotient just below a whole number counts as that number.
 const roundingTolerance = 1e-6
 
-// MaxTasks returns how many tasks of so many CPUs may start in the available capacity. It is
-// at least 1 where no best-effort task runs: on a small shard the share may be less than a
-// task, and what is free no more than the warm reserve for ever. It is also at least 1 for a
-// job of which nothing has started yet, which prevents one job with hours of work from
-// keeping small jobs behind it waiting. Tasks without CPUs are not limited.
+// MaxTasks returns how many tasks of the given CPUs may start in the available capacity. The
+// result is at least 1 where no best-effort task runs: on a small shard the share may be
+// less than one task, and the free capacity may never exceed the warm reserve. The result is
+// also at least 1 for a job that has not started, which prevents one job with hours of work
+// from delaying the small jobs queued behind it. Tasks without CPUs are not limited.
 func (c BestEffortCapacity) MaxTasks(share, cpus float64, started bool) int {
 	if cpus <= 0 {
 		return math.MaxInt32
@@ -46,14 +47,15 @@
 	return tasks
 }
 
-// maxUnplaced is how long a started job waits with none of its tasks placed before it counts
-// as not started. It is then granted one more task beside the jobs of its priority.
+// maxUnplaced is how long a started job may wait with none of its tasks placed before the job
+// counts as not started. The job is then granted one task even if other jobs of its priority
+// use the whole share.
 const maxUnplaced = 30 * time.Second
 
 // HasStarted reports whether a job counts as started for MaxTasks: some of its tasks have
-// started, and it has not been without a placed task for long. The share may be as small as
-// one task; the bound prevents one array's hours of work from keeping another started array
-// waiting beside free capacity.
+// started, and the job has had no placed task for less than maxUnplaced. The share may be as
+// small as one task; the bound prevents an array with hours of work from blocking another
+// started array although capacity is free.
 func HasStarted(anyStarted bool, unplacedFor time.Duration) bool {
 	return anyStarted && unplacedFor < maxUnplaced
 }
@@ -61,8 +63,9 @@
 // SplitArrayDemand returns how many more CPUs should be provisioned for normal and for
 // best-effort arrays. normalDemand and bestEffortDemand are the CPUs with which the arrays
 // would complete in time. supply is the CPUs that run arrays or are free; best-effort arrays
-// leave warmReserve of it free. They are provisioned for last, and for at most
-// bestEffortLimit however much of them waits, since they are meant to use what others leave.
+// leave warmReserve of the supply free. Machines are provisioned for best-effort arrays last,
+// and for at most bestEffortLimit CPUs of their demand, since best-effort arrays are meant to
+// use the capacity that other work leaves.
 func SplitArrayDemand(normalDemand, bestEffortDemand, supply, warmReserve, bestEffortLimit float64) (normal, bestEffort float64) {
 	normal = max(0, normalDemand-supply)
 	bestEffortDemand = min(bestEffortDemand, bestEffortLimit)
--- a/internal/coordination/placement/besteffort_test.go
+++ b/internal/coordination/placement/besteffort_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Best-effort work may use all free capacity but the warm reserve, and a small share while
-// other work waits.
+// Best-effort work may use all free capacity except the warm reserve, and only a small share
+// while other work waits.
 func TestBestEffortIsLimitedToShareWhileOthersWait(t *testing.T) {
 	for name, c := range map[string]struct {
 		capacity BestEffortCapacity
@@ -21,31 +21,31 @@
 		"it uses much, others wait since":      {BestEffortCapacity{Total: 400, Free: 10, InUse: 300, Contended: true}, 0},
 	} {
 		if got := c.capacity.Available(0.05); got != c.want {
-			t.Errorf("%s: %v, wanted %v", name, got, c.want)
+			t.Errorf("%s: got %v CPUs, want %v", name, got, c.want)
 		}
 	}
 	if got := (BestEffortCapacity{Total: 400, Free: 41, WarmReserve: 40, InUse: 100}).MaxTasks(0.05, 0.25, true); got != 4 {
-		t.Errorf("%d tasks of a quarter CPU in one CPU", got)
+		t.Errorf("%d tasks of a quarter CPU may use one CPU", got)
 	}
 }
 
-// On a small shard a best-effort task may be larger than the share, and all that is free may
-// be the warm reserve. One task is granted anyway, so that no array waits for ever.
+// On a small shard a best-effort task may be larger than the share, and the warm reserve may
+// be all the free capacity. One task is granted nevertheless, so that no array waits forever.
 func TestOneBestEffortTaskRunsOnSmallShard(t *testing.T) {
 	capacity := BestEffortCapacity{Total: 8, Free: 2, WarmReserve: 1, Contended: true}
 	if got := capacity.MaxTasks(0.05, 2, true); got != 1 {
-		t.Errorf("%d tasks where none runs", got)
+		t.Errorf("got %d tasks although no best-effort task runs", got)
 	}
 	if capacity.InUse = 2; capacity.MaxTasks(0.05, 2, true) != 0 {
-		t.Error("more than one while others wait")
+		t.Error("a second task is granted while other work waits")
 	}
 	if capacity.InUse = 400; capacity.MaxTasks(0.05, 2, false) != 1 {
-		t.Error("a tiny job waits behind another best-effort job's hours of work")
+		t.Error("a job that has not started is delayed by another best-effort job")
 	}
 }
 
-// Normal arrays are provisioned for first, best-effort ones up to a limit and without the warm
-// reserve.
+// Machines are provisioned for normal arrays first, and for best-effort arrays up to a limit
+// and without use of the warm reserve.
 func TestArrayDemandOfBestEffortIsBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		normalDemand, bestEffortDemand, supply, warmReserve, total, normal, bestEffort float64
@@ -57,13 +57,13 @@
 		"the warm reserve is not for best-effort work":     {0, 50, 40, 30, 1000, 0, 40},
 	} {
 		if normal, bestEffort := SplitArrayDemand(c.normalDemand, c.bestEffortDemand, c.supply, c.warmReserve, 0.15*c.total); normal != c.normal || bestEffort != c.bestEffort {
-			t.Errorf("%s: %v and %v", name, normal, bestEffort)
+			t.Errorf("%s: %v CPUs for normal and %v for best-effort arrays", name, normal, bestEffort)
 		}
 	}
 }
 
-// A started array of which nothing is placed counts as not started after a while; one that
-// runs counts as started.
+// A started array without a placed task counts as not started after maxUnplaced, and as
+// started before.
 func TestStartedArrayWithoutPlacedTasksCountsAsNotStarted(t *testing.T) {
 	for _, c := range []struct {
 		anyStarted  bool
--- a/internal/coordination/placement/capacity.go
+++ b/internal/coordination/placement/capacity.go
@@ -9,42 +9,43 @@
 	"madderslip/internal/protocol"
 )
 
-// tolerance is what rounding may leave of amounts that should be equal.
+// tolerance is the largest difference that rounding may leave between equal amounts.
 const tolerance = protocol.ResourceTolerance
 
-// Capacity is what a machine has free, as one pass over a queue sees it. The pass changes
-// it as it places tasks.
+// Capacity describes the free capacity of a machine during one pass over a queue. The pass
+// updates the description as it places tasks.
 type Capacity struct {
 	Host, TypeName, Zone string
 	Shard                string
 	Spot                 bool
-	Usable               bool      // new tasks may start there
-	BootsAt              time.Time // when it should be up; zero: it is up
+	Usable               bool      // new tasks may start on the machine
+	BootsAt              time.Time // expected end of the boot; zero: the machine is not booting
 	Free                 protocol.MachineResources
 	Type                 *protocol.MachineType
-	Machine              *replica.Machine // nil: not there yet
-	IncomingImage        string           // an image that a task placed in this pass brings
+	Machine              *replica.Machine // nil: not provisioned yet
+	IncomingImage        string           // image that the machine fetches for a task placed in this pass
 	Reservation          Reservation
-	// Releases and Victims are known once Detailed is set.
+	// Releases and Victims are set only if Detailed is true.
 	Detailed  bool
 	Releases  []replica.Release
 	Victims   []replica.Victim
-	AvoidedBy map[string]bool // jobs whose tasks failed there of late
-	// KeptForGPUJobs and KeptFromBestEffort keep an idle machine with GPUs from arrays that
-	// use none, and from those of them that are best effort.
+	AvoidedBy map[string]bool // jobs whose tasks failed recently on the machine
+	// KeptForGPUJobs keeps an idle machine with GPUs from all arrays without GPUs,
+	// KeptFromBestEffort only from the best-effort ones among these arrays.
 	KeptForGPUJobs     bool
 	KeptFromBestEffort bool
 }
 
-// Reservation is a reservation of EASY backfilling: only what ends by then, or fits beside
-// the job that it is for, may still start on the machine.
+// Reservation reserves a machine for a job, as in EASY backfilling: a task of another job may
+// start on the machine only if the task is expected to end by From or fits into Spare.
 type Reservation struct {
-	JobID string // empty: none
+	JobID string // empty: the machine is not reserved
 	From  time.Time
-	Spare protocol.MachineResources // what is left beside the job from then on
+	Spare protocol.MachineResources // free capacity beside the reserved job from From on
 }
 
-// HasImage reports whether the machine has an image, or has been given work that brings it.
+// HasImage reports whether the machine holds an image, or fetches it for a task placed in
+// this pass.
 func (c *Capacity) HasImage(image string) bool {
 	return c.IncomingImage == image || (c.Machine != nil && c.Machine.HasImage(image))
 }
@@ -52,7 +53,8 @@
 // Fits reports whether a task of a job fits into the free capacity.
 func (c *Capacity) Fits(spec *protocol.Submission) bool { return c.Free.Fits(spec) }
 
-// Accepts reports whether new tasks of a job may go there, capacity left aside.
+// Accepts reports whether new tasks of a job may start on the machine, regardless of its free
+// capacity.
 func (c *Capacity) Accepts(spec *protocol.Submission, zones *ZoneConstraint) bool {
 	return c.Usable && Allowed(spec, c.TypeName, c.Zone, c.Spot) && zones.Permits(c.Zone)
 }
@@ -63,7 +65,7 @@
 // Allocate takes one task's resources from the free capacity.
 func (c *Capacity) Allocate(spec *protocol.Submission) { c.Free = c.Free.Minus(spec, 1) }
 
-// ImagePullTime returns how long the machine should need to fetch a job's image.
+// ImagePullTime returns the expected time in which the machine fetches a job's image.
 func (c *Capacity) ImagePullTime(spec *protocol.Submission) time.Duration {
 	if c.HasImage(spec.Image) || c.Type.ImagePullGBps <= 0 {
 		return 0
@@ -71,12 +73,12 @@
 	return protocol.Seconds(spec.ImageGB / c.Type.ImagePullGBps)
 }
 
-// reservedForOther reports whether the machine is reserved for another job.
-func (c *Capacity) reservedForOther(jobID string) bool {
+// isReservedForOther reports whether the machine is reserved for another job.
+func (c *Capacity) isReservedForOther(jobID string) bool {
 	return c.Reservation.JobID != "" && c.Reservation.JobID != jobID
 }
 
-// Allowed reports whether a job's tasks may run on a kind of machine at all.
+// Allowed reports whether a job's submission permits its tasks to run on a kind of machine.
 func Allowed(spec *protocol.Submission, typeName, zone string, spot bool) bool {
 	allowsType := len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, typeName)
 	allowsZone := spec.Zone == "" || spec.Zone == zone
@@ -88,13 +90,14 @@
 	return protocol.ResourcesOf(machineType).Fits(spec)
 }
 
-// LargestFree returns the most that any usable machine has free of each resource. A task
-// that does not fit into it fits nowhere.
+// LargestFree returns, for each resource, the largest amount that any usable machine has
+// free. A task that does not fit into the result fits on no machine.
 func LargestFree(capacities []*Capacity) protocol.MachineResources {
 	return IncludingFree(protocol.MachineResources{}, capacities)
 }
 
-// IncludingFree returns the greater of an earlier LargestFree and what is free now.
+// IncludingFree returns, for each resource, the greater of an earlier result of LargestFree
+// and the largest amount that any usable machine has free now.
 func IncludingFree(largest protocol.MachineResources, capacities []*Capacity) protocol.MachineResources {
 	for _, capacity := range capacities {
 		if capacity.Usable {
@@ -104,10 +107,10 @@
 	return largest
 }
 
-// quotient is an amount of a resource and what one task uses of it.
+// quotient is an amount of a resource and the amount that one task uses.
 type quotient struct{ amount, perTask float64 }
 
-// TasksThatFit counts the tasks of a job that the free capacity takes now, up to a limit.
+// TasksThatFit counts the tasks of a job that fit into the free capacity now, up to a limit.
 func TasksThatFit(spec *protocol.Submission, jobID string, capacities []*Capacity, limit int) int {
 	zones := NewZoneConstraint(spec, nil)
 	count := 0
@@ -115,7 +118,7 @@
 		if count >= limit {
 			break
 		}
-		if !capacity.Accepts(spec, &zones) || capacity.AvoidedBy[jobID] || capacity.reservedForOther(jobID) {
+		if !capacity.Accepts(spec, &zones) || capacity.AvoidedBy[jobID] || capacity.isReservedForOther(jobID) {
 			continue
 		}
 		fit := math.MaxInt32
@@ -130,7 +133,7 @@
 	return min(count, limit)
 }
 
-// maxTasksPerMachine bounds TasksPerMachine for tasks that use next to nothing.
+// maxTasksPerMachine bounds TasksPerMachine for tasks that use hardly any resources.
 const maxTasksPerMachine = 1000
 
 // TasksPerMachine returns how many tasks of a job fit an empty machine of a type, at least
--- a/internal/coordination/placement/gpumachines.go
+++ b/internal/coordination/placement/gpumachines.go
@@ -2,15 +2,16 @@
 
 import "madderslip/internal/protocol"
 
-// isIdleGPUMachine reports whether a machine with GPUs runs nothing.
+// isIdleGPUMachine reports whether the machine has GPUs, is usable and runs no task.
 func (c *Capacity) isIdleGPUMachine() bool {
 	return c.Usable && c.Type.GPUs > 0 && c.Free.GPUs+tolerance >= c.Type.GPUs && c.Free.CPUs+tolerance >= c.Type.CPUs
 }
 
-// KeepGPUMachines keeps some idle machines with GPUs for jobs that need the GPUs:
-// preempting an array's tasks for each of them throws work away. More of them are kept
-// from best-effort arrays, which may run for as long as they like: a gang behind them
-// waits until they have saved a checkpoint, and then for its image.
+// KeepGPUMachines keeps idle machines with GPUs for jobs that need GPUs, since preempting an
+// array's tasks for such a job loses their work. It keeps fromArrays machines from all arrays
+// without GPUs and fromBestEffort machines from the best-effort ones among them. More
+// machines are kept from best-effort arrays, whose run time is not bounded: a gang that
+// preempts them waits for their checkpoints and then for the fetch of its image.
 func KeepGPUMachines(capacities []*Capacity, fromArrays, fromBestEffort int) {
 	for _, capacity := range capacities {
 		if !capacity.isIdleGPUMachine() {
@@ -22,8 +23,9 @@
 	}
 }
 
-// ReleaseGPUMachine no longer keeps one of those machines in this pass, for an array that
-// has waited beside it for too long, and reports whether there was one that takes it.
+// ReleaseGPUMachine lets all work use one of the kept machines for the rest of the pass, for
+// an array that has waited too long, and reports whether a kept machine has capacity for the
+// array.
 func ReleaseGPUMachine(spec *protocol.Submission, jobID string, capacities []*Capacity, zones *ZoneConstraint) bool {
 	for _, capacity := range capacities {
 		kept := capacity.KeptForGPUJobs || capacity.KeptFromBestEffort
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -10,16 +10,18 @@
 	"madderslip/internal/protocol"
 )
 
-// lowerPriority lets a job preempt tasks of lower priority alone.
-type lowerPriority struct{ spec *protocol.Submission }
+// lowerPriorityPolicy is a PreemptionPolicy that permits the preemption of tasks of lower priority
+// only.
+type lowerPriorityPolicy struct{ spec *protocol.Submission }
 
-func (lowerPriority) Reset()                            {}
-func (lowerPriority) RecordPreemption([]replica.Victim) {}
-func (p lowerPriority) MayPreempt(victim *protocol.Submission, _ []replica.Victim) bool {
+func (lowerPriorityPolicy) Reset()                            {}
+func (lowerPriorityPolicy) RecordPreemption([]replica.Victim) {}
+func (p lowerPriorityPolicy) MayPreempt(victim *protocol.Submission, _ []replica.Victim) bool {
 	return victim.Priority() < p.spec.Priority()
 }
 
-// capacitiesOf makes machines of a type with so many CPUs free, in zones a and b by turns.
+// capacitiesOf returns machines of a type with the given free CPUs, alternately in zones a
+// and b.
 func capacitiesOf(t *protocol.MachineType, free ...float64) []*Capacity {
 	var capacities []*Capacity
 	for i, cpus := range free {
@@ -29,42 +31,43 @@
 	return capacities
 }
 
-// A gang's reservation covers all of its machines, in one zone if it must: one
-// machine held while arrays took the others never let it start.
+// A gang's reservation covers the machines of all its tasks, in one zone if the gang requires
+// that. With only one machine reserved, arrays take the others and the gang never starts.
 func TestReservationCoversWholeGang(t *testing.T) {
 	now := time.Now()
-	typ := &protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}
-	capacities := capacitiesOf(typ, 8, 0, 0, 8, 0, 0)
-	short := &protocol.Submission{CPUs: 8, Shape: protocol.ShapeArray}
+	machineType := &protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}
+	capacities := capacitiesOf(machineType, 8, 0, 0, 8, 0, 0)
+	array := &protocol.Submission{CPUs: 8, Shape: protocol.ShapeArray}
 	for i, after := range []time.Duration{0, 9, 30, 0, 20, 10} {
 		if capacities[i].Free.CPUs == 0 {
-			capacities[i].Releases = []replica.Release{{At: now.Add(after * time.Second), Spec: short}}
+			capacities[i].Releases = []replica.Release{{At: now.Add(after * time.Second), Spec: array}}
 		}
 	}
 	gang := &protocol.Submission{Shape: protocol.ShapeGang, Tasks: 3, CPUs: 8, SameZone: true}
-	z := NewZoneConstraint(gang, nil)
-	held, start := Reserve(gang, "wk-1", capacities, &z, 3, now)
+	zones := NewZoneConstraint(gang, nil)
+	reserved, start := Reserve(gang, "wk-1", capacities, &zones, 3, now)
 	var hosts []string
-	for _, r := range held {
+	for _, r := range reserved {
 		hosts = append(hosts, r.Host)
 	}
 	slices.Sort(hosts)
-	// Zone b has a free machine, one free in 9 s and one in 10 s; zone a needs 30.
+	// Zone b has a free machine, one that is free in 9 s and one that is free in 10 s. In zone
+	// a the third machine is free in 30 s.
 	if !slices.Equal(hosts, []string{"vm-1", "vm-3", "vm-5"}) || !start.Equal(now.Add(10*time.Second)) {
-		t.Fatalf("held %v from %v on", hosts, start.Sub(now))
+		t.Fatalf("reserved %v, start after %v", hosts, start.Sub(now))
 	}
-	if Select(short, "wk-2", capacities, &ZoneConstraint{}, 30*time.Second, now) != 0 {
-		t.Fatal("a long task must go beside the reservation")
+	if Select(array, "wk-2", capacities, &ZoneConstraint{}, 30*time.Second, now) != 0 {
+		t.Fatal("a task that ends after the reservation's start is not placed on the free machine without a reservation")
 	}
 }
 
-// A plan to preempt is for all of a gang's tasks or for none.
+// A preemption plan makes capacity for all of a gang's tasks or for none.
 func TestGangPreemptionIsPlannedWhole(t *testing.T) {
 	now := time.Now()
-	typ := &protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}
+	machineType := &protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}
 	array := &protocol.Submission{Shape: protocol.ShapeArray, CPUs: 8, PriorityClass: "normal"}
 	service := &protocol.Submission{Shape: protocol.ShapeService, CPUs: 8, PriorityClass: "critical"}
-	capacities := capacitiesOf(typ, 0, 0, 8)
+	capacities := capacitiesOf(machineType, 0, 0, 8)
 	for i, s := range []*protocol.Submission{array, service} {
 		capacities[i].Victims = []replica.Victim{{Claim: &replica.Claim{Spec: s, Key: fmt.Sprint(i)}, StartedAt: now.Add(-time.Minute)}}
 	}
@@ -72,10 +75,10 @@
 		gang := &protocol.Submission{Shape: protocol.ShapeGang, Tasks: tasks, CPUs: 8, PriorityClass: "high"}
 		entry := &QueueEntry{Job: &replica.Job{ID: "wk-1", ChunkSize: tasks}, Spec: gang}
 		zones := NewZoneConstraint(gang, nil)
-		return PlanPreemption(entry, capacities, &zones, lowerPriority{gang}, now)
+		return PlanPreemption(entry, capacities, &zones, lowerPriorityPolicy{gang}, now)
 	}
 	if evictions := plan(3); evictions != nil {
-		t.Fatalf("planned %v although a service is in the way", evictions)
+		t.Fatalf("planned %v although the service may not be preempted", evictions)
 	}
 	evictions := plan(2)
 	if len(evictions) != 2 || len(evictions[0].Victims)+len(evictions[1].Victims) != 1 {
--- a/internal/coordination/placement/preempt.go
+++ b/internal/coordination/placement/preempt.go
@@ -9,34 +9,35 @@
 	"madderslip/internal/protocol"
 )
 
-// PreemptionPolicy says whose tasks may be stopped for a job. It counts what a plan takes
-// from each team.
+// PreemptionPolicy determines which tasks may be preempted for a job. It counts the victims
+// of a plan by team.
 type PreemptionPolicy interface {
-	// Reset forgets what was recorded: a plan is begun anew.
+	// Reset discards the recorded preemptions, before a new plan is made.
 	Reset()
-	// MayPreempt reports whether a task of another job may be stopped, beside those chosen
-	// for the same task of the job so far.
+	// MayPreempt reports whether a task of another job may be preempted, in addition to the
+	// victims chosen so far for the same task of the job.
 	MayPreempt(victim *protocol.Submission, chosen []replica.Victim) bool
-	// RecordPreemption counts what was chosen for one task of the job.
+	// RecordPreemption counts the victims chosen for one task of the job.
 	RecordPreemption(victims []replica.Victim)
 }
 
-// Eviction is a machine and what is to be stopped there for one more task. Without victims
-// there is capacity already.
+// Eviction is a machine and the tasks to be stopped there to make capacity for one more
+// task. Without victims the machine has that capacity already.
 type Eviction struct {
 	Capacity *Capacity
 	Victims  []replica.Victim
 }
 
-// maxPreemptions bounds the tasks that one pass makes capacity for.
+// maxPreemptions bounds the tasks for which one plan makes capacity. It does not bound the
+// tasks of a gang, which must start together.
 const maxPreemptions = 16
 
-// missingImageCost is added to the cost of preempting on a machine without the image: its
-// fetch delays the start.
+// missingImageCost is added, in CPU seconds of lost work, to the cost of preempting on a
+// machine without the image, since the fetch of the image delays the start.
 const missingImageCost = 1000
 
-// PlanPreemption plans capacity for as many tasks of a queue entry as can have it, or for
-// all if they must start together. The capacities are left as they were.
+// PlanPreemption plans capacity for as many tasks of a queue entry as possible, or for all or
+// none of them if they must start together. The capacities are not changed.
 func PlanPreemption(entry *QueueEntry, capacities []*Capacity, zones *ZoneConstraint, policy PreemptionPolicy, now time.Time) []Eviction {
 	if entry.StartsTogether() {
 		return planGangPreemption(entry, capacities, zones, policy, now)
@@ -54,8 +55,8 @@
 	return trial.plan
 }
 
-// planGangPreemption plans capacity for all tasks of a gang, in the zone where that throws
-// the least work away, or none. The capacities are left as they were.
+// planGangPreemption plans capacity for all tasks of a gang, in the zone where the plan loses
+// the least work, or returns nil if there is no such plan. The capacities are not changed.
 func planGangPreemption(entry *QueueEntry, capacities []*Capacity, zones *ZoneConstraint, policy PreemptionPolicy, now time.Time) []Eviction {
 	var best []Eviction
 	bestCost := math.Inf(1)
@@ -85,9 +86,10 @@
 	return best
 }
 
-// selectForGang chooses a machine for the next task of a gang: free capacity where the
-// image is, else what can be preempted where it is, else any free capacity. The index is -1
-// if there is none.
+// selectForGang selects a machine for the next task of a gang: free capacity on a machine
+// that holds the image; else the cheapest preemption, if its machine holds the image or no
+// machine has free capacity; else any free capacity. The index is -1 if there is none of
+// these.
 func selectForGang(entry *QueueEntry, trial *preemptionTrial, policy PreemptionPolicy, now time.Time) (index int, victims []replica.Victim) {
 	spec, jobID := entry.Spec, entry.Job.ID
 	index = Select(spec, jobID, trial.capacities, &trial.zones, 0, now)
@@ -101,7 +103,7 @@
 	return index, nil
 }
 
-// preemptionTrial tries a plan on copies of the capacities.
+// preemptionTrial builds a plan on copies of the capacities.
 type preemptionTrial struct {
 	original   []*Capacity
 	capacities []*Capacity
@@ -116,7 +118,7 @@
 // apply adds an eviction for one task to the plan and returns the changed copy of its
 // capacity.
 func (t *preemptionTrial) apply(spec *protocol.Submission, index int, victims []replica.Victim) *Capacity {
-	capacity := t.own(index)
+	capacity := t.writableCopy(index)
 	for _, victim := range victims {
 		capacity.Release(victim.Claim.Spec)
 	}
@@ -127,10 +129,10 @@
 	return capacity
 }
 
-// own returns a copy of a capacity that the trial may change. Only those that a plan
-// changes are copied: copying all of them for each plan takes a sixth of the processor time
-// when services preempt arrays.
-func (t *preemptionTrial) own(index int) *Capacity {
+// writableCopy returns the trial's copy of a capacity, which the trial may change. Only the capacities
+// that a plan changes are copied: copying all capacities for each plan takes a sixth of the
+// processor time when services preempt arrays.
+func (t *preemptionTrial) writableCopy(index int) *Capacity {
 	if t.capacities[index] == t.original[index] {
 		copied := *t.original[index]
 		t.capacities[index] = &copied
@@ -138,7 +140,7 @@
 	return t.capacities[index]
 }
 
-// WithoutVictims returns a list of victims without some of them.
+// WithoutVictims returns a copy of victims without the removed ones.
 func WithoutVictims(victims, removed []replica.Victim) []replica.Victim {
 	return slices.DeleteFunc(slices.Clone(victims), func(victim replica.Victim) bool {
 		return slices.ContainsFunc(removed, func(other replica.Victim) bool {
@@ -147,9 +149,9 @@
 	})
 }
 
-// SelectVictims chooses the machine where making capacity for one task throws the least
-// work away, and the tasks to stop there. The index is -1 and the list empty if there is
-// none.
+// SelectVictims selects the machine on which making capacity for one task has the lowest
+// cost, lost work and a missing image, and the tasks to be preempted there. Without such a
+// machine the index is -1 and the list is empty.
 func SelectVictims(spec *protocol.Submission, jobID string, capacities []*Capacity, zones *ZoneConstraint, policy PreemptionPolicy, now time.Time) (index int, victims []replica.Victim) {
 	index = -1
 	bestCost := math.Inf(1)
@@ -171,17 +173,19 @@
 	return index, victims
 }
 
-// mayPreemptOn reports whether tasks may be preempted on a machine for a job at all.
+// mayPreemptOn reports whether a machine may be considered for preemptions for a job,
+// regardless of the tasks that run on the machine.
 func mayPreemptOn(spec *protocol.Submission, jobID string, capacity *Capacity, zones *ZoneConstraint) bool {
-	if !capacity.Accepts(spec, zones) || capacity.AvoidedBy[jobID] || capacity.reservedForOther(jobID) {
+	if !capacity.Accepts(spec, zones) || capacity.AvoidedBy[jobID] || capacity.isReservedForOther(jobID) {
 		return false
 	}
 	wastesGPUs := spec.GPUs == 0 && capacity.Type.GPUs > 0 && capacity.Free.GPUs > 0
 	return FitsEmpty(spec, capacity.Type) && !wastesGPUs
 }
 
-// victimsOn chooses the tasks to stop on a machine for one task, in the order of its
-// victims, with the work that is lost, and reports whether that is enough.
+// victimsOn selects the tasks to be preempted on a machine to make capacity for one task, in
+// the order of the machine's victims, and returns the lost work as cost. enough reports
+// whether the task then fits.
 func victimsOn(spec *protocol.Submission, capacity *Capacity, policy PreemptionPolicy, now time.Time) (chosen []replica.Victim, cost float64, enough bool) {
 	free := capacity.Free
 	for _, victim := range capacity.Victims {
--- a/internal/coordination/placement/queue.go
+++ b/internal/coordination/placement/queue.go
@@ -8,18 +8,19 @@
 	"madderslip/internal/protocol"
 )
 
-// QueueEntry is a queued chunk at one shard: unclaimed, or claimed with tasks left.
+// QueueEntry is a chunk of a job in the queue of one shard: an unclaimed chunk, or a claimed
+// chunk with unplaced tasks.
 type QueueEntry struct {
 	Job                  *replica.Job
 	Claim                *replica.Claim // nil: unclaimed
 	Chunk                int
 	Spec                 *protocol.Submission
-	WithinGuarantee      bool // of its team
-	OnProbation          bool // the job fails wherever it runs: one task of it is tried at a time
-	StartsAhead          bool // one task of it starts ahead of its turn
-	BestEffort           bool // it takes what others leave
-	MaxBestEffortTasks   int  // that may start now, where BestEffort is set
-	OverdueForGPUMachine bool // it has waited for too long beside machines kept for GPU jobs
+	WithinGuarantee      bool // the entry is within the guarantee of its team
+	OnProbation          bool // the job fails on every machine, so that one of its tasks is started at a time
+	StartsAhead          bool // one task of the entry starts ahead of its turn
+	BestEffort           bool // the entry uses the capacity that other work leaves
+	MaxBestEffortTasks   int  // tasks that may start now, if BestEffort is set
+	OverdueForGPUMachine bool // an array that has waited so long that it may use a machine kept for GPU jobs
 }
 
 // TaskRange returns the entry's first task and their number.
@@ -39,27 +40,30 @@
 	return e.UnplacedTasks()
 }
 
-// UnplacedTasks counts the entry's tasks that have no machine, at most one of a job on
-// probation that is not a gang.
+// UnplacedTasks counts the entry's tasks that are neither placed nor completed. For a job on
+// probation that is not a gang the count is at most one.
 func (e *QueueEntry) UnplacedTasks() int {
 	_, count := e.TaskRange()
 	if e.Claim != nil && e.Claim.Latest() != nil {
 		record := e.Claim.Latest()
 		count = max(0, count-record.CompletedCount()-len(record.Placements))
 	}
-	if e.triesOneTask() {
+	if e.isLimitedToOneTask() {
 		return min(count, 1)
 	}
 	return count
 }
 
-// triesOneTask reports whether only one task at a time may start: of a job on probation,
-// but not of a gang, of which nothing less than all can start.
-func (e *QueueEntry) triesOneTask() bool { return e.OnProbation && e.Spec.Shape != protocol.ShapeGang }
+// isLimitedToOneTask reports whether only one task of the entry may start at a time. This holds for
+// jobs on probation except gangs, whose tasks can only start all together.
+func (e *QueueEntry) isLimitedToOneTask() bool {
+	return e.OnProbation && e.Spec.Shape != protocol.ShapeGang
+}
 
-// MaxStarts bounds how many tasks may start now by what the entry itself allows.
+// MaxStarts returns limit, lowered to the number of tasks that the entry's own fields allow
+// to start now.
 func (e *QueueEntry) MaxStarts(limit int) int {
-	if e.StartsAhead || e.triesOneTask() {
+	if e.StartsAhead || e.isLimitedToOneTask() {
 		limit = min(limit, 1)
 	}
 	if e.BestEffort {
@@ -73,7 +77,8 @@
 	return e.Spec.Shape == protocol.ShapeGang && e.Spec.Tasks > 1
 }
 
-// MinTasks returns how many tasks must start for any to start: all of a gang, else one.
+// MinTasks returns the smallest number of tasks that may start: all placeable tasks of a
+// gang, otherwise one.
 func (e *QueueEntry) MinTasks() int {
 	if e.Spec.Shape == protocol.ShapeGang {
 		return e.PlaceableTasks()
@@ -81,12 +86,13 @@
 	return 1
 }
 
-// ClaimKey returns the key of the chunk's claim. Reservations on a guarantee go by it, not
-// by job: chunks of an array are claimed by several shards, and with one reservation for
-// all of them one chunk's would hide the others'.
+// ClaimKey returns the key of the chunk's claim. Reservations on a guarantee are identified
+// by claim rather than by job: the chunks of an array are claimed by several shards, and with
+// a single reservation per job the reservation of one chunk would hide those of the others.
 func (e *QueueEntry) ClaimKey() string { return e.Job.ClaimKey(e.Chunk) }
 
-// WaitedUnplaced returns for how long the entry has waited with none of its tasks placed.
+// WaitedUnplaced returns how long the entry has waited with none of its tasks placed. For a
+// claimed chunk the wait starts at the first call that finds the chunk without placements.
 func (e *QueueEntry) WaitedUnplaced(now time.Time) time.Duration {
 	if e.Claim == nil || e.Claim.Latest() == nil {
 		return now.Sub(e.Job.SeenAt)
@@ -100,14 +106,14 @@
 	return now.Sub(e.Claim.UnplacedSince)
 }
 
-// IsBestEffort reports whether work is of the lowest priority and an array: services and
-// gangs start whole or are missed.
+// IsBestEffort reports whether a job is an array of the lowest priority: services and gangs
+// start whole or are missed.
 func IsBestEffort(spec *protocol.Submission) bool {
 	return spec.Priority() == 0 && spec.Shape == protocol.ShapeArray
 }
 
-// RequestKey names what a job asks for, so that a pass does not try the same again for
-// every job alike.
+// RequestKey identifies the resources and constraints that a job requests, so that a pass
+// that found no capacity for one job skips the jobs with an equal request.
 type RequestKey struct {
 	resources    protocol.MachineResources
 	image        string
--- a/internal/coordination/placement/reserve.go
+++ b/internal/coordination/placement/reserve.go
@@ -9,19 +9,20 @@
 	"madderslip/internal/protocol"
 )
 
-// overdueDelay is when something that should have happened by now is expected.
+// overdueDelay is the time from now after which a boot or the end of a task is expected whose
+// expected time has passed.
 const overdueDelay = time.Second
 
-// futureSlot is capacity for one task that a machine has from some time on.
+// futureSlot is capacity for one task that a machine has from a time on.
 type futureSlot struct {
 	capacity *Capacity
-	freeAt   time.Time
-	readyAt  time.Time // when the image is there too
+	freeAt   time.Time // when the capacity is free
+	readyAt  time.Time // when the image is fetched as well
 }
 
-// Reserve reserves the machines on which so many tasks of a job can start together first,
-// the fetch of the image included. It returns them, and when that is; none if there are
-// not enough.
+// Reserve reserves the machines on which the given number of a job's tasks can start together
+// at the earliest time, the fetch of the image included. It returns these machines and that
+// time, or no machines if there are not enough.
 func Reserve(spec *protocol.Submission, jobID string, capacities []*Capacity, zones *ZoneConstraint, tasks int, now time.Time) (reserved []*Capacity, start time.Time) {
 	var best []futureSlot
 	for _, slots := range slotsByZone(spec, jobID, capacities, zones, tasks, now) {
@@ -44,7 +45,8 @@
 		}
 	}
 	for _, slot := range best {
-		// The machine's last slot decides, or when the others are ready.
+		// The image is fetched just in time for start. Of a machine's slots the last one
+		// determines the reservation.
 		from := slot.freeAt
 		if latest := start.Add(-slot.capacity.ImagePullTime(spec)); latest.After(from) {
 			from = latest
@@ -54,13 +56,13 @@
 	return reserved, start
 }
 
-// slotsByZone lists the future slots of all machines that a job may use, by zone if its
-// tasks must be in one, else all under "".
+// slotsByZone lists the future slots of all machines that a job may use, by zone if the job's
+// tasks must be in one zone, otherwise all under the key "".
 func slotsByZone(spec *protocol.Submission, jobID string, capacities []*Capacity, zones *ZoneConstraint, limit int, now time.Time) map[string][]futureSlot {
 	slots := make(map[string][]futureSlot)
 	for _, capacity := range capacities {
-		from, comes := availableFrom(capacity, now)
-		if !comes || !isReservable(spec, jobID, capacity, zones) {
+		from, available := availableFrom(capacity, now)
+		if !available || !isReservable(spec, jobID, capacity, zones) {
 			continue
 		}
 		zone := ""
@@ -72,9 +74,9 @@
 	return slots
 }
 
-// availableFrom returns from when on a machine can be used, if it can be. Machines that are
-// still booting count: otherwise the first ones up go to arrays while a gang waits for the
-// last.
+// availableFrom returns the time from which a machine can be used, and reports whether the
+// machine is usable or booting. Booting machines count, because otherwise arrays take the
+// first machines that boot while a gang waits for the last one.
 func availableFrom(capacity *Capacity, now time.Time) (time.Time, bool) {
 	switch {
 	case capacity.Usable:
@@ -87,16 +89,16 @@
 	return capacity.BootsAt, true
 }
 
-// isReservable reports whether a machine may be reserved for a job. One where the job has
-// just failed may not: the job can't start there for a while, and its reservation would
-// keep everybody else from the machine meanwhile.
+// isReservable reports whether a machine may be reserved for a job. A machine where the job
+// has recently failed may not be: the job cannot start there for a while, and its reservation
+// would keep all other jobs from the machine meanwhile.
 func isReservable(spec *protocol.Submission, jobID string, capacity *Capacity, zones *ZoneConstraint) bool {
 	return Allowed(spec, capacity.TypeName, capacity.Zone, capacity.Spot) && zones.Permits(capacity.Zone) &&
 		capacity.Reservation.JobID == "" && FitsEmpty(spec, capacity.Type) && !capacity.AvoidedBy[jobID]
 }
 
-// ReserveFor reserves capacity for so many tasks of a job from some time on. What is left
-// beside them then may be used without a limit of time.
+// ReserveFor reserves capacity for the given number of a job's tasks from a time on. The
+// capacity that is then free beside these tasks may be used by tasks of any run time.
 func (c *Capacity) ReserveFor(spec *protocol.Submission, jobID string, tasks int, from time.Time) {
 	spare := c.Free.Minus(spec, tasks)
 	for _, release := range c.Releases {
@@ -107,8 +109,8 @@
 	c.Reservation = Reservation{JobID: jobID, From: from, Spare: spare}
 }
 
-// appendFutureSlots adds the times at which a machine's running tasks will have left
-// capacity for one task, two, and so on, up to a limit.
+// appendFutureSlots appends the times at which a machine's running tasks will have released
+// capacity for one task, for two tasks, and so on, up to a limit.
 func appendFutureSlots(slots []futureSlot, spec *protocol.Submission, capacity *Capacity, limit int, now time.Time) []futureSlot {
 	free, at := capacity.Free, now
 	pull := capacity.ImagePullTime(spec)
@@ -132,8 +134,8 @@
 	return slots
 }
 
-// ShortestImagePull returns the shortest fetch of a job's image among the machines that may
-// run it, or 0 if there are none.
+// ShortestImagePull returns the shortest time in which a machine that may run a job fetches
+// the job's image, or 0 if there is no such machine.
 func ShortestImagePull(spec *protocol.Submission, capacities []*Capacity, zones *ZoneConstraint) time.Duration {
 	shortest := time.Duration(-1)
 	for _, capacity := range capacities {
--- a/internal/coordination/placement/score.go
+++ b/internal/coordination/placement/score.go
@@ -8,10 +8,10 @@
 	"madderslip/internal/protocol"
 )
 
-// Select returns the index of the machine that is best for one task of a job, or -1: one
-// that holds the image, else the most free capacity in the job's zone or, for services, in
-// the zone where the service has the fewest tasks. runtime is the task's expected run time;
-// 0: unknown, so that it may not start on a machine that is reserved.
+// Select returns the index of the feasible machine with the best score for one task of a job,
+// or -1 if no machine is feasible. runtime is the task's expected run time; 0 means that it
+// is unknown, so that on a machine reserved for another job the task may only use the
+// reservation's spare capacity.
 func Select(spec *protocol.Submission, jobID string, capacities []*Capacity, zones *ZoneConstraint, runtime time.Duration, now time.Time) int {
 	best, bestScore := -1, score{}
 	for i, capacity := range capacities {
@@ -31,23 +31,23 @@
 	if !capacity.Accepts(spec, zones) || !capacity.Fits(spec) || capacity.AvoidedBy[jobID] {
 		return false
 	}
-	if capacity.reservedForOther(jobID) && !canBackfill(spec, capacity, runtime, now) {
+	if capacity.isReservedForOther(jobID) && !canBackfill(spec, capacity, runtime, now) {
 		return false
 	}
 	kept := capacity.KeptForGPUJobs || (capacity.KeptFromBestEffort && IsBestEffort(spec))
 	return spec.GPUs > 0 || spec.Shape != protocol.ShapeArray || !kept
 }
 
-// score ranks the machines for one task. The lower one is better; an earlier field counts
-// before all later ones.
+// score ranks a machine for one task. The lower score is better; an earlier field takes
+// precedence over all later ones.
 type score struct {
-	gpuMisuse    int // work without GPUs leaves machines with free GPUs to those that need them
-	missingImage int
-	preference   int     // services: tasks in the zone; what may run on spot instances: not one
-	packing      float64 // with the image: fullest first; without: the most free CPUs first
+	gpuMisuse    int     // cost of a machine with free GPUs, which are left to jobs that need GPUs; 0 for these jobs
+	missingImage int     // 1 on a machine without the image
+	preference   int     // services: their tasks in the zone; other jobs that allow spot instances: 1 on demand
+	packing      float64 // with the image: the fullest machine first; without: the most free CPUs first
 }
 
-// compare orders scores, the better one first.
+// compare orders scores, the better score first.
 func (s score) compare(other score) int {
 	switch {
 	case s.gpuMisuse != other.gpuMisuse:
@@ -60,8 +60,8 @@
 	return cmp.Compare(s.packing, other.packing)
 }
 
-// The costs of work without GPUs on a machine with free GPUs. Most work that needs GPUs may
-// not run on spot instances.
+// Costs of placing a task without GPUs on a machine with free GPUs. The cost is lower on spot
+// instances, since most jobs that need GPUs may not run on these.
 const (
 	gpuMisuseSpot     = 1
 	gpuMisuseOnDemand = 2
@@ -90,7 +90,7 @@
 }
 
 // canBackfill reports whether a task may start on a reserved machine without delaying the
-// job that it is reserved for.
+// job for which the machine is reserved.
 func canBackfill(spec *protocol.Submission, capacity *Capacity, runtime time.Duration, now time.Time) bool {
 	if spec.Shape != protocol.ShapeService && runtime > 0 && !now.Add(runtime).After(capacity.Reservation.From) {
 		return true
@@ -101,7 +101,7 @@
 // Assignment is a task and the machine chosen for it.
 type Assignment struct {
 	Task  int
-	Index int // in the capacities that it was chosen from
+	Index int // of the machine, in the capacities from which it was chosen
 }
 
 // ReleaseAssignments undoes assignments of a job's tasks.
--- a/internal/coordination/placement/zones.go
+++ b/internal/coordination/placement/zones.go
@@ -7,10 +7,10 @@
 	"madderslip/internal/protocol"
 )
 
-// ZoneConstraint says where the next task of a job may go, given all its tasks that are or
-// may be on machines, earlier attempts included.
+// ZoneConstraint restricts the zones of a job's next task, given the zones of all its tasks
+// that run or may run, earlier attempts included.
 type ZoneConstraint struct {
-	// Only is the only zone that is left; empty: any.
+	// Only is the only permitted zone; empty: Only restricts nothing.
 	Only        string
 	tasksByZone map[string]int
 	maxPerZone  int // 0: no limit
@@ -37,18 +37,18 @@
 	}
 }
 
-// Permits reports whether one more task may go to a zone.
+// Permits reports whether one more task may run in a zone.
 func (z *ZoneConstraint) Permits(zone string) bool {
 	return (z.Only == "" || z.Only == zone) && (z.maxPerZone == 0 || z.tasksByZone[zone] < z.maxPerZone)
 }
 
-// clone returns a copy that can be changed.
+// clone returns an independent copy.
 func (z *ZoneConstraint) clone() ZoneConstraint {
 	return ZoneConstraint{Only: z.Only, tasksByZone: maps.Clone(z.tasksByZone), maxPerZone: z.maxPerZone}
 }
 
-// CandidateZones lists the zones to try for a job that must stay in one, or just "" for
-// any other job.
+// CandidateZones lists the zones to try for a job whose tasks must be in one zone, or only ""
+// for any other job.
 func CandidateZones(spec *protocol.Submission, capacities []*Capacity) []string {
 	if !spec.SameZone {
 		return []string{""}
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -165,7 +165,7 @@
 			weight += weightUnknown
 `},
 	{"two unknown jobs condemn no machine", "coordination/quarantine/machine.go", `quarantineWeight = 3`, `quarantineWeight = 2`},
-	{"a suspect is tried with one task", "coordination/placement/queue.go", `	if e.triesOneTask() {
+	{"a suspect is tried with one task", "coordination/placement/queue.go", `	if e.isLimitedToOneTask() {
 		return min(count, 1)
 	}
 `, ``},
