--- a/internal/coordination/provisioning/budget.go
+++ b/internal/coordination/provisioning/budget.go
@@ -8,43 +8,44 @@
 	"madderslip/internal/protocol"
 )
 
-// minRuntime is the least that a task's run time counts as in budgets.
+// minRuntime is the shortest run time of a task that budgets assume.
 const minRuntime = time.Second
 
-// BudgetPolicy is what operators set for the machines provided for arrays.
+// BudgetPolicy holds the operators' settings for machines that are provisioned for arrays.
 type BudgetPolicy struct {
-	ArrayWait       time.Duration // in which arrays should be worked off
-	BestEffortWait  time.Duration // the same for best-effort ones
-	BestEffortShare float64       // of all CPUs, provided for best-effort work at most
-	WarmShare       float64       // of the services' CPUs, kept free for services to come
+	ArrayWait       time.Duration // time in which normal arrays should be completed
+	BestEffortWait  time.Duration // time in which best-effort arrays should be completed
+	BestEffortShare float64       // largest part of all CPUs that is provisioned for best-effort work
+	WarmShare       float64       // part of the services' CPUs that is kept free for new services
 }
 
-// RunningLoad is what runs, in CPUs.
+// RunningLoad is the CPUs of the placed tasks of arrays and services.
 type RunningLoad struct{ Arrays, Services float64 }
 
-// ArrayBudget returns how many more CPUs the waiting arrays deserve: enough to work off
-// each in the time that its objectives leave it.
-func (p *Planner) ArrayBudget(others, bestEffort []Demand, running RunningLoad, policy BudgetPolicy) (forOthers, forBestEffort float64) {
-	need, bestEffortNeed := p.neededCPUs(others, policy), p.neededCPUs(bestEffort, policy)
+// ArrayBudget returns how many more CPUs may be provisioned for the waiting arrays: enough to
+// complete each array within its drain time, for best-effort arrays up to their limit.
+func (p *Planner) ArrayBudget(normal, bestEffort []Demand, running RunningLoad, policy BudgetPolicy) (forNormal, forBestEffort float64) {
+	need, bestEffortNeed := p.neededCPUs(normal, policy), p.neededCPUs(bestEffort, policy)
 	if need+bestEffortNeed == 0 {
 		return 0, 0
 	}
-	have, total := 0.0, 0.0
+	supply, total := 0.0, 0.0
 	for _, capacity := range p.Supply {
 		total += capacity.Type.CPUs
-		// Machines with GPUs do not count: work that needs the GPUs would find them full
-		// of arrays.
+		// Machines with GPUs do not count: arrays would fill them, and jobs that need the
+		// GPUs would find no capacity there.
 		if capacity.Type.GPUs == 0 {
-			have += max(0, capacity.Free.CPUs)
+			supply += max(0, capacity.Free.CPUs)
 		}
 	}
-	have += running.Arrays
-	// The share is taken once, of the sum: a sum of rounded products depends on the order.
+	supply += running.Arrays
+	// The sum is multiplied by the share, since a sum of rounded products depends on the
+	// order of its terms.
 	warm := running.Services * policy.WarmShare
-	return placement.SplitArrayDemand(need, bestEffortNeed, have, warm, p.bestEffortLimit(total, policy))
+	return placement.SplitArrayDemand(need, bestEffortNeed, supply, warm, p.bestEffortLimit(total, policy))
 }
 
-// neededCPUs returns how many CPUs work off some arrays in time.
+// neededCPUs returns how many CPUs complete arrays within their drain times.
 func (p *Planner) neededCPUs(arrays []Demand, policy BudgetPolicy) float64 {
 	need := 0.0
 	for _, demand := range arrays {
@@ -54,8 +55,9 @@
 	return need
 }
 
-// bestEffortLimit returns how many CPUs may be provided for best-effort work. Of a small
-// fleet the share is less than a machine, and none would ever be provided.
+// bestEffortLimit returns how many CPUs may be provisioned for best-effort work: its share of
+// all CPUs, but at least one machine of the smallest type unless the share is 0. In a small
+// fleet the share is less than a machine, so that none would ever be provisioned.
 func (p *Planner) bestEffortLimit(totalCPUs float64, policy BudgetPolicy) float64 {
 	limit := policy.BestEffortShare * totalCPUs
 	if limit <= 0 {
@@ -68,10 +70,11 @@
 	return max(limit, smallest)
 }
 
-// drainTime returns the time in which an array should be worked off: the operators' wait,
-// or what its deadline leaves once new machines are up, with a margin. Without a deadline
-// there is no waiting on purpose: machines provided late for the last objective that can
-// still be met make every array later when capacity is scarce.
+// drainTime returns the time in which an array should be completed: the operators' wait or,
+// if it is longer, the time that the array's deadline leaves after the boot of new machines,
+// with a margin. The machines of an array without a deadline are not delayed on purpose: if
+// machines were provisioned just in time for the last objective that can still be met, every
+// array would complete later when capacity is scarce.
 func (p *Planner) drainTime(demand Demand, runtime time.Duration, policy BudgetPolicy) time.Duration {
 	if placement.IsBestEffort(demand.Spec) {
 		return max(policy.BestEffortWait, runtime)
@@ -83,7 +86,8 @@
 	return max(left*7/10-runtime, policy.ArrayWait, runtime)
 }
 
-// shortestBoot returns the shortest nominal boot time of the types that may run a job.
+// shortestBoot returns the shortest nominal boot time of the types that a task of a job fits,
+// or 0 if there is no such type.
 func (p *Planner) shortestBoot(spec *protocol.Submission) time.Duration {
 	shortest := time.Duration(0)
 	for _, machineType := range p.Market.Types {
--- a/internal/coordination/provisioning/demand.go
+++ b/internal/coordination/provisioning/demand.go
@@ -10,15 +10,15 @@
 	"madderslip/internal/protocol"
 )
 
-// Demand is work without a machine.
+// Demand is a number of tasks of a job, or of a warm reserve, that need machines.
 type Demand struct {
 	Spec        *protocol.Submission
-	Count       int           // tasks
-	Runtime     time.Duration // expected of one task
-	SubmittedAt time.Time     // of the job
-	Zone        string        // of a warm reserve: where it should be
-	Shard       string        // that holds the claim; only its machines can help
-	TakenZones  []string      // of the tasks that have machines
+	Count       int           // number of tasks
+	Runtime     time.Duration // expected run time of one task
+	SubmittedAt time.Time     // when the job was accepted
+	Zone        string        // zone of a warm reserve; empty: any zone that Spec permits
+	Shard       string        // only this shard's machines may run the tasks, as it holds the claim; empty: any shard
+	TakenZones  []string      // zones of the job's placed tasks, one entry for each task
 }
 
 // SortByPriority orders demands by priority, then by job. A job's chunks stay in their order.
@@ -28,26 +28,28 @@
 	})
 }
 
-// SplitBestEffort parts the demands of arrays into best-effort ones and others, both in
-// order.
-func SplitBestEffort(arrays []Demand) (others, bestEffort []Demand) {
+// SplitBestEffort divides the demands of arrays into normal and best-effort ones, both in
+// their given order.
+func SplitBestEffort(arrays []Demand) (normal, bestEffort []Demand) {
 	for _, demand := range arrays {
 		if placement.IsBestEffort(demand.Spec) {
 			bestEffort = append(bestEffort, demand)
 		} else {
-			others = append(others, demand)
+			normal = append(normal, demand)
 		}
 	}
-	return slices.Clip(others), bestEffort
+	return slices.Clip(normal), bestEffort
 }
 
-// WarmReserve returns the demands of a reserve for services that are about to start: so
-// many tasks like one of theirs, divided among the zones. A zone that is skipped gets none,
-// and its part goes to no other.
-func WarmReserve(like *protocol.Submission, tasks int, zones []string, skip func(zone string) bool) []Demand {
-	spec := *like
+// WarmReserve returns the demands of a reserve for services that are about to start: the
+// given number of tasks of a service, divided among the zones. The part of a skipped zone is
+// not given to another zone.
+func WarmReserve(service *protocol.Submission, tasks int, zones []string, skip func(zone string) bool) []Demand {
+	spec := *service
 	spec.SameZone, spec.SpreadZones, spec.Zone = false, false, ""
-	spec.AllowSpot = false // idle spot instances are not kept as a reserve, so they would come and go
+	// Idle spot instances are returned rather than kept, so a reserve of them would be
+	// provisioned and returned repeatedly.
+	spec.AllowSpot = false
 	var demands []Demand
 	for i, zone := range zones {
 		if skip(zone) {
--- a/internal/coordination/provisioning/planner.go
+++ b/internal/coordination/provisioning/planner.go
@@ -10,39 +10,41 @@
 	"madderslip/internal/protocol"
 )
 
-// maxOffersPerDemand bounds the machines that one demand asks for in one pass.
+// maxOffersPerDemand bounds the machines that are provisioned for one demand in one pass.
 const maxOffersPerDemand = 50
 
-// zoneBalanceCost is by how much each machine in a zone makes another one there seem dearer.
+// zoneBalanceCost is the fraction by which each machine in a zone raises the cost of an offer
+// in that zone. It balances the machines over the zones.
 const zoneBalanceCost = 0.01
 
-// Market is what can be had, and on which terms.
+// Market describes the machines that can be provisioned, and what affects their cost.
 type Market struct {
 	Types          map[string]*protocol.MachineType
-	RefusedUntil   map[string]time.Time // by OfferKey: not to be asked for before
+	RefusedUntil   map[string]time.Time // by OfferKey: the cloud refused the kind, which is not requested before
 	MachinesByZone map[string]int
-	// IsPartitioned reports whether what is provided in a zone could not be reached.
+	// IsPartitioned reports whether machines provisioned in a zone would be unreachable.
 	IsPartitioned func(zone string) bool
-	// Unreliability is the factor by which a kind seems dearer than it is.
+	// Unreliability returns the factor by which the price of a kind is multiplied.
 	Unreliability func(typeName, zone string) float64
 	Now           time.Time
 }
 
-// Planner puts demands into the capacity that is there or coming, and collects the offers
-// to ask for.
+// Planner allocates demands from existing and expected capacity, and selects the machines to
+// provision for the rest.
 type Planner struct {
 	Market Market
-	// Supply is the capacity of all machines. Demands are allocated from it.
+	// Supply is the capacity of all machines, expected ones included. Fill allocates demands
+	// from it and appends the machines that it selects.
 	Supply []*placement.Capacity
 }
 
-// Fill puts a demand into the supply and returns the machines to ask for what is left. It
-// adds no machine once those of this demand have the CPUs of the budget.
+// Fill allocates a demand from the supply and returns the machines to provision for the rest.
+// It adds no further machine once those added for this demand have budgetCPUs CPUs.
 func (p *Planner) Fill(demand Demand, budgetCPUs float64) []Offer {
 	var offers []Offer
 	usedCPUs := 0.0
 	zones := placement.NewZoneConstraint(demand.Spec, demand.TakenZones)
-	next := 0 // capacity that did not do for a task does not do for the next one either
+	next := 0 // a machine that cannot run one task of the demand cannot run a later one either
 	for filled := 0; filled < demand.Count; filled++ {
 		for next < len(p.Supply) && !serves(p.Supply[next], demand, &zones) {
 			next++
@@ -63,22 +65,24 @@
 	return offers
 }
 
-// serves reports whether one more task of a demand may be put on a machine.
+// serves reports whether one more task of a demand may be allocated on a machine.
 func serves(capacity *placement.Capacity, demand Demand, zones *placement.ZoneConstraint) bool {
 	return capacity.Fits(demand.Spec) && mayServe(capacity, demand, zones) && (demand.Zone == "" || demand.Zone == capacity.Zone)
 }
 
-// mayServe reports whether tasks of a demand may run on a machine, capacity left aside.
+// mayServe reports whether tasks of a demand may run on a machine, regardless of its free
+// capacity.
 func mayServe(capacity *placement.Capacity, demand Demand, zones *placement.ZoneConstraint) bool {
-	rightShard := demand.Shard == "" || capacity.Shard == "" || demand.Shard == capacity.Shard
-	return placement.Allowed(demand.Spec, capacity.TypeName, capacity.Zone, capacity.Spot) && zones.Permits(capacity.Zone) && rightShard
+	shardMatches := demand.Shard == "" || capacity.Shard == "" || demand.Shard == capacity.Shard
+	return placement.Allowed(demand.Spec, capacity.TypeName, capacity.Zone, capacity.Spot) && zones.Permits(capacity.Zone) && shardMatches
 }
 
-// IsUnservable reports whether no machine, there or coming, could ever run a task of an
-// array's: none is of a kind that may, or replicas, which do not end, leave too little of
-// it. The budget counts capacity of every shard and kind alike, so that arrays which only
-// some of it can take, those with GPUs or with their chunk in a shard that has lost its
-// machines, would wait for ever beside it.
+// IsUnservable reports whether no existing or expected machine could ever run a task of an
+// array: no machine is of a permitted kind and shard, or replicas of services, which do not
+// end, leave too little capacity on the machines that are. ArrayBudget counts capacity of all
+// shards and kinds together. An array that only part of this capacity can serve (an array
+// with GPUs, or with its chunk in a shard that has lost its machines) would therefore wait
+// forever while the budget is 0.
 func (p *Planner) IsUnservable(demand Demand) bool {
 	zones := placement.NewZoneConstraint(demand.Spec, demand.TakenZones)
 	return !slices.ContainsFunc(p.Supply, func(capacity *placement.Capacity) bool {
@@ -86,7 +90,7 @@
 	})
 }
 
-// withoutReplicas returns what a machine has beside the replicas of services on it.
+// withoutReplicas returns the resources of a machine that replicas of services do not use.
 func withoutReplicas(capacity *placement.Capacity) protocol.MachineResources {
 	free := protocol.ResourcesOf(capacity.Type)
 	if capacity.Machine == nil {
@@ -100,7 +104,8 @@
 	return free
 }
 
-// bestOffer returns the kind of machine that runs so many tasks at the least cost.
+// bestOffer returns the available offer that runs the given number of a demand's tasks at the
+// lowest cost, and reports whether there is one.
 func (p *Planner) bestOffer(demand Demand, tasks int, zones *placement.ZoneConstraint) (best Offer, found bool) {
 	bestCost := math.Inf(1)
 	for _, name := range slices.Sorted(maps.Keys(p.Market.Types)) {
@@ -126,14 +131,14 @@
 	return best, !math.IsInf(bestCost, 1)
 }
 
-// isAvailable reports whether an offer may be asked for and serves a demand.
+// isAvailable reports whether an offer may be requested now and serves a demand.
 func (p *Planner) isAvailable(offer Offer, demand Demand, zones *placement.ZoneConstraint) bool {
 	return placement.Allowed(demand.Spec, offer.Type.Name, offer.Zone, offer.Spot) && zones.Permits(offer.Zone) &&
 		(demand.Zone == "" || demand.Zone == offer.Zone) && !p.Market.Now.Before(p.Market.RefusedUntil[offer.Key()])
 }
 
-// costOf returns what one task costs an hour on an offer that runs as many of them as fit,
-// with what speaks against its zone and kind.
+// costOf returns the price per hour and task of a machine that runs as many of the tasks as
+// fit, raised for the machines in its zone and for the unreliability of its kind.
 func (p *Planner) costOf(offer Offer, demand Demand, tasks int) float64 {
 	perMachine := placement.TasksPerMachine(demand.Spec, offer.Type)
 	cost := offer.Price() / float64(min(perMachine, tasks))
--- a/internal/coordination/provisioning/replacement.go
+++ b/internal/coordination/provisioning/replacement.go
@@ -4,10 +4,10 @@
 // replaced at once.
 const bootingPerReplacement = 4
 
-// ReplacementCount returns how many of the overdue machines stop counting as supply at once,
-// out of all that are booting, overdue ones included. Each may cause another machine to be
-// provisioned; the bound prevents a zone that boots slowly as a whole from having its fleet
-// provisioned twice.
+// ReplacementCount returns how many of the overdue machines stop counting as supply at once.
+// booting is the number of all booting machines, overdue ones included. Each machine that no
+// longer counts may cause another one to be provisioned; the bound prevents the fleet of a
+// zone in which all boots are slow from being provisioned twice.
 func ReplacementCount(overdue, booting int) int {
 	return min(overdue, 1+booting/bootingPerReplacement)
 }
