--- a/internal/coordination/placement/besteffort.go
+++ b/internal/coordination/placement/besteffort.go
@@ -33,9 +33,9 @@
 
 // MaxTasks returns how many tasks of the given CPUs may start in the available capacity. The
 // result is at least 1 where no best-effort task runs: on a small shard the share may be
-// less than one task, and the free capacity may never exceed the warm reserve. The result is
-// also at least 1 for a job that has not started, which prevents one job with hours of work
-// from delaying the small jobs queued behind it. Tasks without CPUs are not limited.
+// less than one task, and all free capacity may belong to the warm reserve forever. The
+// result is also at least 1 for a job that has not started, which prevents one job with hours
+// of work from delaying the small jobs queued behind it. Tasks without CPUs are not limited.
 func (c BestEffortCapacity) MaxTasks(share, cpus float64, started bool) int {
 	if cpus <= 0 {
 		return math.MaxInt32
--- a/internal/coordination/placement/besteffort_test.go
+++ b/internal/coordination/placement/besteffort_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// A started array without a placed task counts as not started after maxUnplaced, and as
-// started before.
+// A started array without a placed task counts as not started once maxUnplaced has passed,
+// and as started until then.
 func TestStartedArrayWithoutPlacedTasksCountsAsNotStarted(t *testing.T) {
 	for _, c := range []struct {
 		anyStarted  bool
--- a/internal/coordination/placement/capacity.go
+++ b/internal/coordination/placement/capacity.go
@@ -19,7 +19,7 @@
 	Shard                string
 	Spot                 bool
 	Usable               bool      // new tasks may start on the machine
-	BootsAt              time.Time // expected end of the boot; zero: the machine is not booting
+	BootsAt              time.Time // expected end of the boot; zero: no boot is expected to end
 	Free                 protocol.MachineResources
 	Type                 *protocol.MachineType
 	Machine              *replica.Machine // nil: not provisioned yet
--- a/internal/coordination/placement/doc.go
+++ b/internal/coordination/placement/doc.go
@@ -7,8 +7,8 @@
 // while no other work waits, and then leaves the warm reserve of services free. A job of
 // which nothing has started is granted one task in any case, so that no job waits forever.
 //
-// Decisions depend on the arguments alone, the current time among them. Functions that
-// allocate, release or reserve change the capacities that are passed in. The package has no
-// clock, lock, goroutine or I/O. It imports protocol and replica, and must not import other
-// packages of the module.
+// Every function depends on its arguments alone, the current time among them. Some functions
+// change the capacities, or the claim of the queue entry, that are passed in. The package has
+// no clock, lock, goroutine or I/O. It imports protocol and replica, and must not import
+// other packages of the module.
 package placement
--- a/internal/coordination/placement/gpumachines.go
+++ b/internal/coordination/placement/gpumachines.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// ReleaseGPUMachine lets all work use one of the kept machines for the rest of the pass, for
-// an array that has waited too long, and reports whether a kept machine has capacity for the
+// ReleaseGPUMachine stops keeping one of these machines for the rest of the pass, for an
+// array that has waited too long. It reports whether a kept machine has capacity for the
 // array.
 func ReleaseGPUMachine(spec *protocol.Submission, jobID string, capacities []*Capacity, zones *ZoneConstraint) bool {
 	for _, capacity := range capacities {
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -10,8 +10,8 @@
 	"madderslip/internal/protocol"
 )
 
-// lowerPriorityPolicy is a PreemptionPolicy that permits the preemption of tasks of lower priority
-// only.
+// lowerPriorityPolicy is a PreemptionPolicy that permits the preemption of tasks of lower
+// priority only.
 type lowerPriorityPolicy struct{ spec *protocol.Submission }
 
 func (lowerPriorityPolicy) Reset()                            {}
--- a/internal/coordination/placement/preempt.go
+++ b/internal/coordination/placement/preempt.go
@@ -129,9 +129,9 @@
 	return capacity
 }
 
-// writableCopy returns the trial's copy of a capacity, which the trial may change. Only the capacities
-// that a plan changes are copied: copying all capacities for each plan takes a sixth of the
-// processor time when services preempt arrays.
+// writableCopy returns the trial's copy of a capacity, which the trial may change. Only the
+// capacities that a plan changes are copied: copying all capacities for each plan takes a
+// sixth of the processor time when services preempt arrays.
 func (t *preemptionTrial) writableCopy(index int) *Capacity {
 	if t.capacities[index] == t.original[index] {
 		copied := *t.original[index]
@@ -149,9 +149,9 @@
 	})
 }
 
-// SelectVictims selects the machine on which making capacity for one task has the lowest
-// cost, lost work and a missing image, and the tasks to be preempted there. Without such a
-// machine the index is -1 and the list is empty.
+// SelectVictims selects the machine on which preemption for one task costs least, and the
+// tasks to be preempted there. The cost is the lost work, plus missingImageCost on a machine
+// without the image. If there is no such machine, the index is -1 and the list is empty.
 func SelectVictims(spec *protocol.Submission, jobID string, capacities []*Capacity, zones *ZoneConstraint, policy PreemptionPolicy, now time.Time) (index int, victims []replica.Victim) {
 	index = -1
 	bestCost := math.Inf(1)
--- a/internal/coordination/placement/queue.go
+++ b/internal/coordination/placement/queue.go
@@ -16,7 +16,7 @@
 	Chunk                int
 	Spec                 *protocol.Submission
 	WithinGuarantee      bool // the entry is within the guarantee of its team
-	OnProbation          bool // the job fails on every machine, so that one of its tasks is started at a time
+	OnProbation          bool // the job fails wherever it runs, so that one of its tasks is started at a time
 	StartsAhead          bool // one task of the entry starts ahead of its turn
 	BestEffort           bool // the entry uses the capacity that other work leaves
 	MaxBestEffortTasks   int  // tasks that may start now, if BestEffort is set
@@ -54,8 +54,8 @@
 	return count
 }
 
-// isLimitedToOneTask reports whether only one task of the entry may start at a time. This holds for
-// jobs on probation except gangs, whose tasks can only start all together.
+// isLimitedToOneTask reports whether only one task of the entry may start at a time: the job
+// is on probation, and not a gang, whose tasks can only start all together.
 func (e *QueueEntry) isLimitedToOneTask() bool {
 	return e.OnProbation && e.Spec.Shape != protocol.ShapeGang
 }
--- a/internal/coordination/placement/reserve.go
+++ b/internal/coordination/placement/reserve.go
@@ -9,11 +9,11 @@
 	"madderslip/internal/protocol"
 )
 
-// overdueDelay is the time from now after which a boot or the end of a task is expected whose
+// overdueDelay is the delay, from now, that is assumed for a boot or the end of a task if its
 // expected time has passed.
 const overdueDelay = time.Second
 
-// futureSlot is capacity for one task that a machine has from a time on.
+// futureSlot is capacity for one task that a machine has from freeAt on.
 type futureSlot struct {
 	capacity *Capacity
 	freeAt   time.Time // when the capacity is free
--- a/internal/coordination/provisioning/bootstats.go
+++ b/internal/coordination/provisioning/bootstats.go
@@ -45,7 +45,8 @@
 	observedFactor     = 1.3
 	overduePercentile  = 90
 	expectedPercentile = 50
-	// expiryOverdueFactor multiplies the overdue age, which gives a lower bound of the expiry age.
+	// expiryOverdueFactor multiplies the overdue age, which gives a lower bound of the expiry
+	// age.
 	expiryOverdueFactor = 2
 	// maxUnreliability bounds the price factor, so that an unreliable kind is tried again if
 	// no other kind is available.
--- a/internal/coordination/provisioning/budget.go
+++ b/internal/coordination/provisioning/budget.go
@@ -19,7 +19,7 @@
 	WarmShare       float64       // part of the services' CPUs that is kept free for new services
 }
 
-// RunningLoad is the CPUs of the placed tasks of arrays and services.
+// RunningLoad holds the CPUs of the placed tasks of arrays and services.
 type RunningLoad struct{ Arrays, Services float64 }
 
 // ArrayBudget returns how many more CPUs may be provisioned for the waiting arrays: enough to
@@ -72,7 +72,7 @@
 
 // drainTime returns the time in which an array should be completed: the operators' wait or,
 // if it is longer, the time that the array's deadline leaves after the boot of new machines,
-// with a margin. The machines of an array without a deadline are not delayed on purpose: if
+// with a margin. Machines for an array without a deadline are not delayed on purpose: if
 // machines were provisioned just in time for the last objective that can still be met, every
 // array would complete later when capacity is scarce.
 func (p *Planner) drainTime(demand Demand, runtime time.Duration, policy BudgetPolicy) time.Duration {
--- a/internal/coordination/provisioning/demand.go
+++ b/internal/coordination/provisioning/demand.go
@@ -17,7 +17,7 @@
 	Runtime     time.Duration // expected run time of one task
 	SubmittedAt time.Time     // when the job was accepted
 	Zone        string        // zone of a warm reserve; empty: any zone that Spec permits
-	Shard       string        // only this shard's machines may run the tasks, as it holds the claim; empty: any shard
+	Shard       string        // shard of the claim or chosen for a gang, whose machines alone may run the tasks; empty: any
 	TakenZones  []string      // zones of the job's placed tasks, one entry for each task
 }
 
