--- a/internal/coordination/failover/lease_extension_test.go
+++ b/internal/coordination/failover/lease_extension_test.go
@@ -17,13 +17,13 @@
 		state, owner time.Duration // since the last contact
 		want         bool
 	}{
-		"cut off from both":             {9 * sec, 9 * sec, true},
-		"an outage, the owner is heard": {9 * sec, sec, false},
-		"the owner alone is not heard":  {sec, 9 * sec, false},
-		"both are heard":                {sec, sec, false},
+		"no contact with state service and owner": {9 * sec, 9 * sec, true},
+		"no contact with the state service only":  {9 * sec, sec, false},
+		"no contact with the owner only":          {sec, 9 * sec, false},
+		"contact with both":                       {sec, sec, false},
 	} {
 		if got := MayExtendLease(LastContact{now.Add(-c.state), now.Add(-c.owner)}, now, 4*sec); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: extends leases: %v", name, got)
 		}
 	}
 	for name, c := range map[string]struct {
@@ -31,15 +31,15 @@
 		cancelLimit, lease time.Duration
 		want               bool
 	}{
-		"started behind a partition":      {ColdStart{3 * sec, false, true}, 47 * sec, 27 * sec, true},
-		"just started":                    {ColdStart{sec / 2, false, true}, 47 * sec, 27 * sec, false},
-		"for too long already":            {ColdStart{10 * sec, false, true}, 47 * sec, 27 * sec, false},
-		"another is heard":                {ColdStart{3 * sec, true, true}, 47 * sec, 27 * sec, false},
-		"no controller in another zone":   {ColdStart{3 * sec, false, false}, 47 * sec, 27 * sec, false},
-		"the limit leaves no time for it": {ColdStart{3 * sec, false, true}, 38 * sec, 27 * sec, false},
+		"started behind a partition":                {ColdStart{3 * sec, false, true}, 47 * sec, 27 * sec, true},
+		"just started":                              {ColdStart{sec / 2, false, true}, 47 * sec, 27 * sec, false},
+		"started longer ago than the limit allows":  {ColdStart{10 * sec, false, true}, 47 * sec, 27 * sec, false},
+		"contact with another process":              {ColdStart{3 * sec, true, true}, 47 * sec, 27 * sec, false},
+		"no controller in another zone":             {ColdStart{3 * sec, false, false}, 47 * sec, 27 * sec, false},
+		"the limit leaves no time to extend leases": {ColdStart{3 * sec, false, true}, 38 * sec, 27 * sec, false},
 	} {
 		if got := MayExtendUnread(c.start, c.cancelLimit, c.lease); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: extends leases: %v", name, got)
 		}
 	}
 }
--- a/internal/coordination/placement/besteffort_test.go
+++ b/internal/coordination/placement/besteffort_test.go
@@ -12,13 +12,13 @@
 		capacity BestEffortCapacity
 		want     float64
 	}{
-		"an empty shard":                       {BestEffortCapacity{Total: 400, Free: 400, WarmReserve: 40}, 360},
-		"only the warm reserve is free":        {BestEffortCapacity{Total: 400, Free: 40, WarmReserve: 40, InUse: 100}, 0},
-		"it, and no best-effort task runs yet": {BestEffortCapacity{Total: 400, Free: 40, WarmReserve: 40}, 20},
-		"others wait":                          {BestEffortCapacity{Total: 400, Free: 100, Contended: true}, 20},
-		"others wait, its share is used":       {BestEffortCapacity{Total: 400, Free: 100, InUse: 20, Contended: true}, 0},
-		"others wait, little is free":          {BestEffortCapacity{Total: 400, Free: 3, Contended: true}, 3},
-		"it uses much, others wait since":      {BestEffortCapacity{Total: 400, Free: 10, InUse: 300, Contended: true}, 0},
+		"an empty shard":                {BestEffortCapacity{Total: 400, Free: 400, WarmReserve: 40}, 360},
+		"only the warm reserve is free": {BestEffortCapacity{Total: 400, Free: 40, WarmReserve: 40, InUse: 100}, 0},
+		"only the warm reserve is free, no best-effort task runs": {BestEffortCapacity{Total: 400, Free: 40, WarmReserve: 40}, 20},
+		"others wait":                              {BestEffortCapacity{Total: 400, Free: 100, Contended: true}, 20},
+		"others wait, the share is used":           {BestEffortCapacity{Total: 400, Free: 100, InUse: 20, Contended: true}, 0},
+		"others wait, little is free":              {BestEffortCapacity{Total: 400, Free: 3, Contended: true}, 3},
+		"others wait, more than the share is used": {BestEffortCapacity{Total: 400, Free: 10, InUse: 300, Contended: true}, 0},
 	} {
 		if got := c.capacity.Available(0.05); got != c.want {
 			t.Errorf("%s: got %v CPUs, want %v", name, got, c.want)
@@ -53,7 +53,7 @@
 		"the supply serves all":                            {100, 50, 200, 0, 1000, 0, 0},
 		"normal arrays first":                              {300, 50, 200, 0, 1000, 100, 50},
 		"what normal arrays leave serves best-effort work": {100, 50, 130, 0, 1000, 0, 20},
-		"much best-effort work is provisioned for little":  {100, 50000, 100, 0, 1000, 0, 150},
+		"best-effort demand far above its limit":           {100, 50000, 100, 0, 1000, 0, 150},
 		"the warm reserve is not for best-effort work":     {0, 50, 40, 30, 1000, 0, 40},
 	} {
 		if normal, bestEffort := SplitArrayDemand(c.normalDemand, c.bestEffortDemand, c.supply, c.warmReserve, 0.15*c.total); normal != c.normal || bestEffort != c.bestEffort {
