--- a/internal/coordination/controller/boots.go
+++ b/internal/coordination/controller/boots.go
@@ -11,7 +11,7 @@
 // this process has owned the shard all along.
 func (c *Controller) recordBoot(machine *replica.Machine, now time.Time) {
 	if shard := c.view.Shards[machine.Record.Shard]; c.view.IsActive(shard) && shard.OwnedSince.Before(time.UnixMilli(machine.Record.RentedAtMs)) {
-		c.provisioner.bootStats.Booted(bootKindOf(machine), machine.Age(now), now)
+		c.provisioner.bootStats.RecordBoot(bootKindOf(machine), machine.Age(now), now)
 	}
 	if machine.Lifecycle.Overdue {
 		c.log.Info("overdue machine booted", "host", machine.Host, "age", machine.Age(now).Round(time.Second))
@@ -31,12 +31,12 @@
 		}
 		booting++
 		machineType := c.view.MachineType(machine.Record.Type)
-		if machine.Age(now) < c.provisioner.bootStats.Overdue(bootKindOf(machine), machineType.BootTime(), now) {
+		if machine.Age(now) < c.provisioner.bootStats.OverdueAge(bootKindOf(machine), machineType.BootTime(), now) {
 			continue
 		}
 		if !machine.Lifecycle.Overdue {
 			machine.Lifecycle.Overdue = true
-			c.provisioner.bootStats.Failed(bootKindOf(machine), now)
+			c.provisioner.bootStats.RecordOverdue(bootKindOf(machine), now)
 			c.log.Info("machine boot overdue", "host", machine.Host, "type", machine.Record.Type, "zone", machine.Record.Zone, "age", machine.Age(now).Round(time.Second))
 		}
 		overdue = append(overdue, machine.Host)
--- a/internal/coordination/controller/capacities.go
+++ b/internal/coordination/controller/capacities.go
@@ -60,7 +60,7 @@
 	capacity.Free = c.view.FreeCapacity(machine) // also finds out about use of unknown size, for acceptsTasks
 	capacity.Usable = c.acceptsTasks(machine, now)
 	if machine.Agent.Heartbeat == nil && !machine.Lifecycle.Returning {
-		capacity.BootsAt = time.UnixMilli(machine.Record.RentedAtMs).Add(c.provisioner.bootStats.Expected(bootKindOf(machine), machineType.BootTime(), now))
+		capacity.BootsAt = time.UnixMilli(machine.Record.RentedAtMs).Add(c.provisioner.bootStats.ExpectedBootTime(bootKindOf(machine), machineType.BootTime(), now))
 	}
 	for _, avoiding := range machine.Quarantine.Evidence.AvoidedBy(now) {
 		if job := c.view.Jobs[avoiding]; job != nil && job.OnProbation(now) {
--- a/internal/coordination/controller/leases.go
+++ b/internal/coordination/controller/leases.go
@@ -38,11 +38,11 @@
 // read no records: the agent's own token is the only one that it knows.
 func (c *Controller) extendLeaseUnread(heartbeat *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
 	heardState := c.store.LastSuccess().After(c.startedAt)
-	start := failover.ColdStart{Uptime: now.Sub(c.startedAt), HeardAnyone: heardState || len(c.view.MachineTypes) > 0 || len(c.membership.lastContact) > 0}
+	start := failover.ColdStart{Uptime: now.Sub(c.startedAt), HadContact: heardState || len(c.view.MachineTypes) > 0 || len(c.membership.lastContact) > 0}
 	for _, peer := range c.settings.Peers {
 		start.HasRemotePeers = start.HasRemotePeers || peer.Zone != c.settings.Zone
 	}
-	if heartbeat.FencingToken == 0 || !failover.MayExtendUnread(start, c.settings.Workers.CancelDeadline, c.settings.Workers.LeaseDuration) {
+	if heartbeat.FencingToken == 0 || !failover.MayExtendLeaseAfterColdStart(start, c.settings.Workers.CancelDeadline, c.settings.Workers.LeaseDuration) {
 		return transport.Response{}, false
 	}
 	return leaseOnlyResponse(heartbeat.FencingToken)
--- a/internal/coordination/controller/scalein.go
+++ b/internal/coordination/controller/scalein.go
@@ -105,7 +105,7 @@
 	machineType := c.view.MachineType(machine.Record.Type)
 	bootTime := machineType.BootTime()
 	age := machine.Age(now)
-	expired := age > c.provisioner.bootStats.Expired(bootKindOf(machine), bootTime, now)
+	expired := age > c.provisioner.bootStats.ExpiryAge(bootKindOf(machine), bootTime, now)
 	if expired && now.Sub(machine.AdoptedAt) > bootTime+c.settings.Workers.LeaseDuration {
 		c.log.Info("machine boot expired", "host", machine.Host, "type", machine.Record.Type, "zone", machine.Record.Zone, "age", age.Round(time.Second))
 		c.returnMachine(shard, machine)
--- a/internal/coordination/failover/lease_extension.go
+++ b/internal/coordination/failover/lease_extension.go
@@ -23,7 +23,7 @@
 // ColdStart describes a controller that has not read its records since its process started.
 type ColdStart struct {
 	Uptime         time.Duration // since the process started
-	HeardAnyone    bool          // contact with the state service, cloud or another controller since the start
+	HadContact     bool          // contact with the state service, cloud or another controller since the start
 	HasRemotePeers bool          // controllers are configured in other zones
 }
 
@@ -36,10 +36,10 @@
 	restartTime = 10 * time.Second
 )
 
-// MayExtendUnread reports whether a controller that has not read its records since its start
-// extends the leases of the workers that send heartbeats to it, each with the fencing token
-// of the worker's own heartbeat and without commands. The condition is that the controller
-// started behind a partition, so that no other controller can reach these workers.
+// MayExtendLeaseAfterColdStart reports whether a controller that has not read its records
+// since its start extends the leases of the workers that send heartbeats to it, each with the
+// fencing token of the worker's own heartbeat and without commands. The condition is that the
+// controller started behind a partition, so that no other controller can reach these workers.
 //
 // Such a controller has no record of cancelled jobs, and a stop command may have been lost
 // with its former process. Leases are therefore extended only up to the uptime from which a
@@ -47,7 +47,7 @@
 // cancelLimit less one lease and restartTime. Leases are not extended in an outage of the
 // state service alone, in which the cancellation may have reached no other controller
 // either.
-func MayExtendUnread(start ColdStart, cancelLimit, lease time.Duration) bool {
-	partitioned := start.HasRemotePeers && !start.HeardAnyone
+func MayExtendLeaseAfterColdStart(start ColdStart, cancelLimit, lease time.Duration) bool {
+	partitioned := start.HasRemotePeers && !start.HadContact
 	return partitioned && start.Uptime > startupSettleTime && start.Uptime < cancelLimit-lease-restartTime
 }
--- a/internal/coordination/failover/lease_extension_test.go
+++ b/internal/coordination/failover/lease_extension_test.go
@@ -38,7 +38,7 @@
 		"no controller in another zone":             {ColdStart{3 * sec, false, false}, 47 * sec, 27 * sec, false},
 		"the limit leaves no time to extend leases": {ColdStart{3 * sec, false, true}, 38 * sec, 27 * sec, false},
 	} {
-		if got := MayExtendUnread(c.start, c.cancelLimit, c.lease); got != c.want {
+		if got := MayExtendLeaseAfterColdStart(c.start, c.cancelLimit, c.lease); got != c.want {
 			t.Errorf("%s: extends leases: %v", name, got)
 		}
 	}
--- a/internal/coordination/provisioning/bootstats.go
+++ b/internal/coordination/provisioning/bootstats.go
@@ -91,8 +91,8 @@
 	return s.merged
 }
 
-// Booted records that a machine booted, and how long it took.
-func (b *BootStats) Booted(kind MachineKind, took time.Duration, now time.Time) {
+// RecordBoot records that a machine booted, and how long it took.
+func (b *BootStats) RecordBoot(kind MachineKind, took time.Duration, now time.Time) {
 	s := b.statsOf(kind, now)
 	// RecordValue fails only outside the histogram's range, to which the value is clamped.
 	_ = s.durations.Current.RecordValue(min(max(1, took.Milliseconds()), maxBootMs))
@@ -100,8 +100,8 @@
 	s.booted[0]++
 }
 
-// Failed records that a machine became overdue.
-func (b *BootStats) Failed(kind MachineKind, now time.Time) { b.statsOf(kind, now).failed[0]++ }
+// RecordOverdue records that a machine became overdue.
+func (b *BootStats) RecordOverdue(kind MachineKind, now time.Time) { b.statsOf(kind, now).failed[0]++ }
 
 // percentile returns the time within which the given percentage of the observed boots ended,
 // and reports whether enough boots were observed.
@@ -113,19 +113,19 @@
 	return time.Duration(h.ValueAtQuantile(percent)) * time.Millisecond, true
 }
 
-// Expected returns the expected time of a boot: the observed median or, until enough boots
-// were observed, nominal, the boot time that the cloud gives for the type.
-func (b *BootStats) Expected(kind MachineKind, nominal time.Duration, now time.Time) time.Duration {
+// ExpectedBootTime returns the expected time of a boot: the observed median or, until enough
+// boots were observed, nominal, the boot time that the cloud gives for the type.
+func (b *BootStats) ExpectedBootTime(kind MachineKind, nominal time.Duration, now time.Time) time.Duration {
 	if median, ok := b.percentile(kind, expectedPercentile, now); ok {
 		return median
 	}
 	return nominal
 }
 
-// Overdue returns the age from which a machine that has not booted is overdue and no longer
+// OverdueAge returns the age from which a machine that has not booted is overdue and no longer
 // counts as supply for waiting work. Observed slow boots raise this age; fast boots never
 // lower it below one and a half times nominal.
-func (b *BootStats) Overdue(kind MachineKind, nominal time.Duration, now time.Time) time.Duration {
+func (b *BootStats) OverdueAge(kind MachineKind, nominal time.Duration, now time.Time) time.Duration {
 	overdue := time.Duration(float64(nominal) * overdueFactor)
 	if slowBoot, ok := b.percentile(kind, overduePercentile, now); ok {
 		overdue = max(overdue, time.Duration(float64(slowBoot)*observedFactor))
@@ -133,11 +133,11 @@
 	return overdue
 }
 
-// Expired returns the age from which a machine that has not booted is returned. It is at
+// ExpiryAge returns the age from which a machine that has not booted is returned. It is at
 // least twice the overdue age: a machine that boots late is still of use, although it costs
 // money meanwhile.
-func (b *BootStats) Expired(kind MachineKind, nominal time.Duration, now time.Time) time.Duration {
-	return max(time.Duration(float64(nominal)*expiryFactor), expiryOverdueFactor*b.Overdue(kind, nominal, now))
+func (b *BootStats) ExpiryAge(kind MachineKind, nominal time.Duration, now time.Time) time.Duration {
+	return max(time.Duration(float64(nominal)*expiryFactor), expiryOverdueFactor*b.OverdueAge(kind, nominal, now))
 }
 
 // Unreliability returns the factor, from 1 to 4, by which the price of a kind is multiplied
