--- a/internal/coordination/controller/leases.go
+++ b/internal/coordination/controller/leases.go
@@ -39,11 +39,11 @@
 // because this controller has no other.
 func (c *Controller) extendLeaseWithoutRecords(heartbeat *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
 	stateReached := c.store.LastSuccess().After(c.startedAt)
-	start := failover.ColdStart{Uptime: now.Sub(c.startedAt), HeardAnyone: stateReached || len(c.view.MachineTypes) > 0 || len(c.membership.lastContact) > 0}
+	start := failover.ColdStart{Uptime: now.Sub(c.startedAt), HadContact: stateReached || len(c.view.MachineTypes) > 0 || len(c.membership.lastContact) > 0}
 	for _, peer := range c.settings.Peers {
 		start.HasRemotePeers = start.HasRemotePeers || peer.Zone != c.settings.Zone
 	}
-	if heartbeat.FencingToken == 0 || !failover.MayExtendUnread(start, c.settings.Workers.CancelDeadline, c.settings.Workers.LeaseDuration) {
+	if heartbeat.FencingToken == 0 || !failover.MayExtendLeaseAfterColdStart(start, c.settings.Workers.CancelDeadline, c.settings.Workers.LeaseDuration) {
 		return transport.Response{}, false
 	}
 	return leaseOnlyResponse(heartbeat.FencingToken)
