--- a/internal/storage/kv/batch.go
+++ b/internal/storage/kv/batch.go
@@ -45,7 +45,7 @@
 	defer b.mu.Unlock()
 	b.queue.update(func(pending []*Txn) []*Txn {
 		var chosen *selection
-		if chosen, wait = b.choose(pending, now); chosen == nil {
+		if chosen, wait = b.chooseBatch(pending, now); chosen == nil {
 			return pending
 		}
 		b.inflight++
@@ -72,20 +72,20 @@
 	return b.inflight
 }
 
-// choose selects a batch and takes it from the budgets; if there is none it returns nil and
+// chooseBatch selects a batch and takes it from the budgets; if there is none it returns nil and
 // how long to wait. The locks of batcher and queue are held by the caller.
-func (b *batcher) choose(pending []*Txn, now time.Time) (*selection, time.Duration) {
+func (b *batcher) chooseBatch(pending []*Txn, now time.Time) (*selection, time.Duration) {
 	if len(pending) == 0 || b.inflight >= maxInflight {
 		return nil, idleInterval
 	}
-	if wait := b.limiter.untilRequest(now); wait > 0 {
+	if wait := b.limiter.requestDelay(now); wait > 0 {
 		return nil, wait
 	}
 	sortByUrgency(pending, now)
 	budget := b.limiter.writes.TokensAt(now)
-	wait := b.waitForBudget(pending, budget, now)
+	wait := b.budgetDelay(pending, budget, now)
 	reads, age := pendingReads(pending, now)
-	readsDue := reads > 0 && b.readsDue(reads, age)
+	readsDue := reads > 0 && b.areReadsDue(reads, age)
 	// By turns with changes: users who ask many times as often as usual would take
 	// every request, and acceptance and claims would wait behind their questions.
 	if readsDue && !b.lastWasRead {
@@ -103,16 +103,16 @@
 	return nil, wait
 }
 
-// waitForBudget is how long the first of the changes that lack budget has to wait for it,
+// budgetDelay is how long the first of the changes that lack budget has to wait for it,
 // idleInterval at most.
-func (b *batcher) waitForBudget(pending []*Txn, budget float64, now time.Time) time.Duration {
+func (b *batcher) budgetDelay(pending []*Txn, budget float64, now time.Time) time.Duration {
 	wait := idleInterval
 	for _, t := range pending {
 		if t.isRead() {
 			continue
 		}
-		if need := float64(len(t.Ops)) + b.limiter.reservedFor(t, now); budget < need {
-			wait = min(wait, untilTokens(need-budget, b.limiter.writes.Limit()))
+		if need := float64(len(t.Ops)) + b.limiter.urgentReserve(t, now); budget < need {
+			wait = min(wait, tokenDelay(need-budget, b.limiter.writes.Limit()))
 		}
 	}
 	return wait
@@ -134,11 +134,11 @@
 	return reads, now.Sub(oldest)
 }
 
-// readsDue reports whether comparisons are to be sent. Alone, for users' polls, they cost a
+// areReadsDue reports whether comparisons are to be sent. Alone, for users' polls, they cost a
 // request each time and no change: many go together, even if they wait a moment for that.
-func (b *batcher) readsDue(reads int, age time.Duration) bool {
-	enough := age >= readBatchDelay || reads >= 2*b.limiter.limits.sizes().MaxTxnOps
-	return enough && b.readsInflight < maxReadsInflight
+func (b *batcher) areReadsDue(reads int, age time.Duration) bool {
+	isDue := age >= readBatchDelay || reads >= 2*b.limiter.limits.effective().MaxTxnOps
+	return isDue && b.readsInflight < maxReadsInflight
 }
 
 // chooseReads takes a request of comparisons from its budget.
@@ -166,12 +166,12 @@
 // selectTxns selects the most urgent transactions that fit one request and the budget
 // together: comparisons alone, or changes.
 func (b *batcher) selectTxns(pending []*Txn, reads bool, budget float64, now time.Time) *selection {
-	chosen := newSelection(b.limiter.limits.sizes().MaxTxnOps)
+	chosen := newSelection(b.limiter.limits.effective().MaxTxnOps)
 	exhausted := false
 	for _, t := range pending {
 		// What lacks budget holds the less urgent up: small ones that slipped
 		// past would eat the budget for ever before it suffices for a large one.
-		exhausted = exhausted || (!reads && !t.isRead() && float64(chosen.ops+len(t.Ops))+b.limiter.reservedFor(t, now) > budget)
+		exhausted = exhausted || (!reads && !t.isRead() && float64(chosen.ops+len(t.Ops))+b.limiter.urgentReserve(t, now) > budget)
 		if t.isRead() != reads || exhausted || !chosen.accepts(t) {
 			chosen.rest = append(chosen.rest, t)
 			continue
--- a/internal/storage/kv/batch_test.go
+++ b/internal/storage/kv/batch_test.go
@@ -9,17 +9,17 @@
 )
 
 // No request has more changes than the service takes, and none fewer without need.
-func TestBatchesKeepTheLimitOnChanges(t *testing.T) {
+func TestBatchesKeepTheChangeLimit(t *testing.T) {
 	s := &scriptedService{answer: func(_ int, body string) (int, string, error) {
 		if n := strings.Count(body, `"set"`); n > 4 {
 			return 400, "", nil
 		}
 		return 200, `{"epoch":6}`, nil
 	}}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) {
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
 		for i := range 11 {
 			key := string(rune('a' + i))
-			c.Submit(set(key, 0, done(key)))
+			c.Submit(newSetTxn(key, 0, done(key)))
 		}
 	})
 	if len(got) != 11 || len(s.bodies) != 3 {
@@ -28,11 +28,11 @@
 }
 
 // A batch never holds two writes of a key nor two versions of a condition.
-func TestBatchesAreConsistent(t *testing.T) {
+func TestBatchesHoldNoConflictingTransactions(t *testing.T) {
 	s := &scriptedService{answer: func(int, string) (int, string, error) { return 200, `{"epoch":6}`, nil }}
-	run(t, s, func(c *Client, done func(string) func(Result)) {
-		c.Submit(set("a", 1, done("1")))
-		c.Submit(set("a", 2, done("2")))
+	runClient(t, s, func(c *Client, done func(string) func(Result)) {
+		c.Submit(newSetTxn("a", 1, done("1")))
+		c.Submit(newSetTxn("a", 2, done("2")))
 		c.Submit(&Txn{Compares: []Compare{{"a", 3}}, Priority: PriorityUser, OnResult: done("3")})
 	})
 	if len(s.bodies) != 3 {
@@ -44,21 +44,21 @@
 // together, and go by turns with changes; when they take long, half of the requests under
 // way are left to changes. Else a change waits behind the questions for as long as users
 // ask.
-func TestQuestionsLeaveRoomForChanges(t *testing.T) {
-	for name, slow := range map[string]time.Duration{"as usual": 5 * time.Millisecond, "the state service is slow": 1500 * time.Millisecond} {
+func TestReadsDoNotDelayChanges(t *testing.T) {
+	for name, latency := range map[string]time.Duration{"as usual": 5 * time.Millisecond, "the state service is slow": 1500 * time.Millisecond} {
 		s := &scriptedService{answer: func(int, string) (int, string, error) {
-			time.Sleep(slow)
+			time.Sleep(latency)
 			return 200, `{"epoch":6}`, nil
 		}}
 		var waited time.Duration
-		var asked atomic.Int64
-		run(t, s, func(c *Client, done func(string) func(Result)) {
+		var answered atomic.Int64
+		runClient(t, s, func(c *Client, done func(string) func(Result)) {
 			for i := range 400 { // a burst of questions for 10 s
 				for k := range 20 {
 					c.Submit(&Txn{Compares: []Compare{{Key: fmt.Sprint("q", i, "-", k), Version: 1}}, Priority: PriorityUser, Deadline: time.Now().Add(1700 * time.Millisecond),
 						OnResult: func(r Result) {
 							if r.Err == nil {
-								asked.Add(1)
+								answered.Add(1)
 							}
 						}})
 				}
@@ -69,10 +69,10 @@
 				time.Sleep(25 * time.Millisecond)
 			}
 		})
-		if waited == 0 || waited > slow+100*time.Millisecond {
+		if waited == 0 || waited > latency+100*time.Millisecond {
 			t.Errorf("%s: a change waited for %v", name, waited)
 		}
-		if asked.Load() == 0 {
+		if answered.Load() == 0 {
 			t.Errorf("%s: nobody was answered", name)
 		}
 	}
--- a/internal/storage/kv/client.go
+++ b/internal/storage/kv/client.go
@@ -43,8 +43,8 @@
 }
 
 // New makes a client; Run must be called for transactions to be sent.
-func New(caller HTTPClient, addr string, limits protocol.StateLimits, log *slog.Logger) *Client {
-	connection := &connection{http: caller, addr: addr}
+func New(httpClient HTTPClient, addr string, limits protocol.StateLimits, log *slog.Logger) *Client {
+	connection := &connection{http: httpClient, addr: addr}
 	limiter := newLimiter(limits)
 	queue := newQueue()
 	return &Client{
@@ -67,7 +67,7 @@
 func (c *Client) SetBudgetShare(share float64) { c.limiter.setShare(share) }
 
 // MaxValueBytes is how large a record may be, as far as is known.
-func (c *Client) MaxValueBytes() int { return c.limiter.limits.sizes().MaxValueBytes }
+func (c *Client) MaxValueBytes() int { return c.limiter.limits.effective().MaxValueBytes }
 
 // LastSuccess is when the state service last executed a call of this node.
 func (c *Client) LastSuccess() time.Time { return time.Unix(0, c.connection.lastSuccess.Load()) }
--- a/internal/storage/kv/errors_test.go
+++ b/internal/storage/kv/errors_test.go
@@ -46,7 +46,7 @@
 		return commit(ctx, c, &Txn{Compares: []Compare{{"a", 1}, {"b", 1}}, Ops: []Op{{Key: "a", Value: 1}}})
 	}, "commit", "b", ErrCompareFailed},
 	{"a transaction that is malformed", 400, "", func(ctx context.Context, c *Client) error {
-		return commit(ctx, c, set("a", 1, nil))
+		return commit(ctx, c, newSetTxn("a", 1, nil))
 	}, "commit", "a", ErrInvalid},
 	{"a value that cannot be written", 200, "", func(ctx context.Context, c *Client) error {
 		return commit(ctx, c, &Txn{Ops: []Op{{Key: "a", Value: func() {}}}})
--- a/internal/storage/kv/golden_test.go
+++ b/internal/storage/kv/golden_test.go
@@ -30,21 +30,21 @@
 	golden.CheckGenerated(t, codec, &wireList{}, &wireWatch{}, &wireTxn{}, &wireTxnAnswer{})
 }
 
-// recorder answers every call alike and notes what was asked.
-type recorder struct {
-	answer string
-	asked  strings.Builder
+// recordingService answers every call alike and notes what was asked.
+type recordingService struct {
+	answer   string
+	requests strings.Builder
 }
 
-func (r *recorder) Do(_ context.Context, _, method, target string, body []byte) (int, []byte, error) {
-	r.asked.WriteString(strings.TrimSpace(method+" "+target+" "+string(body)) + "\n")
+func (r *recordingService) Do(_ context.Context, _, method, target string, body []byte) (int, []byte, error) {
+	r.requests.WriteString(strings.TrimSpace(method+" "+target+" "+string(body)) + "\n")
 	return 200, []byte(r.answer), nil
 }
 
 // TestGoldenCalls: the calls whose messages have no type of their own ask for the same
 // paths with the same bodies as 096baff, and read the same answers.
 func TestGoldenCalls(t *testing.T) {
-	service := &recorder{answer: `{"value":{"n":1},"stamp":7,"permit":8,"items":[],"truncated":false,"epoch":9,"news":[]}`}
+	service := &recordingService{answer: `{"value":{"n":1},"stamp":7,"permit":8,"items":[],"truncated":false,"epoch":9,"news":[]}`}
 	client := New(service, "127.0.0.1:1", protocol.StateLimits{RequestRate: 1000, WriteRate: 1000, MaxValueBytes: 8192, MaxTxnOps: 12}, slog.New(slog.DiscardHandler))
 	ctx := context.Background()
 	if item, err := client.Get(ctx, "c/wk-7/1"); err != nil || string(item.Value) != `{"n":1}` || item.Version != 7 {
@@ -62,5 +62,5 @@
 	if _, revision, err := client.Watch(ctx, 5, 3*time.Second); err != nil || revision != 9 {
 		t.Errorf("%d %v", revision, err)
 	}
-	golden.CheckText(t, "state-calls.txt", service.asked.String())
+	golden.CheckText(t, "state-calls.txt", service.requests.String())
 }
--- a/internal/storage/kv/helpers_test.go
+++ b/internal/storage/kv/helpers_test.go
@@ -28,9 +28,9 @@
 	return status, []byte(out), err
 }
 
-// run has a client send what submit submits, for 20 s and until it has ended, and returns
+// runClient has a client send what submit submits, for 20 s and until it has ended, and returns
 // the errors by name.
-func run(t *testing.T, s *scriptedService, submit func(c *Client, done func(name string) func(Result))) map[string]error {
+func runClient(t *testing.T, s *scriptedService, submit func(c *Client, done func(name string) func(Result))) map[string]error {
 	results := make(map[string]error)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -47,8 +47,8 @@
 	return results
 }
 
-// set is a transaction that sets a key which has a version.
-func set(key string, version uint64, done func(Result)) *Txn {
+// newSetTxn is a transaction that sets a key which has a version.
+func newSetTxn(key string, version uint64, done func(Result)) *Txn {
 	return &Txn{Compares: []Compare{{key, version}}, Ops: []Op{{Key: key, Value: 1}}, Priority: PriorityBackground, OnResult: done}
 }
 
--- a/internal/storage/kv/limiter.go
+++ b/internal/storage/kv/limiter.go
@@ -34,11 +34,11 @@
 }
 
 // newLimiter starts with half of the budgets, until the node knows its share.
-func newLimiter(announced protocol.StateLimits) *limiter {
+func newLimiter(initial protocol.StateLimits) *limiter {
 	return &limiter{
-		requests: rate.NewLimiter(rate.Limit(announced.RequestRate/2), max(minRequestBurst, int(announced.RequestRate/8))),
-		writes:   rate.NewLimiter(rate.Limit(announced.WriteRate/2), max(minWriteBurst, int(announced.WriteRate/3))),
-		limits:   newLearnedLimits(announced),
+		requests: rate.NewLimiter(rate.Limit(initial.RequestRate/2), max(minRequestBurst, int(initial.RequestRate/8))),
+		writes:   rate.NewLimiter(rate.Limit(initial.WriteRate/2), max(minWriteBurst, int(initial.WriteRate/3))),
+		limits:   newLearnedLimits(initial),
 	}
 }
 
@@ -46,11 +46,11 @@
 // unused.
 func (l *limiter) setShare(share float64) {
 	share *= usableShare
-	requests, changes := l.limits.sizes().RequestRate, l.limits.writeRate(time.Now())
-	l.requests.SetLimit(rate.Limit(requests * share))
-	l.writes.SetLimit(rate.Limit(changes * share))
-	l.requests.SetBurst(max(minRequestBurst, int(requests*share/2)))
-	l.writes.SetBurst(max(minWriteBurst, int(changes*share)))
+	requestRate, writeRate := l.limits.effective().RequestRate, l.limits.writeRate(time.Now())
+	l.requests.SetLimit(rate.Limit(requestRate * share))
+	l.writes.SetLimit(rate.Limit(writeRate * share))
+	l.requests.SetBurst(max(minRequestBurst, int(requestRate*share/2)))
+	l.writes.SetBurst(max(minWriteBurst, int(writeRate*share)))
 }
 
 // waitForRequest waits until the budget allows a request, and takes it.
@@ -61,18 +61,18 @@
 	return nil
 }
 
-// untilRequest is how long it takes until the budget allows a request; 0 if it does now.
-func (l *limiter) untilRequest(now time.Time) time.Duration {
+// requestDelay is how long it takes until the budget allows a request; 0 if it does now.
+func (l *limiter) requestDelay(now time.Time) time.Duration {
 	tokens := l.requests.TokensAt(now)
 	if tokens >= 1 {
 		return 0
 	}
-	return untilTokens(1-tokens, l.requests.Limit())
+	return tokenDelay(1-tokens, l.requests.Limit())
 }
 
-// reservedFor is the budget that a transaction leaves to more urgent ones. None
+// urgentReserve is the budget that a transaction leaves to more urgent ones. None
 // waits for that for ever, since waiting makes it more urgent.
-func (l *limiter) reservedFor(t *Txn, now time.Time) float64 {
+func (l *limiter) urgentReserve(t *Txn, now time.Time) float64 {
 	switch t.effectivePriority(now) {
 	case PriorityBackground:
 		return float64(l.writes.Burst()) * backgroundReserve
@@ -82,8 +82,8 @@
 	return 0
 }
 
-// untilTokens is how long it takes until a budget has so much more than now.
-func untilTokens(missing float64, limit rate.Limit) time.Duration {
+// tokenDelay is how long it takes until a budget has so much more than now.
+func tokenDelay(missing float64, limit rate.Limit) time.Duration {
 	return time.Duration(missing/max(float64(limit), 0.1)*float64(time.Second)) + time.Millisecond
 }
 
@@ -102,40 +102,40 @@
 // rate falls and recovers.
 type learnedLimits struct {
 	mu            sync.Mutex
-	current       protocol.StateLimits // guarded by mu, as all below
+	initial       protocol.StateLimits // guarded by mu, as all below
 	announced     protocol.StateLimits
 	lowered       bool
 	rateFactor    float64 // part of the announced rate of changes that the service takes
 	rateUpdatedAt time.Time
 }
 
-func newLearnedLimits(current protocol.StateLimits) *learnedLimits {
-	return &learnedLimits{current: current, announced: current, rateFactor: 1}
+func newLearnedLimits(initial protocol.StateLimits) *learnedLimits {
+	return &learnedLimits{initial: initial, announced: initial, rateFactor: 1}
 }
 
 // announce takes the limits that the service will have.
 func (l *learnedLimits) announce(next protocol.StateLimits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.announced = l.current.LoweredBy(next)
+	l.announced = l.initial.LoweredBy(next)
 }
 
-// sizes are the limits on values and transactions.
-func (l *learnedLimits) sizes() protocol.StateLimits {
+// effective are the limits on values and transactions.
+func (l *learnedLimits) effective() protocol.StateLimits {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.lowered {
 		return l.announced
 	}
-	return l.current
+	return l.initial
 }
 
 // recordRefused takes note of a refused request: if only the announced limits exclude it,
 // they hold from now on. It reports whether that is new.
-func (l *learnedLimits) recordRefused(request *Txn) bool {
+func (l *learnedLimits) recordRefused(merged *Txn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lowered || request.fitsIn(l.announced) || !request.fitsIn(l.current) {
+	if l.lowered || merged.fitsIn(l.announced) || !merged.fitsIn(l.initial) {
 		return false
 	}
 	l.lowered = true
@@ -158,11 +158,11 @@
 		return
 	}
 	l.recoverRate(now)
-	least := minRateFactor
-	if l.announced.WriteRate < l.current.WriteRate {
-		least = l.announced.WriteRate / l.fullWriteRate()
+	minFactor := minRateFactor
+	if l.announced.WriteRate < l.initial.WriteRate {
+		minFactor = l.announced.WriteRate / l.fullWriteRate()
 	}
-	l.rateFactor = max(least, l.rateFactor*rateDecrease)
+	l.rateFactor = max(minFactor, l.rateFactor*rateDecrease)
 }
 
 // fullWriteRate is the rate of changes of the limits that hold. The mutex is held by the
@@ -171,7 +171,7 @@
 	if l.lowered {
 		return l.announced.WriteRate
 	}
-	return l.current.WriteRate
+	return l.initial.WriteRate
 }
 
 // recoverRate lets the rate grow for the time since it was last updated. The mutex is held
--- a/internal/storage/kv/limiter_test.go
+++ b/internal/storage/kv/limiter_test.go
@@ -11,7 +11,7 @@
 
 // The state service has lowered its limits: one refusal tells, the batch goes on in
 // smaller ones, a value that does not fit is refused once and never sent again.
-func TestLowersLimitsOnce(t *testing.T) {
+func TestOneRefusalLowersLimits(t *testing.T) {
 	refusals, oversize := 0, 0
 	s := &scriptedService{answer: func(_ int, body string) (int, string, error) {
 		large := strings.Contains(body, strings.Repeat("x", 40))
@@ -24,15 +24,15 @@
 		}
 		return 200, `{"epoch":6}`, nil
 	}}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) {
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
 		c.AnnounceLimits(protocol.StateLimits{MaxValueBytes: 32, MaxTxnOps: 2, WriteRate: 50})
 		big := func(name string) *Txn {
-			t := set(name, 0, done(name))
+			t := newSetTxn(name, 0, done(name))
 			t.Ops[0].Value = strings.Repeat("x", 40)
 			return t
 		}
 		for _, key := range []string{"a", "b", "c"} {
-			c.Submit(set(key, 0, done(key)))
+			c.Submit(newSetTxn(key, 0, done(key)))
 		}
 		c.Submit(big("big"))
 		time.Sleep(5 * time.Second)
@@ -54,9 +54,9 @@
 // A refusal that the lower limits do not explain proves nothing.
 func TestMalformedRequestLowersNoLimits(t *testing.T) {
 	s := &scriptedService{answer: func(int, string) (int, string, error) { return 400, `{"error":"malformed"}`, nil }}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) {
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
 		c.AnnounceLimits(protocol.StateLimits{MaxValueBytes: 32, MaxTxnOps: 2})
-		c.Submit(set("a", 0, done("a")))
+		c.Submit(newSetTxn("a", 0, done("a")))
 		time.Sleep(time.Second)
 		if c.MaxValueBytes() != 64 {
 			t.Errorf("values of %d bytes are thought to fit", c.MaxValueBytes())
@@ -69,7 +69,7 @@
 
 // The rate falls with each burst of refusals, not below what is announced, and is found
 // again once there are none.
-func TestRateIsFoundFromRefusals(t *testing.T) {
+func TestWriteRateFollowsRateLimitedAnswers(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	l := newLearnedLimits(protocol.StateLimits{WriteRate: 30})
 	l.announce(protocol.StateLimits{WriteRate: 21})
--- a/internal/storage/kv/outcome.go
+++ b/internal/storage/kv/outcome.go
@@ -71,7 +71,7 @@
 	delay := time.Duration(0)
 	switch result.kind {
 	case noAnswer:
-		c.recordNoAnswer(batch, result.err)
+		c.markOutcomeUnknown(batch, result.err)
 		retry, delay = batch, retryNoAnswer
 	case committed:
 		for _, t := range batch {
@@ -109,13 +109,13 @@
 // apart and got no answer would else come back one batchDelay apart: the second just as the
 // first is sent, and nobody could repeat whether together with it.
 func retryOffset(batch []*Txn) time.Duration {
-	const most = 1000
-	return time.Duration(batch[0].sequence%most) * time.Nanosecond
+	const maxOffset = 1000
+	return time.Duration(batch[0].sequence%maxOffset) * time.Nanosecond
 }
 
-// recordNoAnswer marks transactions that may have been applied, or be applied later. Sent
+// markOutcomeUnknown marks transactions that may have been applied, or be applied later. Sent
 // once more each either succeeds or conflicts with what is there, and both are clear.
-func (c *Client) recordNoAnswer(batch []*Txn, err error) {
+func (c *Client) markOutcomeUnknown(batch []*Txn, err error) {
 	c.log.Debug("transaction outcome unknown", "transactions", len(batch), "err", err)
 	for _, t := range batch {
 		t.outcomeUnknown = true
@@ -166,12 +166,12 @@
 // others again: in smaller batches if the service has lowered its limits, else one by
 // one. None is sent again as it was.
 func (c *Client) resolveRefused(batch []*Txn, reason string) (retry []*Txn) {
-	whole := merge(batch)
-	if c.limiter.limits.recordRefused(whole) {
-		c.log.Info("store limits lowered", "reason", reason, "changes", len(whole.Ops), "bytes", whole.maxValueBytes)
+	merged := mergeBatch(batch)
+	if c.limiter.limits.recordRefused(merged) {
+		c.log.Info("store limits lowered", "reason", reason, "changes", len(merged.Ops), "bytes", merged.maxValueBytes)
 	}
-	limits := c.limiter.limits.sizes()
-	wholeFits := whole.fitsIn(limits)
+	limits := c.limiter.limits.effective()
+	mergedFits := merged.fitsIn(limits)
 	for _, t := range batch {
 		switch {
 		case !t.fitsIn(limits):
@@ -180,26 +180,26 @@
 			c.log.Error("transaction rejected as malformed", "reason", reason, "keys", t.opKeys())
 			t.refuse(ErrInvalid)
 		default:
-			t.sendAlone = wholeFits
+			t.sendAlone = mergedFits
 			retry = append(retry, t)
 		}
 	}
 	return retry
 }
 
-// merge is a batch as one transaction, to be measured against limits: all changes, and each
+// mergeBatch is a batch as one transaction, to be measured against limits: all changes, and each
 // condition once.
-func merge(batch []*Txn) *Txn {
-	whole := &Txn{}
+func mergeBatch(batch []*Txn) *Txn {
+	merged := &Txn{}
 	seen := make(map[string]bool)
 	for _, t := range batch {
-		whole.Ops, whole.maxValueBytes = append(whole.Ops, t.Ops...), max(whole.maxValueBytes, t.maxValueBytes)
+		merged.Ops, merged.maxValueBytes = append(merged.Ops, t.Ops...), max(merged.maxValueBytes, t.maxValueBytes)
 		for _, compare := range t.Compares {
 			if !seen[compare.Key] {
 				seen[compare.Key] = true
-				whole.Compares = append(whole.Compares, compare)
+				merged.Compares = append(merged.Compares, compare)
 			}
 		}
 	}
-	return whole
+	return merged
 }
--- a/internal/storage/kv/outcome_test.go
+++ b/internal/storage/kv/outcome_test.go
@@ -9,16 +9,16 @@
 )
 
 // A failed condition must not sink its neighbours in the same request.
-func TestFailedCompareSparesNeighbours(t *testing.T) {
+func TestFailedCompareEndsOnlyItsOwnTransaction(t *testing.T) {
 	s := &scriptedService{answer: func(n int, body string) (int, string, error) {
 		if strings.Contains(body, keyPrefix+"b") {
 			return 409, `{"failed":["` + keyPrefix + `b"],"epoch":5}`, nil
 		}
 		return 200, `{"epoch":6}`, nil
 	}}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) {
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
 		for _, key := range []string{"a", "b", "c"} {
-			c.Submit(set(key, 0, done(key)))
+			c.Submit(newSetTxn(key, 0, done(key)))
 		}
 	})
 	if got["a"] != nil || got["c"] != nil || !errors.Is(got["b"], ErrCompareFailed) || len(s.bodies) != 2 {
@@ -35,7 +35,7 @@
 		}
 		return 409, `{"failed":["` + keyPrefix + `a"],"epoch":5}`, nil
 	}}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) { c.Submit(set("a", 0, done("a"))) })
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) { c.Submit(newSetTxn("a", 0, done("a"))) })
 	if !errors.Is(got["a"], ErrCompareFailed) || len(s.bodies) != 2 || s.bodies[0] != s.bodies[1] {
 		t.Fatalf("%v, requests %v", got, s.bodies)
 	}
@@ -43,19 +43,19 @@
 
 // A lease that has ended is no fault of the transactions beside it, which still go
 // together, nor is the transaction that names it malformed.
-func TestExpiredLeaseSparesNeighbours(t *testing.T) {
+func TestExpiredLeaseEndsOnlyTransactionsWithLeases(t *testing.T) {
 	s := &scriptedService{answer: func(n int, body string) (int, string, error) {
 		if strings.Contains(body, `"permit":7`) {
 			return 400, `{"error":"no such lease"}`, nil
 		}
 		return 200, `{"epoch":6}`, nil
 	}}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) {
-		c.Submit(set("a", 1, done("a")))
-		leased := set("b", 1, done("b"))
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
+		c.Submit(newSetTxn("a", 1, done("a")))
+		leased := newSetTxn("b", 1, done("b"))
 		leased.Ops[0].Lease = 7
 		c.Submit(leased)
-		c.Submit(set("c", 1, done("c")))
+		c.Submit(newSetTxn("c", 1, done("c")))
 	})
 	if got["a"] != nil || !errors.Is(got["b"], ErrLeaseExpired) || got["c"] != nil || len(s.bodies) != 2 {
 		t.Fatalf("%v in %d requests: %v", got, len(s.bodies), s.bodies)
@@ -71,9 +71,9 @@
 		}
 		return 400, `{"error":"the value is too large"}`, nil
 	}}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) {
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
 		c.AnnounceLimits(protocol.StateLimits{MaxValueBytes: 32})
-		big := set("big", 0, done("big"))
+		big := newSetTxn("big", 0, done("big"))
 		big.Ops[0].Value = strings.Repeat("x", 40)
 		c.Submit(big)
 	})
--- a/internal/storage/kv/queue.go
+++ b/internal/storage/kv/queue.go
@@ -13,8 +13,8 @@
 // the queue, for which wait waits, and not on the caller's, since the caller may hold a lock
 // that OnResult takes.
 type queue struct {
-	wakeup  chan struct{}  // tells the sender that something was added, or an answer came
-	answers sync.WaitGroup // deliveries of results; none begins once the queue is closed
+	wakeup     chan struct{}  // tells the sender that something was added, or an answer came
+	deliveries sync.WaitGroup // deliveries of results; none begins once the queue is closed
 
 	mu       sync.Mutex
 	pending  []*Txn // guarded by mu
@@ -55,21 +55,21 @@
 func (q *queue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.answer(q.pending, (*Txn).abandon)
+	q.deliverResults(q.pending, (*Txn).abandon)
 	q.pending, q.closed = nil, true
 }
 
-// wait returns once the results that the queue delivers are delivered. It is called after
+// waitForDeliveries returns once the results that the queue delivers are delivered. It is called after
 // close.
-func (q *queue) wait() { q.answers.Wait() }
+func (q *queue) waitForDeliveries() { q.deliveries.Wait() }
 
-// answer delivers results on a goroutine of its own. The mutex is held by the caller, so
+// deliverResults delivers results on a goroutine of its own. The mutex is held by the caller, so
 // that close comes before or after and wait misses none.
-func (q *queue) answer(transactions []*Txn, deliver func(*Txn)) {
+func (q *queue) deliverResults(transactions []*Txn, deliver func(*Txn)) {
 	if len(transactions) == 0 {
 		return
 	}
-	q.answers.Go(func() {
+	q.deliveries.Go(func() {
 		for _, t := range transactions {
 			deliver(t)
 		}
@@ -97,22 +97,22 @@
 		removed = append(removed, t)
 		return true
 	})
-	q.answer(removed, deliver)
+	q.deliverResults(removed, deliver)
 }
 
 // expire ends transactions whose caller no longer waits.
 func (q *queue) expire(now time.Time) {
-	late := func(t *Txn) bool { return !t.Deadline.IsZero() && now.After(t.Deadline) }
-	q.remove(late, (*Txn).abandon)
+	isExpired := func(t *Txn) bool { return !t.Deadline.IsZero() && now.After(t.Deadline) }
+	q.remove(isExpired, (*Txn).abandon)
 }
 
 // observeVersion ends the transactions that a version of a key seen elsewhere has failed.
 func (q *queue) observeVersion(key string, version uint64, exists bool) {
-	failed := func(t *Txn) bool {
+	hasFailed := func(t *Txn) bool {
 		// One whose outcome is unknown may itself have made that version.
 		return !t.outcomeUnknown && t.dependsOnOlder(key, version, exists)
 	}
-	q.remove(failed, func(t *Txn) {
+	q.remove(hasFailed, func(t *Txn) {
 		t.fail(Result{Err: ErrCompareFailed, Revision: version, FailedKeys: []string{key}})
 	})
 }
@@ -139,9 +139,9 @@
 	return waiting
 }
 
-// ahead counts the changes, and the transactions that only compare, that go before a new
+// countAhead counts the changes, and the transactions that only compare, that go before a new
 // transaction of a priority.
-func (q *queue) ahead(priority Priority) (changes, reads int) {
+func (q *queue) countAhead(priority Priority) (changes, reads int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, t := range q.pending {
--- a/internal/storage/kv/queue_test.go
+++ b/internal/storage/kv/queue_test.go
@@ -17,10 +17,10 @@
 // as others. A key that has gone is no reason for what wants it absent.
 func TestFailedComparesAreNotSent(t *testing.T) {
 	s := &scriptedService{answer: func(int, string) (int, string, error) { return 200, `{"epoch":9}`, nil }}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) {
-		c.Submit(set("a", 0, done("a")))
-		c.Submit(set("b", 0, done("b")))
-		c.Submit(set("c", 3, done("c")))
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
+		c.Submit(newSetTxn("a", 0, done("a")))
+		c.Submit(newSetTxn("b", 0, done("b")))
+		c.Submit(newSetTxn("c", 3, done("c")))
 		c.ObserveVersion("a", 7, true)
 		c.ObserveVersion("b", 7, false)
 		c.ObserveVersion("c", 3, true)
--- a/internal/storage/kv/send.go
+++ b/internal/storage/kv/send.go
@@ -22,7 +22,7 @@
 		go t.fail(Result{Err: ErrInvalid})
 		return
 	}
-	if !t.fitsIn(c.limiter.limits.sizes()) {
+	if !t.fitsIn(c.limiter.limits.effective()) {
 		c.log.Info("transaction exceeds the store's limits", "keys", t.opKeys(), "changes", len(t.Ops), "bytes", t.maxValueBytes)
 		go t.fail(Result{Err: ErrTooLarge})
 		return
@@ -43,7 +43,7 @@
 	defer func() {
 		c.queue.close()
 		sends.Wait()
-		c.queue.wait()
+		c.queue.waitForDeliveries()
 	}()
 	wait := idleInterval
 	for c.awaitWork(ctx, wait) {
@@ -111,14 +111,14 @@
 // priority, and how many a second the budget allows. Comparisons count as a
 // change for as many as go together in a request.
 func (c *Client) Backlog(priority Priority) (changes int, rate float64) {
-	changes, reads := c.queue.ahead(priority)
-	return changes + reads/max(1, c.limiter.limits.sizes().MaxTxnOps), float64(c.limiter.writes.Limit())
+	changes, reads := c.queue.countAhead(priority)
+	return changes + reads/max(1, c.limiter.limits.effective().MaxTxnOps), float64(c.limiter.writes.Limit())
 }
 
 // ReadBacklog is how many questions wait and how many a second are answered at least:
 // half of the requests carry as many as fit one.
 func (c *Client) ReadBacklog() (waiting int, rate float64) {
-	return c.queue.count((*Txn).isRead), float64(c.limiter.requests.Limit()) / 2 * float64(comparesPerOp*c.limiter.limits.sizes().MaxTxnOps)
+	return c.queue.count((*Txn).isRead), float64(c.limiter.requests.Limit()) / 2 * float64(comparesPerOp*c.limiter.limits.effective().MaxTxnOps)
 }
 
 // ObserveVersion tells of a version of a key seen elsewhere. Transactions that wait and
--- a/internal/storage/kv/send_test.go
+++ b/internal/storage/kv/send_test.go
@@ -16,13 +16,13 @@
 
 // What is larger than the service takes is not sent; what waits past its deadline is not
 // sent again.
-func TestTooLargeAndLateAreAnswered(t *testing.T) {
+func TestTooLargeAndExpiredTransactionsFail(t *testing.T) {
 	s := &scriptedService{answer: func(int, string) (int, string, error) { return 503, "", nil }}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) {
-		big := set("big", 0, done("big"))
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
+		big := newSetTxn("big", 0, done("big"))
 		big.Ops[0].Value = strings.Repeat("x", 100)
 		c.Submit(big)
-		late := set("late", 0, done("late"))
+		late := newSetTxn("late", 0, done("late"))
 		late.Deadline = time.Now().Add(time.Second)
 		c.Submit(late)
 	})
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestRunWaitsForWhatItStarted: once Run has returned each transaction submitted before has
+// TestRunWaitsForCallsAndResults: once Run has returned each transaction submitted before has
 // its result, also one that was under way, and no call goes on.
-func TestRunWaitsForWhatItStarted(t *testing.T) {
+func TestRunWaitsForCallsAndResults(t *testing.T) {
 	const count = 60 // more than are sent at once
 	for _, test := range []struct {
 		name                  string
@@ -60,7 +60,7 @@
 					close(ended)
 				}()
 				for i := range count {
-					c.Submit(set(fmt.Sprint("k", i), 1, func(Result) {
+					c.Submit(newSetTxn(fmt.Sprint("k", i), 1, func(Result) {
 						time.Sleep(test.resultTakes)
 						answered.Add(1)
 					}))
--- a/internal/storage/records/bitmap.go
+++ b/internal/storage/records/bitmap.go
@@ -26,14 +26,14 @@
 
 func (b Bitmap) count() int {
 	total := 0
-	for _, eight := range b {
-		total += bits.OnesCount8(eight)
+	for _, octet := range b {
+		total += bits.OnesCount8(octet)
 	}
 	return total
 }
 
-// edges calls visit with the start and the end of each range, in order.
-func (b Bitmap) edges(visit func(i int)) {
+// visitRangeBounds calls visit with the start and the end of each range, in order.
+func (b Bitmap) visitRangeBounds(visit func(i int)) {
 	inside := false
 	for i := 0; i <= 8*len(b); i++ {
 		if b.has(i) != inside {
@@ -47,7 +47,7 @@
 func (b Bitmap) MarshalEasyJSON(w *jwriter.Writer) {
 	w.RawByte('[')
 	first := true
-	b.edges(func(i int) {
+	b.visitRangeBounds(func(i int) {
 		if !first {
 			w.RawByte(',')
 		}
--- a/internal/storage/records/claims.go
+++ b/internal/storage/records/claims.go
@@ -50,7 +50,7 @@
 // MaxEncodedSize returns an upper bound of the record's size in bytes.
 func (c *Claim) MaxEncodedSize() int {
 	size := claimOverhead + len(c.Shard)
-	c.Completed.edges(func(i int) { size += digits(i) + len(",") })
+	c.Completed.visitRangeBounds(func(i int) { size += digitCount(i) + len(",") })
 	for i := range c.Placements {
 		size += c.Placements[i].MaxEncodedSize()
 	}
@@ -96,7 +96,7 @@
 // MaxEncodedSize returns an upper bound of the bytes that the placement adds to its
 // claim's record.
 func (p *Placement) MaxEncodedSize() int {
-	return len(`[,,""],`) + digits(p.Task) + digits(int(min(p.Attempt, math.MaxInt))) + len(p.Host)
+	return len(`[,,""],`) + digitCount(p.Task) + digitCount(int(min(p.Attempt, math.MaxInt))) + len(p.Host)
 }
 
-func digits(i int) int { return len(strconv.Itoa(i)) }
+func digitCount(i int) int { return len(strconv.Itoa(i)) }
--- a/internal/storage/records/jobids.go
+++ b/internal/storage/records/jobids.go
@@ -31,11 +31,11 @@
 		l.Skip()
 		return
 	}
-	for number := range strings.FieldsSeq(l.String()) {
-		if number[0] >= '0' && number[0] <= '9' {
-			number = jobIDPrefix + number
+	for word := range strings.FieldsSeq(l.String()) {
+		if word[0] >= '0' && word[0] <= '9' {
+			word = jobIDPrefix + word
 		}
-		*ids = append(*ids, number)
+		*ids = append(*ids, word)
 	}
 }
 
