--- a/internal/storage/records/bitmap.go
+++ b/internal/storage/records/bitmap.go
@@ -10,9 +10,10 @@
 	"madderslip/internal/protocol"
 )
 
-// Bitmap is a set of small numbers, one bit each. In a record it is a list of ranges,
-// [from, to, from, to, ...] without the numbers "to": tasks complete nearly in order, so
-// there are few ranges, while the bits of ten thousand tasks exceed a small value.
+// Bitmap is a set of small numbers, one bit each. In a record it is encoded as a list of
+// half-open ranges, [from, to, from, to, ...], in which each "to" is excluded: tasks complete
+// nearly in order, so there are few ranges, while the bits of ten thousand tasks exceed a
+// small value.
 type Bitmap []byte
 
 func (b Bitmap) has(i int) bool { return i >= 0 && i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
@@ -32,7 +33,7 @@
 	return total
 }
 
-// visitRangeBounds calls visit with the start and the end of each range, in order.
+// visitRangeBounds calls visit with the start and the excluded end of each range, in order.
 func (b Bitmap) visitRangeBounds(visit func(i int)) {
 	inside := false
 	for i := 0; i <= 8*len(b); i++ {
@@ -43,7 +44,7 @@
 	}
 }
 
-// MarshalEasyJSON writes the ranges.
+// MarshalEasyJSON encodes the set as its ranges.
 func (b Bitmap) MarshalEasyJSON(w *jwriter.Writer) {
 	w.RawByte('[')
 	first := true
@@ -57,8 +58,8 @@
 	w.RawByte(']')
 }
 
-// UnmarshalEasyJSON reads the ranges. They must rise and end at protocol.MaxTasks, rounded
-// up to whole bytes; anything else is an error.
+// UnmarshalEasyJSON decodes the ranges. They must be in ascending order and must not go beyond
+// protocol.MaxTasks, with a margin for rounding up to whole bytes; anything else is an error.
 func (b *Bitmap) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	*b = nil
 	if l.IsNull() {
--- a/internal/storage/records/claims.go
+++ b/internal/storage/records/claims.go
@@ -11,35 +11,36 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Claim is a chunk of a job that is claimed by a shard, with its placements and its
-// completed tasks. The shard's owner writes it. The first version is conditional on there
-// being none, later ones on the version known; each is conditional on the owner's fencing
-// token, and a version that places tasks on the Job as well, so that nothing starts of a
-// cancelled job. It is deleted once its job is final.
+// Claim is a chunk of a job that a shard has claimed, with its placements and its completed
+// tasks. The shard's owner writes it. The first write is conditional on the record's absence,
+// later ones on the known version. Each write is also conditional on the owner's fencing
+// token, and a write that places tasks is conditional on the Job as well, so that no task of
+// a cancelled job starts. The record is deleted once its job is final.
 //
 //easyjson:json
 type Claim struct {
-	Shard       string      `json:"h"` // empty: placed across shards, and each owner updates its own machines' part
+	Shard       string      `json:"h"` // empty: placed across shards; each shard's owner updates the part on its own machines
 	FirstTask   int         `json:"f,omitempty"`
 	TaskCount   int         `json:"n"`
-	Completed   Bitmap      `json:"d,omitempty"` // counted from FirstTask
+	Completed   Bitmap      `json:"d,omitempty"` // task numbers relative to FirstTask
 	Placements  []Placement `json:"o,omitempty"`
-	LastAttempt uint64      `json:"a,omitempty"` // the highest attempt given to any task of it
+	LastAttempt uint64      `json:"a,omitempty"` // the highest attempt number given to any task of the chunk
 }
 
-// IsCompleted reports whether a task of the chunk, by its number in the job, is completed.
+// IsCompleted reports whether a task of the chunk, given by its number in the job, is
+// completed.
 func (c *Claim) IsCompleted(task int) bool { return c.Completed.has(task - c.FirstTask) }
 
-// MarkCompleted marks a task of the chunk, by its number in the job, as completed.
+// MarkCompleted marks a task of the chunk, given by its number in the job, as completed.
 func (c *Claim) MarkCompleted(task int) { c.Completed.set(task - c.FirstTask) }
 
-// CompletedCount returns how many tasks are completed.
+// CompletedCount returns the number of completed tasks.
 func (c *Claim) CompletedCount() int { return c.Completed.count() }
 
 // IsComplete reports whether every task is completed.
 func (c *Claim) IsComplete() bool { return c.CompletedCount() == c.TaskCount }
 
-// Clone returns a copy that shares nothing with c.
+// Clone returns a deep copy.
 func (c *Claim) Clone() *Claim {
 	clone := *c
 	clone.Completed = slices.Clone(c.Completed)
@@ -47,7 +48,7 @@
 	return &clone
 }
 
-// MaxEncodedSize returns an upper bound of the record's size in bytes.
+// MaxEncodedSize returns an upper bound on the size of the encoded record in bytes.
 func (c *Claim) MaxEncodedSize() int {
 	size := claimOverhead + len(c.Shard)
 	c.Completed.visitRangeBounds(func(i int) { size += digitCount(i) + len(",") })
@@ -57,19 +58,20 @@
 	return size
 }
 
-// claimOverhead bounds the bytes of a claim's record beside its lists and its shard.
+// claimOverhead bounds the size of an encoded claim in bytes, without its lists and the name
+// of its shard.
 const claimOverhead = 96
 
-// Placement is a task that is, or may be, on a machine: it is recorded before the start is
-// sent, and removed once it is proved that the task is not there.
+// Placement is a task that is or may be on a machine. It is recorded before the start command
+// is sent and removed once it is certain that the task is not on the machine.
 type Placement struct {
 	Task    int
 	Attempt uint64
 	Host    string
 }
 
-// MarshalEasyJSON writes [task,attempt,"host"]: hundreds of placements have to fit into
-// one value.
+// MarshalEasyJSON encodes the placement as [task,attempt,"host"]: hundreds of placements have
+// to fit into one value.
 func (p Placement) MarshalEasyJSON(w *jwriter.Writer) {
 	w.RawByte('[')
 	w.Int(p.Task)
@@ -80,8 +82,8 @@
 	w.RawByte(']')
 }
 
-// UnmarshalEasyJSON reads what MarshalEasyJSON writes; a list of another length is an
-// error. The host's name is interned, since hundreds of placements share it.
+// UnmarshalEasyJSON decodes the form that MarshalEasyJSON writes; a list of another length is
+// an error. The host's name is interned, since hundreds of placements share it.
 func (p *Placement) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	l.Delim('[')
 	p.Task = l.Int()
@@ -93,8 +95,8 @@
 	l.Delim(']')
 }
 
-// MaxEncodedSize returns an upper bound of the bytes that the placement adds to its
-// claim's record.
+// MaxEncodedSize returns an upper bound on the bytes that the placement adds to its encoded
+// claim.
 func (p *Placement) MaxEncodedSize() int {
 	return len(`[,,""],`) + digitCount(p.Task) + digitCount(int(min(p.Attempt, math.MaxInt))) + len(p.Host)
 }
--- a/internal/storage/records/claims_test.go
+++ b/internal/storage/records/claims_test.go
@@ -10,7 +10,7 @@
 	"madderslip/internal/protocol"
 )
 
-// TestClaimKeepsCompletedTasks: written and read again, a claim has the same completed
+// TestClaimKeepsCompletedTasks: after encoding and decoding, a claim has the same completed
 // tasks, numbered as in its job, and the same placements.
 func TestClaimKeepsCompletedTasks(t *testing.T) {
 	claim := &Claim{Shard: "s", FirstTask: 16, TaskCount: 10, Placements: []Placement{{Task: 17, Attempt: 3, Host: "vm-1"}}}
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestLargestClaimFitsSmallValue: the completed tasks of a chunk of any legal size fit the
-// smallest value that a state service takes.
+// TestLargestClaimFitsSmallValue: the completed tasks of a chunk of the largest size fit a value
+// of 4096 bytes, the lowest limit that a state service may have.
 func TestLargestClaimFitsSmallValue(t *testing.T) {
 	claim := &Claim{TaskCount: protocol.MaxTasks}
 	for task := range protocol.MaxTasks {
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestMalformedClaimsAreRefused: reading a claim that no version writes is an error.
+// TestMalformedClaimsAreRefused: decoding a claim in a form that no version writes is an error.
 func TestMalformedClaimsAreRefused(t *testing.T) {
 	for _, test := range []struct{ name, text string }{
 		{"range that falls", `{"d":[5,3]}`},
@@ -62,15 +62,15 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if err := json.Unmarshal([]byte(test.text), new(Claim)); err == nil {
-				t.Errorf("%s was read", test.text)
+				t.Errorf("%s was decoded without an error", test.text)
 			}
 		})
 	}
 }
 
-// TestClaimEncodingIsStable: claims stay as they are on disk, whatever code writes them,
-// and fields that this version does not know are skipped: controllers of two versions run
-// side by side while one after the other is restarted.
+// TestClaimEncodingIsStable: the encoding of a claim does not change, and fields that this
+// version does not define are skipped, since controllers of two versions run side by side
+// during a rolling restart.
 func TestClaimEncodingIsStable(t *testing.T) {
 	claim := &Claim{Shard: "n0", FirstTask: 2, TaskCount: 9, Placements: []Placement{{Task: 4, Attempt: 3, Host: "vm-1"}, {Task: 10, Attempt: 2, Host: "vm-2"}}, LastAttempt: 3}
 	claim.MarkCompleted(2)
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestMaxEncodedSizeBoundsClaims: a claim's record is never larger than the bound by which
-// controllers decide what fits a value.
+// TestMaxEncodedSizeBoundsClaims: an encoded claim is never larger than MaxEncodedSize, by
+// which controllers decide whether it fits a value.
 func TestMaxEncodedSizeBoundsClaims(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		claim := &Claim{Shard: rapid.StringMatching(`[a-z0-9-]{0,20}`).Draw(t, "shard"), FirstTask: rapid.IntRange(0, protocol.MaxTasks).Draw(t, "first"),
--- a/internal/storage/records/gangs.go
+++ b/internal/storage/records/gangs.go
@@ -1,14 +1,16 @@
 package records
 
-// GangReservation asks the owners of all shards to hold capacity for a job that fits no
-// single shard. The leader writes it, on its Leader record and that there is none,
-// attached to its lease, and deletes it on the version known.
+// GangReservation requests the owners of all shards to hold capacity for a job that fits no
+// single shard. The leader writes it, conditional on its Leader record and on the absence of
+// the reservation, and attaches it to its lease. It deletes the record, conditional on the
+// known version.
 type GangReservation struct {
-	ExpiresAtMs int64 `json:"u"` // Unix milliseconds; for tidiness, the lease decides
+	ExpiresAtMs int64 `json:"u"` // Unix milliseconds; the leader deletes the record after this time, but only its lease is decisive
 }
 
-// GangHold is the capacity that a shard holds for such a job. The shard's owner writes it,
-// on its fencing token, the GangReservation and the version known, attached to its lease.
+// GangHold is the capacity that a shard holds for the job of a GangReservation. The shard's
+// owner writes it, conditional on its fencing token, the GangReservation and the known
+// version, and attaches it to its lease.
 type GangHold struct {
 	TasksByHost map[string]int `json:"m"`
 }
--- a/internal/storage/records/golden_test.go
+++ b/internal/storage/records/golden_test.go
@@ -8,12 +8,12 @@
 	"madderslip/internal/protocol"
 )
 
-// codec is how records are written and read.
+// codec encodes and decodes records.
 var codec = golden.Codec{Encode: protocol.Encode, Decode: protocol.Decode}
 
-// kinds are the records, named by what they are of.
-// What is set here has a form of its own: ranges, large numbers, and amounts that the two
-// JSON writers in use spell differently.
+// kinds returns all records, with the names of their golden files. The fields that are set here
+// have special encodings: ranges, large numbers, and amounts that the two JSON encoders in
+// use write differently.
 func kinds() []golden.Kind {
 	return []golden.Kind{
 		{Name: "record-node", Value: &Node{TeamsHash: 1<<64 - 1}},
@@ -34,12 +34,12 @@
 	}
 }
 
-// TestGoldenRecords: every record is read and written byte for byte as by 096baff.
+// TestGoldenRecords: every record is decoded and encoded byte for byte as at commit 096baff.
 func TestGoldenRecords(t *testing.T) {
 	golden.Check(t, codec, kinds(), "keys.txt")
 }
 
-// TestGoldenKeys: the keys of records are spelled as by 096baff.
+// TestGoldenKeys: the keys of records are those of commit 096baff.
 func TestGoldenKeys(t *testing.T) {
 	keys := []string{NodePrefix, ShardPrefix, MachinePrefix, JobPrefix, ClaimPrefix, TeamUsagePrefix, TeamLimitPrefix, AllotmentPrefix, ReservationPrefix,
 		ProvisionPrefix, ImagePrefix, GangReservationPrefix, GangHoldPrefix, LeaderKey, ClaimKey("wk-000412", 0), ClaimKey("wk-7", 12)}
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestGeneratedCodeIsCurrent: the generated codecs know every field of the records.
+// TestGeneratedCodeIsCurrent: the generated codecs cover every field of the records.
 func TestGeneratedCodeIsCurrent(t *testing.T) {
 	golden.CheckGenerated(t, codec, &Job{}, &Machine{}, &Provision{}, &Allocation{})
 }
--- a/internal/storage/records/images.go
+++ b/internal/storage/records/images.go
@@ -6,9 +6,9 @@
 	SizeGB float64
 }
 
-// ImageLocations are the images that a part of a shard's machines have in their caches,
-// for the shard's next owner. The owner writes it, on its fencing token and the version
-// known. It is advice: a stale one costs a download.
+// ImageLocations lists the images in the caches of a part of a shard's machines, for the
+// shard's next owner. The owner writes it, conditional on its fencing token and the known
+// version. It is a hint: a stale record costs an image download.
 type ImageLocations struct {
 	Names   []string         `json:"n"`
 	SizesGB []float64        `json:"g"` // by index of Names
--- a/internal/storage/records/jobids.go
+++ b/internal/storage/records/jobids.go
@@ -7,14 +7,14 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// jobIDPrefix begins every id that users give; records leave it out of lists.
+// jobIDPrefix begins every id that users give to jobs; lists in records omit it.
 const jobIDPrefix = "wk-"
 
-// JobIDs is a list of job ids. In a record it is one string of their numbers, separated by
-// spaces, so that some two hundred fit the smallest value.
+// JobIDs is a list of job ids. In a record it is encoded as one string of their numbers,
+// separated by spaces, so that about two hundred fit the smallest value limit.
 type JobIDs []string
 
-// MarshalEasyJSON writes the list as one string.
+// MarshalEasyJSON encodes the list as one string.
 func (ids JobIDs) MarshalEasyJSON(w *jwriter.Writer) {
 	numbers := make([]string, len(ids))
 	for i, id := range ids {
@@ -23,8 +23,8 @@
 	w.String(strings.Join(numbers, " "))
 }
 
-// UnmarshalEasyJSON reads what MarshalEasyJSON writes. A word that begins with a digit is
-// an id without its prefix; any other word is the whole id.
+// UnmarshalEasyJSON decodes the form that MarshalEasyJSON writes. A word that begins with a
+// digit is an id without its prefix; any other word is a whole id.
 func (ids *JobIDs) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	*ids = nil
 	if l.IsNull() {
@@ -39,7 +39,7 @@
 	}
 }
 
-// MarshalJSON writes the same string for encoding/json.
+// MarshalJSON encodes the list as the same string for encoding/json.
 func (ids JobIDs) MarshalJSON() ([]byte, error) {
 	var w jwriter.Writer
 	ids.MarshalEasyJSON(&w)
--- a/internal/storage/records/jobs.go
+++ b/internal/storage/records/jobs.go
@@ -4,29 +4,29 @@
 
 import "madderslip/internal/protocol"
 
-// Job is an accepted job. It is written once by the controller that accepts it, on
-// condition that there is no record, and later on the version known: when it is released,
-// cancelled, or all its chunks are complete. It is never deleted, so a repeated
-// submission finds it; the description is dropped when the job becomes final, unless
+// Job is an accepted job. The controller that accepts it writes the record, conditional on its
+// absence. Later writes are conditional on the known version: when the job is released or
+// cancelled, or when all its chunks are complete. The record is never deleted, so that a
+// repeated submission is recognized. Spec is removed when the job becomes final, unless
 // placements or other chunks still need it.
 //
 //easyjson:json
 type Job struct {
 	Spec          *protocol.Submission `json:"d,omitempty"`
-	Shards        []string             `json:"q,omitempty"` // the shards whose queues it is in
-	AcceptedAtMs  int64                `json:"b,omitempty"` // Unix milliseconds; orders the queues, and no rule rests on it
+	Shards        []string             `json:"q,omitempty"` // the shards in whose queues the job is
+	AcceptedAtMs  int64                `json:"b,omitempty"` // Unix milliseconds; orders the queues, and no guarantee depends on it
 	State         string               `json:"x,omitempty"` // "", JobBlocked, protocol.JobDone or protocol.JobCancelled
-	Tasks         int                  `json:"n,omitempty"` // of a final job
-	ChunkSize     int                  `json:"k,omitempty"` // tasks in a chunk
-	CancelledAtMs int64                `json:"e,omitempty"` // Unix milliseconds; the deadline for ending its tasks counts from here
-	Dependencies  JobIDs               `json:"w,omitempty"` // of a blocked job: those of its user's list that were not done when it was accepted
+	Tasks         int                  `json:"n,omitempty"` // of a final job: number of tasks
+	ChunkSize     int                  `json:"k,omitempty"` // number of tasks in a chunk
+	CancelledAtMs int64                `json:"e,omitempty"` // Unix milliseconds; the deadline for ending the job's tasks counts from this time
+	Dependencies  JobIDs               `json:"w,omitempty"` // of a blocked job: the submitted dependencies that were not done when it was accepted
 	ReleasedAtMs  int64                `json:"r,omitempty"` // Unix milliseconds at which a blocked job entered the queues
 }
 
-// JobBlocked is the state of a job that waits for others. It is in no queue and has no
-// claim. Versions that do not know it take it for a final state: they start nothing of
-// the job and answer its users "pending", which it is.
+// JobBlocked is the state of a job that waits for the jobs it depends on. A blocked job is in
+// no queue and has no claim. Versions that do not support dependencies treat the state as
+// final: they start no task of the job and report it to users as "pending", which is correct.
 const JobBlocked = protocol.JobPending
 
-// IsFinal reports whether the job is done or cancelled, after which nothing of it changes.
+// IsFinal reports whether the job is done or cancelled, after which its state does not change.
 func (j *Job) IsFinal() bool { return j.State == protocol.JobDone || j.State == protocol.JobCancelled }
--- a/internal/storage/records/keys.go
+++ b/internal/storage/records/keys.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Prefixes of the keys, each with the form of the whole key and the record that it holds.
+// Prefixes of the keys, each with the form of the whole key and the type of the record.
 const (
 	NodePrefix            = "n/" // n/<node>: Node
 	ShardPrefix           = "s/" // s/<shard>: Shard; the key's version is the fencing token
@@ -23,7 +23,7 @@
 	GangHoldPrefix        = "o/" // o/<job>/<shard>: GangHold
 )
 
-// LeaderKey is the key of the one Leader record.
+// LeaderKey is the key of the only Leader record.
 const LeaderKey = "lead"
 
 // ClaimKey returns the key of the claim of a job's chunk.
@@ -31,12 +31,12 @@
 	return ClaimPrefix + jobID + "/" + strconv.Itoa(chunk)
 }
 
-// ParseClaimKey returns the job and the chunk of a key that ClaimKey made. Any other text
-// is an error; the job's part of the text is returned all the same if a slash ends it.
+// ParseClaimKey returns the job and the chunk of a key that ClaimKey returned. Any other text
+// is an error; if only the chunk is invalid, the job's id is returned with the error.
 func ParseClaimKey(key string) (jobID string, chunk int, err error) {
 	jobID, number, ok := strings.Cut(strings.TrimPrefix(key, ClaimPrefix), "/")
 	if !ok {
-		return "", 0, fmt.Errorf("claim key %q", key)
+		return "", 0, fmt.Errorf("parse claim key %q: no chunk number", key)
 	}
 	chunk, err = strconv.Atoi(number)
 	return jobID, chunk, err
--- a/internal/storage/records/provisioning.go
+++ b/internal/storage/records/provisioning.go
@@ -4,11 +4,12 @@
 
 import "madderslip/internal/protocol"
 
-// Provision is a request for machines and, once the cloud has answered, the record of all
-// machines that it brought. The leader writes it before it sends the request, on its
-// Leader record and that there is none of this name, so that after a crash the same
-// request is repeated and not made twice. The answer is recorded on the version known.
-// A machine that reports without being recorded is adopted by such a record as well. It is
+// Provision is a request for machines and, once the cloud has answered, the record of the
+// machines that the cloud has provided. The leader writes it before it sends the request,
+// conditional on its Leader record and on the absence of a record of the same name. After a
+// crash the same request is therefore repeated under its name, instead of a second one being
+// made. The write that records the answer is conditional on the known version. Machines that
+// send heartbeats without being recorded are adopted by such a record as well. The record is
 // deleted when the cloud refuses the request, or once all its machines are gone.
 //
 //easyjson:json
@@ -16,10 +17,10 @@
 	protocol.ProvisionRequest
 	Allocations   []Allocation `json:"p"`
 	RequestedAtMs int64        `json:"b"`           // Unix milliseconds
-	Hosts         []string     `json:"m,omitempty"` // of the answer; allocated to shards in the order of Allocations
+	Hosts         []string     `json:"m,omitempty"` // hosts in the answer, allocated to shards in the order of Allocations
 }
 
-// Allocation is how many machines of a request go to one shard.
+// Allocation is the number of machines of a request that go to one shard.
 //
 //easyjson:json
 type Allocation struct {
@@ -27,7 +28,7 @@
 	Count int    `json:"n"`
 }
 
-// Allocate gives a shard one machine more.
+// Allocate allocates one more machine to a shard.
 func (p *Provision) Allocate(shard string) {
 	for i := range p.Allocations {
 		if p.Allocations[i].Shard == shard {
@@ -38,8 +39,8 @@
 	p.Allocations = append(p.Allocations, Allocation{Shard: shard, Count: 1})
 }
 
-// ShardOf returns the shard of the i-th machine; machines beyond the request go to the
-// last shard. There must be an allocation.
+// ShardOf returns the shard of the machine at index i of Hosts; machines beyond the requested
+// count go to the last shard. There must be at least one allocation.
 func (p *Provision) ShardOf(i int) string {
 	for _, allocation := range p.Allocations {
 		if i < allocation.Count {
--- a/internal/storage/records/provisioning_test.go
+++ b/internal/storage/records/provisioning_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestMachinesGoToShardsInOrderOfAllocation: one record stands for all machines of a
-// request, whatever their shards, and tells each machine's shard by its place.
+// TestMachinesGoToShardsInOrderOfAllocation: one record holds all machines of a request, also
+// those of different shards; a machine's shard follows from its index.
 func TestMachinesGoToShardsInOrderOfAllocation(t *testing.T) {
 	var provision Provision
 	for _, shard := range []string{"x", "y", "x", "z"} {
--- a/internal/storage/records/quota.go
+++ b/internal/storage/records/quota.go
@@ -2,48 +2,51 @@
 
 import "madderslip/internal/protocol"
 
-// TeamUsage is what a team with a limit has reserved while its limit is not allotted. It
-// is part of every transaction that starts or ends a task of the team, on the version
-// known. While the limit is allotted it shows the whole limit as used under "*", so that
-// versions without allotments start nothing.
+// TeamUsage is what a team with a limit uses while its limit is not allotted. Every transaction
+// that starts or ends a task of the team writes it, conditional on the known version. While
+// the limit is allotted, the record shows the whole limit as used under "*", so that versions
+// that do not support allotments start no task of the team.
 type TeamUsage struct {
-	ByShard map[string]protocol.Resources `json:"u"` // by shard; of a job placed across shards by "*" and its id
+	ByShard map[string]protocol.Resources `json:"u"` // by shard; for a job placed across shards by "*" followed by its id
 }
 
-// TeamLimit is a team's limit and how it was divided among the holders: the shards, and
-// "*" for work placed across shards. Every start of the team is conditional on its
-// version, so each change voids the starts under way, and it is never deleted: a
-// condition that it does not exist must not hold again.
+// TeamLimit is a team's limit and its division among the holders: the shards, and "*" for work
+// placed across shards. Every start of a task of the team is conditional on the record, so
+// each write of it makes the starts in flight fail. The record is never deleted: otherwise a
+// condition that it does not exist could hold again.
 //
-// The leader writes it, on its Leader record and the version known; any controller may
-// lower it. Without Base nothing starts: what is in use is being counted.
+// The leader writes it, conditional on its Leader record and the known version; any controller
+// may lower the limit. While Base is missing no task of the team starts, because its current
+// usage is being counted.
 type TeamLimit struct {
-	Generation uint64                        `json:"v"`           // rises with each change; transfers of an earlier one are void
-	Max        protocol.Resources            `json:"m"`           // a part of 0: no limit
-	Base       map[string]protocol.Resources `json:"b,omitempty"` // by holder; together no more than Max
-	Closing    bool                          `json:"c,omitempty"` // it goes back to TeamUsage once what is in use is counted
-	Closed     bool                          `json:"x,omitempty"` // it is back in TeamUsage
+	Generation uint64                        `json:"v"`           // increases with each write; transfers of an earlier generation are void
+	Max        protocol.Resources            `json:"m"`           // 0 CPUs or GPUs: no limit on them
+	Base       map[string]protocol.Resources `json:"b,omitempty"` // share of each holder; the sum does not exceed Max
+	Closing    bool                          `json:"c,omitempty"` // accounting returns to TeamUsage once the current usage is counted
+	Closed     bool                          `json:"x,omitempty"` // accounting has returned to TeamUsage
 }
 
-// Allotment is what a holder has transferred to others since the division, by receiver.
-// What a holder may use is its base, plus what it received, less what it transferred.
+// Allotment records how much of its share a holder has transferred to each other holder since
+// the limit was divided. A holder may use its base, plus the amounts it received, minus the
+// amounts it transferred.
 //
-// Only the controller that decides for the holder writes it, on its Shard or Leader
-// record, the TeamLimit and the version known. Amounts only rise. Each key has one
-// writer, so holders that transfer at the same time do not make one another fail.
+// Only the controller that decides for the holder writes it, conditional on its Shard or Leader
+// record, the TeamLimit and the known version. Within a generation amounts only increase. Each
+// key has one writer, so concurrent transfers of different holders do not make one another
+// fail.
 type Allotment struct {
-	Generation  uint64                        `json:"v"` // the TeamLimit's; void with any other
+	Generation  uint64                        `json:"v"` // the TeamLimit's generation; with any other the record is void
 	Transferred map[string]protocol.Resources `json:"g"` // by receiver
 }
 
-// Reservations are what is reserved on a team's guarantee, and what of the team is being
+// Reservations are the reservations on a team's guarantee, and the team's tasks that are being
 // preempted for other teams. Both maps are keyed by the claim key of the chunk that the
 // reservation is for.
 //
-// A shard's owner writes them, on its fencing token and the versions of all teams' records
-// that it changes together, so no two owners count the same resources. Starts of a team
-// with a guarantee are conditional on the version. It is never deleted: a condition that
-// it does not exist must not hold again.
+// A shard's owner writes the record, conditional on its fencing token and the known versions
+// of all teams' records that it changes in the same transaction, so no two owners count the
+// same resources. Task starts of a team with a guarantee are conditional on the record. It is
+// never deleted: otherwise a condition that it does not exist could hold again.
 type Reservations struct {
 	ByClaim   map[string]Reservation `json:"d,omitempty"`
 	Preempted map[string]Preemption  `json:"t,omitempty"`
@@ -51,14 +54,14 @@
 
 // Reservation is a chunk's reservation on its team's guarantee.
 type Reservation struct {
-	Shard        string             `json:"h"` // whose owner preempts for it
-	Use          protocol.Resources `json:"u"` // of all its tasks, those placed already included
-	FencingToken uint64             `json:"o"` // of that owner; with an earlier owner's token it is void
+	Shard        string             `json:"h"` // the shard whose owner preempts tasks for the chunk
+	Use          protocol.Resources `json:"u"` // of all tasks of the chunk, including those already placed
+	FencingToken uint64             `json:"o"` // of the owner that made it; with any other token than the current owner's it is void
 }
 
-// Preemption is what of a team is stopped for a chunk of another team.
+// Preemption lists the tasks of a team that are stopped for a chunk of another team.
 type Preemption struct {
-	BeneficiaryTeam string   `json:"b"` // the other team
-	Shard           string   `json:"h"` // whose owner stops it
+	BeneficiaryTeam string   `json:"b"` // the team of the chunk
+	Shard           string   `json:"h"` // the shard whose owner stops the tasks
 	Tasks           []string `json:"n"` // claim key, task and host of each placement
 }
