--- a/internal/storage/kv/batch.go
+++ b/internal/storage/kv/batch.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// Limits on what is sent together and at once. The odd nanoseconds keep apart what would
-// else come at the same instant: nobody could repeat in a test what is first then.
+// Limits on batches and on concurrent requests. The odd nanoseconds keep timers from firing
+// at the same instant, in which case their order would not be reproducible in tests.
 const (
 	batchDelay       = 4*time.Millisecond + 53*time.Nanosecond
 	readBatchDelay   = 60*time.Millisecond + 67*time.Nanosecond
-	idleInterval     = 250*time.Millisecond + 61*time.Nanosecond // between looks at the queue
+	idleInterval     = 250*time.Millisecond + 61*time.Nanosecond // longest time between two passes over the queue
 	maxInflight      = 6
-	maxReadsInflight = maxInflight / 2 // requests that only compare
+	maxReadsInflight = maxInflight / 2 // of which requests that hold only reads
 	maxBatchBytes    = 60 << 10
 )
 
-// comparesPerOp is how many conditions a transaction may have for each change that it may.
+// comparesPerOp is the ratio of the limit on conditions to the limit on changes of a
+// transaction or batch.
 const comparesPerOp = 4
 
-// batcher decides what is sent next, and together. A batch keeps the limits of the state
-// service and the budgets; it holds no two changes of a key, no two versions of a
-// condition, and either changes or comparisons alone, which fail often. While a
-// transaction lacks budget no less urgent one is sent. Requests under way never exceed
-// maxInflight, those of comparisons maxReadsInflight.
+// batcher selects the batch that is sent next. A batch keeps the limits of the state service
+// and the budgets. It holds no two changes of one key and no conditions on different
+// versions of one key. Reads, which fail often, are never batched with transactions that
+// make changes. While a transaction that makes changes lacks budget, no less urgent changes
+// are sent. Concurrent requests never exceed maxInflight, those of reads maxReadsInflight.
 //
-// Its lock is taken before the queue's.
+// Its lock is acquired before the queue's.
 type batcher struct {
 	queue   *queue
 	limiter *limiter
 
 	mu            sync.Mutex
-	inflight      int  // requests under way, guarded by mu
-	readsInflight int  // of those, comparisons alone, guarded by mu
-	lastWasRead   bool // the latest request was such a one, guarded by mu
+	inflight      int  // requests in flight, guarded by mu
+	readsInflight int  // of those, requests of reads, guarded by mu
+	lastWasRead   bool // whether the latest request held reads, guarded by mu
 }
 
-// next is the batch to be sent now, or how long to wait for one. Whoever gets a batch calls
-// done once it is answered. Changes are picked only as far as the budget reaches: a batch
-// of the less urgent that waits for its budget would hold up an acceptance that comes
-// meanwhile.
+// next returns the batch to be sent now, or nil and how long to wait for one. The caller calls
+// done once the batch is answered. Changes are selected only as far as the budget allows: a
+// batch of less urgent changes that waited for its budget would delay more urgent ones that
+// are submitted meanwhile, such as the acceptance of a job.
 func (b *batcher) next(now time.Time) (batch []*Txn, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -55,7 +56,7 @@
 	return batch, wait
 }
 
-// done notes that a batch is answered.
+// done records that a batch is answered.
 func (b *batcher) done(batch []*Txn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,15 +66,15 @@
 	}
 }
 
-// requestsInflight is how many requests are under way.
+// requestsInflight returns the number of requests in flight.
 func (b *batcher) requestsInflight() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.inflight
 }
 
-// chooseBatch selects a batch and takes it from the budgets; if there is none it returns nil and
-// how long to wait. The locks of batcher and queue are held by the caller.
+// chooseBatch selects a batch and takes its cost from the budgets; if there is none it returns
+// nil and how long to wait. The caller holds the locks of batcher and queue.
 func (b *batcher) chooseBatch(pending []*Txn, now time.Time) (*selection, time.Duration) {
 	if len(pending) == 0 || b.inflight >= maxInflight {
 		return nil, idleInterval
@@ -86,8 +87,8 @@
 	wait := b.budgetDelay(pending, budget, now)
 	reads, age := pendingReads(pending, now)
 	readsDue := reads > 0 && b.areReadsDue(reads, age)
-	// By turns with changes: users who ask many times as often as usual would take
-	// every request, and acceptance and claims would wait behind their questions.
+	// Reads alternate with changes: when users poll many times as often as usual, their
+	// reads would otherwise use every request and delay acceptances and claims.
 	if readsDue && !b.lastWasRead {
 		return b.chooseReads(pending, now), 0
 	}
@@ -103,8 +104,8 @@
 	return nil, wait
 }
 
-// budgetDelay is how long the first of the changes that lack budget has to wait for it,
-// idleInterval at most.
+// budgetDelay returns the time until the budget suffices for the first of the transactions
+// that lack budget now, idleInterval at most.
 func (b *batcher) budgetDelay(pending []*Txn, budget float64, now time.Time) time.Duration {
 	wait := idleInterval
 	for _, t := range pending {
@@ -118,8 +119,7 @@
 	return wait
 }
 
-// pendingReads counts the transactions that only compare and tells how long the oldest
-// waits.
+// pendingReads returns the number of pending reads and the age of the oldest.
 func pendingReads(pending []*Txn, now time.Time) (reads int, age time.Duration) {
 	oldest := now
 	for _, t := range pending {
@@ -134,14 +134,15 @@
 	return reads, now.Sub(oldest)
 }
 
-// areReadsDue reports whether comparisons are to be sent. Alone, for users' polls, they cost a
-// request each time and no change: many go together, even if they wait a moment for that.
+// areReadsDue reports whether reads are to be sent now. A request of reads, which serve
+// users' polls, costs request budget but no write budget. Reads therefore wait until they are
+// many or the oldest has waited for readBatchDelay, so that many share a request.
 func (b *batcher) areReadsDue(reads int, age time.Duration) bool {
 	isDue := age >= readBatchDelay || reads >= 2*b.limiter.limits.effective().MaxTxnOps
 	return isDue && b.readsInflight < maxReadsInflight
 }
 
-// chooseReads takes a request of comparisons from its budget.
+// chooseReads selects a batch of reads and takes its request from the budget.
 func (b *batcher) chooseReads(pending []*Txn, now time.Time) *selection {
 	chosen := b.selectTxns(pending, true, 0, now)
 	b.limiter.requests.AllowN(now, 1)
@@ -150,8 +151,8 @@
 	return chosen
 }
 
-// chooseWrites takes a request of changes from the budgets; nil if they do not reach for
-// one.
+// chooseWrites selects a batch of changes and takes its cost from the budgets; nil if there is
+// none or the budget does not suffice.
 func (b *batcher) chooseWrites(pending []*Txn, budget float64, now time.Time) *selection {
 	chosen := b.selectTxns(pending, false, budget, now)
 	if len(chosen.batch) == 0 {
@@ -164,13 +165,13 @@
 }
 
 // selectTxns selects the most urgent transactions that fit one request and the budget
-// together: comparisons alone, or changes.
+// together: reads or transactions that make changes, never both.
 func (b *batcher) selectTxns(pending []*Txn, reads bool, budget float64, now time.Time) *selection {
 	chosen := newSelection(b.limiter.limits.effective().MaxTxnOps)
 	exhausted := false
 	for _, t := range pending {
-		// What lacks budget holds the less urgent up: small ones that slipped
-		// past would eat the budget for ever before it suffices for a large one.
+		// A transaction that lacks budget blocks less urgent ones: otherwise small ones
+		// could use up the budget again and again before it suffices for a large one.
 		exhausted = exhausted || (!reads && !t.isRead() && float64(chosen.ops+len(t.Ops))+b.limiter.urgentReserve(t, now) > budget)
 		if t.isRead() != reads || exhausted || !chosen.accepts(t) {
 			chosen.rest = append(chosen.rest, t)
@@ -181,23 +182,23 @@
 	return chosen
 }
 
-// selection is a batch while it is put together. It has no lock: it belongs to the one
-// call of next that makes it.
+// selection is a batch that is being built. It has no lock: it belongs to the one call of
+// next that creates it.
 type selection struct {
 	maxOps   int
 	batch    []*Txn
 	rest     []*Txn            // the pending transactions that are not in the batch
-	ops      int               // changes of the batch
-	bytes    int               // about how large the request is
-	versions map[string]uint64 // that conditions require, by key
-	written  map[string]bool   // keys that are changed
+	ops      int               // number of changes in the batch
+	bytes    int               // approximate size of the request
+	versions map[string]uint64 // versions that the conditions require, by key
+	written  map[string]bool   // keys that the batch changes
 }
 
 func newSelection(maxOps int) *selection {
 	return &selection{maxOps: maxOps, versions: make(map[string]uint64), written: make(map[string]bool)}
 }
 
-// add puts a transaction into the batch.
+// add adds a transaction to the batch.
 func (s *selection) add(t *Txn) {
 	s.batch = append(s.batch, t)
 	s.ops += len(t.Ops)
@@ -210,8 +211,8 @@
 	}
 }
 
-// accepts reports whether a transaction may go with those of the batch. The first may
-// always: Submit has refused what is too large alone.
+// accepts reports whether a transaction may be added to the batch. An empty batch accepts any,
+// since Submit rejects transactions that exceed the limits on their own.
 func (s *selection) accepts(t *Txn) bool {
 	if len(s.batch) == 0 {
 		return true
@@ -225,8 +226,8 @@
 	return s.agreesWith(t.Compares) && !s.writesAny(t.Ops)
 }
 
-// agreesWith reports whether conditions require the same versions as those of the batch
-// and are not too many beside them.
+// agreesWith reports whether conditions require the same versions as those of the batch and
+// whether the batch with them keeps the limit on conditions.
 func (s *selection) agreesWith(compares []Compare) bool {
 	added := 0
 	for _, compare := range compares {
@@ -250,7 +251,7 @@
 	return false
 }
 
-// encodeBatch is the request that carries out a batch.
+// encodeBatch returns the request that executes a batch, with each condition once.
 func encodeBatch(batch []*Txn) *wireTxn {
 	request := &wireTxn{Compares: []wireCompare{}, Ops: []wireOp{}}
 	seen := make(map[string]bool)
--- a/internal/storage/kv/batch_test.go
+++ b/internal/storage/kv/batch_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// No request has more changes than the service takes, and none fewer without need.
+// TestBatchesKeepTheChangeLimit: no request has more changes than the state service accepts,
+// and no more requests are sent than the limit requires.
 func TestBatchesKeepTheChangeLimit(t *testing.T) {
 	s := &scriptedService{answer: func(_ int, body string) (int, string, error) {
 		if n := strings.Count(body, `"set"`); n > 4 {
@@ -27,7 +28,8 @@
 	}
 }
 
-// A batch never holds two writes of a key nor two versions of a condition.
+// TestBatchesHoldNoConflictingTransactions: a batch never holds two changes of one key, nor
+// conditions on different versions of one key.
 func TestBatchesHoldNoConflictingTransactions(t *testing.T) {
 	s := &scriptedService{answer: func(int, string) (int, string, error) { return 200, `{"epoch":6}`, nil }}
 	runClient(t, s, func(c *Client, done func(string) func(Result)) {
@@ -40,10 +42,10 @@
 	}
 }
 
-// Users who ask many times as often as usual leave requests to changes: questions are put
-// together, and go by turns with changes; when they take long, half of the requests under
-// way are left to changes. Else a change waits behind the questions for as long as users
-// ask.
+// TestReadsDoNotDelayChanges: users who poll many times as often as usual do not hold up
+// changes, which would otherwise wait behind their reads for as long as they poll. Reads are
+// batched and alternate with changes; when the state service is slow, half of the concurrent
+// requests remain available to changes.
 func TestReadsDoNotDelayChanges(t *testing.T) {
 	for name, latency := range map[string]time.Duration{"as usual": 5 * time.Millisecond, "the state service is slow": 1500 * time.Millisecond} {
 		s := &scriptedService{answer: func(int, string) (int, string, error) {
@@ -53,7 +55,7 @@
 		var waited time.Duration
 		var answered atomic.Int64
 		runClient(t, s, func(c *Client, done func(string) func(Result)) {
-			for i := range 400 { // a burst of questions for 10 s
+			for i := range 400 { // a burst of reads for 10 s
 				for k := range 20 {
 					c.Submit(&Txn{Compares: []Compare{{Key: fmt.Sprint("q", i, "-", k), Version: 1}}, Priority: PriorityUser, Deadline: time.Now().Add(1700 * time.Millisecond),
 						OnResult: func(r Result) {
@@ -73,7 +75,7 @@
 			t.Errorf("%s: a change waited for %v", name, waited)
 		}
 		if answered.Load() == 0 {
-			t.Errorf("%s: nobody was answered", name)
+			t.Errorf("%s: no read was answered", name)
 		}
 	}
 }
--- a/internal/storage/kv/budgetlog.go
+++ b/internal/storage/kv/budgetlog.go
@@ -19,12 +19,14 @@
 	PriorityBackground: "rest",
 }
 
-// budgetUse is what one priority has used of the budgets since it was last logged.
+// budgetUse counts the changes that transactions of one priority sent, and those that failed,
+// since the use was last logged.
 type budgetUse struct{ changes, failed int }
 
-// budgetLog counts what each priority uses of the budgets and logs it every
-// budgetLogInterval, with what waits. On-call people see here that the state service's
-// budget is what holds the cluster up. Its lock is taken before those of queue and batcher.
+// budgetLog counts how much of the budgets each priority uses and logs it every
+// budgetLogInterval, with the number of pending transactions. It shows on-call engineers
+// when the state service's budget is the bottleneck of the cluster. Its lock is acquired
+// before those of queue and batcher.
 type budgetLog struct {
 	log *slog.Logger
 
@@ -42,8 +44,7 @@
 	}
 }
 
-// recordFailed counts the changes of a batch that was not carried out since a condition
-// failed.
+// recordFailed counts the changes of a batch that was not applied because a condition failed.
 func (b *budgetLog) recordFailed(batch []*Txn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,8 +53,8 @@
 	}
 }
 
-// logIfDue logs the use since it was last logged, and begins to count anew. The first call
-// only does the latter.
+// logIfDue logs the use and resets the counts once budgetLogInterval has passed since the
+// last time. The first call only resets them.
 func (b *budgetLog) logIfDue(now time.Time, queue *queue, batcher *batcher) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/storage/kv/client.go
+++ b/internal/storage/kv/client.go
@@ -13,25 +13,27 @@
 	"madderslip/internal/protocol"
 )
 
-// keyPrefix is put before every key, so that the service can share a store.
+// keyPrefix is prepended to every key, so that this program can share the state service with
+// others.
 const keyPrefix = "madderslip/"
 
 // Timeouts of calls.
 const (
 	readTimeout  = 1500*time.Millisecond + 43*time.Nanosecond
-	listTimeout  = 2 * readTimeout // of one page
+	listTimeout  = 2 * readTimeout // per page
 	leaseTimeout = time.Second
 )
 
-// Item is a key as the state service has it. A nil Value means it is absent.
+// Item is the state of a key in the state service. A nil Value means that the key does not
+// exist.
 type Item struct {
 	Key     string
 	Value   json.RawMessage
 	Version uint64
 }
 
-// Client talks to the state service within its budgets. It is made of parts, each with its
-// own lock; all of its methods may be called at once.
+// Client calls the state service within its budgets. Its parts have locks of their own where
+// they need one; all of its methods are safe for concurrent use.
 type Client struct {
 	connection *connection
 	limiter    *limiter
@@ -42,7 +44,7 @@
 	log        *slog.Logger
 }
 
-// New makes a client; Run must be called for transactions to be sent.
+// New returns a client. It sends transactions only while Run runs.
 func New(httpClient HTTPClient, addr string, limits protocol.StateLimits, log *slog.Logger) *Client {
 	connection := &connection{http: httpClient, addr: addr}
 	limiter := newLimiter(limits)
@@ -58,18 +60,19 @@
 	}
 }
 
-// AnnounceLimits tells which limits the state service will have from some moment on. It is
-// called before Run.
+// AnnounceLimits sets the limits that the state service will have from some moment on, of
+// which it gives no notice. It is called before Run.
 func (c *Client) AnnounceLimits(next protocol.StateLimits) { c.limiter.limits.announce(next) }
 
-// SetBudgetShare sets this node's part of the budgets, from 0 to 1. A tenth stays unused for
-// lease renewals, which do not wait for the budget.
+// SetBudgetShare sets this node's share of the budgets, from 0 to 1. A tenth of the share
+// stays unused for lease renewals, which do not wait for the budget.
 func (c *Client) SetBudgetShare(share float64) { c.limiter.setShare(share) }
 
-// MaxValueBytes is how large a record may be, as far as is known.
+// MaxValueBytes returns the maximum size of a value under the limits known to be in effect.
 func (c *Client) MaxValueBytes() int { return c.limiter.limits.effective().MaxValueBytes }
 
-// LastSuccess is when the state service last executed a call of this node.
+// LastSuccess returns when this client last got an answer with a status below 429, which
+// shows that the state service executed the call.
 func (c *Client) LastSuccess() time.Time { return time.Unix(0, c.connection.lastSuccess.Load()) }
 
 // Get reads one key. Errors are of type *Error, here and below.
@@ -95,8 +98,8 @@
 	return Item{}, notExecuted(status)
 }
 
-// List reads everything, page by page. The revision returned is that of the
-// first page: a watch from there misses nothing.
+// List reads all keys, page by page. It returns the revision of the first page: a watch from
+// that revision misses no change.
 func (c *Client) List(ctx context.Context) ([]Item, uint64, error) {
 	var all []Item
 	from, revision := "", uint64(0)
@@ -118,7 +121,7 @@
 	}
 }
 
-// listPage reads the page of keys after from, the first one if that is empty.
+// listPage reads the page of keys after from; the first page if from is empty.
 func (c *Client) listPage(ctx context.Context, from string) (wireList, error) {
 	var page wireList
 	if err := c.limiter.waitForRequest(ctx); err != nil {
@@ -135,14 +138,14 @@
 	return page, err
 }
 
-// Watch waits for changes after a revision. It returns them in order and the
+// Watch waits for up to block for changes after a revision. It returns them in order, with the
 // revision up to which they are complete.
 func (c *Client) Watch(ctx context.Context, from uint64, block time.Duration) ([]Item, uint64, error) {
 	items, revision, err := c.watcher.watch(ctx, from, block)
 	return items, revision, wrapError(opWatch, "", err)
 }
 
-// GrantLease takes a new lease. Leases do not wait for the budget: losing one
+// GrantLease requests a new lease. Lease calls do not wait for the budget: a lease lost
 // because of other traffic would cost the node its shard.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	request := map[string]int64{"ttlMs": ttl.Milliseconds()}
@@ -157,7 +160,7 @@
 	return LeaseID(answer.Lease), nil
 }
 
-// KeepAlive renews a lease. ErrLeaseExpired says that it has ended for good.
+// KeepAlive renews a lease. After ErrLeaseExpired the lease cannot be renewed any more.
 func (c *Client) KeepAlive(ctx context.Context, lease LeaseID) error {
 	id := strconv.FormatUint(uint64(lease), 10)
 	return wrapError(opKeepAlive, id, c.keepAlive(ctx, id))
--- a/internal/storage/kv/connection.go
+++ b/internal/storage/kv/connection.go
@@ -15,18 +15,19 @@
 	Do(ctx context.Context, addr, method, target string, body []byte) (int, []byte, error)
 }
 
-// connection makes the calls to the state service and notes when one was last executed.
-// It has no lock; all of its methods may be called at once. It holds no call back for the
-// rate limits: that is the caller's task.
+// connection makes the calls to the state service and records when one was last executed. It
+// has no lock; its methods are safe for concurrent use. It does not enforce the rate limits;
+// its callers do.
 type connection struct {
 	http        HTTPClient
 	addr        string
-	lastSuccess atomic.Int64 // UnixNano of the latest executed call
+	lastSuccess atomic.Int64 // UnixNano of the answer to the latest executed call
 }
 
-// call sends request, unless it is nil, and decodes the answer into response, unless that
-// is nil. A status of 0 with an error means that there was no answer. An error beside a
-// status means that the service answered and its message was not understood.
+// call sends request, unless it is nil, and decodes the answer into response, unless that is
+// nil. A status of 0 with an error means that there was no answer or that the request was
+// not encodable. Another status with an error means that the body of the answer could not be
+// decoded.
 func (c *connection) call(ctx context.Context, method, target string, request, response any, timeout time.Duration) (int, error) {
 	var body []byte
 	if request != nil {
@@ -48,7 +49,7 @@
 		return status, nil
 	}
 	err = protocol.Decode(message, response)
-	// The body of a 400 may come from a proxy or a library and need not be the service's.
+	// The body of a 400 may have been written by a proxy or a library instead of the service.
 	if err != nil && status != http.StatusBadRequest {
 		return status, fmt.Errorf("decode answer: %w", err)
 	}
--- a/internal/storage/kv/errors.go
+++ b/internal/storage/kv/errors.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// Errors of calls to the state service, told apart by errors.Is.
+// Errors of calls to the state service, for use with errors.Is.
 var (
-	ErrCompareFailed  = errors.New("a condition failed")
-	ErrOutcomeUnknown = errors.New("no answer: the change may or may not be made")
+	ErrCompareFailed  = errors.New("version condition failed")
+	ErrOutcomeUnknown = errors.New("no answer, outcome unknown")
 	ErrNotExecuted    = errors.New("not executed")
-	ErrInvalid        = errors.New("refused as malformed")
-	ErrCompacted      = errors.New("watch fell behind")
-	ErrLeaseExpired   = errors.New("lease is gone")
-	ErrTooLarge       = fmt.Errorf("%w: larger than the state service takes", ErrInvalid)
+	ErrInvalid        = errors.New("invalid transaction")
+	ErrCompacted      = errors.New("watch revision compacted")
+	ErrLeaseExpired   = errors.New("lease expired")
+	ErrTooLarge       = fmt.Errorf("%w: larger than the state service accepts", ErrInvalid)
 )
 
-// errNoKeyNamed says that the state service reports a failed condition of a transaction
-// that was sent alone, and names no key of it.
-var errNoKeyNamed = errors.New("no failed key named")
+// errNoKeyNamed is the cause when the state service reports a failed condition of a
+// transaction that was sent alone, but names none of its keys.
+var errNoKeyNamed = errors.New("answer names no failed key")
 
 // Operations that an Error names.
 const (
@@ -30,15 +30,15 @@
 	opCommit     = "commit"
 )
 
-// Error tells which call to the state service failed, with what, and why. errors.Is finds
-// the errors above in it.
+// Error is a failed call to the state service: the operation, the key and the cause. It
+// wraps the cause, so errors.Is finds the errors above.
 type Error struct {
-	Op  string // what was being done
-	Key string // the key, or the lease's id; of a transaction the one that failed it, else its first; may be empty
+	Op  string // the operation, one of the constants above
+	Key string // the key or the lease's id; for a transaction the first key whose condition failed, else its first key; may be empty
 	Err error  // the cause
 }
 
-// Error is one line: operation, key, cause.
+// Error returns operation, key and cause in one line.
 func (e *Error) Error() string {
 	if e.Key == "" {
 		return e.Op + ": " + e.Err.Error()
@@ -49,7 +49,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// wrapError adds operation and key to an error; nil stays nil.
+// wrapError adds the operation and the key to an error; nil stays nil.
 func wrapError(op, key string, err error) error {
 	if err == nil {
 		return nil
@@ -57,6 +57,6 @@
 	return &Error{Op: op, Key: key, Err: err}
 }
 
-// notExecuted is the cause when the state service answers with a status that says it did
-// nothing.
+// notExecuted returns the cause for a status by which the state service reports that it did
+// not execute the call.
 func notExecuted(status int) error { return fmt.Errorf("%w: status %d", ErrNotExecuted, status) }
--- a/internal/storage/kv/errors_test.go
+++ b/internal/storage/kv/errors_test.go
@@ -10,8 +10,8 @@
 	"madderslip/internal/protocol"
 )
 
-// failingCall is a call that the state service answers in a way that makes it fail, and the
-// error that is to come of that.
+// failingCall is a call, the answer of the state service that makes it fail, and the expected
+// error.
 type failingCall struct {
 	name   string
 	status int
@@ -57,8 +57,8 @@
 	}, "commit", "a", ErrNotExecuted},
 }
 
-// TestErrorsNameOperationAndKey: whoever logs an error sees what was being done and with
-// which key or lease; errors.Is still finds the cause.
+// TestErrorsNameOperationAndKey: an error names the operation and the key or lease, and
+// errors.Is finds its cause.
 func TestErrorsNameOperationAndKey(t *testing.T) {
 	for _, test := range failingCalls {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/storage/kv/golden_test.go
+++ b/internal/storage/kv/golden_test.go
@@ -11,11 +11,11 @@
 	"madderslip/internal/protocol"
 )
 
-// codec is how messages of the state service are written and read.
+// codec encodes and decodes the messages of the state service.
 var codec = golden.Codec{Encode: protocol.Encode, Decode: protocol.Decode}
 
-// TestGoldenMessages: every message of the state service is read and written byte for
-// byte as by 096baff.
+// TestGoldenMessages: every message of the state service is decoded and encoded byte for byte
+// as at commit 096baff.
 func TestGoldenMessages(t *testing.T) {
 	golden.Check(t, codec, []golden.Kind{
 		{Name: "state-list", Value: &wireList{}},
@@ -25,12 +25,12 @@
 	}, "state-calls.txt")
 }
 
-// TestGeneratedCodeIsCurrent: the generated codecs know every field of the messages.
+// TestGeneratedCodeIsCurrent: the generated codecs cover every field of the messages.
 func TestGeneratedCodeIsCurrent(t *testing.T) {
 	golden.CheckGenerated(t, codec, &wireList{}, &wireWatch{}, &wireTxn{}, &wireTxnAnswer{})
 }
 
-// recordingService answers every call alike and notes what was asked.
+// recordingService gives every call the same answer and records the requests.
 type recordingService struct {
 	answer   string
 	requests strings.Builder
@@ -41,8 +41,8 @@
 	return 200, []byte(r.answer), nil
 }
 
-// TestGoldenCalls: the calls whose messages have no type of their own ask for the same
-// paths with the same bodies as 096baff, and read the same answers.
+// TestGoldenCalls: the calls whose messages have no golden file of their own send the same
+// paths and bodies as at commit 096baff, and decode the same answers.
 func TestGoldenCalls(t *testing.T) {
 	service := &recordingService{answer: `{"value":{"n":1},"stamp":7,"permit":8,"items":[],"truncated":false,"epoch":9,"news":[]}`}
 	client := New(service, "127.0.0.1:1", protocol.StateLimits{RequestRate: 1000, WriteRate: 1000, MaxValueBytes: 8192, MaxTxnOps: 12}, slog.New(slog.DiscardHandler))
--- a/internal/storage/kv/helpers_test.go
+++ b/internal/storage/kv/helpers_test.go
@@ -12,7 +12,8 @@
 	"madderslip/internal/protocol"
 )
 
-// scriptedService answers transactions by a function and keeps the requests.
+// scriptedService answers requests by a function of their number and body, and records the
+// bodies.
 type scriptedService struct {
 	mu     sync.Mutex
 	bodies []string
@@ -28,8 +29,8 @@
 	return status, []byte(out), err
 }
 
-// runClient has a client send what submit submits, for 20 s and until it has ended, and returns
-// the errors by name.
+// runClient runs a client for 20 s, in which it sends the transactions that submit submits, and
+// then ends it. It returns the results' errors by the names given to done.
 func runClient(t *testing.T, s *scriptedService, submit func(c *Client, done func(name string) func(Result))) map[string]error {
 	results := make(map[string]error)
 	synctest.Test(t, func(t *testing.T) {
@@ -47,12 +48,12 @@
 	return results
 }
 
-// newSetTxn is a transaction that sets a key which has a version.
+// newSetTxn returns a transaction that sets a key, on condition that the key has a version.
 func newSetTxn(key string, version uint64, done func(Result)) *Txn {
 	return &Txn{Compares: []Compare{{key, version}}, Ops: []Op{{Key: key, Value: 1}}, Priority: PriorityBackground, OnResult: done}
 }
 
-// commit submits a transaction and waits for its error.
+// commit submits a transaction with PriorityUser and returns the error of its result.
 func commit(ctx context.Context, c *Client, transaction *Txn) error {
 	result := make(chan error, 1)
 	transaction.Priority, transaction.OnResult = PriorityUser, func(r Result) { result <- r.Err }
--- a/internal/storage/kv/limiter.go
+++ b/internal/storage/kv/limiter.go
@@ -11,29 +11,29 @@
 	"madderslip/internal/protocol"
 )
 
-// Smallest bursts of the budgets.
+// Minimum bursts of the budgets.
 const (
 	minRequestBurst = 4
-	minWriteBurst   = 8 // the most that one transaction changes, with a margin
+	minWriteBurst   = 8 // the most changes of one transaction, with a margin
 )
 
-// Parts of the budgets that are left to what is more urgent.
+// Parts of the budgets that are reserved for more urgent uses.
 const (
-	usableShare       = 0.9  // of a node's share; the rest is for lease renewals, which do not wait
-	backgroundReserve = 0.5  // of the burst, that background changes leave
-	completionReserve = 0.25 // of the burst, that completions leave
+	usableShare       = 0.9  // of the node's share; the rest is for lease renewals, which bypass the limiter
+	backgroundReserve = 0.5  // part of the write burst that background transactions leave unused
+	completionReserve = 0.25 // part of the write burst that completions leave unused
 )
 
-// limiter holds this node's share of the budgets, requests and changes a second, and what
-// the state service takes. The rate limiters and the limits have their own locks; only
-// setShare changes the rates. Leases do not pass here.
+// limiter holds this node's share of the budgets, requests and changes a second, and the
+// limits of the state service. The rate limiters and the limits have their own locks; only
+// setShare changes the rates. Lease calls bypass the limiter.
 type limiter struct {
 	requests *rate.Limiter
 	writes   *rate.Limiter
 	limits   *learnedLimits
 }
 
-// newLimiter starts with half of the budgets, until the node knows its share.
+// newLimiter returns a limiter with half of the budgets, which hold until setShare is called.
 func newLimiter(initial protocol.StateLimits) *limiter {
 	return &limiter{
 		requests: rate.NewLimiter(rate.Limit(initial.RequestRate/2), max(minRequestBurst, int(initial.RequestRate/8))),
@@ -42,8 +42,8 @@
 	}
 }
 
-// setShare sets this node's part of the budgets, from 0 to 1, a tenth of which stays
-// unused.
+// setShare sets this node's share of the budgets, from 0 to 1. Only usableShare of the share
+// is used.
 func (l *limiter) setShare(share float64) {
 	share *= usableShare
 	requestRate, writeRate := l.limits.effective().RequestRate, l.limits.writeRate(time.Now())
@@ -53,7 +53,8 @@
 	l.writes.SetBurst(max(minWriteBurst, int(writeRate*share)))
 }
 
-// waitForRequest waits until the budget allows a request, and takes it.
+// waitForRequest waits until the request budget allows a request, and takes it from the
+// budget.
 func (l *limiter) waitForRequest(ctx context.Context) error {
 	if err := l.requests.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrNotExecuted, err)
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// requestDelay is how long it takes until the budget allows a request; 0 if it does now.
+// requestDelay returns the time until the budget allows a request; 0 if it allows one now.
 func (l *limiter) requestDelay(now time.Time) time.Duration {
 	tokens := l.requests.TokensAt(now)
 	if tokens >= 1 {
@@ -70,8 +71,9 @@
 	return tokenDelay(1-tokens, l.requests.Limit())
 }
 
-// urgentReserve is the budget that a transaction leaves to more urgent ones. None
-// waits for that for ever, since waiting makes it more urgent.
+// urgentReserve returns the part of the write budget that a transaction must leave to more
+// urgent ones. No transaction waits forever because of this reserve, since waiting raises
+// its effective priority.
 func (l *limiter) urgentReserve(t *Txn, now time.Time) float64 {
 	switch t.effectivePriority(now) {
 	case PriorityBackground:
@@ -82,30 +84,30 @@
 	return 0
 }
 
-// tokenDelay is how long it takes until a budget has so much more than now.
+// tokenDelay returns the time until a budget has gained the missing tokens.
 func tokenDelay(missing float64, limit rate.Limit) time.Duration {
 	return time.Duration(missing/max(float64(limit), 0.1)*float64(time.Second)) + time.Millisecond
 }
 
-// Constants by which the rate of changes is found.
+// Parameters by which the accepted write rate is inferred.
 const (
-	minRateFactor    = 0.5                    // of the announced rate, unless a lower one is announced
-	rateDecrease     = 0.95                   // what a refusal leaves of the rate
-	decreaseInterval = 250 * time.Millisecond // between refusals that count; those of one burst are one
-	recoveryPeriod   = 50 * time.Second       // in which a rate that is not refused grows by the whole
+	minRateFactor    = 0.5                    // lower bound of rateFactor, unless a lower write rate is announced, which then is the bound
+	rateDecrease     = 0.95                   // the rate is multiplied by it when the service refuses changes for their rate
+	decreaseInterval = 250 * time.Millisecond // minimum time between decreases, so that a burst of refusals counts once
+	recoveryPeriod   = 50 * time.Second       // time in which rateFactor grows by 1 without refusals
 )
 
-// learnedLimits are what the state service takes, as far as this client knows. The service
-// may lower them at some moment without notice; which ones it will have then is known from
-// the settings. A refusal of what only the lower limits exclude proves that the moment
-// has come. The rate is found from its refusals alone. Limits once lowered stay so; the
-// rate falls and recovers.
+// learnedLimits are the limits of the state service, as inferred from its answers. The
+// service may lower its limits at any time without notice; the settings announce the values
+// that it will have then. When the service refuses a batch that exceeds only the announced
+// limits, these are in effect and stay so. The accepted write rate is inferred only from
+// answers that refuse changes for their rate; it falls and recovers.
 type learnedLimits struct {
 	mu            sync.Mutex
-	initial       protocol.StateLimits // guarded by mu, as all below
+	initial       protocol.StateLimits // guarded by mu, as are the fields below
 	announced     protocol.StateLimits
-	lowered       bool
-	rateFactor    float64 // part of the announced rate of changes that the service takes
+	lowered       bool    // whether the announced limits are in effect
+	rateFactor    float64 // part of fullWriteRate that the service accepts
 	rateUpdatedAt time.Time
 }
 
@@ -113,14 +115,16 @@
 	return &learnedLimits{initial: initial, announced: initial, rateFactor: 1}
 }
 
-// announce takes the limits that the service will have.
+// announce sets the limits that the service will have. Limits that are 0 or not lower than
+// the initial ones change nothing.
 func (l *learnedLimits) announce(next protocol.StateLimits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.announced = l.initial.LoweredBy(next)
 }
 
-// effective are the limits on values and transactions.
+// effective returns the limits that are in effect. Its write rate is that of the limits, not
+// the inferred one, which writeRate returns.
 func (l *learnedLimits) effective() protocol.StateLimits {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,8 +134,9 @@
 	return l.initial
 }
 
-// recordRefused takes note of a refused request: if only the announced limits exclude it,
-// they hold from now on. It reports whether that is new.
+// recordRefused records that the service refused a batch, given as one transaction. If the
+// batch exceeds only the announced limits, these are in effect from now on. It reports
+// whether this refusal put them into effect.
 func (l *learnedLimits) recordRefused(merged *Txn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,7 +147,8 @@
 	return true
 }
 
-// writeRate is how many changes a second the service takes from all controllers.
+// writeRate returns how many changes a second the service accepts from all controllers
+// together.
 func (l *learnedLimits) writeRate(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,7 +156,7 @@
 	return l.fullWriteRate() * l.rateFactor
 }
 
-// recordRateLimited takes note that the service refused changes for their rate.
+// recordRateLimited records that the service refused changes for their rate.
 func (l *learnedLimits) recordRateLimited(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,8 +171,7 @@
 	l.rateFactor = max(minFactor, l.rateFactor*rateDecrease)
 }
 
-// fullWriteRate is the rate of changes of the limits that hold. The mutex is held by the
-// caller.
+// fullWriteRate returns the write rate of the limits in effect. The caller holds the mutex.
 func (l *learnedLimits) fullWriteRate() float64 {
 	if l.lowered {
 		return l.announced.WriteRate
@@ -174,8 +179,8 @@
 	return l.initial.WriteRate
 }
 
-// recoverRate lets the rate grow for the time since it was last updated. The mutex is held
-// by the caller.
+// recoverRate raises the rate for the time since it was last updated. The caller holds the
+// mutex.
 func (l *learnedLimits) recoverRate(now time.Time) {
 	if !l.rateUpdatedAt.IsZero() {
 		l.rateFactor = min(1, l.rateFactor+now.Sub(l.rateUpdatedAt).Seconds()/recoveryPeriod.Seconds())
--- a/internal/storage/kv/limiter_test.go
+++ b/internal/storage/kv/limiter_test.go
@@ -9,8 +9,9 @@
 	"madderslip/internal/protocol"
 )
 
-// The state service has lowered its limits: one refusal tells, the batch goes on in
-// smaller ones, a value that does not fit is refused once and never sent again.
+// TestOneRefusalLowersLimits: once the state service has lowered its limits, a single refusal
+// puts the announced limits into effect. The refused batch is sent again in smaller batches,
+// and a value that exceeds the limits is refused once and never sent again.
 func TestOneRefusalLowersLimits(t *testing.T) {
 	refusals, oversize := 0, 0
 	s := &scriptedService{answer: func(_ int, body string) (int, string, error) {
@@ -38,7 +39,7 @@
 		time.Sleep(5 * time.Second)
 		c.Submit(big("again"))
 		if c.MaxValueBytes() != 32 {
-			t.Errorf("values of %d bytes are thought to fit", c.MaxValueBytes())
+			t.Errorf("maximum value size is %d bytes", c.MaxValueBytes())
 		}
 	})
 	for _, key := range []string{"a", "b", "c"} {
@@ -51,7 +52,8 @@
 	}
 }
 
-// A refusal that the lower limits do not explain proves nothing.
+// TestMalformedRequestLowersNoLimits: the refusal of a request that keeps the announced limits
+// does not put these into effect.
 func TestMalformedRequestLowersNoLimits(t *testing.T) {
 	s := &scriptedService{answer: func(int, string) (int, string, error) { return 400, `{"error":"malformed"}`, nil }}
 	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
@@ -59,7 +61,7 @@
 		c.Submit(newSetTxn("a", 0, done("a")))
 		time.Sleep(time.Second)
 		if c.MaxValueBytes() != 64 {
-			t.Errorf("values of %d bytes are thought to fit", c.MaxValueBytes())
+			t.Errorf("maximum value size is %d bytes", c.MaxValueBytes())
 		}
 	})
 	if !errors.Is(got["a"], ErrInvalid) || errors.Is(got["a"], ErrTooLarge) {
@@ -67,14 +69,14 @@
 	}
 }
 
-// The rate falls with each burst of refusals, not below what is announced, and is found
-// again once there are none.
+// TestWriteRateFollowsRateLimitedAnswers: the write rate falls with each burst of refusals, but
+// not below the announced rate, and recovers once there are no more refusals.
 func TestWriteRateFollowsRateLimitedAnswers(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	l := newLearnedLimits(protocol.StateLimits{WriteRate: 30})
 	l.announce(protocol.StateLimits{WriteRate: 21})
 	l.recordRateLimited(now)
-	l.recordRateLimited(now.Add(time.Millisecond)) // of the same burst
+	l.recordRateLimited(now.Add(time.Millisecond)) // in the same burst
 	if got := l.writeRate(now); got != 30*rateDecrease {
 		t.Fatalf("%v after one burst", got)
 	}
--- a/internal/storage/kv/outcome.go
+++ b/internal/storage/kv/outcome.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// How long a transaction waits before it is sent again: the last send had no answer, the
-// budget did not reach, or the state service was down. The nanoseconds keep that apart
-// from new transactions: with a timeout the first makes up a round number that loops of
-// the controller wait too, and in tests nobody could repeat which came first.
+// Delays before a transaction is sent again: after no answer, after a refusal for the
+// service's rate, and while the state service is down. The odd nanoseconds keep retries from
+// coinciding with new transactions: a timeout plus a round retryNoAnswer would add up to a
+// round period that loops of the controller wait as well, and the order of the two would
+// not be reproducible in tests.
 const (
 	retryNoAnswer    = 100*time.Millisecond + 73*time.Nanosecond
 	retryRateLimited = 60*time.Millisecond + 79*time.Nanosecond
 	retryUnavailable = 200*time.Millisecond + 83*time.Nanosecond
 )
 
-// outcomeKind is what an answer of the state service says of a batch.
+// outcomeKind is the outcome of a batch, as its answer reports it.
 type outcomeKind int
 
 const (
-	noAnswer      outcomeKind = iota // carried out, or not, or later
-	committed                        // carried out whole
-	compareFailed                    // not carried out, as none of those below: a condition failed
-	leaseExpired                     // a lease that a change names has ended
-	refused                          // malformed, or larger than the service takes
-	rateLimited                      // over the service's rate
-	unavailable                      // the service could not
+	noAnswer      outcomeKind = iota // the batch may have been applied, may be applied later, or never
+	committed                        // applied in full
+	compareFailed                    // not applied, like all kinds below: a condition failed
+	leaseExpired                     // a lease of one of its changes has expired
+	refused                          // malformed, or larger than the service accepts
+	rateLimited                      // over the service's rate limit
+	unavailable                      // the service was unable to execute it, or gave an unexpected status
 )
 
-// outcome is what became of one sending of a batch. It is a value without a lock; it
-// belongs to the goroutine that sent the batch. Every transaction of the batch is either
-// given its result or sent again, and none is sent again as part of a batch that was
-// refused whole.
+// outcome is the outcome of one attempt to send a batch. It has no lock: it belongs to the
+// goroutine that sent the batch. Every transaction of the batch either gets its result or is
+// sent again; a batch that was refused is never sent again unchanged.
 type outcome struct {
 	kind   outcomeKind
-	answer wireTxnAnswer // of kinds other than noAnswer
-	err    error         // of noAnswer
+	answer wireTxnAnswer // for kinds other than noAnswer
+	err    error         // for noAnswer
 }
 
-// classify tells the outcome of a call. A status with an error is an answer whose message
-// was not understood: the status alone counts.
+// classify returns the outcome of a call. A status together with an error means that the
+// answer's body could not be decoded; then the status alone decides.
 func classify(status int, answer wireTxnAnswer, err error) outcome {
 	if err != nil && status == 0 {
 		return outcome{kind: noAnswer, err: err}
@@ -53,8 +53,8 @@
 	case http.StatusConflict:
 		kind = compareFailed
 	case http.StatusBadRequest:
-		// A lease that has ended makes nothing malformed: a process that stood still for
-		// a while sends such a transaction when it goes on.
+		// A transaction with an expired lease is not malformed: a process that was
+		// suspended sends such transactions when it resumes.
 		kind = refused
 		if answer.Error == reasonLeaseExpired {
 			kind = leaseExpired
@@ -65,7 +65,8 @@
 	return outcome{kind: kind, answer: answer}
 }
 
-// resolve gives each transaction of a batch its result or sends it again.
+// resolve delivers the result of each transaction of a batch or queues it again, after the
+// delay that the outcome calls for.
 func (c *Client) resolve(ctx context.Context, batch []*Txn, result outcome) {
 	var retry []*Txn
 	delay := time.Duration(0)
@@ -100,21 +101,23 @@
 	if c.queue.add(retry...) {
 		return
 	}
-	for _, t := range retry { // the client has ended
+	for _, t := range retry { // Run has ended
 		t.abandon()
 	}
 }
 
-// retryOffset is a moment that differs between batches. Two that were sent one batchDelay
-// apart and got no answer would else come back one batchDelay apart: the second just as the
-// first is sent, and nobody could repeat whether together with it.
+// retryOffset returns a small delay that differs between batches. Without it, two batches
+// sent one batchDelay apart that get no answer would return to the queue one batchDelay
+// apart: the second at the instant at which the first is sent again, and whether both go in
+// one batch would not be reproducible.
 func retryOffset(batch []*Txn) time.Duration {
 	const maxOffset = 1000
 	return time.Duration(batch[0].sequence%maxOffset) * time.Nanosecond
 }
 
-// markOutcomeUnknown marks transactions that may have been applied, or be applied later. Sent
-// once more each either succeeds or conflicts with what is there, and both are clear.
+// markOutcomeUnknown marks transactions that may have been applied or may be applied later.
+// Each is sent again under the same conditions and then either succeeds or fails a
+// condition; both outcomes are definite.
 func (c *Client) markOutcomeUnknown(batch []*Txn, err error) {
 	c.log.Debug("transaction outcome unknown", "transactions", len(batch), "err", err)
 	for _, t := range batch {
@@ -122,8 +125,8 @@
 	}
 }
 
-// resolveCompareFailed ends those of a batch whose own conditions failed, and sends the
-// others again.
+// resolveCompareFailed ends the transactions of a batch whose own conditions failed, and
+// returns the others to be sent again.
 func (c *Client) resolveCompareFailed(batch []*Txn, answer wireTxnAnswer) (retry []*Txn) {
 	c.budgetLog.recordFailed(batch)
 	for _, t := range batch {
@@ -140,10 +143,10 @@
 	return retry
 }
 
-// resolveLeaseExpired ends those of a batch that need a lease, and sends the others again:
-// the answer does not tell which of several leases has ended, and whoever has a live one
-// decides anew soon. Taken for malformed, one of them would have all its neighbours sent
-// one by one.
+// resolveLeaseExpired ends the transactions of a batch that use a lease, and returns the
+// others to be sent again. The answer does not name the expired lease, so transactions with
+// a live lease end as well; their submitters soon decide again. If an expired lease counted
+// as malformed, every other transaction of the batch would be sent alone.
 func (c *Client) resolveLeaseExpired(batch []*Txn) (retry []*Txn) {
 	for _, t := range batch {
 		if !t.usesLease() {
@@ -153,7 +156,7 @@
 		c.log.Info("transaction lease expired", "keys", t.opKeys())
 		t.refuse(ErrLeaseExpired)
 	}
-	if len(retry) == len(batch) { // not an answer that this client understands
+	if len(retry) == len(batch) { // the answer contradicts the batch, which uses no lease
 		for _, t := range retry {
 			t.fail(Result{Err: ErrInvalid})
 		}
@@ -162,9 +165,9 @@
 	return retry
 }
 
-// resolveRefused ends those of a batch that the state service does not take, and sends the
-// others again: in smaller batches if the service has lowered its limits, else one by
-// one. None is sent again as it was.
+// resolveRefused ends the transactions of a batch that the state service does not accept, and
+// returns the others to be sent again: in smaller batches if the batch exceeds the limits,
+// which the service has lowered, else each alone. The batch is never sent again unchanged.
 func (c *Client) resolveRefused(batch []*Txn, reason string) (retry []*Txn) {
 	merged := mergeBatch(batch)
 	if c.limiter.limits.recordRefused(merged) {
@@ -187,8 +190,8 @@
 	return retry
 }
 
-// mergeBatch is a batch as one transaction, to be measured against limits: all changes, and each
-// condition once.
+// mergeBatch returns a batch as one transaction, to be compared with limits: all changes, and
+// each condition once.
 func mergeBatch(batch []*Txn) *Txn {
 	merged := &Txn{}
 	seen := make(map[string]bool)
--- a/internal/storage/kv/outcome_test.go
+++ b/internal/storage/kv/outcome_test.go
@@ -8,7 +8,8 @@
 	"madderslip/internal/protocol"
 )
 
-// A failed condition must not sink its neighbours in the same request.
+// TestFailedCompareEndsOnlyItsOwnTransaction: a failed condition of one transaction does not
+// fail the others in the same request.
 func TestFailedCompareEndsOnlyItsOwnTransaction(t *testing.T) {
 	s := &scriptedService{answer: func(n int, body string) (int, string, error) {
 		if strings.Contains(body, keyPrefix+"b") {
@@ -26,8 +27,9 @@
 	}
 }
 
-// Without an answer a transaction is sent again under the same conditions: if
-// the first was applied after all, the second conflicts and changes nothing.
+// TestUnknownOutcomeIsResolvedByCompares: a transaction that got no answer is sent again under
+// the same conditions. If the first attempt was applied after all, a condition of the second
+// fails and it changes nothing.
 func TestUnknownOutcomeIsResolvedByCompares(t *testing.T) {
 	s := &scriptedService{answer: func(n int, body string) (int, string, error) {
 		if n == 1 {
@@ -41,8 +43,9 @@
 	}
 }
 
-// A lease that has ended is no fault of the transactions beside it, which still go
-// together, nor is the transaction that names it malformed.
+// TestExpiredLeaseEndsOnlyTransactionsWithLeases: an expired lease does not fail the other
+// transactions of the batch, which are sent again as one batch, and the transaction that uses
+// the lease does not count as malformed.
 func TestExpiredLeaseEndsOnlyTransactionsWithLeases(t *testing.T) {
 	s := &scriptedService{answer: func(n int, body string) (int, string, error) {
 		if strings.Contains(body, `"permit":7`) {
@@ -62,8 +65,9 @@
 	}
 }
 
-// A transaction whose first sending got no answer may have been carried out before the
-// limits fell: that it is refused now does not make its outcome known.
+// TestRefusalAfterNoAnswerLeavesOutcomeUnknown: a transaction whose first attempt got no answer
+// may have been applied before the limits were lowered, so a refusal of the second attempt
+// leaves its outcome unknown.
 func TestRefusalAfterNoAnswerLeavesOutcomeUnknown(t *testing.T) {
 	s := &scriptedService{answer: func(n int, _ string) (int, string, error) {
 		if n == 1 {
@@ -82,8 +86,8 @@
 	}
 }
 
-// TestClassify: the status tells the outcome of a call, with the error when there was no
-// answer, and with the reason when a lease has ended.
+// TestClassify: the status decides the outcome of a call, together with the error if there was
+// no answer, and with the reason if a lease has expired.
 func TestClassify(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/storage/kv/queue.go
+++ b/internal/storage/kv/queue.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// queue holds the transactions that wait to be sent. Each that is added is either handed
-// out once, by update, or answered once: when its deadline passes, when a version seen
-// elsewhere has failed it, or when the queue closes. Results are delivered on goroutines of
-// the queue, for which wait waits, and not on the caller's, since the caller may hold a lock
-// that OnResult takes.
+// queue holds the transactions that wait to be sent. Each added transaction leaves the queue
+// once: update moves it into a batch, or it gets a result because its deadline has passed, an
+// observed version fails one of its conditions, or the queue closes. Results are delivered
+// on goroutines of the queue, for which waitForDeliveries waits, and not on the caller's,
+// since the caller may hold a lock that OnResult acquires.
 type queue struct {
-	wakeup     chan struct{}  // tells the sender that something was added, or an answer came
-	deliveries sync.WaitGroup // deliveries of results; none begins once the queue is closed
+	wakeup     chan struct{}  // wakes Run when a transaction was added or a batch was answered
+	deliveries sync.WaitGroup // deliveries of results in progress; none begins once the queue is closed
 
 	mu       sync.Mutex
 	pending  []*Txn // guarded by mu
-	sequence uint64 // of the latest transaction, guarded by mu
+	sequence uint64 // of the transaction added last, guarded by mu
 	closed   bool   // guarded by mu
 }
 
 func newQueue() *queue { return &queue{wakeup: make(chan struct{}, 1)} }
 
-// add has transactions sent. Once the queue is closed nothing is sent any more: it reports
-// false, and the caller answers them.
+// add queues transactions and reports whether it did. Once the queue is closed it does not,
+// and the caller has to deliver their results.
 func (q *queue) add(transactions ...*Txn) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -42,7 +42,7 @@
 	return true
 }
 
-// wake has the sender look at the queue.
+// wake makes Run process the queue.
 func (q *queue) wake() {
 	select {
 	case q.wakeup <- struct{}{}:
@@ -50,8 +50,8 @@
 	}
 }
 
-// close has all that still waits answered: whoever waits for a result would wait for ever,
-// and with it a controller that is told to stop.
+// close ends all pending transactions. Without a result their submitters would wait forever,
+// and a controller that is shutting down would wait for the submitters.
 func (q *queue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -59,12 +59,12 @@
 	q.pending, q.closed = nil, true
 }
 
-// waitForDeliveries returns once the results that the queue delivers are delivered. It is called after
+// waitForDeliveries waits until the queue has delivered all its results. It is called after
 // close.
 func (q *queue) waitForDeliveries() { q.deliveries.Wait() }
 
-// deliverResults delivers results on a goroutine of its own. The mutex is held by the caller, so
-// that close comes before or after and wait misses none.
+// deliverResults delivers results on a goroutine of its own. The caller holds the mutex, so
+// no delivery begins after close, and waitForDeliveries misses none.
 func (q *queue) deliverResults(transactions []*Txn, deliver func(*Txn)) {
 	if len(transactions) == 0 {
 		return
@@ -76,16 +76,16 @@
 	})
 }
 
-// update replaces the pending transactions by those that f leaves of them. f is called
-// with the lock held.
+// update replaces the pending transactions by those that f returns. f is called with the
+// mutex held.
 func (q *queue) update(f func(pending []*Txn) (rest []*Txn)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.pending = f(q.pending)
 }
 
-// remove takes out the transactions for which match returns true and has each answered by
-// deliver, in their order.
+// remove removes the transactions for which match returns true and calls deliver for each of
+// them in their order, on another goroutine.
 func (q *queue) remove(match func(*Txn) bool, deliver func(*Txn)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -100,16 +100,17 @@
 	q.deliverResults(removed, deliver)
 }
 
-// expire ends transactions whose caller no longer waits.
+// expire ends the transactions whose deadline has passed.
 func (q *queue) expire(now time.Time) {
 	isExpired := func(t *Txn) bool { return !t.Deadline.IsZero() && now.After(t.Deadline) }
 	q.remove(isExpired, (*Txn).abandon)
 }
 
-// observeVersion ends the transactions that a version of a key seen elsewhere has failed.
+// observeVersion ends the transactions of which a condition fails on a version of a key that
+// was read elsewhere.
 func (q *queue) observeVersion(key string, version uint64, exists bool) {
 	hasFailed := func(t *Txn) bool {
-		// One whose outcome is unknown may itself have made that version.
+		// A transaction whose outcome is unknown may itself have written that version.
 		return !t.outcomeUnknown && t.dependsOnOlder(key, version, exists)
 	}
 	q.remove(hasFailed, func(t *Txn) {
@@ -117,7 +118,7 @@
 	})
 }
 
-// countByPriority counts the transactions of each priority that wait.
+// countByPriority counts the pending transactions of each priority.
 func (q *queue) countByPriority() (waiting [priorityCount]int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -127,7 +128,7 @@
 	return waiting
 }
 
-// count counts the transactions that wait for which match returns true.
+// count counts the pending transactions for which match returns true.
 func (q *queue) count(match func(*Txn) bool) (waiting int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -139,8 +140,8 @@
 	return waiting
 }
 
-// countAhead counts the changes, and the transactions that only compare, that go before a new
-// transaction of a priority.
+// countAhead counts the pending changes and reads that are of a priority or a more urgent
+// one, and so precede a new transaction of that priority.
 func (q *queue) countAhead(priority Priority) (changes, reads int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -156,8 +157,8 @@
 	return changes, reads
 }
 
-// sortByUrgency puts the most urgent first, and of those the oldest: one that is sent
-// again keeps its place.
+// sortByUrgency sorts by effective priority, the most urgent first, and then by age. A
+// transaction that is sent again keeps its place.
 func sortByUrgency(pending []*Txn, now time.Time) {
 	slices.SortStableFunc(pending, func(a, b *Txn) int {
 		return cmp.Or(
--- a/internal/storage/kv/queue_test.go
+++ b/internal/storage/kv/queue_test.go
@@ -13,8 +13,9 @@
 	"madderslip/internal/protocol"
 )
 
-// What is known to have failed is not sent: failing changes cost as much budget
-// as others. A key that has gone is no reason for what wants it absent.
+// TestFailedComparesAreNotSent: a transaction with a condition that an observed version fails is
+// not sent, since failing changes use up as much budget as others. A deletion does not fail a
+// condition that the key does not exist.
 func TestFailedComparesAreNotSent(t *testing.T) {
 	s := &scriptedService{answer: func(int, string) (int, string, error) { return 200, `{"epoch":9}`, nil }}
 	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
@@ -33,8 +34,8 @@
 	}
 }
 
-// Small changes that are less urgent must not eat the budget for ever before it
-// suffices for a larger one that is more urgent.
+// TestUrgentIsNotStarved: small, less urgent transactions do not use up the budget again and
+// again before it suffices for a larger one that is more urgent.
 func TestUrgentIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -54,7 +55,7 @@
 		time.Sleep(10 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
-		// The budget is 2 changes a second until the node knows its share.
+		// The budget is 2 changes a second, since no share has been set.
 		if took == 0 || took > 2500*time.Millisecond {
 			t.Errorf("took %v", took)
 		}
--- a/internal/storage/kv/send.go
+++ b/internal/storage/kv/send.go
@@ -9,13 +9,14 @@
 	"madderslip/internal/protocol"
 )
 
-// txnTimeout is how long the answer to a batch is waited for. The nanoseconds keep its end
-// apart from other timers.
+// txnTimeout is the timeout of a batch's request. The odd nanoseconds keep it from firing at
+// the same instant as other timers.
 const txnTimeout = 2*time.Second + 47*time.Nanosecond
 
-// Submit queues a transaction. OnResult is called once, from another goroutine; it must not
-// wait, since others are told after it. A transaction that is refused here, or comes after
-// the end of Run, is answered on a goroutine that nobody waits for.
+// Submit queues a transaction. OnResult is called exactly once, on another goroutine; it must
+// not block, since the same goroutine delivers other results after it. A transaction that
+// Submit rejects, or that is submitted after the end of Run, gets its result on a goroutine
+// that Run does not wait for.
 func (c *Client) Submit(t *Txn) {
 	if key, err := t.encode(); err != nil {
 		c.log.Error("record not encodable", "key", key, "err", err)
@@ -35,9 +36,9 @@
 	c.queue.wake()
 }
 
-// Run sends queued transactions until the context ends. Those that still wait then get
-// their result, as do all that are submitted later. It returns once the calls under way
-// have ended, which they do with the context, and the results are delivered.
+// Run sends queued transactions until the context ends. Transactions that are still pending
+// then, or are submitted later, get a result without being sent. Run returns once the calls in
+// flight, which end with the context, have ended and the results are delivered.
 func (c *Client) Run(ctx context.Context) {
 	var sends sync.WaitGroup
 	defer func() {
@@ -53,8 +54,9 @@
 	}
 }
 
-// awaitWork returns when the queue is to be looked at, or false when the context ends.
-// What comes within batchDelay of the first goes with it.
+// awaitWork waits until the queue wakes it or wait has passed, and returns false when the
+// context ends first. After a wake-up it waits for batchDelay, so that transactions submitted
+// within that time can be sent in one batch.
 func (c *Client) awaitWork(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -69,7 +71,7 @@
 }
 
 // sendReady sends the batches that the budgets allow now, each on a goroutine of sends, and
-// returns how long to wait for the next.
+// returns how long to wait until the next batch.
 func (c *Client) sendReady(ctx context.Context, sends *sync.WaitGroup) time.Duration {
 	for {
 		batch, wait := c.batcher.next(time.Now())
@@ -81,7 +83,7 @@
 	}
 }
 
-// send sends a batch and deals with its answer.
+// send sends a batch and processes the answer.
 func (c *Client) send(ctx context.Context, batch []*Txn) {
 	var answer wireTxnAnswer
 	status, err := c.connection.call(ctx, http.MethodPost, protocol.PathTransactions, encodeBatch(batch), &answer, txnTimeout)
@@ -90,7 +92,7 @@
 	c.queue.wake()
 }
 
-// sleep waits, and reports whether it did so before the context ended.
+// sleep waits for d and reports whether it did so before the context ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -102,28 +104,28 @@
 	}
 }
 
-// HasPending counts the transactions of a priority that wait for the budget.
+// HasPending returns the number of queued transactions of a priority.
 func (c *Client) HasPending(priority Priority) int {
 	return c.queue.count(func(t *Txn) bool { return t.Priority == priority })
 }
 
-// Backlog is how many changes wait that go before a new transaction of a
-// priority, and how many a second the budget allows. Comparisons count as a
-// change for as many as go together in a request.
+// Backlog returns how many queued changes precede a new transaction of a priority, and how
+// many changes a second the budget allows. Reads count as one change per MaxTxnOps reads.
 func (c *Client) Backlog(priority Priority) (changes int, rate float64) {
 	changes, reads := c.queue.countAhead(priority)
 	return changes + reads/max(1, c.limiter.limits.effective().MaxTxnOps), float64(c.limiter.writes.Limit())
 }
 
-// ReadBacklog is how many questions wait and how many a second are answered at least:
-// half of the requests carry as many as fit one.
+// ReadBacklog returns how many reads are queued and how many a second are answered at least:
+// at least half of the requests are available to reads, and each holds as many conditions
+// as the limits allow.
 func (c *Client) ReadBacklog() (waiting int, rate float64) {
 	return c.queue.count((*Txn).isRead), float64(c.limiter.requests.Limit()) / 2 * float64(comparesPerOp*c.limiter.limits.effective().MaxTxnOps)
 }
 
-// ObserveVersion tells of a version of a key seen elsewhere. Transactions that wait and
-// depend on an older one have failed already; sending them would only spend
-// the budget, which failing changes take from as much as others.
+// ObserveVersion processes a version of a key that was read elsewhere. It ends queued
+// transactions that are conditional on an older version: they can only fail, and failing
+// changes use up as much budget as others.
 func (c *Client) ObserveVersion(key string, version uint64, exists bool) {
 	c.queue.observeVersion(key, version, exists)
 }
--- a/internal/storage/kv/send_test.go
+++ b/internal/storage/kv/send_test.go
@@ -14,8 +14,9 @@
 	"madderslip/internal/protocol"
 )
 
-// What is larger than the service takes is not sent; what waits past its deadline is not
-// sent again.
+// TestTooLargeAndExpiredTransactionsFail: a transaction that is larger than the state service
+// accepts is rejected, and one whose deadline passes while the service is unavailable
+// ends with ErrNotExecuted.
 func TestTooLargeAndExpiredTransactionsFail(t *testing.T) {
 	s := &scriptedService{answer: func(int, string) (int, string, error) { return 503, "", nil }}
 	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
@@ -31,8 +32,8 @@
 	}
 }
 
-// TestRunWaitsForCallsAndResults: once Run has returned each transaction submitted before has
-// its result, also one that was under way, and no call goes on.
+// TestRunWaitsForCallsAndResults: when Run returns, each transaction submitted before has its
+// result, also if it was in flight, and no call is in flight any more.
 func TestRunWaitsForCallsAndResults(t *testing.T) {
 	const count = 60 // more than are sent at once
 	for _, test := range []struct {
@@ -67,12 +68,12 @@
 				}
 				time.Sleep(time.Second)
 				if calls.Load() == 0 {
-					t.Error("no call is under way")
+					t.Error("no call is in flight")
 				}
 				cancel()
 				<-ended
 				if answered.Load() != count || calls.Load() != 0 {
-					t.Errorf("%d of %d answered, %d calls under way", answered.Load(), count, calls.Load())
+					t.Errorf("%d of %d answered, %d calls in flight", answered.Load(), count, calls.Load())
 				}
 			})
 		})
--- a/internal/storage/kv/txn.go
+++ b/internal/storage/kv/txn.go
@@ -8,46 +8,49 @@
 	"madderslip/internal/protocol"
 )
 
-// Compare requires a key to have a version; 0: that it does not exist.
+// Compare is a condition that a key has a version; with version 0, that it does not exist.
 type Compare struct {
 	Key     string
 	Version uint64
 }
 
-// Op sets a key, or drops it when Value is nil.
+// Op is a change: it sets a key, or deletes it if Value is nil.
 type Op struct {
 	Key   string
 	Value any
-	Lease LeaseID // with which the key ends; 0: none
+	Lease LeaseID // the key is deleted when this lease ends; 0: no lease
 }
 
-// LeaseID names a lease of the store; 0 is none.
+// LeaseID identifies a lease of the state service; 0 means no lease.
 type LeaseID uint64
 
-// Priority orders transactions while the store's rates are short. The lower one goes first.
+// Priority orders the queued transactions when the budgets do not suffice for all. Lower
+// values are sent first.
 type Priority int
 
-// The priorities, the first most urgent.
+// The priorities, the most urgent first.
 const (
 	PriorityLease Priority = iota
 	PriorityUser
 	PriorityClaim
-	PriorityArrayClaim // claims of arrays, which may wait a little where others may not
+	PriorityArrayClaim // claims of array jobs, which tolerate a short delay that other claims do not
 	PriorityCompletion
 	PriorityBackground
-	priorityCount // how many there are
+	priorityCount
 )
 
-// agingInterval is how long a transaction waits until it counts as one priority more
-// urgent. It keeps a steady load of the urgent from holding others up for ever.
+// agingInterval is the time after which a queued transaction's effective priority rises by
+// one. Aging keeps a steady load of urgent transactions from starving the others.
 const agingInterval = 3 * time.Second
 
-// Txn is one small transaction. Several are sent together; a failed condition
-// of one does not sink its neighbours. Each must be conditional on versions
-// that make it harmless when it is applied late or twice.
+// Txn is a small transaction: all of Ops are applied if all of Compares hold, else none. One
+// without Ops is called a read. Several transactions are sent in one batch; a failed
+// condition of one does not fail the others. Each must be conditional on versions that make
+// it harmless when it is applied late or twice.
 //
-// The exported fields are the caller's, who leaves them alone after Submit. The others
-// belong to whoever holds the transaction: the queue, or the batch that it was taken into.
+// The caller sets the exported fields and does not change them after Submit. The other fields
+// belong to the current holder of the transaction: the queue, or the batch that it was moved
+// into.
 type Txn struct {
 	Compares []Compare
 	Ops      []Op
@@ -57,27 +60,27 @@
 
 	encodedOps     []wireOp
 	queuedAt       time.Time
-	sequence       uint64 // of submission, which orders those of an instant
-	bytes          int    // about how much it adds to a request
+	sequence       uint64 // order of submission, for transactions queued at the same instant
+	bytes          int    // approximate size that it adds to a request
 	maxValueBytes  int    // of its largest value
-	sendAlone      bool   // was part of a batch refused as malformed
-	outcomeUnknown bool   // an earlier sending got no answer
+	sendAlone      bool   // it was in a batch that was refused although the batch kept the limits
+	outcomeUnknown bool   // an earlier attempt got no answer
 }
 
-// Result tells what became of a transaction. Err is nil or an *Error. After ErrCompareFailed
-// or ErrOutcomeUnknown the caller reads the keys again and decides anew.
+// Result is the result of a transaction. Err is nil or an *Error. After ErrCompareFailed or
+// ErrOutcomeUnknown the caller has to read the keys again before it decides how to go on.
 type Result struct {
 	Err        error
 	Revision   uint64
 	FailedKeys []string
 }
 
-// overheadBytes is about what a change or a condition adds to a request beside key and
-// value.
+// overheadBytes is the approximate size that a change or a condition adds to a request beside
+// its key and value.
 const overheadBytes = 48
 
-// encode writes the changes as the state service reads them and measures the transaction.
-// An error comes with the key whose value cannot be written.
+// encode encodes the changes for the state service and computes the sizes of the transaction.
+// An error is returned with the key whose value cannot be encoded.
 func (t *Txn) encode() (key string, err error) {
 	for _, op := range t.Ops {
 		encoded := wireOp{}
@@ -100,17 +103,18 @@
 	return "", nil
 }
 
-// isRead reports whether the transaction changes nothing and only compares versions.
+// isRead reports whether the transaction makes no changes and only compares versions.
 func (t *Txn) isRead() bool { return len(t.Ops) == 0 }
 
-// fitsIn reports whether a transaction alone keeps limits.
+// fitsIn reports whether the transaction, sent alone, keeps the limits.
 func (t *Txn) fitsIn(limits protocol.StateLimits) bool {
 	return len(t.Ops) <= limits.MaxTxnOps &&
 		len(t.Compares) <= comparesPerOp*limits.MaxTxnOps &&
 		t.maxValueBytes <= limits.MaxValueBytes
 }
 
-// effectivePriority is a transaction's priority, raised by waiting as far as a claim's.
+// effectivePriority returns the transaction's priority, raised by one for each agingInterval
+// that it has waited, but no further than PriorityClaim.
 func (t *Txn) effectivePriority(now time.Time) Priority {
 	if t.Priority <= PriorityClaim {
 		return t.Priority
@@ -118,8 +122,9 @@
 	return max(PriorityClaim, t.Priority-Priority(now.Sub(t.queuedAt)/agingInterval))
 }
 
-// dependsOnOlder reports whether a condition of the transaction fails since key was seen at
-// version. A key that has gone suits those that want it absent.
+// dependsOnOlder reports whether the transaction is conditional on a version of key that is
+// older than the observed one and therefore fails. If key was observed as deleted, a
+// condition that it does not exist still holds.
 func (t *Txn) dependsOnOlder(key string, version uint64, exists bool) bool {
 	return slices.ContainsFunc(t.Compares, func(compare Compare) bool {
 		return compare.Version < version && compare.Key == key && (exists || compare.Version != 0)
@@ -131,8 +136,8 @@
 	return slices.ContainsFunc(t.Ops, func(op Op) bool { return op.Lease != 0 })
 }
 
-// failedKeys are the keys of the conditions that the state service names as failed, which
-// it does with the prefix.
+// failedKeys returns the keys of the transaction's conditions that are among the failed keys of
+// an answer, which include keyPrefix.
 func (t *Txn) failedKeys(failed []string) []string {
 	var keys []string
 	for _, compare := range t.Compares {
@@ -143,7 +148,7 @@
 	return keys
 }
 
-// opKeys are the keys that the transaction changes.
+// opKeys returns the keys that the transaction changes.
 func (t *Txn) opKeys() []string {
 	keys := make([]string, 0, len(t.Ops))
 	for _, op := range t.Ops {
@@ -152,7 +157,7 @@
 	return keys
 }
 
-// firstKey is the key by which an error names the transaction.
+// firstKey returns the key by which errors identify the transaction.
 func (t *Txn) firstKey() string {
 	switch {
 	case len(t.Ops) > 0:
@@ -163,7 +168,8 @@
 	return ""
 }
 
-// fail gives the transaction a result that is an error, named by the key that failed it.
+// fail delivers a result with an error, to which it adds the first failed key, or else the
+// first key of the transaction.
 func (t *Txn) fail(result Result) {
 	key := t.firstKey()
 	if len(result.FailedKeys) > 0 {
@@ -173,16 +179,18 @@
 	t.OnResult(result)
 }
 
-// refuse ends a transaction that this sending did not carry out. An earlier one without an
-// answer may have been: its caller then reads the keys again before it decides anew.
+// refuse ends a transaction that the latest attempt did not apply. An earlier attempt without
+// an answer may have applied it: the error then wraps ErrOutcomeUnknown as well, so that the
+// caller reads the keys again before it decides how to go on.
 func (t *Txn) refuse(err error) {
 	if t.outcomeUnknown {
-		err = fmt.Errorf("%w; an earlier sending got %w", err, ErrOutcomeUnknown)
+		err = fmt.Errorf("%w; earlier attempt: %w", err, ErrOutcomeUnknown)
 	}
 	t.fail(Result{Err: err})
 }
 
-// abandon ends a transaction that is not sent, or not sent again.
+// abandon ends a transaction that is not sent, or not sent again. Its outcome is unknown if an
+// earlier attempt got no answer.
 func (t *Txn) abandon() {
 	err := ErrNotExecuted
 	if t.outcomeUnknown {
--- a/internal/storage/kv/watch.go
+++ b/internal/storage/kv/watch.go
@@ -11,19 +11,19 @@
 	"madderslip/internal/protocol"
 )
 
-// watchMargin is how long after a watch's own end its answer may come.
+// watchMargin is added to the time for which a watch blocks to get the timeout of its request.
 const watchMargin = 5 * time.Second
 
-// watcher asks for what changed after a revision. It keeps no state, so it needs no lock:
-// the caller holds the revision. A caller that asks on from the revision returned misses
-// no change and sees none twice; after ErrCompacted it has to list anew.
+// watcher requests the changes after a revision. It has no state and needs no lock: the caller
+// keeps the revision. A caller that continues from the returned revision misses no change
+// and gets none twice; after ErrCompacted it has to list all keys again.
 type watcher struct {
 	connection *connection
 	limiter    *limiter
 }
 
-// watch returns the changes after from in order and the revision up to which they are
-// complete; none, if there are none within block.
+// watch returns the changes after the revision from in order, and the revision up to which they
+// are complete. It returns no changes if there are none within block.
 func (w *watcher) watch(ctx context.Context, from uint64, block time.Duration) ([]Item, uint64, error) {
 	if err := w.limiter.waitForRequest(ctx); err != nil {
 		return nil, 0, err
@@ -47,7 +47,7 @@
 	return items, max(answer.Revision, from), nil
 }
 
-// item is what a change made of its key.
+// item returns the state of the key after the change.
 func (change wireChange) item() Item {
 	if change.Delete != "" {
 		return Item{Key: strings.TrimPrefix(change.Delete, keyPrefix), Version: change.Version}
--- a/internal/storage/kv/wire.go
+++ b/internal/storage/kv/wire.go
@@ -4,8 +4,8 @@
 
 import "encoding/json"
 
-// What the state service is told and answers. The watch brings every change to every
-// controller, so the messages marked below are read and written by generated code.
+// Messages of the state service's API. The watch delivers every change to every controller,
+// so the messages marked below are encoded and decoded by generated code.
 
 type wireItem struct {
 	Key     string          `json:"key"`
@@ -13,7 +13,7 @@
 	Version uint64          `json:"stamp"`
 }
 
-// wireList answers a request for a page of keys.
+// wireList is the answer to a request for a page of keys.
 //
 //easyjson:json
 type wireList struct {
@@ -22,7 +22,7 @@
 	Revision  uint64     `json:"epoch"`
 }
 
-// wireChange is one change: either Set or Delete names its key.
+// wireChange is a change that a watch reports: either Set or Delete is its key.
 type wireChange struct {
 	Set     string          `json:"set"`
 	Delete  string          `json:"drop"`
@@ -30,7 +30,7 @@
 	Version uint64          `json:"stamp"`
 }
 
-// wireWatch answers a watch.
+// wireWatch is the answer to a watch.
 //
 //easyjson:json
 type wireWatch struct {
@@ -43,7 +43,7 @@
 	Version uint64 `json:"stamp"`
 }
 
-// wireOp is one change of a transaction: either Set or Delete names its key.
+// wireOp is a change of a transaction: either Set or Delete is its key.
 type wireOp struct {
 	Set    string          `json:"set,omitempty"`
 	Delete string          `json:"drop,omitempty"`
@@ -51,7 +51,7 @@
 	Lease  uint64          `json:"permit,omitempty"`
 }
 
-// wireTxn is a batch of transactions, as the service executes it: whole or not at all.
+// wireTxn is a batch of transactions, which the state service executes atomically.
 //
 //easyjson:json
 type wireTxn struct {
@@ -59,7 +59,7 @@
 	Ops      []wireOp      `json:"writes"`
 }
 
-// wireTxnAnswer answers a wireTxn.
+// wireTxnAnswer is the answer to a wireTxn.
 //
 //easyjson:json
 type wireTxnAnswer struct {
@@ -68,18 +68,18 @@
 	Error      string   `json:"error"`
 }
 
-// reasonLeaseExpired is the reason that the state service gives when a key was to be
-// attached to a lease that has ended. Its protocol tells that apart from a malformed
-// request by this text alone.
+// reasonLeaseExpired is the reason that the state service gives when a change attaches a key
+// to an expired lease. Only this text distinguishes that answer from the answer to a
+// malformed request.
 const reasonLeaseExpired = "no such lease"
 
-// wireValue answers a request for one key.
+// wireValue is the answer to a request for one key.
 type wireValue struct {
 	Value   json.RawMessage `json:"value"`
 	Version uint64          `json:"stamp"`
 }
 
-// wireLease answers a request for a lease.
+// wireLease is the answer to a request for a lease.
 type wireLease struct {
 	Lease uint64 `json:"permit"`
 }
