--- a/internal/storage/kv/batch.go
+++ b/internal/storage/kv/batch.go
@@ -12,7 +12,7 @@
 	readBatchDelay   = 60*time.Millisecond + 67*time.Nanosecond
 	idleInterval     = 250*time.Millisecond + 61*time.Nanosecond // longest time between two passes over the queue
 	maxInflight      = 6
-	maxReadsInflight = maxInflight / 2 // of which requests that hold only reads
+	maxReadsInflight = maxInflight / 2 // limit on those of them that hold reads
 	maxBatchBytes    = 60 << 10
 )
 
@@ -22,9 +22,10 @@
 
 // batcher selects the batch that is sent next. A batch keeps the limits of the state service
 // and the budgets. It holds no two changes of one key and no conditions on different
-// versions of one key. Reads, which fail often, are never batched with transactions that
-// make changes. While a transaction that makes changes lacks budget, no less urgent changes
-// are sent. Concurrent requests never exceed maxInflight, those of reads maxReadsInflight.
+// versions of one key. Reads are never batched with transactions that make changes, since
+// their conditions often fail and a failed condition fails the whole request. While a
+// transaction that makes changes lacks budget, no less urgent changes are sent. Concurrent
+// requests never exceed maxInflight, those of reads maxReadsInflight.
 //
 // Its lock is acquired before the queue's.
 type batcher struct {
--- a/internal/storage/kv/send.go
+++ b/internal/storage/kv/send.go
@@ -37,8 +37,9 @@
 }
 
 // Run sends queued transactions until the context ends. Transactions that are still pending
-// then, or are submitted later, get a result without being sent. Run returns once the calls in
-// flight, which end with the context, have ended and the results are delivered.
+// then, or are submitted later, are not sent any more and get an error as their result. Run
+// returns once the calls in flight, which end with the context, have ended and the results
+// are delivered.
 func (c *Client) Run(ctx context.Context) {
 	var sends sync.WaitGroup
 	defer func() {
--- a/internal/storage/records/bitmap.go
+++ b/internal/storage/records/bitmap.go
@@ -12,8 +12,8 @@
 
 // Bitmap is a set of small numbers, one bit each. In a record it is encoded as a list of
 // half-open ranges, [from, to, from, to, ...], in which each "to" is excluded: tasks complete
-// nearly in order, so there are few ranges, while the bits of ten thousand tasks exceed a
-// small value.
+// nearly in order, so there are few ranges, while the bits of ten thousand tasks exceed a low
+// limit on the size of values.
 type Bitmap []byte
 
 func (b Bitmap) has(i int) bool { return i >= 0 && i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
--- a/internal/storage/records/cluster.go
+++ b/internal/storage/records/cluster.go
@@ -49,8 +49,8 @@
 	RentedAtMs int64  `json:"b,omitempty"` // Unix milliseconds; used only to estimate and check boot times
 }
 
-// States of a machine. After MachineInUse no task is placed on the machine any more, whichever
-// controller owns the shard.
+// States of a machine. All but MachineInUse are final: no task is placed on the machine any
+// more, whichever controller owns the shard.
 const (
 	MachineInUse     = ""
 	MachineReturning = "r" // recorded before the cloud is asked to take the machine back
--- a/internal/storage/records/gangs.go
+++ b/internal/storage/records/gangs.go
@@ -5,7 +5,7 @@
 // the reservation, and attaches it to its lease. It deletes the record, conditional on the
 // known version.
 type GangReservation struct {
-	ExpiresAtMs int64 `json:"u"` // Unix milliseconds; the leader deletes the record after this time, but only its lease is decisive
+	ExpiresAtMs int64 `json:"u"` // Unix milliseconds; only for cleanup by the leader: the lease ends the reservation in any case
 }
 
 // GangHold is the capacity that a shard holds for the job of a GangReservation. The shard's
