--- a/internal/coordination/controller/collaborators.go
+++ b/internal/coordination/controller/collaborators.go
@@ -25,8 +25,8 @@
 	KeepAlive(ctx context.Context, lease kv.LeaseID) error
 	// Submit queues a transaction and returns at once.
 	Submit(txn *kv.Txn)
-	// HasPending returns how many transactions of a priority are queued.
-	HasPending(priority kv.Priority) int
+	// PendingCount returns how many transactions of a priority are queued.
+	PendingCount(priority kv.Priority) int
 	// SetBudgetShare sets this controller's share, from 0 to 1, of the request budgets.
 	SetBudgetShare(share float64)
 	// MaxValueBytes returns how large an encoded record may be.
--- a/internal/coordination/controller/helpers_test.go
+++ b/internal/coordination/controller/helpers_test.go
@@ -22,7 +22,7 @@
 type idleStore struct{ StateStore }
 
 func (idleStore) Submit(*kv.Txn)                      {}
-func (idleStore) HasPending(kv.Priority) int          { return 0 }
+func (idleStore) PendingCount(kv.Priority) int        { return 0 }
 func (idleStore) SetBudgetShare(float64)              {}
 func (idleStore) ObserveVersion(string, uint64, bool) {}
 func (idleStore) LastSuccess() time.Time              { return time.Now() }
--- a/internal/coordination/controller/schedule.go
+++ b/internal/coordination/controller/schedule.go
@@ -58,7 +58,7 @@
 		// accumulates, so that the next write places many tasks. This prevents one write
 		// for every task or two, with which machines are idle for seconds: what is placed
 		// but not yet committed can neither run nor be preempted.
-		delaysArrays: c.store.HasPending(kv.PriorityArrayClaim) > 0,
+		delaysArrays: c.store.PendingCount(kv.PriorityArrayClaim) > 0,
 		failed:       make(map[placement.RequestKey]bool),
 		largestFree:  placement.LargestFree(capacities),
 	}
--- a/internal/coordination/controller/shards.go
+++ b/internal/coordination/controller/shards.go
@@ -206,7 +206,7 @@
 	if shard.Name == c.settings.NodeName || !homeLive {
 		return false
 	}
-	homeStable := now.UnixMilli() > shard.Record.AwayUntilMs && now.Sub(home.Since) > c.policy.HandbackDelay
+	homeStable := now.UnixMilli() > shard.Record.NoHandbackUntilMs && now.Sub(home.Since) > c.policy.HandbackDelay
 	return homeStable && now.Sub(shard.OwnedSince) > minOwnership
 }
 
@@ -237,7 +237,7 @@
 func (c *Controller) writeShard(shard *replica.Shard, owner string, conditions []kv.Compare) {
 	next := &records.Shard{Owner: owner}
 	if shard.Record != nil {
-		next.Changes, next.AwayUntilMs = shard.Record.Changes+1, shard.Record.AwayUntilMs
+		next.Changes, next.NoHandbackUntilMs = shard.Record.Changes+1, shard.Record.NoHandbackUntilMs
 	}
 	c.commitShard(shard, next, conditions)
 }
@@ -245,9 +245,9 @@
 // giveAway gives a shard to a node that may reach its machines, the home shard for a while
 // only.
 func (c *Controller) giveAway(shard *replica.Shard, to string, now time.Time) {
-	next := &records.Shard{Owner: to, Changes: shard.Record.Changes + 1, AwayUntilMs: shard.Record.AwayUntilMs}
+	next := &records.Shard{Owner: to, Changes: shard.Record.Changes + 1, NoHandbackUntilMs: shard.Record.NoHandbackUntilMs}
 	if shard.Name == c.settings.NodeName {
-		next.AwayUntilMs = now.Add(awayTime).UnixMilli()
+		next.NoHandbackUntilMs = now.Add(awayTime).UnixMilli()
 	}
 	c.commitShard(shard, next, []kv.Compare{{Key: records.NodePrefix + to, Version: c.view.Nodes[to].Version}})
 }
--- a/internal/storage/kv/send.go
+++ b/internal/storage/kv/send.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// HasPending returns the number of queued transactions of a priority.
-func (c *Client) HasPending(priority Priority) int {
+// PendingCount returns the number of queued transactions of a priority.
+func (c *Client) PendingCount(priority Priority) int {
 	return c.queue.count(func(t *Txn) bool { return t.Priority == priority })
 }
 
--- a/internal/storage/records/cluster.go
+++ b/internal/storage/records/cluster.go
@@ -22,9 +22,9 @@
 // the records of the shards that its node owns, which invalidates the commands of the node's
 // previous process.
 type Shard struct {
-	Owner       string `json:"o"`
-	Changes     int    `json:"e"`           // counts the writes, so that no two versions of the record are equal
-	AwayUntilMs int64  `json:"w,omitempty"` // Unix milliseconds; until then the shard is not handed back to its home node, which gave it away
+	Owner             string `json:"o"`
+	Changes           int    `json:"e"`           // counts the writes, so that no two versions of the record are equal
+	NoHandbackUntilMs int64  `json:"w,omitempty"` // Unix milliseconds; until then the shard is not handed back to its home node, which gave it away
 }
 
 // Leader names the controller that provisions machines, divides team limits and reserves
