--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -183,7 +183,7 @@
 	{"an array begins ahead of a burst", "coordination/placement/startahead.go", `return !started && waited >= maxWait`, `return false`},
 	{"little is rented for idle work", "coordination/placement/besteffort.go", `	bestEffortDemand = min(bestEffortDemand, bestEffortLimit)
 `, ``},
-	{"questions go by turns with changes", "storage/kv/batch.go", `	if readsDue && !b.lastWasRead {`, `	if readsDue {`},
+	{"questions go by turns with changes", "storage/kv/batch.go", `	if areReadsDue && !b.lastWasRead {`, `	if areReadsDue {`},
 	{"questions leave requests under way to changes", "storage/kv/batch.go", `maxReadsInflight = maxInflight / 2`, `maxReadsInflight = maxInflight`},
 	{"every wait ends with the context", "coordination/controller/membership.go", `	case <-ctx.Done():
 		return true, ctx.Err() // the store may have stopped before it answers
--- a/internal/storage/kv/batch.go
+++ b/internal/storage/kv/batch.go
@@ -87,16 +87,16 @@
 	budget := b.limiter.writes.TokensAt(now)
 	wait := b.budgetDelay(pending, budget, now)
 	reads, age := pendingReads(pending, now)
-	readsDue := reads > 0 && b.areReadsDue(reads, age)
+	areReadsDue := reads > 0 && b.areReadsDue(reads, age)
 	// Reads alternate with changes: when users poll many times as often as usual, their
 	// reads would otherwise use every request and delay acceptances and claims.
-	if readsDue && !b.lastWasRead {
+	if areReadsDue && !b.lastWasRead {
 		return b.chooseReads(pending, now), 0
 	}
 	if chosen := b.chooseWrites(pending, budget, now); chosen != nil {
 		return chosen, 0
 	}
-	if readsDue {
+	if areReadsDue {
 		return b.chooseReads(pending, now), 0
 	}
 	if reads > 0 && b.readsInflight < maxReadsInflight {
--- a/internal/storage/kv/limiter.go
+++ b/internal/storage/kv/limiter.go
@@ -46,11 +46,11 @@
 // is used.
 func (l *limiter) setShare(share float64) {
 	share *= usableShare
-	requestRate, writeRate := l.limits.effective().RequestRate, l.limits.writeRate(time.Now())
-	l.requests.SetLimit(rate.Limit(requestRate * share))
-	l.writes.SetLimit(rate.Limit(writeRate * share))
-	l.requests.SetBurst(max(minRequestBurst, int(requestRate*share/2)))
-	l.writes.SetBurst(max(minWriteBurst, int(writeRate*share)))
+	requests, changes := l.limits.effective().RequestRate, l.limits.writeRate(time.Now())
+	l.requests.SetLimit(rate.Limit(requests * share))
+	l.writes.SetLimit(rate.Limit(changes * share))
+	l.requests.SetBurst(max(minRequestBurst, int(requests*share/2)))
+	l.writes.SetBurst(max(minWriteBurst, int(changes*share)))
 }
 
 // waitForRequest waits until the request budget allows a request, and takes it from the
--- a/internal/storage/kv/queue.go
+++ b/internal/storage/kv/queue.go
@@ -10,8 +10,8 @@
 // queue holds the transactions that wait to be sent. Each added transaction leaves the queue
 // once: update moves it into a batch, or it gets a result because its deadline has passed, an
 // observed version fails one of its conditions, or the queue closes. Results are delivered
-// on goroutines of the queue, for which waitForDeliveries waits, and not on the caller's,
-// since the caller may hold a lock that OnResult acquires.
+// on goroutines of the queue, for which wait waits, and not on the caller's, since the
+// caller may hold a lock that OnResult acquires.
 type queue struct {
 	wakeup     chan struct{}  // wakes Run when a transaction was added or a batch was answered
 	deliveries sync.WaitGroup // deliveries of results in progress; none begins once the queue is closed
@@ -59,12 +59,11 @@
 	q.pending, q.closed = nil, true
 }
 
-// waitForDeliveries waits until the queue has delivered all its results. It is called after
-// close.
-func (q *queue) waitForDeliveries() { q.deliveries.Wait() }
+// wait waits until the queue has delivered all its results. It is called after close.
+func (q *queue) wait() { q.deliveries.Wait() }
 
 // deliverResults delivers results on a goroutine of its own. The caller holds the mutex, so
-// no delivery begins after close, and waitForDeliveries misses none.
+// no delivery begins after close, and wait misses none.
 func (q *queue) deliverResults(transactions []*Txn, deliver func(*Txn)) {
 	if len(transactions) == 0 {
 		return
--- a/internal/storage/kv/send.go
+++ b/internal/storage/kv/send.go
@@ -45,7 +45,7 @@
 	defer func() {
 		c.queue.close()
 		sends.Wait()
-		c.queue.waitForDeliveries()
+		c.queue.wait()
 	}()
 	wait := idleInterval
 	for c.awaitWork(ctx, wait) {
