--- a/internal/storage/kv/errors_test.go
+++ b/internal/storage/kv/errors_test.go
@@ -10,8 +10,8 @@
 	"madderslip/internal/protocol"
 )
 
-// failingCall is a call that the state service answers in a way that makes it fail, and the
-// error that is to come of that.
+// failingCall is a call, the answer of the state service that makes it fail, and the expected
+// error.
 type failingCall struct {
 	name   string
 	status int
@@ -46,7 +46,7 @@
 		return commit(ctx, c, &Txn{Compares: []Compare{{"a", 1}, {"b", 1}}, Ops: []Op{{Key: "a", Value: 1}}})
 	}, "commit", "b", ErrCompareFailed},
 	{"a transaction that is malformed", 400, "", func(ctx context.Context, c *Client) error {
-		return commit(ctx, c, set("a", 1, nil))
+		return commit(ctx, c, newSetTxn("a", 1, nil))
 	}, "commit", "a", ErrInvalid},
 	{"a value that cannot be written", 200, "", func(ctx context.Context, c *Client) error {
 		return commit(ctx, c, &Txn{Ops: []Op{{Key: "a", Value: func() {}}}})
@@ -57,8 +57,8 @@
 	}, "commit", "a", ErrNotExecuted},
 }
 
-// TestErrorsNameOperationAndKey: whoever logs an error sees what was being done and with
-// which key or lease; errors.Is still finds the cause.
+// TestErrorsNameOperationAndKey: an error names the operation and the key or lease, and
+// errors.Is finds its cause.
 func TestErrorsNameOperationAndKey(t *testing.T) {
 	for _, test := range failingCalls {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/storage/kv/outcome_test.go
+++ b/internal/storage/kv/outcome_test.go
@@ -8,17 +8,18 @@
 	"madderslip/internal/protocol"
 )
 
-// A failed condition must not sink its neighbours in the same request.
-func TestFailedCompareSparesNeighbours(t *testing.T) {
+// TestFailedCompareEndsOnlyItsOwnTransaction: a failed condition of one transaction does not
+// fail the others in the same request.
+func TestFailedCompareEndsOnlyItsOwnTransaction(t *testing.T) {
 	s := &scriptedService{answer: func(n int, body string) (int, string, error) {
 		if strings.Contains(body, keyPrefix+"b") {
 			return 409, `{"failed":["` + keyPrefix + `b"],"epoch":5}`, nil
 		}
 		return 200, `{"epoch":6}`, nil
 	}}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) {
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
 		for _, key := range []string{"a", "b", "c"} {
-			c.Submit(set(key, 0, done(key)))
+			c.Submit(newSetTxn(key, 0, done(key)))
 		}
 	})
 	if got["a"] != nil || got["c"] != nil || !errors.Is(got["b"], ErrCompareFailed) || len(s.bodies) != 2 {
@@ -26,8 +27,9 @@
 	}
 }
 
-// Without an answer a transaction is sent again under the same conditions: if
-// the first was applied after all, the second conflicts and changes nothing.
+// TestUnknownOutcomeIsResolvedByCompares: a transaction that got no answer is sent again under
+// the same conditions. If the first attempt was applied after all, a condition of the second
+// fails and it changes nothing.
 func TestUnknownOutcomeIsResolvedByCompares(t *testing.T) {
 	s := &scriptedService{answer: func(n int, body string) (int, string, error) {
 		if n == 1 {
@@ -35,35 +37,37 @@
 		}
 		return 409, `{"failed":["` + keyPrefix + `a"],"epoch":5}`, nil
 	}}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) { c.Submit(set("a", 0, done("a"))) })
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) { c.Submit(newSetTxn("a", 0, done("a"))) })
 	if !errors.Is(got["a"], ErrCompareFailed) || len(s.bodies) != 2 || s.bodies[0] != s.bodies[1] {
 		t.Fatalf("%v, requests %v", got, s.bodies)
 	}
 }
 
-// A lease that has ended is no fault of the transactions beside it, which still go
-// together, nor is the transaction that names it malformed.
-func TestExpiredLeaseSparesNeighbours(t *testing.T) {
+// TestExpiredLeaseEndsOnlyTransactionsWithLeases: an expired lease does not fail the other
+// transactions of the batch, which are sent again as one batch, and the transaction that uses
+// the lease does not count as malformed.
+func TestExpiredLeaseEndsOnlyTransactionsWithLeases(t *testing.T) {
 	s := &scriptedService{answer: func(n int, body string) (int, string, error) {
 		if strings.Contains(body, `"permit":7`) {
 			return 400, `{"error":"no such lease"}`, nil
 		}
 		return 200, `{"epoch":6}`, nil
 	}}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) {
-		c.Submit(set("a", 1, done("a")))
-		leased := set("b", 1, done("b"))
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
+		c.Submit(newSetTxn("a", 1, done("a")))
+		leased := newSetTxn("b", 1, done("b"))
 		leased.Ops[0].Lease = 7
 		c.Submit(leased)
-		c.Submit(set("c", 1, done("c")))
+		c.Submit(newSetTxn("c", 1, done("c")))
 	})
 	if got["a"] != nil || !errors.Is(got["b"], ErrLeaseExpired) || got["c"] != nil || len(s.bodies) != 2 {
 		t.Fatalf("%v in %d requests: %v", got, len(s.bodies), s.bodies)
 	}
 }
 
-// A transaction whose first sending got no answer may have been carried out before the
-// limits fell: that it is refused now does not make its outcome known.
+// TestRefusalAfterNoAnswerLeavesOutcomeUnknown: a transaction whose first attempt got no answer
+// may have been applied before the limits were lowered, so a refusal of the second attempt
+// leaves its outcome unknown.
 func TestRefusalAfterNoAnswerLeavesOutcomeUnknown(t *testing.T) {
 	s := &scriptedService{answer: func(n int, _ string) (int, string, error) {
 		if n == 1 {
@@ -71,9 +75,9 @@
 		}
 		return 400, `{"error":"the value is too large"}`, nil
 	}}
-	got := run(t, s, func(c *Client, done func(string) func(Result)) {
+	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
 		c.AnnounceLimits(protocol.StateLimits{MaxValueBytes: 32})
-		big := set("big", 0, done("big"))
+		big := newSetTxn("big", 0, done("big"))
 		big.Ops[0].Value = strings.Repeat("x", 40)
 		c.Submit(big)
 	})
@@ -82,8 +86,8 @@
 	}
 }
 
-// TestClassify: the status tells the outcome of a call, with the error when there was no
-// answer, and with the reason when a lease has ended.
+// TestClassify: the status decides the outcome of a call, together with the error if there was
+// no answer, and with the reason if a lease has expired.
 func TestClassify(t *testing.T) {
 	for _, test := range []struct {
 		name   string
