--- a/internal/coordination/dag/graph.go
+++ b/internal/coordination/dag/graph.go
@@ -80,11 +80,11 @@
 // IsReady reports whether a job is blocked and all its dependencies are done.
 func (g *Graph) IsReady(jobID string) bool {
 	job := g.blocked[jobID]
-	return job != nil && job.ready()
+	return job != nil && job.isReady()
 }
 
-// ready reports whether all dependencies are done and none is cancelled.
-func (b *blockedJob) ready() bool { return len(b.unfinished) == 0 && !b.cancelled }
+// isReady reports whether all dependencies are done and none is cancelled.
+func (b *blockedJob) isReady() bool { return len(b.unfinished) == 0 && !b.cancelled }
 
 // Resolve returns which of the dependencies of a new job are neither done nor cancelled, and
 // reports whether one is cancelled.
@@ -121,7 +121,7 @@
 	}
 	job := &blockedJob{Job: j, unfinished: make(map[string]struct{})}
 	g.blocked[j.ID] = job
-	g.changed()
+	g.recordChange()
 	delete(g.unknown, j.ID)
 	cancelled := false
 	for _, jobID := range j.Dependencies {
@@ -150,7 +150,7 @@
 // ObserveState applies the recorded state of a job that is not blocked, or no longer is: the
 // job leaves the graph, and its dependents become ready or cancelled where this decides it.
 func (g *Graph) ObserveState(jobID string, state State, now time.Time) {
-	g.drop(jobID)
+	g.remove(jobID)
 	if state != Unknown {
 		delete(g.unknown, jobID)
 	}
@@ -158,7 +158,7 @@
 	if len(dependents) == 0 || (state != Done && state != Cancelled) {
 		return
 	}
-	g.changed()
+	g.recordChange()
 	if state == Cancelled {
 		for _, job := range dependents {
 			g.cancel(job, now)
@@ -168,7 +168,7 @@
 	delete(g.dependents, jobID)
 	for _, job := range dependents {
 		delete(job.unfinished, jobID)
-		if job.ready() {
+		if job.isReady() {
 			job.resolvedAt, job.lastDependency = now, jobID
 		}
 	}
@@ -190,13 +190,13 @@
 	}
 }
 
-// drop removes a job that is no longer blocked. Its dependents stay linked to it.
-func (g *Graph) drop(jobID string) {
+// remove removes a job that is no longer blocked. Its dependents stay linked to it.
+func (g *Graph) remove(jobID string) {
 	job := g.blocked[jobID]
 	if job == nil {
 		return
 	}
-	g.changed()
+	g.recordChange()
 	delete(g.blocked, jobID)
 	for dependency := range job.unfinished {
 		delete(g.dependents[dependency], jobID)
@@ -207,8 +207,8 @@
 	}
 }
 
-// changed counts a change and drops the urgencies computed before it.
-func (g *Graph) changed() {
+// recordChange counts a change and drops the urgencies computed before it.
+func (g *Graph) recordChange() {
 	g.changes++
 	clear(g.urgency)
 }
@@ -223,17 +223,17 @@
 
 // ReadyJobs returns the jobs that may be released, in order of their IDs.
 func (g *Graph) ReadyJobs() []ResolvedJob {
-	return g.list(func(job *blockedJob) bool { return job.ready() })
+	return g.listBlocked(func(job *blockedJob) bool { return job.isReady() })
 }
 
 // CancelledJobs returns the blocked jobs that are cancelled with a dependency, in order of
 // their IDs.
 func (g *Graph) CancelledJobs() []ResolvedJob {
-	return g.list(func(job *blockedJob) bool { return job.cancelled })
+	return g.listBlocked(func(job *blockedJob) bool { return job.cancelled })
 }
 
-// list returns the blocked jobs that match, in order of their IDs.
-func (g *Graph) list(matches func(*blockedJob) bool) []ResolvedJob {
+// listBlocked returns the blocked jobs that match, in order of their IDs.
+func (g *Graph) listBlocked(matches func(*blockedJob) bool) []ResolvedJob {
 	var out []ResolvedJob
 	for _, job := range g.blocked {
 		if matches(job) {
--- a/internal/coordination/dag/graph_test.go
+++ b/internal/coordination/dag/graph_test.go
@@ -17,8 +17,8 @@
 // records holds the states of the jobs that are not blocked.
 type records map[string]State
 
-// graph returns an empty graph over the records.
-func (r records) graph() *Graph { return NewGraph(func(jobID string) State { return r[jobID] }) }
+// newGraph returns an empty graph over the records.
+func (r records) newGraph() *Graph { return NewGraph(func(jobID string) State { return r[jobID] }) }
 
 // observe records a job's state and has the graph observe it.
 func (r records) observe(g *Graph, jobID string, state State) {
@@ -26,9 +26,9 @@
 	g.ObserveState(jobID, state, noon)
 }
 
-// blocked returns a job of 10 s that depends on the listed ones; without a deadline if
+// newJob returns a job of 10 s that depends on the listed ones; without a deadline if
 // deadlineS is 0.
-func blocked(jobID, dependencies, priorityClass string, deadlineS float64) Job {
+func newJob(jobID, dependencies, priorityClass string, deadlineS float64) Job {
 	j := Job{ID: jobID, Dependencies: strings.Fields(dependencies), AcceptedAt: noon, Spec: &protocol.Submission{JobID: jobID, PriorityClass: priorityClass, RunEstimateS: 10}}
 	if deadlineS > 0 {
 		j.Spec.DeadlineS = &deadlineS
@@ -49,10 +49,10 @@
 // sooner.
 func TestReadyOnceAllDependenciesAreDone(t *testing.T) {
 	r := records{"root": Unfinished}
-	g := r.graph()
-	g.Add(blocked("left", "root", "idle", 0), noon)
-	g.Add(blocked("right", "root", "idle", 0), noon)
-	g.Add(blocked("last", "left right", "high", 0), noon)
+	g := r.newGraph()
+	g.Add(newJob("left", "root", "idle", 0), noon)
+	g.Add(newJob("right", "root", "idle", 0), noon)
+	g.Add(newJob("last", "left right", "high", 0), noon)
 	if got := jobIDs(g.ReadyJobs()); got != "" {
 		t.Fatalf("ready before anything is done: %s", got)
 	}
@@ -79,17 +79,17 @@
 // read before their dependency.
 func TestCancellationReachesAllDependents(t *testing.T) {
 	r := records{"root": Unfinished}
-	g := r.graph()
-	g.Add(blocked("grandchild", "child", "high", 0), noon) // its dependency is not read yet
+	g := r.newGraph()
+	g.Add(newJob("grandchild", "child", "high", 0), noon) // its dependency is not read yet
 	if got := g.UnknownDependencies(); !slices.Equal(got, []string{"child"}) {
 		t.Fatalf("unknown: %v", got)
 	}
-	g.Add(blocked("child", "root", "idle", 0), noon)
+	g.Add(newJob("child", "root", "idle", 0), noon)
 	if got := g.UnknownDependencies(); len(got) > 0 {
 		t.Fatalf("still unknown: %v", got)
 	}
 	r.observe(g, "root", Cancelled)
-	g.Add(blocked("late", "grandchild", "idle", 0), noon)
+	g.Add(newJob("late", "grandchild", "idle", 0), noon)
 	if got := jobIDs(g.CancelledJobs()); got != "child grandchild late" {
 		t.Fatalf("cancelled: %s", got)
 	}
@@ -107,9 +107,9 @@
 // Dependents are cancelled when a user cancels their dependency while it is blocked itself.
 func TestCancellationOfBlockedJobReachesDependents(t *testing.T) {
 	r := records{"root": Unfinished}
-	g := r.graph()
-	g.Add(blocked("child", "root", "idle", 0), noon)
-	g.Add(blocked("grandchild", "child", "idle", 0), noon)
+	g := r.newGraph()
+	g.Add(newJob("child", "root", "idle", 0), noon)
+	g.Add(newJob("grandchild", "child", "idle", 0), noon)
 	r.observe(g, "child", Cancelled)
 	r.observe(g, "root", Done)
 	if jobIDs(g.ReadyJobs()) != "" || jobIDs(g.CancelledJobs()) != "grandchild" {
@@ -156,10 +156,10 @@
 			order[i] = i
 		}
 		seen := make(records)
-		g := seen.graph()
+		g := seen.newGraph()
 		for _, i := range rapid.Permutation(order).Draw(t, "order") {
 			if jobID := name(i); len(dependencies[jobID]) > 0 {
-				g.Add(blocked(jobID, strings.Join(dependencies[jobID], " "), "idle", 0), noon)
+				g.Add(newJob(jobID, strings.Join(dependencies[jobID], " "), "idle", 0), noon)
 			} else {
 				seen.observe(g, jobID, final[jobID])
 			}
--- a/internal/coordination/dag/urgency_test.go
+++ b/internal/coordination/dag/urgency_test.go
@@ -11,15 +11,15 @@
 // cancelled job passes nothing on.
 func TestUrgencyIsInheritedAlongLongestPath(t *testing.T) {
 	r := records{"root": Unfinished}
-	g := r.graph()
+	g := r.newGraph()
 	estimate := func(s *protocol.Submission) time.Duration { return s.RunEstimate() }
-	g.Add(blocked("short", "root", "idle", 0), noon)
-	g.Add(blocked("long", "root", "normal", 0), noon)
-	g.Add(blocked("longer", "long", "idle", 0), noon)
+	g.Add(newJob("short", "root", "idle", 0), noon)
+	g.Add(newJob("long", "root", "normal", 0), noon)
+	g.Add(newJob("longer", "long", "idle", 0), noon)
 	if urgency := g.Urgency("root", estimate); urgency.Priority != 1 || !urgency.FinishBy.IsZero() {
 		t.Fatalf("without a deadline: %+v", urgency)
 	}
-	g.Add(blocked("last", "short longer", "high", 100), noon)
+	g.Add(newJob("last", "short longer", "high", 100), noon)
 	if urgency := g.Urgency("root", estimate); urgency.Priority != 2 || urgency.FinishBy != noon.Add(70*time.Second) {
 		t.Fatalf("root inherits %+v", urgency)
 	}
--- a/internal/coordination/quota/allotments.go
+++ b/internal/coordination/quota/allotments.go
@@ -119,7 +119,7 @@
 	}
 	// With different limits in the controllers' settings the lowest counts, for this
 	// controller from this moment on.
-	if team.lowersLimit() {
+	if team.isConfiguredLower() {
 		return Resources{}
 	}
 	if team.limit.Base == nil {
--- a/internal/coordination/quota/demands.go
+++ b/internal/coordination/quota/demands.go
@@ -133,7 +133,7 @@
 		if team == nil {
 			continue
 		}
-		if own := team.demands[message.Holder]; own != nil && own.isLocal() && now.Sub(own.reportedAt) < demandTTL {
+		if local := team.demands[message.Holder]; local != nil && local.isLocal() && now.Sub(local.reportedAt) < demandTTL {
 			continue // this controller decides for the holder, or did until just now
 		}
 		team.demands[message.Holder] = &holderDemand{Demand: demandOf(message), reportedBy: from, reportedAt: now,
@@ -162,12 +162,12 @@
 	if team == nil || !team.isAllotted() {
 		return false
 	}
-	own := Demand{Priority: priority, AcceptedAtMs: acceptedAtMs, JobID: jobID}
+	job := Demand{Priority: priority, AcceptedAtMs: acceptedAtMs, JobID: jobID}
 	for _, demand := range team.demands {
 		if demand.isExpired(now) || demand.Anticipated {
 			continue
 		}
-		if now.Sub(demand.since) >= StarvationThreshold && demand.compare(&own) < 0 {
+		if now.Sub(demand.since) >= StarvationThreshold && demand.compare(&job) < 0 {
 			return true
 		}
 	}
--- a/internal/coordination/quota/guarantee.go
+++ b/internal/coordination/quota/guarantee.go
@@ -7,11 +7,11 @@
 
 // Standing is how a team stands to its guarantee, by the records at one moment.
 type Standing struct {
-	Guarantee Resources
-	Use       Resources // placed, or being placed
-	Committed Resources // of that, what stays placed however a commit under way ends
-	Reserved  Resources // reserved on the guarantee and not placed yet
-	Leaving   Resources // placed, and being preempted for other teams
+	Guarantee      Resources
+	Use            Resources // placed, or being placed
+	Committed      Resources // of that, what stays placed however a commit under way ends
+	Reserved       Resources // reserved on the guarantee and not placed yet
+	BeingPreempted Resources // placed, and being preempted for other teams
 }
 
 // HasGuarantee reports whether a team has a guarantee in this controller's settings.
@@ -23,36 +23,36 @@
 // Standing returns how a team stands, without the reservation of exceptClaim, which is the
 // claim key of the chunk that asks, or empty.
 func (m *Manager) Standing(name, exceptClaim string, usage Usage) Standing {
-	standing := Standing{Guarantee: m.configured[name].Guarantee(), Use: usage.InUse(name), Committed: usage.Committed(name)}
+	status := Standing{Guarantee: m.configured[name].Guarantee(), Use: usage.InUse(name), Committed: usage.Committed(name)}
 	team := m.teams[name]
 	if team == nil {
-		return standing
+		return status
 	}
 	// In the order of keys: sums of fractions depend on it, and so does a replay.
 	for _, claim := range slices.Sorted(maps.Keys(team.reservations.ByClaim)) {
 		if reservation := team.reservations.ByClaim[claim]; claim != exceptClaim {
-			standing.Reserved = standing.Reserved.Plus(reservation.Use.Minus(usage.PlacedBy(claim)))
+			status.Reserved = status.Reserved.Plus(reservation.Use.Minus(usage.PlacedBy(claim)))
 		}
 	}
 	for _, claim := range slices.Sorted(maps.Keys(team.reservations.Preempted)) {
 		for _, task := range team.reservations.Preempted[claim].Tasks {
-			standing.Leaving = standing.Leaving.Plus(usage.TaskUse(task))
+			status.BeingPreempted = status.BeingPreempted.Plus(usage.TaskUse(task))
 		}
 	}
-	return standing
+	return status
 }
 
 // StandingExcludingPreemptionsFor returns how a team that loses tasks to a claim stands
 // without that loss and without the claim's own reservation. By it a recorded preemption
 // is checked once more before it is carried out.
 func (m *Manager) StandingExcludingPreemptionsFor(name, claim string, usage Usage) Standing {
-	standing := m.Standing(name, claim, usage)
+	status := m.Standing(name, claim, usage)
 	if team := m.teams[name]; team != nil {
 		for _, task := range team.reservations.Preempted[claim].Tasks {
-			standing.Leaving = standing.Leaving.Minus(usage.TaskUse(task))
+			status.BeingPreempted = status.BeingPreempted.Minus(usage.TaskUse(task))
 		}
 	}
-	return standing
+	return status
 }
 
 // Entitled returns how many tasks that use perTask the team may still claim on its
@@ -72,7 +72,7 @@
 // Nor does what is only being placed: preempted tasks that try to start elsewhere would
 // show as surplus once more, and cost the team its own guarantee.
 func (s Standing) Surplus(claimingTask Resources) float64 {
-	return mainResource(claimingTask).of(s.Committed.Difference(s.Leaving).Minus(s.Guarantee))
+	return mainResource(claimingTask).of(s.Committed.Difference(s.BeingPreempted).Minus(s.Guarantee))
 }
 
 // Preemptor sums up what the preemptions for one claim take from other teams, so that none
--- a/internal/coordination/quota/limits.go
+++ b/internal/coordination/quota/limits.go
@@ -27,9 +27,11 @@
 	TeamUsage        func(team string) map[string]Resources // what it uses, by the TeamUsage record's names
 }
 
-// hasSeen reports whether everything that was committed before a version is known, so that
+// isCompleteUpTo reports whether everything that was committed before a version is known, so that
 // what a team uses can be counted.
-func (s *ClusterState) hasSeen(version uint64) bool { return s.Revision >= version && s.Complete }
+func (s *ClusterState) isCompleteUpTo(version uint64) bool {
+	return s.Revision >= version && s.Complete
+}
 
 // LimitChange is one step of changing a limit's record, as a transaction. The caller
 // commits it and calls FinishChange, whatever the outcome.
@@ -42,7 +44,7 @@
 }
 
 // FinishChange ends a change, whatever its outcome; the records show it.
-func (m *Manager) FinishChange(c LimitChange) { c.team.limitChanges = false }
+func (m *Manager) FinishChange(c LimitChange) { c.team.limitChangePending = false }
 
 // LimitChanges returns the steps that are due, at most one for each team.
 //
@@ -55,11 +57,11 @@
 	var changes []LimitChange
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
 		team := m.teams[name]
-		if team.limitChanges {
+		if team.limitChangePending {
 			continue
 		}
 		if change, due := m.nextLimitChange(team, s); due {
-			change.Team, change.team, team.limitChanges = name, team, true
+			change.Team, change.team, team.limitChangePending = name, team, true
 			change.Compares = append(change.Compares, kv.Compare{Key: records.TeamLimitPrefix + name, Version: team.limitVersion})
 			changes = append(changes, change)
 		}
@@ -76,7 +78,7 @@
 			return LimitChange{}, false
 		}
 		return t.beginAllotting(s), true
-	case t.lowersLimit():
+	case t.isConfiguredLower():
 		return t.lowerLimit(), true
 	case !s.IsLeader:
 		return LimitChange{}, false
@@ -118,7 +120,7 @@
 // controller may do so: until the leader did, the others would start tasks up to the
 // higher one.
 func (t *teamState) lowerLimit() LimitChange {
-	return t.writeLimit("lowered", &records.TeamLimit{Max: lowerOf(t.limit.Max, t.configured), Closing: t.limit.Closing})
+	return t.writeLimit("lowered", &records.TeamLimit{Max: minLimit(t.limit.Max, t.configured), Closing: t.limit.Closing})
 }
 
 // raiseLimit makes the record's limit the one that all controllers' settings have. What
@@ -134,7 +136,7 @@
 
 // finishClosing writes what the team uses into its TeamUsage record, once that is known.
 func (t *teamState) finishClosing(s ClusterState) (change LimitChange, due bool) {
-	if !s.hasSeen(t.limitVersion) {
+	if !s.isCompleteUpTo(t.limitVersion) {
 		return LimitChange{}, false
 	}
 	usage := &records.TeamUsage{ByShard: make(map[string]Resources)}
@@ -150,7 +152,7 @@
 
 // divideLimit divides the limit among the holders, once what they use is known and fits.
 func (m *Manager) divideLimit(t *teamState, s ClusterState) (change LimitChange, due bool) {
-	if !s.hasSeen(t.limitVersion) {
+	if !s.isCompleteUpTo(t.limitVersion) {
 		return LimitChange{}, false
 	}
 	base, fits := Divide(t.limit.Max, s.Holders, func(holder string) Resources { return m.usage(t.name, holder) }, s.InitialShare)
@@ -170,9 +172,9 @@
 	return kv.Compare{Key: records.TeamUsagePrefix + t.name, Version: s.TeamUsageVersion(t.name)}
 }
 
-// lowersLimit reports whether this controller's settings have a lower limit than the
+// isConfiguredLower reports whether this controller's settings have a lower limit than the
 // record.
-func (t *teamState) lowersLimit() bool {
+func (t *teamState) isConfiguredLower() bool {
 	return isLowerLimit(t.configured.CPUs, t.limit.Max.CPUs) || isLowerLimit(t.configured.GPUs, t.limit.Max.GPUs)
 }
 
@@ -182,12 +184,12 @@
 	return configured > 0 && (recorded == 0 || configured < recorded-tolerance)
 }
 
-// lowerOf returns the lower of two limits, part by part; 0 is no limit.
-func lowerOf(a, b Resources) Resources {
-	return Resources{CPUs: lowerPart(a.CPUs, b.CPUs), GPUs: lowerPart(a.GPUs, b.GPUs)}
+// minLimit returns the lower of two limits, part by part; 0 is no limit.
+func minLimit(a, b Resources) Resources {
+	return Resources{CPUs: minLimitPart(a.CPUs, b.CPUs), GPUs: minLimitPart(a.GPUs, b.GPUs)}
 }
 
-func lowerPart(a, b float64) float64 {
+func minLimitPart(a, b float64) float64 {
 	if a == 0 || (b > 0 && b < a) {
 		return b
 	}
--- a/internal/coordination/quota/limits_test.go
+++ b/internal/coordination/quota/limits_test.go
@@ -28,18 +28,18 @@
 
 // limitedTeam is team "t" on controllers that share a store. Its shards are n0 and n1.
 type limitedTeam struct {
-	t      *testing.T
-	store  *fakeStore
-	use    map[string]Resources // by holder
-	legacy map[string]Resources // by the TeamUsage record, which older versions read
+	t           *testing.T
+	store       *fakeStore
+	use         map[string]Resources // by holder
+	legacyUsage map[string]Resources // by the TeamUsage record, which older versions read
 }
 
-// controller is a controller whose settings limit the team to so many CPUs.
-func (l *limitedTeam) controller(limit float64, allotmentsEnabled bool) *Manager {
+// newController is a newController whose settings limit the team to so many CPUs.
+func (l *limitedTeam) newController(limit float64, allotmentsEnabled bool) *Manager {
 	return New(map[string]protocol.Team{"t": {Name: "t", MaxCPUs: limit}}, allotmentsEnabled, func(_, holder string) Resources { return l.use[holder] })
 }
 
-func (l *limitedTeam) state(isLeader bool) ClusterState {
+func (l *limitedTeam) clusterState(isLeader bool) ClusterState {
 	state := ClusterState{Revision: l.store.revision, Complete: true, IsLeader: isLeader, Holders: []string{"n0", "n1"}, InitialShare: cpus(8), LeaderCompare: kv.Compare{Key: records.LeaderKey},
 		TeamUsageVersion: func(string) uint64 { return l.store.versions[records.TeamUsagePrefix+"t"] }, TeamUsage: func(string) map[string]Resources { return l.use }}
 	for _, m := range l.store.managers {
@@ -54,11 +54,11 @@
 func (l *limitedTeam) expectChanges(m *Manager, isLeader bool, want ...string) {
 	l.t.Helper()
 	var got []string
-	for _, change := range m.LimitChanges(l.state(isLeader)) {
+	for _, change := range m.LimitChanges(l.clusterState(isLeader)) {
 		got = append(got, change.Description)
 		for _, op := range change.Ops {
-			if usage, is := op.Value.(*records.TeamUsage); is {
-				l.legacy = usage.ByShard
+			if usage, isUsage := op.Value.(*records.TeamUsage); isUsage {
+				l.legacyUsage = usage.ByShard
 			}
 		}
 		l.store.commit(change.Compares, change.Ops)
@@ -73,12 +73,12 @@
 // its settings, not used again before enough has ended, raised once all agree, and back in
 // one record once a controller without allotments is live.
 func TestLimitIsDividedLoweredRaisedAndClosed(t *testing.T) {
-	l := &limitedTeam{t: t, use: make(map[string]Resources), legacy: make(map[string]Resources)}
-	leader := l.controller(40, true)
+	l := &limitedTeam{t: t, use: make(map[string]Resources), legacyUsage: make(map[string]Resources)}
+	leader := l.newController(40, true)
 	l.store = &fakeStore{managers: []*Manager{leader}, versions: make(map[string]uint64)}
 	l.expectChanges(leader, true, "to be divided")
-	if l.legacy["*"] != cpus(40) {
-		t.Fatal("older versions find capacity within the limit:", l.legacy)
+	if l.legacyUsage["*"] != cpus(40) {
+		t.Fatal("older versions find capacity within the limit:", l.legacyUsage)
 	}
 	l.store.revision-- // the leader lacks what was committed just before
 	l.expectChanges(leader, true)
@@ -93,7 +93,7 @@
 	}
 	l.use["n0"] = cpus(10)
 
-	lower := l.controller(6, true)
+	lower := l.newController(6, true)
 	lower.ApplyLimit("t", &leader.teams["t"].limit, leader.teams["t"].limitVersion)
 	l.store.managers = append(l.store.managers, lower)
 	if lower.Allowance("t", "n1", cpus(2)) != 0 {
@@ -114,11 +114,11 @@
 	l.expectChanges(leader, true, "raised")
 	l.expectChanges(leader, true, "divided")
 
-	without := l.controller(40, false)
-	l.store.managers = append(l.store.managers, without)
+	disabled := l.newController(40, false)
+	l.store.managers = append(l.store.managers, disabled)
 	l.expectChanges(leader, true, "to be counted in one record again")
 	l.expectChanges(leader, true, "counted in one record again")
-	if leader.IsAllotted("t") || l.legacy["*"] != (Resources{}) || l.legacy["n0"] != cpus(4) {
-		t.Fatal("still allotted, or older versions do not find what is used:", l.legacy)
+	if leader.IsAllotted("t") || l.legacyUsage["*"] != (Resources{}) || l.legacyUsage["n0"] != cpus(4) {
+		t.Fatal("still allotted, or older versions do not find what is used:", l.legacyUsage)
 	}
 }
--- a/internal/coordination/quota/manager.go
+++ b/internal/coordination/quota/manager.go
@@ -38,11 +38,11 @@
 	name       string
 	configured Resources // the limit in this controller's settings
 
-	limit        records.TeamLimit
-	limitVersion uint64
-	limitChanges bool // a change of the limit's record is being committed
-	allotments   map[string]allotment
-	grantCache   map[string]Resources // by holder; nil once a record has changed
+	limit              records.TeamLimit
+	limitVersion       uint64
+	limitChangePending bool // a change of the limit's record is being committed
+	allotments         map[string]allotment
+	grantCache         map[string]Resources // by holder; nil once a record has changed
 
 	reservations        records.Reservations
 	reservationsVersion uint64
@@ -50,8 +50,8 @@
 	transferring map[string]Resources     // being committed, by the holder that transfers
 	demands      map[string]*holderDemand // by holder
 
-	waitingSince time.Time // since when the limit has held up a job of it; zero: it does not
-	reportedAt   time.Time // when WaitingTeams last listed it
+	waitingSince      time.Time // since when the limit has held up a job of it; zero: it does not
+	waitingReportedAt time.Time // when WaitingTeams last listed it
 }
 
 // allotment is a holder's record and its version.
--- a/internal/coordination/quota/rebalance.go
+++ b/internal/coordination/quota/rebalance.go
@@ -52,8 +52,8 @@
 		return nil
 	}
 	slices.SortFunc(demanding, func(a, b int) int { return holders[a].compare(&holders[b]) })
-	for place, i := range demanding {
-		r.serveFirstJob(i, place == 0)
+	for position, i := range demanding {
+		r.serveFirstJob(i, position == 0)
 	}
 	r.distributeUnused(demanding)
 	return r.transfers
@@ -143,18 +143,18 @@
 // distributeUnused divides what holders without a demand have left among those that could
 // start more, in units that let something start.
 func (r *rebalancing) distributeUnused(demanding []int) {
-	more := make([]int, len(r.holders)) // units that each holder could use beyond what it has
+	usable := make([]int, len(r.holders)) // units that each holder could use beyond what it has
 	total := 0
 	for _, i := range demanding {
-		more[i] = r.usableUnits(i)
-		total += more[i]
+		usable[i] = r.usableUnits(i)
+		total += usable[i]
 	}
 	if total == 0 {
 		return
 	}
 	for donor := range r.holders {
 		if r.holders[donor].Demand == nil {
-			r.distributeFrom(donor, demanding, more, total)
+			r.distributeFrom(donor, demanding, usable, total)
 		}
 	}
 }
@@ -179,16 +179,16 @@
 // distributeFrom gives each demanding holder its part of what a donor has left. The parts
 // are rounded up to whole units: the last holder gets what is left, and a few units are
 // not left unused.
-func (r *rebalancing) distributeFrom(donor int, demanding, more []int, total int) {
+func (r *rebalancing) distributeFrom(donor int, demanding, usable []int, total int) {
 	pool := r.unused[donor]
 	for _, i := range demanding {
 		unit := r.unitOf(i)
-		if more[i] == 0 || unit.IsZero() {
+		if usable[i] == 0 || unit.IsZero() {
 			continue
 		}
-		share := TasksThatFit(pool, unit, r.limit)*more[i]/total + 1
-		units := min(share, more[i], TasksThatFit(r.unused[donor], unit, r.limit))
+		share := TasksThatFit(pool, unit, r.limit)*usable[i]/total + 1
+		units := min(share, usable[i], TasksThatFit(r.unused[donor], unit, r.limit))
 		r.transfer(donor, i, unit.Times(float64(units)))
-		more[i] -= units
+		usable[i] -= units
 	}
 }
--- a/internal/coordination/quota/rebalance_test.go
+++ b/internal/coordination/quota/rebalance_test.go
@@ -59,10 +59,10 @@
 
 // What a job demands ahead of its capacity comes from idle parts alone.
 func TestRebalanceServesAnticipatedDemandFromIdlePartsOnly(t *testing.T) {
-	ahead := demandFor("wk-1", 1, 8, 8)
-	ahead.Anticipated, ahead.Waited = true, time.Hour
+	anticipated := demandFor("wk-1", 1, 8, 8)
+	anticipated.Anticipated, anticipated.Waited = true, time.Hour
 	got := Rebalance(cpus(12), []Holder{
-		{Name: "n0", Demand: ahead},
+		{Name: "n0", Demand: anticipated},
 		{Name: "n1", Grant: cpus(8), Demand: demandFor("wk-2", 2, 2, 4)},
 		{Name: "n2", Grant: cpus(4)},
 	})
--- a/internal/coordination/quota/reservations_test.go
+++ b/internal/coordination/quota/reservations_test.go
@@ -56,7 +56,7 @@
 
 // A team's surplus is what it uses beyond its guarantee, without what is leaving and what is
 // only being placed.
-func TestSurplusLeavesOutWhatIsLeavingOrBeingPlaced(t *testing.T) {
+func TestSurplusExcludesPreemptedAndUncommittedTasks(t *testing.T) {
 	m, store, usage := guaranteedTeams()
 	if !store.commit(m.Reserve(reserve4)) {
 		t.Fatal("not reserved")
@@ -80,11 +80,11 @@
 	if !store.commit(m.Reserve(reserve4)) {
 		t.Fatal("not reserved")
 	}
-	preemptor := Preemptor{ClaimedTask: cpus(2), StandingOf: func(team string) Standing { return m.Standing(team, "", usage) }}
-	if !preemptor.MayPreempt("lend", cpus(4), Resources{}) || preemptor.MayPreempt("lend", cpus(4), cpus(2)) || preemptor.MayPreempt("lend", Resources{GPUs: 1}, Resources{}) {
+	budget := Preemptor{ClaimedTask: cpus(2), StandingOf: func(team string) Standing { return m.Standing(team, "", usage) }}
+	if !budget.MayPreempt("lend", cpus(4), Resources{}) || budget.MayPreempt("lend", cpus(4), cpus(2)) || budget.MayPreempt("lend", Resources{GPUs: 1}, Resources{}) {
 		t.Fatal("what may be preempted")
 	}
-	if preemptor.RecordPreemption("lend", cpus(4)); preemptor.MayPreempt("lend", cpus(1), Resources{}) {
+	if budget.RecordPreemption("lend", cpus(4)); budget.MayPreempt("lend", cpus(1), Resources{}) {
 		t.Fatal("the team is left with less than its guarantee")
 	}
 }
--- a/internal/coordination/quota/resources.go
+++ b/internal/coordination/quota/resources.go
@@ -20,14 +20,14 @@
 // TasksThatFit returns how many tasks fit into a free amount, judged by the parts that
 // the limit has and the tasks use. Without any such part it is math.MaxInt32.
 func TasksThatFit(free, perTask, limit Resources) int {
-	most := math.MaxInt32
+	tasks := math.MaxInt32
 	if limit.CPUs > 0 && perTask.CPUs > 0 {
-		most = min(most, int((free.CPUs+tolerance)/perTask.CPUs))
+		tasks = min(tasks, int((free.CPUs+tolerance)/perTask.CPUs))
 	}
 	if limit.GPUs > 0 && perTask.GPUs > 0 {
-		most = min(most, int((free.GPUs+tolerance)/perTask.GPUs))
+		tasks = min(tasks, int((free.GPUs+tolerance)/perTask.GPUs))
 	}
-	return max(0, most)
+	return max(0, tasks)
 }
 
 // limitedParts returns the amount with the parts that the limit does not have set to 0.
--- a/internal/coordination/quota/transfers.go
+++ b/internal/coordination/quota/transfers.go
@@ -40,11 +40,11 @@
 			due[transfer.From][transfer.To] = transfer.Amount
 		}
 		for _, holder := range slices.Sorted(maps.Keys(due)) {
-			own, decides := decidesFor(holder)
+			ownerCompare, decides := decidesFor(holder)
 			if _, busy := team.transferring[holder]; !decides || busy {
 				continue
 			}
-			pending = append(pending, team.newTransfer(holder, due[holder], own))
+			pending = append(pending, team.newTransfer(holder, due[holder], ownerCompare))
 		}
 	}
 	return pending
@@ -79,7 +79,7 @@
 // newTransfer returns the transaction by which a holder transfers amounts to receivers. Its
 // conditions are own, that the limit is the known one, and the version of the holder's key.
 // Until FinishTransfer the amounts count as transferred.
-func (t *teamState) newTransfer(from string, receivers map[string]Resources, own kv.Compare) PendingTransfer {
+func (t *teamState) newTransfer(from string, receivers map[string]Resources, ownerCompare kv.Compare) PendingTransfer {
 	before := t.allotments[from]
 	next := &records.Allotment{Generation: t.limit.Generation, Transferred: make(map[string]Resources)}
 	if before.record.Generation == next.Generation {
@@ -95,7 +95,7 @@
 	return PendingTransfer{
 		Transfer:  Transfer{From: from, To: strings.Join(slices.Sorted(maps.Keys(receivers)), ","), Amount: total},
 		Team:      t.name,
-		Compares:  []kv.Compare{own, {Key: records.TeamLimitPrefix + t.name, Version: t.limitVersion}, {Key: key, Version: before.version}},
+		Compares:  []kv.Compare{ownerCompare, {Key: records.TeamLimitPrefix + t.name, Version: t.limitVersion}, {Key: key, Version: before.version}},
 		Ops:       []kv.Op{{Key: key, Value: next}},
 		team:      t,
 		receivers: receivers,
--- a/internal/coordination/quota/transfers_test.go
+++ b/internal/coordination/quota/transfers_test.go
@@ -12,7 +12,7 @@
 // A transfer is one change of its holder's key, conditional on who decides for the holder.
 // While it is being committed it counts as done, and a demand reported before it does not
 // cause a second one.
-func TestTransferBeingCommittedCounts(t *testing.T) {
+func TestTransferBeingCommittedCountsAsDone(t *testing.T) {
 	now := time.Unix(0, 0)
 	m := New(map[string]protocol.Team{"t": {Name: "t", MaxCPUs: 16}}, true, func(string, string) Resources { return Resources{} })
 	store := &fakeStore{managers: []*Manager{m}, versions: map[string]uint64{records.ShardPrefix + "n0": 5}, revision: 5}
--- a/internal/coordination/quota/waiting.go
+++ b/internal/coordination/quota/waiting.go
@@ -24,10 +24,10 @@
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
 		team := m.teams[name]
 		team.updateWaitingSince()
-		if team.waitingSince.IsZero() || now.Sub(team.waitingSince) < interval || now.Sub(team.reportedAt) < interval {
+		if team.waitingSince.IsZero() || now.Sub(team.waitingSince) < interval || now.Sub(team.waitingReportedAt) < interval {
 			continue
 		}
-		team.reportedAt = now
+		team.waitingReportedAt = now
 		grants, usage := maps.Clone(team.grants()), make(map[string]Resources)
 		for holder := range grants {
 			usage[holder] = m.usage(name, holder)
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -70,13 +70,13 @@
 	{"claims of unknown size are not nothing", "coordination/replica/teams.go", `			if claim.Record == nil || claim.Record.Shard == holder || (claim.Record.Shard == "" && holder == quota.CrossShard) {`, `			if false && claim.Record == nil && holder == "" {`},
 	{"the larger of two versions counts", "coordination/replica/claim.go", `return max(c.PlacedCount(), len(c.Pending.Placements))`, `return c.PlacedCount()`},
 	{"what became of a start is found out", "coordination/controller/commit.go", `for err != nil && insist && life`, `for err != nil && false && insist && life`},
-	{"only who decides for a holder gives", "coordination/quota/transfers.go", `[]kv.Compare{own, {Key`, `[]kv.Compare{{Key`},
+	{"only who decides for a holder gives", "coordination/quota/transfers.go", `[]kv.Compare{ownerCompare, {Key`, `[]kv.Compare{{Key`},
 	{"gifts under way are given", "coordination/quota/allotments.go", `left := team.grants()[holder].Minus(team.transferring[holder]).Minus(`, `left := team.grants()[holder].Minus(`},
 	{"a limit is divided once all starts are known", "coordination/quota/limits.go", `divideLimit(t *teamState, s ClusterState) (change LimitChange, due bool) {
-	if !s.hasSeen(t.limitVersion) {`, `divideLimit(t *teamState, s ClusterState) (change LimitChange, due bool) {
+	if !s.isCompleteUpTo(t.limitVersion) {`, `divideLimit(t *teamState, s ClusterState) (change LimitChange, due bool) {
 	if false {`},
 	{"older sources find the limit used up", "coordination/quota/limits.go", `ByShard: map[string]Resources{legacyBarrier: t.configured}`, `ByShard: map[string]Resources{}`},
-	{"the lower limit counts", "coordination/quota/allotments.go", `	if team.lowersLimit() {
+	{"the lower limit counts", "coordination/quota/allotments.go", `	if team.isConfiguredLower() {
 		return Resources{}`, `	if false {
 		return Resources{}`},
 	{"a booking is carried out once all before it is known", "coordination/controller/guarantees.go", `reservation.version == 0 || c.view.Revision < reservation.version {`, `reservation.version == 0 {`},
