--- a/internal/coordination/quota/allotments.go
+++ b/internal/coordination/quota/allotments.go
@@ -9,18 +9,19 @@
 	"madderslip/internal/storage/records"
 )
 
-// CrossShard is the holder of the allotment for work that is placed across shards, and of
-// what no shard has been given yet. The leader decides for it.
+// CrossShard is the holder of the allotment for work that is placed across shards. The part
+// of the limit that is not allotted to any shard yet also belongs to it. The leader decides
+// for this holder.
 const CrossShard = "*"
 
-// isAllotted reports whether the limit is divided or about to be, so that starts are not
-// counted in the team's TeamUsage record.
+// isAllotted reports whether the limit is divided into allotments or is about to be. Starts
+// are not counted in the team's TeamUsage record then.
 func (t *teamState) isAllotted() bool {
 	return t.limitVersion != 0 && t.limit.Generation > 0 && !t.limit.Closed
 }
 
-// effectiveLimit returns the limit that counts: the record's while it is allotted, else
-// the one in the settings.
+// effectiveLimit returns the limit of the record while the limit is allotted, and the limit
+// of the settings otherwise.
 func (t *teamState) effectiveLimit() Resources {
 	if t.isAllotted() {
 		return t.limit.Max
@@ -28,7 +29,7 @@
 	return t.configured
 }
 
-// HasNoLimits reports whether no team has a limit, in the settings or on record.
+// HasNoLimits reports whether no team has a limit, in the settings or in a record.
 func (m *Manager) HasNoLimits() bool {
 	for _, team := range m.teams {
 		if team.limitVersion != 0 || !team.configured.IsZero() {
@@ -48,7 +49,8 @@
 	return (limit.CPUs > 0 && perTask.CPUs > 0) || (limit.GPUs > 0 && perTask.GPUs > 0)
 }
 
-// Limit returns what a team may use altogether; a part of 0 is not limited.
+// Limit returns the most that a team may use in the whole cluster. 0 CPUs or 0 GPUs means no
+// limit on that resource.
 func (m *Manager) Limit(name string) Resources {
 	if team := m.teams[name]; team != nil {
 		return team.effectiveLimit()
@@ -56,14 +58,15 @@
 	return Resources{}
 }
 
-// IsAllotted reports whether allotments bound the team's starts.
+// IsAllotted reports whether allotments, not the TeamUsage record, limit the team's starts.
 func (m *Manager) IsAllotted(name string) bool {
 	return m.teams[name] != nil && m.teams[name].isAllotted()
 }
 
-// LimitCompares returns the conditions of every change of a limited team's claims: that
-// the limit is the one that this controller knows. So a change of the limit voids what is
-// being committed, and no start exceeds the limit from its record's revision on.
+// LimitCompares returns the conditions of every change of a limited team's claims: that the
+// limit's record still has the version cached here. A change of the limit therefore makes
+// all starts fail that are being committed, and from the revision of its record on no start
+// exceeds the limit.
 func (m *Manager) LimitCompares(name string) []kv.Compare {
 	team := m.teams[name]
 	if team == nil || (team.limitVersion == 0 && team.configured.IsZero()) {
@@ -72,8 +75,9 @@
 	return []kv.Compare{{Key: records.TeamLimitPrefix + name, Version: team.limitVersion}}
 }
 
-// grants returns what each holder may use: its base, plus what it received, less what it
-// transferred. Nobody may use anything while the limit is not divided.
+// grants returns the amount that each holder may use: its base, plus the amounts transferred
+// to it, less the amounts transferred from it. No holder may use anything while the limit is
+// not divided or is being closed.
 func (t *teamState) grants() map[string]Resources {
 	if t.grantCache != nil {
 		return t.grantCache
@@ -86,7 +90,7 @@
 	for _, holder := range slices.Sorted(maps.Keys(t.allotments)) {
 		record := t.allotments[holder].record
 		if record.Generation != t.limit.Generation {
-			continue // of an earlier division
+			continue // the record belongs to an earlier division
 		}
 		for _, receiver := range slices.Sorted(maps.Keys(record.Transferred)) {
 			amount := record.Transferred[receiver]
@@ -100,8 +104,8 @@
 	return t.grantCache
 }
 
-// Grant returns what a holder may use altogether, what it uses already included; nothing
-// if the limit is not allotted.
+// Grant returns the total that a holder may use, its current use included. It is zero if the
+// limit is not allotted.
 func (m *Manager) Grant(name, holder string) Resources {
 	if team := m.teams[name]; team != nil && team.isAllotted() {
 		return team.grants()[holder]
@@ -109,16 +113,17 @@
 	return Resources{}
 }
 
-// Free returns what a holder may still use; a part without a limit is infinite. What is
-// being transferred counts as transferred.
+// Free returns the amount that a holder may use beyond its current use. It is infinite for
+// resources without a limit, and for all resources of a team whose limit is not allotted.
+// Amounts whose transfer is being committed count as transferred.
 func (m *Manager) Free(name, holder string) Resources {
 	free := Resources{CPUs: math.Inf(1), GPUs: math.Inf(1)}
 	team := m.teams[name]
 	if team == nil || !team.isAllotted() {
 		return free
 	}
-	// With different limits in the controllers' settings the lowest counts, for this
-	// controller from this moment on.
+	// If controllers have different limits in their settings, the lowest applies. This
+	// controller applies its own lower limit at once, before the record is changed.
 	if team.isConfiguredLower() {
 		return Resources{}
 	}
@@ -135,8 +140,8 @@
 	return free
 }
 
-// Allowance returns how many tasks that use perTask a holder may still start, jobs that
-// are to be served first left aside (see YieldsTo).
+// Allowance returns how many more tasks that use perTask a holder may start. It does not
+// take into account other jobs that are to be served first (see YieldsTo).
 func (m *Manager) Allowance(name, holder string, perTask Resources) int {
 	return TasksThatFit(m.Free(name, holder), perTask, m.Limit(name))
 }
--- a/internal/coordination/quota/limits.go
+++ b/internal/coordination/quota/limits.go
@@ -8,27 +8,27 @@
 	"madderslip/internal/storage/records"
 )
 
-// Member is what a live controller's Node record says.
+// Member holds the values that a live controller publishes in its Node record.
 type Member struct {
 	QuotaVersion int
 	TeamsHash    uint64
 }
 
-// ClusterState is what changes of limits are decided on.
+// ClusterState is the state of the cluster by which changes of limits are decided.
 type ClusterState struct {
-	Revision         uint64                                 // up to which the caller has seen every record
+	Revision         uint64                                 // up to which the caller has applied every record
 	Complete         bool                                   // the size of every claim is known
-	IsLeader         bool                                   // this controller leads
-	LeaderCompare    kv.Compare                             // the condition that it does
+	IsLeader         bool                                   // this controller is the leader
+	LeaderCompare    kv.Compare                             // the condition that this controller is the leader
 	Members          []Member                               // all live controllers, this one included
 	Holders          []string                               // the shards
-	InitialShare     Resources                              // what a shard is given at first if there is enough: one machine
+	InitialShare     Resources                              // least share of each shard beyond its use, if the limit suffices for it: one machine
 	TeamUsageVersion func(team string) uint64               // version of the team's TeamUsage record
-	TeamUsage        func(team string) map[string]Resources // what it uses, by the TeamUsage record's names
+	TeamUsage        func(team string) map[string]Resources // the team's use, by the keys of the TeamUsage record
 }
 
-// isCompleteUpTo reports whether everything that was committed before a version is known, so that
-// what a team uses can be counted.
+// isCompleteUpTo reports whether all records that were committed before a version have been
+// applied and the size of every claim is known, so that a team's use can be counted.
 func (s *ClusterState) isCompleteUpTo(version uint64) bool {
 	return s.Revision >= version && s.Complete
 }
@@ -37,22 +37,24 @@
 // commits it and calls FinishChange, whatever the outcome.
 type LimitChange struct {
 	Team        string
-	Description string // what the step does, for the log
+	Description string // effect of the step on the limit, for the log
 	Compares    []kv.Compare
 	Ops         []kv.Op
 	team        *teamState
 }
 
-// FinishChange ends a change, whatever its outcome; the records show it.
+// FinishChange ends a change after its commit, whether or not the commit succeeded: the
+// records that the caller applies show the outcome.
 func (m *Manager) FinishChange(c LimitChange) { c.team.limitChangePending = false }
 
 // LimitChanges returns the steps that are due, at most one for each team.
 //
-// A limit begins and changes in two steps. The first voids all starts that are being
-// committed and allows none; the second divides the limit anew once everything committed
-// before the first is known. So no start exceeds a limit from the revision of its record
-// on, whoever decided the start and when. A limit below what is in use is divided once
-// enough has ended; nothing is stopped for it.
+// Introducing or changing a limit takes two steps. The first step writes the limit's record
+// without a division, which makes starts fail that are still being committed and permits no
+// new ones. The second step divides the limit once all records committed before the first
+// step have been applied. From the revision of a limit's record on, no start therefore
+// exceeds the limit, whichever controller decided the start and whenever it did so. A limit
+// below the current use is divided once enough tasks have ended; no task is stopped for it.
 func (m *Manager) LimitChanges(s ClusterState) []LimitChange {
 	var changes []LimitChange
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
@@ -69,7 +71,7 @@
 	return changes
 }
 
-// nextLimitChange chooses a team's next step, if one is due.
+// nextLimitChange returns a team's next step, and reports whether a step is due.
 func (m *Manager) nextLimitChange(t *teamState, s ClusterState) (change LimitChange, due bool) {
 	capable, agreed := m.compareMembers(s.Members)
 	switch {
@@ -94,8 +96,8 @@
 	return LimitChange{}, false
 }
 
-// compareMembers reports whether all live controllers allot limits, and whether all have
-// the limits of this one's settings.
+// compareMembers reports whether all live controllers support allotments and have them
+// enabled, and whether their settings have the same limits as this controller's settings.
 func (m *Manager) compareMembers(members []Member) (capable, agreed bool) {
 	capable, agreed = m.allotmentsEnabled, true
 	for _, member := range members {
@@ -105,36 +107,40 @@
 	return capable, agreed
 }
 
-// legacyBarrier is the name under which the TeamUsage record of an allotted team shows the
-// whole limit as used: versions that know no allotments start nothing then.
+// legacyBarrier is the key under which the TeamUsage record of an allotted team shows the
+// whole limit as used, so that controllers of versions without allotments start nothing.
 const legacyBarrier = "*"
 
-// beginAllotting is the first step from the TeamUsage record to allotments.
+// beginAllotting returns the first step of the change from the TeamUsage record to
+// allotments.
 func (t *teamState) beginAllotting(s ClusterState) LimitChange {
 	change := t.writeLimit("to be divided", &records.TeamLimit{Max: t.configured}, s.LeaderCompare, t.usageCompare(s))
 	change.Ops = append(change.Ops, kv.Op{Key: records.TeamUsagePrefix + t.name, Value: &records.TeamUsage{ByShard: map[string]Resources{legacyBarrier: t.configured}}})
 	return change
 }
 
-// lowerLimit makes the record's limit the lower one of this controller's settings. Any
-// controller may do so: until the leader did, the others would start tasks up to the
-// higher one.
+// lowerLimit returns the step that lowers the record's limit to the limit of this
+// controller's settings. Any controller may commit this step: if only the leader could, the
+// other controllers would start tasks up to the higher limit until then.
 func (t *teamState) lowerLimit() LimitChange {
 	return t.writeLimit("lowered", &records.TeamLimit{Max: minLimit(t.limit.Max, t.configured), Closing: t.limit.Closing})
 }
 
-// raiseLimit makes the record's limit the one that all controllers' settings have. What
-// was divided is void until it is divided anew.
+// raiseLimit returns the step that sets the record's limit to the limit that the settings of
+// all controllers have. The current division ends, and no holder may use anything until the
+// limit is divided again.
 func (t *teamState) raiseLimit(s ClusterState) LimitChange {
 	return t.writeLimit("raised", &records.TeamLimit{Max: t.configured}, s.LeaderCompare)
 }
 
-// beginClosing is the first step from allotments back to the TeamUsage record.
+// beginClosing returns the first step of the change from allotments back to the TeamUsage
+// record.
 func (t *teamState) beginClosing(s ClusterState) LimitChange {
 	return t.writeLimit("to be counted in one record again", &records.TeamLimit{Max: t.limit.Max, Closing: true}, s.LeaderCompare)
 }
 
-// finishClosing writes what the team uses into its TeamUsage record, once that is known.
+// finishClosing returns the last step of the change back to the TeamUsage record, which
+// writes the team's use into that record. The step is due once the use is known.
 func (t *teamState) finishClosing(s ClusterState) (change LimitChange, due bool) {
 	if !s.isCompleteUpTo(t.limitVersion) {
 		return LimitChange{}, false
@@ -150,7 +156,8 @@
 	return change, true
 }
 
-// divideLimit divides the limit among the holders, once what they use is known and fits.
+// divideLimit returns the step that divides the limit among the holders. The step is due
+// once their use is known and within the limit.
 func (m *Manager) divideLimit(t *teamState, s ClusterState) (change LimitChange, due bool) {
 	if !s.isCompleteUpTo(t.limitVersion) {
 		return LimitChange{}, false
@@ -162,7 +169,8 @@
 	return t.writeLimit("divided", &records.TeamLimit{Max: t.limit.Max, Base: base}, s.LeaderCompare), true
 }
 
-// writeLimit returns the change to a limit's next generation under some conditions.
+// writeLimit returns the step that writes the next generation of a limit's record under the
+// given conditions.
 func (t *teamState) writeLimit(description string, next *records.TeamLimit, compares ...kv.Compare) LimitChange {
 	next.Generation = t.limit.Generation + 1
 	return LimitChange{Description: description, Compares: compares, Ops: []kv.Op{{Key: records.TeamLimitPrefix + t.name, Value: next}}}
--- a/internal/coordination/quota/manager.go
+++ b/internal/coordination/quota/manager.go
@@ -13,13 +13,13 @@
 	"madderslip/internal/storage/records"
 )
 
-// ProtocolVersion is the quota version that a controller of this version advertises: it
-// allots limits.
+// ProtocolVersion is the quota version that a controller advertises if it supports
+// allotments.
 const ProtocolVersion = 1
 
-// Manager keeps what the records and the other controllers say about teams' limits and
-// guarantees. Its methods need the caller's lock. Every version of a record has to be
-// applied in the order of revisions.
+// Manager keeps the records of teams' limits and guarantees, and the demands that
+// controllers report. Its caller must hold a lock around every method call, and apply every
+// version of a record in the order of revisions.
 type Manager struct {
 	allotmentsEnabled bool
 	configured        map[string]protocol.Team
@@ -28,12 +28,12 @@
 	usage             UsageFunc
 }
 
-// UsageFunc returns what a team's placements take in a shard or, for CrossShard, across
-// shards. Of a placement's committed version and the one being committed the larger
-// counts.
+// UsageFunc returns the resources that a team's placements use in a shard or, for
+// CrossShard, across shards. While a new version of a claim is being committed, the larger of
+// its committed and its new version counts.
 type UsageFunc func(team, holder string) Resources
 
-// teamState is all that is known of one team.
+// teamState holds the records and demands of one team.
 type teamState struct {
 	name       string
 	configured Resources // the limit in this controller's settings
@@ -47,21 +47,22 @@
 	reservations        records.Reservations
 	reservationsVersion uint64
 
-	transferring map[string]Resources     // being committed, by the holder that transfers
+	transferring map[string]Resources     // amounts whose transfer is being committed, by donor
 	demands      map[string]*holderDemand // by holder
 
-	waitingSince      time.Time // since when the limit has held up a job of it; zero: it does not
-	waitingReportedAt time.Time // when WaitingTeams last listed it
+	waitingSince      time.Time // since when the limit has held up a job of the team; zero: it holds up none
+	waitingReportedAt time.Time // when WaitingTeams last returned the team
 }
 
-// allotment is a holder's record and its version.
+// allotment is the record of a holder's allotment, and the record's version.
 type allotment struct {
 	record  records.Allotment
 	version uint64
 }
 
-// New returns a manager for the teams of the settings. With allotments disabled no limit
-// is divided, and divided ones return to the team's TeamUsage record.
+// New returns a manager for the teams of the settings. With allotments disabled no limit is
+// divided, and use under limits that were divided before is counted in the teams' TeamUsage
+// records again.
 func New(configured map[string]protocol.Team, allotmentsEnabled bool, usage UsageFunc) *Manager {
 	m := &Manager{allotmentsEnabled: allotmentsEnabled, configured: configured, teams: make(map[string]*teamState), usage: usage}
 	digest := xxhash.New()
@@ -74,8 +75,9 @@
 	return m
 }
 
-// Advertised returns what this controller's Node record tells the others: the quota
-// version, 0 if it does not allot limits, and a hash of the limits in its settings.
+// Advertised returns the values that this controller publishes in its Node record: its
+// quota version, which is 0 with allotments disabled, and a hash of the limits in its
+// settings.
 func (m *Manager) Advertised() (version int, teamsHash uint64) {
 	if !m.allotmentsEnabled {
 		return 0, m.configuredHash
@@ -83,7 +85,7 @@
 	return ProtocolVersion, m.configuredHash
 }
 
-// team returns a team's state, made on first use.
+// team returns a team's state, which is created on first use.
 func (m *Manager) team(name string) *teamState {
 	team := m.teams[name]
 	if team == nil {
@@ -94,7 +96,7 @@
 	return team
 }
 
-// ApplyLimit applies a version of a team's limit; nil: there is none.
+// ApplyLimit applies a version of a team's limit record; nil means that there is no record.
 func (m *Manager) ApplyLimit(name string, record *records.TeamLimit, version uint64) {
 	team := m.team(name)
 	team.limit, team.limitVersion, team.grantCache = records.TeamLimit{}, version, nil
@@ -103,9 +105,9 @@
 	}
 }
 
-// ApplyAllotment applies a version of a holder's allotment; nil: there is none. The key
-// comes without records.AllotmentPrefix: the team, a slash and the holder. Any other key is
-// ignored.
+// ApplyAllotment applies a version of a holder's allotment record; nil means that there is
+// no record. The key has the form TEAM/HOLDER, without records.AllotmentPrefix. A key
+// without a slash is ignored.
 func (m *Manager) ApplyAllotment(key string, record *records.Allotment, version uint64) {
 	slash := strings.LastIndexByte(key, '/')
 	if slash < 0 {
@@ -119,7 +121,8 @@
 	team.allotments[key[slash+1:]] = allotment{*record, version}
 }
 
-// ApplyReservations applies a version of a team's reservations; nil: there are none.
+// ApplyReservations applies a version of a team's reservations record; nil means that there
+// is no record.
 func (m *Manager) ApplyReservations(name string, record *records.Reservations, version uint64) {
 	team := m.team(name)
 	team.reservations, team.reservationsVersion = records.Reservations{}, version
--- a/internal/coordination/quota/resources.go
+++ b/internal/coordination/quota/resources.go
@@ -6,19 +6,19 @@
 	"madderslip/internal/protocol"
 )
 
-// Resources is an amount of CPUs and GPUs, of a team's use, limit or guarantee.
+// Resources is an amount of CPUs and GPUs: a team's use, limit or guarantee.
 type Resources = protocol.Resources
 
 const tolerance = protocol.ResourceTolerance
 
-// Exceeds reports whether a use is beyond a limit in any part; a limit's part of 0 limits
-// nothing.
+// Exceeds reports whether the use of CPUs or of GPUs exceeds the limit. A limit of 0 CPUs or
+// 0 GPUs means no limit on that resource.
 func Exceeds(use, limit Resources) bool {
 	return (limit.CPUs > 0 && use.CPUs > limit.CPUs+tolerance) || (limit.GPUs > 0 && use.GPUs > limit.GPUs+tolerance)
 }
 
-// TasksThatFit returns how many tasks fit into a free amount, judged by the parts that
-// the limit has and the tasks use. Without any such part it is math.MaxInt32.
+// TasksThatFit returns how many tasks fit into a free amount. Only resources that are
+// limited and that the tasks use count; if there are none, the result is math.MaxInt32.
 func TasksThatFit(free, perTask, limit Resources) int {
 	tasks := math.MaxInt32
 	if limit.CPUs > 0 && perTask.CPUs > 0 {
@@ -30,7 +30,7 @@
 	return max(0, tasks)
 }
 
-// limitedParts returns the amount with the parts that the limit does not have set to 0.
+// limitedParts returns the amount with every resource that is not limited set to 0.
 func limitedParts(amount, limit Resources) Resources {
 	if limit.CPUs == 0 {
 		amount.CPUs = 0
@@ -41,7 +41,7 @@
 	return amount
 }
 
-// resourceKind selects one part of an amount.
+// resourceKind selects the CPUs or the GPUs of an amount.
 type resourceKind int
 
 const (
@@ -49,7 +49,8 @@
 	kindGPU
 )
 
-// mainResource is the resource by which tasks are counted: GPUs, if they use any.
+// mainResource returns the resource by which tasks are counted: GPUs if the tasks use any,
+// otherwise CPUs.
 func mainResource(perTask Resources) resourceKind {
 	if perTask.GPUs > 0 {
 		return kindGPU
@@ -57,7 +58,7 @@
 	return kindCPU
 }
 
-// of returns the selected part of an amount.
+// of returns the amount's quantity of the selected resource.
 func (k resourceKind) of(amount Resources) float64 {
 	if k == kindGPU {
 		return amount.GPUs
