--- a/internal/coordination/quota/demands.go
+++ b/internal/coordination/quota/demands.go
@@ -10,35 +10,35 @@
 	"madderslip/internal/protocol"
 )
 
-// Demand is what a holder could start this moment with a larger allotment: the machines
-// have capacity for it and nothing else holds it up. Queued work without capacity is not
-// demand, but for one thing: a job that waits for capacity demands ahead, and gets only
-// what nobody else demands. Otherwise the capacity goes to other jobs while the allotment
-// is transferred.
+// Demand is the work that a holder could start immediately with a larger allotment: machines
+// have capacity for it, and only the limit holds it up. If a holder has no such work, a job
+// that waits for capacity is reported as anticipated demand, which is served only from
+// allotments of holders without demand. Without this, new capacity for the job would be used
+// by other jobs while the allotment is being transferred. Other queued work is not demand.
 type Demand struct {
-	Head         Resources     // what the first job needs to start: one task, or all tasks of a gang
+	Head         Resources     // needed to start the first job: for one task, or for all tasks of a gang
 	PerTask      Resources     // one task of the first job
-	Total        Resources     // all that could be started
+	Total        Resources     // of all tasks that could be started
 	Priority     int           // of the first job
 	AcceptedAtMs int64         // of the first job, Unix milliseconds
-	JobID        string        // the first job
-	AllOrNothing bool          // the first job starts whole or not at all
-	Anticipated  bool          // there is no capacity yet
+	JobID        string        // of the first job
+	AllOrNothing bool          // the first job is a gang
+	Anticipated  bool          // there is no capacity for the first job yet
 	Waited       time.Duration // how long the first job has waited for the allotment
 }
 
-// StarvationThreshold is how long a holder's first job waits before it is served at the
-// expense of younger work that could start elsewhere. Before that holders keep what their
-// own work can use: if every freed task's allotment were transferred to the cluster's
-// oldest job, it would be unused while it is transferred.
+// StarvationThreshold is how long a holder's first job waits before it receives allotment
+// that work of other holders, later in the order, could use. Until then holders keep the
+// allotment that their own work can use: if the allotment of every task that ends were
+// transferred to the oldest job of the cluster, it would be unused during each transfer.
 const StarvationThreshold = 3 * time.Second
 
-// demandTTL is how long a demand counts after it was last reported.
+// demandTTL is how long after its last report a demand is still served.
 const demandTTL = 3 * time.Second
 
-// compare orders demands as they are served: by priority, then by acceptance, those
-// without capacity last. All controllers compute the same order, so of two gangs that each
-// hold half of the limit one gives way.
+// compare orders demands as they are served: those with capacity before anticipated ones,
+// then by priority, time of acceptance and job ID. All controllers compute the same order, so
+// if each of two gangs has half of the limit, the second in order transfers its half.
 func (d *Demand) compare(other *Demand) int {
 	return cmp.Or(compareBool(d.Anticipated, other.Anticipated), cmp.Compare(other.Priority, d.Priority),
 		cmp.Compare(d.AcceptedAtMs, other.AcceptedAtMs), strings.Compare(d.JobID, other.JobID))
@@ -55,8 +55,8 @@
 	return -1
 }
 
-// minUsefulTransfer returns the smallest amount that lets something start: a task or, of a
-// gang, all tasks.
+// minUsefulTransfer returns the smallest amount with which the first job could start: the
+// amount for one task or, for a gang, for all tasks.
 func (d *Demand) minUsefulTransfer() Resources {
 	if d.AllOrNothing {
 		return d.Head
@@ -64,12 +64,12 @@
 	return d.PerTask
 }
 
-// holderDemand is a holder's demand with its source.
+// holderDemand is a holder's demand, with the controller and the time of its report.
 type holderDemand struct {
 	Demand
-	reportedAt time.Time // last
-	reportedBy string    // the controller; empty: this one
-	since      time.Time // since when the first job waits
+	reportedAt time.Time // time of the last report
+	reportedBy string    // name of the reporting controller; empty for this controller
+	since      time.Time // when the first job began to wait
 }
 
 func (d *holderDemand) isLocal() bool { return d.reportedBy == "" }
@@ -88,9 +88,9 @@
 		JobID: message.JobID, AllOrNothing: message.AllOrNothing, Anticipated: message.Anticipated}
 }
 
-// SetDemand sets the demand of a holder that this controller decides for; nil: none.
-// started says that tasks of the team have started there since the last call, which
-// restarts the waiting time of a job that can start task by task.
+// SetDemand sets the demand of a holder that this controller decides for; nil removes it.
+// started is true if tasks of the team have started there since the last call. The waiting
+// time of a first job that is not a gang then starts again.
 func (m *Manager) SetDemand(name, holder string, demand *Demand, started bool, now time.Time) {
 	team := m.team(name)
 	if demand == nil {
@@ -107,7 +107,8 @@
 	team.demands[holder] = next
 }
 
-// Demands returns what this controller's holders demand, for the other controllers.
+// Demands returns the demands of this controller's holders, to be sent to the other
+// controllers.
 func (m *Manager) Demands(now time.Time) []protocol.Demand {
 	var messages []protocol.Demand
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
@@ -121,9 +122,9 @@
 	return messages
 }
 
-// ObserveDemands replaces what is known of another controller's holders by all that they
-// demand now. It is advice: with a demand that is missing, outdated or invented an
-// allotment is transferred late or in vain, and nothing starts that otherwise would not.
+// ObserveDemands replaces all demands that another controller has reported by its current
+// ones. Demands are advisory: a missing, outdated or wrong demand makes a transfer late or
+// useless, but never lets a task start beyond the limit.
 func (m *Manager) ObserveDemands(from string, messages []protocol.Demand, now time.Time) {
 	for _, team := range m.teams {
 		maps.DeleteFunc(team.demands, func(_ string, demand *holderDemand) bool { return demand.reportedBy == from })
@@ -134,14 +135,14 @@
 			continue
 		}
 		if local := team.demands[message.Holder]; local != nil && local.isLocal() && now.Sub(local.reportedAt) < demandTTL {
-			continue // this controller decides for the holder, or did until just now
+			continue // this controller decides for the holder, or did so within demandTTL
 		}
 		team.demands[message.Holder] = &holderDemand{Demand: demandOf(message), reportedBy: from, reportedAt: now,
 			since: now.Add(-time.Duration(message.WaitedMs) * time.Millisecond)}
 	}
 }
 
-// IsDemanded reports whether any holder has capacity for more of the team than its
+// IsDemanded reports whether any holder has capacity for more tasks of the team than its
 // allotment permits.
 func (m *Manager) IsDemanded(name string) bool {
 	if team := m.teams[name]; team != nil {
@@ -154,9 +155,9 @@
 	return false
 }
 
-// YieldsTo reports whether a job must not start now although its holder's allotment
-// permits it: a job of the team that comes before it waits at a holder beyond
-// StarvationThreshold, and is about to receive what this one would use.
+// YieldsTo reports whether a job must not start now although its holder's allotment permits
+// the start: another job of the team, earlier in the order, has waited at some holder for
+// StarvationThreshold and is about to receive the allotment that this job would use.
 func (m *Manager) YieldsTo(name string, priority int, acceptedAtMs int64, jobID string, now time.Time) bool {
 	team := m.teams[name]
 	if team == nil || !team.isAllotted() {
--- a/internal/coordination/quota/rebalance.go
+++ b/internal/coordination/quota/rebalance.go
@@ -9,14 +9,14 @@
 // Holder is a shard, or CrossShard, with its allotment of one team's limit.
 type Holder struct {
 	Name   string
-	Grant  Resources // what it may use altogether
-	Use    Resources // what it uses
+	Grant  Resources // total that the holder may use
+	Use    Resources // current use
 	Demand *Demand   // nil: none
 }
 
-// compare orders holders with a demand as they are served. Copies of one job wait at
-// several holders; without the name as the last criterion each would keep half of what the
-// job needs.
+// compare orders holders with a demand as they are served. The holder's name is the last
+// criterion because copies of one job can wait at several holders: with equal rank two
+// holders would each keep half of the amount that the job needs.
 func (h *Holder) compare(other *Holder) int {
 	return cmp.Or(h.Demand.compare(other.Demand), strings.Compare(h.Name, other.Name))
 }
@@ -25,20 +25,21 @@
 	return h.Demand != nil && !h.Demand.Anticipated && h.Demand.Waited >= StarvationThreshold
 }
 
-// Transfer is an amount that passes from one holder's allotment to another's.
+// Transfer is an amount to be moved from one holder's allotment to another's.
 type Transfer struct {
 	From, To string
 	Amount   Resources
 }
 
-// Rebalance decides what passes from which holder to which, of what no holder uses. Each
-// controller carries out the transfers from the holders that it decides for. Controllers
-// know the use at slightly different times, which only makes a transfer a little larger or
-// smaller than needed.
+// Rebalance returns the transfers of unused allotment between holders. Each controller
+// executes the transfers from the holders that it decides for. Controllers observe the use
+// at slightly different times, which only makes a transfer a little larger or smaller than
+// needed.
 //
-// The first job of each holder is served first, in order. What holders without any demand
-// have left then goes, in proportion, to those that could start more. A holder receives
-// nothing that it could not use now, so nothing is transferred to and fro.
+// The first job of each holder is served first, in the order of compare. The amounts that
+// holders without demand have left are then divided, in proportion, among holders that could
+// start more tasks. A holder receives only amounts that it can use now, which prevents
+// transfers back and forth.
 func Rebalance(limit Resources, holders []Holder) []Transfer {
 	r := &rebalancing{limit: limit, holders: holders, unused: make([]Resources, len(holders)), reserved: make([]Resources, len(holders))}
 	var demanding []int
@@ -59,17 +60,19 @@
 	return r.transfers
 }
 
-// rebalancing is the state of one Rebalance. Holders are named by their index.
+// rebalancing is the state of one call of Rebalance. Its methods identify holders by index.
 type rebalancing struct {
 	limit     Resources
 	holders   []Holder
-	unused    []Resources // of the allotment, transfers so far included
-	reserved  []Resources // of that, kept for the holder's own first job
+	unused    []Resources // unused part of each allotment, after the transfers so far
+	reserved  []Resources // part of unused that is kept for the holder's own first job
 	transfers []Transfer
 }
 
-// surplusFor returns what a holder can transfer for another's first job. A holder with a
-// demand keeps what that could use, unless the other's job starves and comes before it.
+// surplusFor returns the amount that a holder can transfer for another holder's first job. A
+// holder with a demand keeps the amount that the demand could use, unless the other job has
+// waited for StarvationThreshold and is earlier in the order. It transfers nothing for an
+// anticipated demand.
 func (r *rebalancing) surplusFor(from, to int) Resources {
 	donor, receiver := &r.holders[from], &r.holders[to]
 	left := r.unused[from].Minus(r.reserved[from])
@@ -84,9 +87,10 @@
 	return left.Minus(donor.Demand.Total)
 }
 
-// serveFirstJob collects what a holder's first job needs. Unless all of it is available
-// nothing is transferred, but for the first job of all if it starves: it collects what
-// becomes free, since other jobs would use that up again and again.
+// serveFirstJob transfers the amount that a holder's first job lacks. If less is available,
+// nothing is transferred, with one exception: the first holder in order receives whatever
+// amount is available once its job has waited for StarvationThreshold, since other jobs would
+// otherwise use the freed amounts again and again.
 func (r *rebalancing) serveFirstJob(i int, isFirst bool) {
 	head := limitedParts(r.holders[i].Demand.Head, r.limit)
 	r.reserved[i] = r.unused[i].Min(head)
@@ -108,7 +112,8 @@
 }
 
 // donorsFor returns the holders that can transfer something for a holder's first job, and
-// how much together. Holders without a demand come first, then those with most.
+// the sum of what they can transfer. Holders without a demand come first, then larger
+// amounts before smaller ones.
 func (r *rebalancing) donorsFor(i int) (donors []int, available Resources) {
 	for j := range r.holders {
 		if surplus := r.surplusFor(j, i); j != i && !surplus.IsZero() {
@@ -124,7 +129,8 @@
 	return donors, available
 }
 
-// transfer moves an amount, added to an earlier transfer between the two if there is one.
+// transfer moves an amount between two holders. The amount is added to an earlier transfer
+// between them if there is one.
 func (r *rebalancing) transfer(from, to int, amount Resources) {
 	if amount.IsZero() {
 		return
@@ -140,10 +146,10 @@
 	r.transfers = append(r.transfers, Transfer{From: r.holders[from].Name, To: r.holders[to].Name, Amount: amount})
 }
 
-// distributeUnused divides what holders without a demand have left among those that could
-// start more, in units that let something start.
+// distributeUnused divides the unused amounts of holders without a demand among the holders
+// that could start more tasks, in units that suffice to start something.
 func (r *rebalancing) distributeUnused(demanding []int) {
-	usable := make([]int, len(r.holders)) // units that each holder could use beyond what it has
+	usable := make([]int, len(r.holders)) // units that each holder could use beyond its unused allotment
 	total := 0
 	for _, i := range demanding {
 		usable[i] = r.usableUnits(i)
@@ -159,14 +165,14 @@
 	}
 }
 
-// unitOf returns the smallest amount that lets something start at a holder, in the parts
-// that the limit has.
+// unitOf returns the smallest amount with which a holder's first job could start, counting
+// limited resources only.
 func (r *rebalancing) unitOf(i int) Resources {
 	return limitedParts(r.holders[i].Demand.minUsefulTransfer(), r.limit)
 }
 
-// usableUnits returns how many units a holder could use beyond what it has; the bound keeps
-// products of two such numbers from overflowing.
+// usableUnits returns how many units a holder could use beyond its unused allotment. The
+// bound prevents overflow when the result is multiplied by another number of units.
 func (r *rebalancing) usableUnits(i int) int {
 	unit := r.unitOf(i)
 	if unit.IsZero() {
@@ -176,9 +182,9 @@
 	return min(TasksThatFit(missing, unit, r.limit), 1<<20)
 }
 
-// distributeFrom gives each demanding holder its part of what a donor has left. The parts
-// are rounded up to whole units: the last holder gets what is left, and a few units are
-// not left unused.
+// distributeFrom transfers to each demanding holder its share of a donor's unused amount.
+// Shares are rounded up to whole units, so that a small number of units does not stay
+// unused; the last holders receive only the units that are left.
 func (r *rebalancing) distributeFrom(donor int, demanding, usable []int, total int) {
 	pool := r.unused[donor]
 	for _, i := range demanding {
--- a/internal/coordination/quota/transfers.go
+++ b/internal/coordination/quota/transfers.go
@@ -10,9 +10,10 @@
 	"madderslip/internal/storage/records"
 )
 
-// PendingTransfer is all that a holder transfers at once, as a transaction: one change of
-// the holder's own key. The caller commits it and calls FinishTransfer, whatever the
-// outcome. To lists the receivers, separated by commas.
+// PendingTransfer is the transaction with which a holder transfers amounts to one or more
+// receivers: one change of the record of the holder's allotment. The caller commits the
+// transaction and calls FinishTransfer, whatever the outcome. To lists the receivers,
+// separated by commas.
 type PendingTransfer struct {
 	Transfer
 	Team      string
@@ -23,8 +24,8 @@
 }
 
 // DueTransfers returns the transfers that are due from the holders that this controller
-// decides for. decidesFor reports whether it does, with the condition for it: the version
-// of its Shard or Leader record.
+// decides for. decidesFor reports whether it decides for a holder, and returns the condition
+// of the transfer: the version of the Shard or Leader record.
 func (m *Manager) DueTransfers(decidesFor func(holder string) (kv.Compare, bool), now time.Time) []PendingTransfer {
 	var pending []PendingTransfer
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
@@ -50,8 +51,8 @@
 	return pending
 }
 
-// holders returns a snapshot of a team's holders, sorted by name, without the demands that
-// have expired: nobody reports them any more.
+// holders returns a snapshot of a team's holders, sorted by name. It removes demands that
+// have expired because they are no longer reported.
 func (m *Manager) holders(t *teamState, now time.Time) []Holder {
 	names := make(map[string]bool)
 	for holder := range t.grants() {
@@ -77,8 +78,9 @@
 }
 
 // newTransfer returns the transaction by which a holder transfers amounts to receivers. Its
-// conditions are own, that the limit is the known one, and the version of the holder's key.
-// Until FinishTransfer the amounts count as transferred.
+// conditions are ownerCompare and the cached versions of the limit's record and of the
+// holder's allotment record. Until FinishTransfer is called, the amounts count as
+// transferred.
 func (t *teamState) newTransfer(from string, receivers map[string]Resources, ownerCompare kv.Compare) PendingTransfer {
 	before := t.allotments[from]
 	next := &records.Allotment{Generation: t.limit.Generation, Transferred: make(map[string]Resources)}
@@ -102,9 +104,10 @@
 	}
 }
 
-// FinishTransfer ends a transfer, whatever its outcome; the records show it. What its
-// receivers at other controllers demanded is forgotten until they report again: a report
-// from before the transfer would have the same amount transferred a second time.
+// FinishTransfer ends a transfer after its commit, whether or not the commit succeeded: the
+// records that the caller applies show the outcome. It removes the demands of receivers at
+// other controllers until they are reported again: a demand reported before the transfer
+// would cause a second transfer of the same amount.
 func (m *Manager) FinishTransfer(p PendingTransfer) {
 	delete(p.team.transferring, p.From)
 	for receiver := range p.receivers {
--- a/internal/coordination/quota/waiting.go
+++ b/internal/coordination/quota/waiting.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// WaitingTeam is a team whose jobs wait for its limit, for people to read.
+// WaitingTeam describes a team whose jobs its limit holds up, for the log.
 type WaitingTeam struct {
 	Team      string
 	WaitedFor time.Duration
 	Limit     Resources
-	Grants    map[string]Resources // by holder: what it may use
-	Usage     map[string]Resources // by holder: what it uses
+	Grants    map[string]Resources // total that each holder may use
+	Usage     map[string]Resources // current use of each holder
 }
 
 // WaitingTeams returns the teams whose jobs the limit has held up for at least interval at
-// this controller's holders, the longest first. It returns a team at most once in each
+// this controller's holders, longest wait first. It returns a team at most once per
 // interval.
 func (m *Manager) WaitingTeams(interval time.Duration, now time.Time) []WaitingTeam {
 	var waiting []WaitingTeam
@@ -38,8 +38,8 @@
 	return waiting
 }
 
-// updateWaitingSince keeps the earliest time since when a job has been held up, until no
-// job is.
+// updateWaitingSince updates the time since when the limit has held up jobs of the team. The
+// earliest time is kept until no job is held up.
 func (t *teamState) updateWaitingSince() {
 	var first time.Time
 	for _, demand := range t.demands {
