--- a/internal/coordination/quota/guarantee.go
+++ b/internal/coordination/quota/guarantee.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Standing is how a team stands to its guarantee, by the records at one moment.
+// Standing compares a team's use with its guarantee, by the records at one moment.
 type Standing struct {
 	Guarantee      Resources
-	Use            Resources // placed, or being placed
-	Committed      Resources // of that, what stays placed however a commit under way ends
-	Reserved       Resources // reserved on the guarantee and not placed yet
-	BeingPreempted Resources // placed, and being preempted for other teams
+	Use            Resources // of tasks that are placed or whose placement is being committed
+	Committed      Resources // of tasks that stay placed whatever the outcome of pending commits; part of Use
+	Reserved       Resources // reserved on the guarantee, for tasks that are not placed yet
+	BeingPreempted Resources // of placed tasks that are being preempted for other teams
 }
 
 // HasGuarantee reports whether a team has a guarantee in this controller's settings.
@@ -20,15 +20,16 @@
 	return guarantee.CPUs > 0 || guarantee.GPUs > 0
 }
 
-// Standing returns how a team stands, without the reservation of exceptClaim, which is the
-// claim key of the chunk that asks, or empty.
+// Standing returns a team's use compared with its guarantee. The reservation of exceptClaim,
+// the claim key of the chunk to be placed, is left out; exceptClaim may be empty.
 func (m *Manager) Standing(name, exceptClaim string, usage Usage) Standing {
 	status := Standing{Guarantee: m.configured[name].Guarantee(), Use: usage.InUse(name), Committed: usage.Committed(name)}
 	team := m.teams[name]
 	if team == nil {
 		return status
 	}
-	// In the order of keys: sums of fractions depend on it, and so does a replay.
+	// In the order of keys: floating-point sums depend on the order, and a replay has to
+	// give the same sums.
 	for _, claim := range slices.Sorted(maps.Keys(team.reservations.ByClaim)) {
 		if reservation := team.reservations.ByClaim[claim]; claim != exceptClaim {
 			status.Reserved = status.Reserved.Plus(reservation.Use.Minus(usage.PlacedBy(claim)))
@@ -42,9 +43,9 @@
 	return status
 }
 
-// StandingExcludingPreemptionsFor returns how a team that loses tasks to a claim stands
-// without that loss and without the claim's own reservation. By it a recorded preemption
-// is checked once more before it is carried out.
+// StandingExcludingPreemptionsFor is like Standing, but also leaves out the preemptions of
+// the team's tasks for the claim. It serves to check a recorded preemption once more before
+// the preemption is executed.
 func (m *Manager) StandingExcludingPreemptionsFor(name, claim string, usage Usage) Standing {
 	status := m.Standing(name, claim, usage)
 	if team := m.teams[name]; team != nil {
@@ -55,9 +56,9 @@
 	return status
 }
 
-// Entitled returns how many tasks that use perTask the team may still claim on its
-// guarantee, beside what it uses and what is reserved. A guarantee of GPUs alone entitles
-// no tasks without GPUs, and one of CPUs alone none with GPUs.
+// Entitled returns how many more tasks that use perTask the team may claim on its guarantee,
+// in addition to its use and its reservations. A guarantee of GPUs alone covers no tasks
+// without GPUs, and a guarantee of CPUs alone covers no tasks with GPUs.
 func (s Standing) Entitled(perTask Resources) int {
 	if mainResource(perTask).of(s.Guarantee) == 0 {
 		return 0
@@ -66,35 +67,37 @@
 }
 
 // Surplus returns how much the team uses beyond its guarantee, of the resource by which the
-// claiming task is counted; a team without a guarantee has all that it uses as surplus.
+// claiming task is counted. Without a guarantee all of the team's use is surplus.
 //
-// What is leaving already does not count, so that two teams do not preempt the same tasks.
-// Nor does what is only being placed: preempted tasks that try to start elsewhere would
-// show as surplus once more, and cost the team its own guarantee.
+// Tasks that are already being preempted do not count, so that two teams do not preempt the
+// same tasks. Placements that are only being committed do not count either: preempted tasks
+// that are being placed again elsewhere would count as surplus a second time, and the team
+// would lose tasks within its guarantee.
 func (s Standing) Surplus(claimingTask Resources) float64 {
 	return mainResource(claimingTask).of(s.Committed.Difference(s.BeingPreempted).Minus(s.Guarantee))
 }
 
-// Preemptor sums up what the preemptions for one claim take from other teams, so that none
-// is left with less than its guarantee. Its zero value lacks ClaimedTask and StandingOf.
+// Preemptor sums up the resources that preemptions for one claim take from each other team,
+// so that no team is left with less than its guarantee. ClaimedTask and StandingOf must be
+// set.
 type Preemptor struct {
 	ClaimedTask Resources // one task of the claiming job
 	StandingOf  func(team string) Standing
-	taken       map[string]float64 // by team, of the resource by which the claim is counted
+	taken       map[string]float64 // by team: of the resource by which the claiming tasks are counted
 }
 
-// MayPreempt reports whether one more task of a team may be stopped, beside tasks of the
-// team that are chosen and not recorded yet. The surplus must cover the whole task: one
-// that is partly within the guarantee stays.
+// MayPreempt reports whether one more task of a team may be stopped. beside is the use of
+// the team's tasks that are chosen and not yet passed to RecordPreemption. The surplus must
+// cover the whole task: a task that is partly within the guarantee is not preempted.
 func (p *Preemptor) MayPreempt(team string, task, beside Resources) bool {
 	main := mainResource(p.ClaimedTask)
 	if main.of(task) == 0 {
-		return false // stopping it frees nothing of what is claimed
+		return false // stopping the task frees nothing of the claimed resource
 	}
 	return p.taken[team]+main.of(beside)+main.of(task) <= p.StandingOf(team).Surplus(p.ClaimedTask)+tolerance
 }
 
-// RecordPreemption records that a task of a team is chosen.
+// RecordPreemption counts a task of a team as chosen for preemption.
 func (p *Preemptor) RecordPreemption(team string, task Resources) {
 	if p.taken == nil {
 		p.taken = make(map[string]float64)
--- a/internal/coordination/quota/reservations.go
+++ b/internal/coordination/quota/reservations.go
@@ -8,23 +8,25 @@
 	"madderslip/internal/storage/records"
 )
 
-// Usage is what reservations are compared with: the caller's view of the claims. A claim
-// is named by its key.
+// Usage is the caller's view of the claims, with which reservations are compared. Claims are
+// identified by their keys.
 type Usage interface {
-	// InUse returns what a team has placed or is placing.
+	// InUse returns the use of a team's tasks that are placed or whose placement is being
+	// committed.
 	InUse(team string) Resources
-	// Committed returns, of that, what stays placed however a commit under way ends.
+	// Committed returns the part of InUse that stays placed whatever the outcome of pending
+	// commits.
 	Committed(team string) Resources
-	// PlacedBy returns what a claim has placed.
+	// PlacedBy returns the use of a claim's placements.
 	PlacedBy(claim string) Resources
-	// TaskUse returns what the placement of a task takes, named as in
-	// records.Preemption; nothing once it is gone.
+	// TaskUse returns the use of a task's placement, or zero once the placement has ended.
+	// The task is named as in records.Preemption.
 	TaskUse(task string) Resources
-	// OwnerToken returns the fencing token with which this controller decides for a
-	// shard; 0: it does not.
+	// OwnerToken returns the fencing token with which this controller owns a shard, or 0
+	// if it does not own the shard.
 	OwnerToken(shard string) uint64
-	// HoldsCapacity reports whether a claim's job is open and the capacity that is freed
-	// for it in the shard is still kept for it.
+	// HoldsCapacity reports whether a claim's job is open and the shard still reserves the
+	// capacity that is freed for the claim.
 	HoldsCapacity(claim, shard string) bool
 }
 
@@ -33,10 +35,10 @@
 type ReservationRequest struct {
 	Team         string
 	ClaimKey     string // of the chunk
-	Shard        string // whose owner asks
-	FencingToken uint64 // of that owner
+	Shard        string // whose owner makes the reservation
+	FencingToken uint64 // of the shard's owner
 	Use          Resources
-	Victims      map[string][]string // task names by team, as in records.Preemption
+	Victims      map[string][]string // names of the tasks, as in records.Preemption, by team
 }
 
 // HasReservation reports whether a claim has a reservation on its team's guarantee.
@@ -60,7 +62,8 @@
 }
 
 // ReservationCompare returns the condition of every start of a team with a guarantee: that
-// its reservations are those that this controller knows. It reports false for other teams.
+// its reservations record still has the version cached here. It returns false for teams
+// without a guarantee.
 func (m *Manager) ReservationCompare(name string) (kv.Compare, bool) {
 	if !m.HasGuarantee(name) {
 		return kv.Compare{}, false
@@ -68,9 +71,9 @@
 	return kv.Compare{Key: records.ReservationPrefix + name, Version: m.team(name).reservationsVersion}, true
 }
 
-// Reserve returns the transaction that records a reservation at its team and at the teams
-// that lose tasks. It fails if any of their records has changed, so no two claims count the
-// same resources, and no two preempt the same team's tasks for them.
+// Reserve returns the transaction that writes a reservation to the records of its team and
+// of the teams that lose tasks. The transaction fails if any of these records has changed, so
+// no two claims count on the same part of a guarantee or of another team's surplus.
 func (m *Manager) Reserve(request ReservationRequest) ([]kv.Compare, []kv.Op) {
 	changed := map[string]*records.Reservations{request.Team: m.copyReservations(request.Team)}
 	changed[request.Team].ByClaim[request.ClaimKey] = records.Reservation{Shard: request.Shard, Use: request.Use, FencingToken: request.FencingToken}
@@ -83,8 +86,8 @@
 	return m.writeReservations(changed)
 }
 
-// Release returns the transaction that removes the claims' reservations, and what is
-// recorded as preempted for them, at all teams.
+// Release returns the transaction that removes the reservations of claims, and the
+// preemptions for them, from the records of all teams.
 func (m *Manager) Release(claims []string) ([]kv.Compare, []kv.Op) {
 	changed := make(map[string]*records.Reservations)
 	for name, team := range m.teams {
@@ -104,7 +107,7 @@
 	return m.writeReservations(changed)
 }
 
-// copyReservations returns a team's record for changing.
+// copyReservations returns a copy of a team's record, to be changed and written.
 func (m *Manager) copyReservations(name string) *records.Reservations {
 	known := m.team(name).reservations
 	record := &records.Reservations{ByClaim: make(map[string]records.Reservation), Preempted: make(map[string]records.Preemption)}
@@ -113,9 +116,10 @@
 	return record
 }
 
-// writeReservations returns the transaction that writes teams' records on the versions
-// known. An empty record is written and not deleted: a start that is conditional on there
-// being none could otherwise be carried out late, once there is none again.
+// writeReservations returns the transaction that writes teams' records, on the condition
+// that they have the versions cached here. An empty record is written, not deleted:
+// otherwise a delayed start whose condition is that no record exists could succeed after the
+// deletion.
 func (m *Manager) writeReservations(changed map[string]*records.Reservations) (compares []kv.Compare, ops []kv.Op) {
 	for _, name := range slices.Sorted(maps.Keys(changed)) {
 		key := records.ReservationPrefix + name
@@ -125,8 +129,8 @@
 	return compares, ops
 }
 
-// ExpiredReservations returns the claims whose reservations can be released, sorted, of the
-// shards that this controller decides for.
+// ExpiredReservations returns the claims whose reservations or preemptions can be released,
+// sorted, for the shards that this controller owns.
 func (m *Manager) ExpiredReservations(usage Usage) []string {
 	expired := make(map[string]bool)
 	for _, team := range m.teams {
@@ -144,17 +148,17 @@
 	return slices.Sorted(maps.Keys(expired))
 }
 
-// isExpired reports whether a reservation of a shard that this controller decides for has
-// no use any more: an earlier owner made it, no capacity is kept for it, or all of it is
-// placed.
+// isExpired reports whether a reservation can be released. It is true only for reservations
+// of shards that this controller owns, if an earlier owner made the reservation, no capacity
+// is kept for the claim, or all of the reserved amount is placed.
 func isExpired(claim string, reservation records.Reservation, usage Usage) bool {
 	token := usage.OwnerToken(reservation.Shard)
 	return token != 0 && (token != reservation.FencingToken || !usage.HoldsCapacity(claim, reservation.Shard) || reservation.Use.Within(usage.PlacedBy(claim)))
 }
 
-// isOrphaned reports whether the reservation that a preemption was recorded with is gone.
-// Reserve and Release keep the two together; a preemption left alone would lower its
-// team's surplus for ever.
+// isOrphaned reports whether the reservation that belongs to a preemption no longer exists.
+// Reserve and Release write both together; a preemption without its reservation would reduce
+// its team's surplus forever.
 func (m *Manager) isOrphaned(claim string, preemption records.Preemption) bool {
 	beneficiary := m.teams[preemption.BeneficiaryTeam]
 	return beneficiary == nil || beneficiary.reservations.ByClaim[claim].Shard == ""
