--- a/internal/coordination/dag/graph.go
+++ b/internal/coordination/dag/graph.go
@@ -9,12 +9,12 @@
 	"madderslip/internal/protocol"
 )
 
-// State is the state of a job as far as its dependents are concerned.
+// State is the state of a job, in the distinctions that matter to its dependents.
 type State int
 
 // The states of a dependency.
 const (
-	Unknown    State = iota // no record of it has been read
+	Unknown    State = iota // no record of the job has been read
 	Unfinished              // accepted, and neither done nor cancelled
 	Done
 	Cancelled
@@ -25,38 +25,38 @@
 	ID           string
 	Dependencies []string // job IDs
 	Spec         *protocol.Submission
-	AcceptedAt   time.Time // the deadline counts from here
-	Revision     uint64    // of its record
+	AcceptedAt   time.Time // the deadline is relative to this time
+	Revision     uint64    // of the job's record
 }
 
 // Graph holds the blocked jobs and their dependencies. It is not safe for concurrent use.
 type Graph struct {
 	lookup     func(jobID string) State
 	blocked    map[string]*blockedJob            // by job ID
-	dependents map[string]map[string]*blockedJob // by ID of the dependency, then of the dependent
+	dependents map[string]map[string]*blockedJob // by ID of the dependency, then ID of the dependent
 	unknown    map[string]struct{}               // dependencies of which no record has been read
 	changes    uint64
-	urgency    map[string]Urgency // computed since the latest change
+	urgency    map[string]Urgency // cache, by job ID; cleared with every change
 }
 
-// blockedJob is a blocked job and what is known of its dependencies.
+// blockedJob is a blocked job with the observed states of its dependencies.
 type blockedJob struct {
 	Job
-	unfinished     map[string]struct{} // dependencies that are not known to be done
+	unfinished     map[string]struct{} // dependencies that were not observed to be done
 	cancelled      bool                // a direct or indirect dependency is cancelled
-	resolvedAt     time.Time           // when it became ready or cancelled
-	lastDependency string              // the dependency that was done last
+	resolvedAt     time.Time           // when the job became ready or cancelled
+	lastDependency string              // the dependency that was observed to be done last
 }
 
 // NewGraph returns an empty graph. lookup returns the recorded state of a job that is not
-// blocked itself.
+// blocked.
 func NewGraph(lookup func(jobID string) State) *Graph {
 	return &Graph{lookup: lookup, blocked: make(map[string]*blockedJob), dependents: make(map[string]map[string]*blockedJob),
 		unknown: make(map[string]struct{}), urgency: make(map[string]Urgency)}
 }
 
-// Changes returns a counter that rises with every change of the graph. While it stays the
-// same, so do the ready and the cancelled jobs.
+// Changes returns a counter that rises with every change of the graph. While the counter
+// stays the same, the sets of ready and cancelled jobs stay the same.
 func (g *Graph) Changes() uint64 { return g.changes }
 
 // Len returns the number of blocked jobs.
@@ -70,8 +70,8 @@
 	return Job{}, false
 }
 
-// IsCancelled reports whether a job is blocked and cancelled, since one that it depends on,
-// directly or indirectly, is cancelled.
+// IsCancelled reports whether a job is blocked and a direct or indirect dependency of the
+// job is cancelled.
 func (g *Graph) IsCancelled(jobID string) bool {
 	job := g.blocked[jobID]
 	return job != nil && job.cancelled
@@ -86,8 +86,8 @@
 // isReady reports whether all dependencies are done and none is cancelled.
 func (b *blockedJob) isReady() bool { return len(b.unfinished) == 0 && !b.cancelled }
 
-// Resolve returns which of the dependencies of a new job are neither done nor cancelled, and
-// reports whether one is cancelled.
+// Resolve returns those dependencies of a new job that are neither done nor cancelled, and
+// reports whether any dependency is cancelled.
 func (g *Graph) Resolve(dependencies []string) (unfinished []string, cancelled bool) {
 	for _, jobID := range dependencies {
 		switch g.stateOf(jobID) {
@@ -113,8 +113,9 @@
 	return Unfinished
 }
 
-// Add adds a blocked job from its record. Such a record is written once, so a job that the
-// graph holds already is left as it is. now is when the record was read.
+// Add adds a blocked job from its record; now is the time at which the record was read. The
+// record of a blocked job is written only once, so a job that is already in the graph is not
+// changed.
 func (g *Graph) Add(j Job, now time.Time) {
 	if g.blocked[j.ID] != nil {
 		return
@@ -147,8 +148,9 @@
 	}
 }
 
-// ObserveState applies the recorded state of a job that is not blocked, or no longer is: the
-// job leaves the graph, and its dependents become ready or cancelled where this decides it.
+// ObserveState applies the recorded state of a job that is not or no longer blocked. The job
+// is removed from the graph, and dependents become ready or cancelled if this state decides
+// it.
 func (g *Graph) ObserveState(jobID string, state State, now time.Time) {
 	g.remove(jobID)
 	if state != Unknown {
@@ -190,7 +192,8 @@
 	}
 }
 
-// remove removes a job that is no longer blocked. Its dependents stay linked to it.
+// remove removes a job that is no longer blocked. The job's dependents stay registered as
+// such.
 func (g *Graph) remove(jobID string) {
 	job := g.blocked[jobID]
 	if job == nil {
@@ -207,27 +210,27 @@
 	}
 }
 
-// recordChange counts a change and drops the urgencies computed before it.
+// recordChange counts a change of the graph and clears the cached urgencies.
 func (g *Graph) recordChange() {
 	g.changes++
 	clear(g.urgency)
 }
 
-// ResolvedJob is a blocked job that is ready or cancelled and whose record does not say so
-// yet.
+// ResolvedJob is a blocked job that is ready or cancelled, while its record still has the
+// blocked state.
 type ResolvedJob struct {
 	Job
-	Since          time.Time // when it became ready or cancelled
-	LastDependency string    // the dependency that was done last, if it was observed
+	Since          time.Time // when the job became ready or cancelled
+	LastDependency string    // the dependency that was observed to be done last; empty if none was
 }
 
-// ReadyJobs returns the jobs that may be released, in order of their IDs.
+// ReadyJobs returns the blocked jobs that may be released, in order of their IDs.
 func (g *Graph) ReadyJobs() []ResolvedJob {
 	return g.listBlocked(func(job *blockedJob) bool { return job.isReady() })
 }
 
-// CancelledJobs returns the blocked jobs that are cancelled with a dependency, in order of
-// their IDs.
+// CancelledJobs returns the blocked jobs that are cancelled because a dependency is
+// cancelled, in order of their IDs.
 func (g *Graph) CancelledJobs() []ResolvedJob {
 	return g.listBlocked(func(job *blockedJob) bool { return job.cancelled })
 }
@@ -244,12 +247,12 @@
 	return out
 }
 
-// UnknownDependencies returns the IDs of dependencies of which no record has been read, in
-// order.
+// UnknownDependencies returns the IDs of dependencies of which no record has been read,
+// sorted.
 func (g *Graph) UnknownDependencies() []string { return slices.Sorted(maps.Keys(g.unknown)) }
 
-// DependencyIDs returns the IDs of jobs that others are blocked on, in order.
+// DependencyIDs returns the IDs of jobs that other jobs are blocked on, sorted.
 func (g *Graph) DependencyIDs() []string { return slices.Sorted(maps.Keys(g.dependents)) }
 
-// DependentCount returns how many jobs are blocked on a job directly.
+// DependentCount returns the number of blocked jobs that depend directly on a job.
 func (g *Graph) DependentCount(jobID string) int { return len(g.dependents[jobID]) }
--- a/internal/coordination/dag/urgency.go
+++ b/internal/coordination/dag/urgency.go
@@ -6,21 +6,23 @@
 	"madderslip/internal/protocol"
 )
 
-// Urgency is what a job inherits from its direct and indirect dependents.
+// Urgency is the priority and the deadline that a job inherits from its direct and indirect
+// dependents.
 type Urgency struct {
-	// Priority is the highest priority of any dependent; 0 where there is none.
+	// Priority is the highest priority of any dependent; 0 if there is no dependent.
 	Priority int
 	// FinishBy is the latest instant at which the job may finish so that each dependent can
-	// still meet its deadline; zero where none has a deadline.
+	// still meet its deadline; zero if no dependent has a deadline.
 	FinishBy time.Time
 }
 
 // Estimate returns how long a job's tasks are expected to run.
 type Estimate func(*protocol.Submission) time.Duration
 
-// Urgency returns what a job inherits, along the longest path to each deadline. Cancelled
-// dependents pass nothing on. Results are cached until the graph changes or
-// InvalidateUrgency is called.
+// Urgency returns the priority and the deadline that a job inherits. The deadline follows
+// from the longest path to each dependent with a deadline. Nothing is inherited from
+// cancelled dependents. Results are cached until the graph changes or InvalidateUrgency is
+// called.
 func (g *Graph) Urgency(jobID string, estimate Estimate) Urgency {
 	if cached, ok := g.urgency[jobID]; ok {
 		return cached
@@ -41,10 +43,11 @@
 	return urgency
 }
 
-// InvalidateUrgency drops the cached results, which is needed when estimates have changed.
+// InvalidateUrgency clears the cached results of Urgency. It has to be called after estimates
+// have changed.
 func (g *Graph) InvalidateUrgency() { clear(g.urgency) }
 
-// deadline returns the job's own deadline; zero if it has none.
+// deadline returns the job's own deadline; zero if the job has none.
 func (j *Job) deadline() time.Time {
 	if j.Spec.Deadline() == 0 {
 		return time.Time{}
@@ -52,7 +55,7 @@
 	return j.AcceptedAt.Add(j.Spec.Deadline())
 }
 
-// earlier returns the earlier of two instants. A zero instant counts as none.
+// earlier returns the earlier of two instants. A zero instant is ignored.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -60,14 +63,15 @@
 	return a
 }
 
-// spotAvoidance is how long a job that has to finish by an instant avoids spot machines.
-// Afterwards it may use them, so that it does not wait beside free capacity.
+// spotAvoidance is how long a queued job that inherits a deadline is not placed on spot
+// machines. Afterwards the job may use them, so that it does not wait while spot machines
+// have free capacity.
 const spotAvoidance = 15 * time.Second
 
-// Inherit returns a submission with the priority that it inherits, the submission itself
-// where nothing changes. waited is how long the job has been queued: one that has to finish
-// by an instant avoids spot machines at first, since a task that is lost with a machine
-// preempted without notice restarts only once the loss is proved, a minute later.
+// Inherit returns a submission with the inherited priority, or the submission itself if
+// nothing changes. waited is how long the job has been queued. A job that inherits a deadline
+// is not placed on spot machines until it has waited for spotAvoidance: if a spot machine is
+// preempted without notice, its tasks restart only once their loss is proved, a minute later.
 func Inherit(spec *protocol.Submission, urgency Urgency, waited time.Duration) *protocol.Submission {
 	if spec == nil {
 		return nil
