--- a/internal/coordination/dag/graph_test.go
+++ b/internal/coordination/dag/graph_test.go
@@ -20,14 +20,14 @@
 // newGraph returns an empty graph over the records.
 func (r records) newGraph() *Graph { return NewGraph(func(jobID string) State { return r[jobID] }) }
 
-// observe records a job's state and has the graph observe it.
+// observe sets a job's recorded state and passes the state to the graph.
 func (r records) observe(g *Graph, jobID string, state State) {
 	r[jobID] = state
 	g.ObserveState(jobID, state, noon)
 }
 
-// newJob returns a job of 10 s that depends on the listed ones; without a deadline if
-// deadlineS is 0.
+// newJob returns a job with a run time of 10 s. dependencies lists job IDs, separated by
+// spaces. With deadlineS 0 the job has no deadline.
 func newJob(jobID, dependencies, priorityClass string, deadlineS float64) Job {
 	j := Job{ID: jobID, Dependencies: strings.Fields(dependencies), AcceptedAt: noon, Spec: &protocol.Submission{JobID: jobID, PriorityClass: priorityClass, RunEstimateS: 10}}
 	if deadlineS > 0 {
@@ -45,8 +45,8 @@
 	return strings.Join(out, " ")
 }
 
-// In a diamond the last job is ready once both branches are done, in whatever order, and no
-// sooner.
+// In a diamond of dependencies the last job must not be ready before both branches are done,
+// in whatever order they end.
 func TestReadyOnceAllDependenciesAreDone(t *testing.T) {
 	r := records{"root": Unfinished}
 	g := r.newGraph()
@@ -58,29 +58,29 @@
 	}
 	r.observe(g, "root", Done)
 	if got := jobIDs(g.ReadyJobs()); got != "left right" {
-		t.Fatalf("ready after the root: %s", got)
+		t.Fatalf("ready after the root was done: %s", got)
 	}
 	if g.ReadyJobs()[0].LastDependency != "root" {
 		t.Errorf("the last dependency is %q", g.ReadyJobs()[0].LastDependency)
 	}
-	r.observe(g, "left", Unfinished) // released
+	r.observe(g, "left", Unfinished) // the job is released
 	r.observe(g, "right", Unfinished)
 	r.observe(g, "right", Done)
 	if got := jobIDs(g.ReadyJobs()); got != "" {
-		t.Fatalf("ready with one branch: %s", got)
+		t.Fatalf("ready after one branch was done: %s", got)
 	}
 	r.observe(g, "left", Done)
 	if got := jobIDs(g.ReadyJobs()); got != "last" {
-		t.Fatalf("ready with both: %s", got)
+		t.Fatalf("ready after both branches were done: %s", got)
 	}
 }
 
-// A cancellation reaches all dependents, also those that are added later and those that were
-// read before their dependency.
+// A cancellation must reach all direct and indirect dependents, also dependents whose records
+// are read after the cancellation or before the record of their dependency.
 func TestCancellationReachesAllDependents(t *testing.T) {
 	r := records{"root": Unfinished}
 	g := r.newGraph()
-	g.Add(newJob("grandchild", "child", "high", 0), noon) // its dependency is not read yet
+	g.Add(newJob("grandchild", "child", "high", 0), noon) // the record of its dependency has not been read yet
 	if got := g.UnknownDependencies(); !slices.Equal(got, []string{"child"}) {
 		t.Fatalf("unknown: %v", got)
 	}
@@ -94,17 +94,18 @@
 		t.Fatalf("cancelled: %s", got)
 	}
 	if unfinished, cancelled := g.Resolve([]string{"late"}); !cancelled || len(unfinished) > 0 {
-		t.Errorf("a job that depends on a cancelled one: %v, %v", unfinished, cancelled)
+		t.Errorf("a job that depends on a cancelled job: unfinished %v, cancelled %v", unfinished, cancelled)
 	}
 	for _, jobID := range []string{"late", "grandchild", "child"} {
-		r.observe(g, jobID, Cancelled) // recorded
+		r.observe(g, jobID, Cancelled) // the cancellation is recorded
 	}
 	if g.Len() > 0 || len(g.DependencyIDs()) > 0 {
-		t.Errorf("%d blocked, dependencies %v", g.Len(), g.DependencyIDs())
+		t.Errorf("%d jobs blocked, dependencies %v", g.Len(), g.DependencyIDs())
 	}
 }
 
-// Dependents are cancelled when a user cancels their dependency while it is blocked itself.
+// Dependents must be cancelled when a user cancels their dependency while the dependency is
+// blocked itself.
 func TestCancellationOfBlockedJobReachesDependents(t *testing.T) {
 	r := records{"root": Unfinished}
 	g := r.newGraph()
@@ -117,8 +118,8 @@
 	}
 }
 
-// A graph fed record by record, in any order in which records may be read, gives the same
-// result as one walk over all of them.
+// A graph must not depend on the order in which records are read: it has to agree with a
+// recursive walk over all records.
 func TestGraphMatchesWalkOverAllRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 14).Draw(t, "jobs")
@@ -140,7 +141,7 @@
 			if len(dependencies[jobID]) == 0 {
 				return final[jobID]
 			}
-			state := Done // ready, the furthest state that a blocked job reaches here
+			state := Done // for a blocked job: ready, since blocked jobs do not run in this test
 			for _, dependency := range dependencies[jobID] {
 				switch s := want(dependency); {
 				case s == Cancelled:
--- a/internal/coordination/dag/urgency_test.go
+++ b/internal/coordination/dag/urgency_test.go
@@ -7,8 +7,8 @@
 	"madderslip/internal/protocol"
 )
 
-// The jobs before a deadline inherit priority and time along the longest path to it; a
-// cancelled job passes nothing on.
+// Jobs inherit the priority of their dependents, and a deadline along the longest path of
+// dependents. Nothing is inherited from cancelled dependents.
 func TestUrgencyIsInheritedAlongLongestPath(t *testing.T) {
 	r := records{"root": Unfinished}
 	g := r.newGraph()
@@ -28,26 +28,27 @@
 	}
 	spec := &protocol.Submission{PriorityClass: "idle"}
 	if raised := Inherit(spec, g.Urgency("root", estimate), 0); raised == spec || raised.PriorityClass != "high" || spec.PriorityClass != "idle" {
-		t.Errorf("raised %+v, own %+v", raised, spec)
+		t.Errorf("submission with inherited priority %+v, original %+v", raised, spec)
 	}
 	if own := (&protocol.Submission{PriorityClass: "critical"}); Inherit(own, g.Urgency("root", estimate), 0) != own {
-		t.Error("a higher priority of its own was lowered")
+		t.Error("the job's own higher priority was lowered")
 	}
 	r.observe(g, "last", Cancelled)
 	if urgency := g.Urgency("root", estimate); urgency.Priority != 1 || !urgency.FinishBy.IsZero() {
-		t.Errorf("after the last is cancelled: %+v", urgency)
+		t.Errorf("after the last job was cancelled: %+v", urgency)
 	}
 }
 
-// A job that has to finish by an instant avoids spot machines for a while, and no longer.
+// A job that inherits a deadline must not use spot machines until it has been queued for
+// spotAvoidance, and may use them afterwards.
 func TestUrgentJobAvoidsSpotAtFirst(t *testing.T) {
 	spec := &protocol.Submission{PriorityClass: "high", AllowSpot: true}
 	urgency := Urgency{Priority: 1, FinishBy: noon}
 	if got := Inherit(spec, urgency, time.Second); got.AllowSpot || got.PriorityClass != "high" {
-		t.Errorf("at first: %+v", got)
+		t.Errorf("within spotAvoidance: %+v", got)
 	}
 	if got := Inherit(spec, urgency, spotAvoidance+1); got != spec {
-		t.Errorf("after a while: %+v", got)
+		t.Errorf("after spotAvoidance: %+v", got)
 	}
 	if got := Inherit(spec, Urgency{Priority: 2}, 0); got != spec {
 		t.Errorf("without a deadline: %+v", got)
