--- a/internal/coordination/quota/helpers_test.go
+++ b/internal/coordination/quota/helpers_test.go
@@ -7,19 +7,20 @@
 
 func cpus(amount float64) Resources { return Resources{CPUs: amount} }
 
-// demandFor is the demand of a job of 2 CPUs a task; with a larger head it is a gang.
+// demandFor returns the demand of a job with 2 CPUs per task. With a head of more than 2 CPUs
+// the job is a gang.
 func demandFor(jobID string, acceptedAtMs int64, head, total float64) *Demand {
 	return &Demand{JobID: jobID, AcceptedAtMs: acceptedAtMs, Head: cpus(head), PerTask: cpus(2), Total: cpus(total), AllOrNothing: head > 2}
 }
 
-// fakeStore is a state service whose commits all managers see at once.
+// fakeStore is a state service that applies each commit to all managers at once.
 type fakeStore struct {
 	managers []*Manager
 	versions map[string]uint64
 	revision uint64
 }
 
-// commit carries a transaction out if its conditions hold, and reports whether they did.
+// commit executes a transaction if its conditions hold, and reports whether they held.
 func (s *fakeStore) commit(compares []kv.Compare, ops []kv.Op) bool {
 	for _, compare := range compares {
 		if s.versions[compare.Key] != compare.Version {
--- a/internal/coordination/quota/limits_test.go
+++ b/internal/coordination/quota/limits_test.go
@@ -9,7 +9,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// A limit is divided only if what is used fits it; each holder keeps what it uses.
+// A limit must not be divided while more than the limit is in use, and a division has to
+// give each holder at least its current use.
 func TestDivideKeepsWhatIsUsed(t *testing.T) {
 	usage := func(holder string) Resources {
 		return map[string]Resources{"n0": cpus(6), CrossShard: cpus(2)}[holder]
@@ -19,22 +20,23 @@
 		t.Fatal(base, ok)
 	}
 	if base, ok = Divide(cpus(12), []string{"n0", "n1"}, usage, cpus(8)); !ok || base[CrossShard] != cpus(6) {
-		t.Fatal("a small limit is not split into parts that hold no task:", base, ok)
+		t.Fatal("a small limit was split into shares smaller than the initial share:", base, ok)
 	}
 	if _, ok = Divide(cpus(7), []string{"n0", "n1"}, usage, cpus(8)); ok {
-		t.Fatal("divided although more is used")
+		t.Fatal("divided although more than the limit is in use")
 	}
 }
 
-// limitedTeam is team "t" on controllers that share a store. Its shards are n0 and n1.
+// limitedTeam is team "t", for controllers that share a store. The shards are n0 and n1.
 type limitedTeam struct {
 	t           *testing.T
 	store       *fakeStore
 	use         map[string]Resources // by holder
-	legacyUsage map[string]Resources // by the TeamUsage record, which older versions read
+	legacyUsage map[string]Resources // content of the TeamUsage record, which older versions read
 }
 
-// newController is a newController whose settings limit the team to so many CPUs.
+// newController returns the manager of a controller whose settings limit the team to a number
+// of CPUs.
 func (l *limitedTeam) newController(limit float64, allotmentsEnabled bool) *Manager {
 	return New(map[string]protocol.Team{"t": {Name: "t", MaxCPUs: limit}}, allotmentsEnabled, func(_, holder string) Resources { return l.use[holder] })
 }
@@ -50,7 +52,8 @@
 	return state
 }
 
-// expectChanges commits what a controller finds due and checks what that is.
+// expectChanges commits the changes of the limit that a controller has due, and checks their
+// descriptions.
 func (l *limitedTeam) expectChanges(m *Manager, isLeader bool, want ...string) {
 	l.t.Helper()
 	var got []string
@@ -65,26 +68,27 @@
 		m.FinishChange(change)
 	}
 	if !slices.Equal(got, want) {
-		l.t.Fatalf("%v, wanted %v", got, want)
+		l.t.Fatalf("changes of the limit: got %v, want %v", got, want)
 	}
 }
 
-// The life of a limit: divided, lowered below its use by a controller with a lower one in
-// its settings, not used again before enough has ended, raised once all agree, and back in
-// one record once a controller without allotments is live.
+// A limit must not be exceeded in any of its states: divided at first; lowered below the
+// current use by a controller with a lower limit in its settings, and divided again only
+// once enough tasks have ended; raised once all settings agree; counted in the TeamUsage
+// record again once a controller with allotments disabled is live.
 func TestLimitIsDividedLoweredRaisedAndClosed(t *testing.T) {
 	l := &limitedTeam{t: t, use: make(map[string]Resources), legacyUsage: make(map[string]Resources)}
 	leader := l.newController(40, true)
 	l.store = &fakeStore{managers: []*Manager{leader}, versions: make(map[string]uint64)}
 	l.expectChanges(leader, true, "to be divided")
 	if l.legacyUsage["*"] != cpus(40) {
-		t.Fatal("older versions find capacity within the limit:", l.legacyUsage)
+		t.Fatal("older versions could start tasks within the limit:", l.legacyUsage)
 	}
-	l.store.revision-- // the leader lacks what was committed just before
+	l.store.revision-- // the leader has not applied the latest commit yet
 	l.expectChanges(leader, true)
 	l.store.revision++
 	if leader.Allowance("t", CrossShard, cpus(2)) != 0 {
-		t.Fatal("something may start while the use is counted")
+		t.Fatal("tasks may start while the use is being counted")
 	}
 	l.expectChanges(leader, true, "divided")
 	l.expectChanges(leader, true)
@@ -93,24 +97,24 @@
 	}
 	l.use["n0"] = cpus(10)
 
-	lower := l.newController(6, true)
-	lower.ApplyLimit("t", &leader.teams["t"].limit, leader.teams["t"].limitVersion)
-	l.store.managers = append(l.store.managers, lower)
-	if lower.Allowance("t", "n1", cpus(2)) != 0 {
-		t.Fatal("a controller with a lower limit starts within the higher one")
+	lowLimit := l.newController(6, true)
+	lowLimit.ApplyLimit("t", &leader.teams["t"].limit, leader.teams["t"].limitVersion)
+	l.store.managers = append(l.store.managers, lowLimit)
+	if lowLimit.Allowance("t", "n1", cpus(2)) != 0 {
+		t.Fatal("a controller with a lower limit may start tasks within the higher limit")
 	}
 	l.expectChanges(leader, true)
-	l.expectChanges(lower, false, "lowered")
+	l.expectChanges(lowLimit, false, "lowered")
 	if leader.Allowance("t", CrossShard, cpus(2)) != 0 {
-		t.Fatal("started from the record's revision on")
+		t.Fatal("tasks may start after the limit was lowered below its use")
 	}
-	l.expectChanges(leader, true) // 10 are used of 6
+	l.expectChanges(leader, true) // 10 CPUs of a limit of 6 are in use
 	l.use["n0"] = cpus(4)
 	l.expectChanges(leader, true, "divided")
 	if got := leader.Allowance("t", CrossShard, cpus(2)) + leader.Allowance("t", "n0", cpus(2)) + leader.Allowance("t", "n1", cpus(2)); got != 1 {
-		t.Fatalf("%d may start of 6 with 4 used", got)
+		t.Fatalf("%d tasks may start with 4 of 6 CPUs in use", got)
 	}
-	l.store.managers = l.store.managers[:1] // the other has ended
+	l.store.managers = l.store.managers[:1] // the other controller has ended
 	l.expectChanges(leader, true, "raised")
 	l.expectChanges(leader, true, "divided")
 
@@ -119,6 +123,6 @@
 	l.expectChanges(leader, true, "to be counted in one record again")
 	l.expectChanges(leader, true, "counted in one record again")
 	if leader.IsAllotted("t") || l.legacyUsage["*"] != (Resources{}) || l.legacyUsage["n0"] != cpus(4) {
-		t.Fatal("still allotted, or older versions do not find what is used:", l.legacyUsage)
+		t.Fatal("the limit is still allotted, or the TeamUsage record does not show the use:", l.legacyUsage)
 	}
 }
--- a/internal/coordination/quota/rebalance_test.go
+++ b/internal/coordination/quota/rebalance_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// What no holder demands goes to the one that could use it, and no more than that.
+// Allotment of holders without demand must be transferred to the holder that demands it, and
+// no more than the demand.
 func TestRebalanceGivesUnusedPartsToDemand(t *testing.T) {
 	got := Rebalance(cpus(20), []Holder{
 		{Name: "*", Grant: cpus(12)},
@@ -21,26 +22,27 @@
 	}
 }
 
-// Two holders that both have work keep what they have, so nothing is transferred to and
-// fro. Only a job that starves is served from what younger work could use.
+// Two holders with demand must keep their allotments, since they would otherwise transfer the
+// same amounts back and forth. Only a job that has waited for StarvationThreshold receives
+// allotment that later work could use.
 func TestRebalanceTakesFromWorkOnlyForOlderStarvingJob(t *testing.T) {
 	older, younger := demandFor("wk-1", 1, 2, 10), demandFor("wk-2", 2, 2, 10)
 	holders := []Holder{{Name: "n0", Grant: cpus(0), Demand: older}, {Name: "n1", Grant: cpus(4), Demand: younger}}
 	if got := Rebalance(cpus(4), holders); len(got) != 0 {
-		t.Fatal("took from work that could start at once:", got)
+		t.Fatal("transferred from a holder whose work could start at once:", got)
 	}
 	older.Waited = StarvationThreshold
 	if got := Rebalance(cpus(4), holders); len(got) != 1 || got[0].From != "n1" || got[0].Amount != cpus(2) {
-		t.Fatal("the older job starves on:", got)
+		t.Fatal("the older job is not served after StarvationThreshold:", got)
 	}
 	older.Waited, younger.Waited = 0, StarvationThreshold
 	if got := Rebalance(cpus(4), []Holder{{Name: "n0", Grant: cpus(4), Demand: older}, {Name: "n1", Demand: younger}}); len(got) != 0 {
-		t.Fatal("older work gave way to younger:", got)
+		t.Fatal("transferred from older work to younger work:", got)
 	}
 }
 
-// Of two gangs that each need the whole limit, and hold half of it, the first in order gets
-// all, whoever decides.
+// If each of two gangs needs the whole limit and has half of it, the first in order must
+// receive all, whichever controller decides.
 func TestRebalanceServesFirstGangWhole(t *testing.T) {
 	for _, test := range []struct{ name, first, second string }{
 		{"two gangs", "wk-1", "wk-2"},
@@ -57,7 +59,8 @@
 	}
 }
 
-// What a job demands ahead of its capacity comes from idle parts alone.
+// Anticipated demand, for which there is no capacity yet, must be served only from holders
+// without demand. Here their unused 4 CPUs do not suffice for the gang's 8.
 func TestRebalanceServesAnticipatedDemandFromIdlePartsOnly(t *testing.T) {
 	anticipated := demandFor("wk-1", 1, 8, 8)
 	anticipated.Anticipated, anticipated.Waited = true, time.Hour
@@ -67,12 +70,13 @@
 		{Name: "n2", Grant: cpus(4)},
 	})
 	if len(got) != 0 {
-		t.Fatal("took what others could use, for capacity that is not there:", got)
+		t.Fatal("transferred allotment that another holder could use, for a job without capacity:", got)
 	}
 }
 
-// Whatever is demanded: no holder transfers what it uses, or more than it has; the sum
-// stays; and if enough is unused for a first job that starves, the job is served.
+// For random demands: no holder may transfer allotment that it uses or does not have, the sum
+// of the allotments must not change, and the first job in order must be served if it has
+// waited for StarvationThreshold and enough allotment is unused.
 func TestRebalanceKeepsTheSumAndServesTheFirstJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		holders := drawHolders(t)
@@ -88,7 +92,7 @@
 		}
 		for _, transfer := range transfers {
 			if transfer.Amount.CPUs <= 0 {
-				t.Fatal("a transfer of nothing", transfer)
+				t.Fatal("transfer of an empty amount", transfer)
 			}
 			after[transfer.From] -= transfer.Amount.CPUs
 			after[transfer.To] += transfer.Amount.CPUs
@@ -97,20 +101,20 @@
 		for _, holder := range holders {
 			sum += after[holder.Name]
 			if after[holder.Name] < holder.Use.CPUs-tolerance {
-				t.Fatalf("%s uses %v and keeps %v", holder.Name, holder.Use, after[holder.Name])
+				t.Fatalf("%s uses %v, and only %v CPUs are left to it", holder.Name, holder.Use, after[holder.Name])
 			}
 		}
 		if math.Abs(sum-limit) > tolerance {
-			t.Fatalf("%v of %v are left", sum, limit)
+			t.Fatalf("the allotments sum up to %v CPUs after the transfers, and to %v before", sum, limit)
 		}
 		first := firstDemanding(holders)
 		if first != nil && first.isStarving() && first.Demand.Head.CPUs <= limit-use+tolerance && after[first.Name]-first.Use.CPUs < first.Demand.Head.CPUs-tolerance {
-			t.Fatalf("%v could have had what it needs of %v unused: %v", first.Demand, limit-use, transfers)
+			t.Fatalf("first demand %v was not served although %v CPUs were unused: %v", first.Demand, limit-use, transfers)
 		}
 	})
 }
 
-// drawHolders draws two to seven holders that use no more than they have.
+// drawHolders draws two to seven holders whose use is within their allotments.
 func drawHolders(t *rapid.T) []Holder {
 	var holders []Holder
 	for i := range rapid.IntRange(2, 7).Draw(t, "holders") {
@@ -126,7 +130,7 @@
 	return holders
 }
 
-// firstDemanding is the holder that is served first; nil: none has a demand.
+// firstDemanding returns the holder that is served first, or nil if none has a demand.
 func firstDemanding(holders []Holder) *Holder {
 	var first *Holder
 	for i := range holders {
--- a/internal/coordination/quota/reservations_test.go
+++ b/internal/coordination/quota/reservations_test.go
@@ -7,10 +7,10 @@
 	"madderslip/internal/protocol"
 )
 
-// fakeUsage is what is placed, as the owner of the only shard knows it.
+// fakeUsage implements Usage for the owner of the only shard.
 type fakeUsage struct {
 	inUse         map[string]Resources // by team
-	beingPlaced   map[string]Resources // of that, by team
+	beingPlaced   map[string]Resources // by team; the part of inUse whose placement is not committed yet
 	placedBy      map[string]Resources // by claim
 	taskUse       map[string]Resources // by task
 	token         uint64
@@ -24,8 +24,8 @@
 func (u fakeUsage) OwnerToken(string) uint64          { return u.token }
 func (u fakeUsage) HoldsCapacity(string, string) bool { return u.holdsCapacity }
 
-// guaranteedTeams is a team "due" with a guarantee of 8 CPUs of which it uses 2, a team
-// "lend" that uses 12 with a guarantee of 4, and a team "poor" without one.
+// guaranteedTeams returns a manager, its store and the use of three teams: "due" uses 2 of 8
+// guaranteed CPUs, "lend" uses 12 CPUs with a guarantee of 4, and "poor" has no guarantee.
 func guaranteedTeams() (*Manager, *fakeStore, fakeUsage) {
 	m := New(map[string]protocol.Team{"due": {GuaranteedCPUs: 8}, "lend": {GuaranteedCPUs: 4}, "poor": {}}, true, nil)
 	usage := fakeUsage{inUse: map[string]Resources{"due": cpus(2), "lend": cpus(12)}, taskUse: map[string]Resources{"x": cpus(4)}, token: 7, holdsCapacity: true}
@@ -35,69 +35,70 @@
 // reserve4 reserves 4 CPUs for a claim of team "due" and preempts the 4 CPUs of task "x".
 var reserve4 = ReservationRequest{Team: "due", ClaimKey: "wk-1", Shard: "n0", FencingToken: 7, Use: cpus(4), Victims: map[string][]string{"lend": {"x"}}}
 
-// What is placed and what is reserved counts against a guarantee, and a reservation is made
-// once.
+// Placed tasks and reservations must both count against a guarantee, and the same
+// reservation must not be committed twice.
 func TestReservationsCountAgainstTheGuarantee(t *testing.T) {
 	m, store, usage := guaranteedTeams()
 	if got := m.Standing("due", "", usage).Entitled(cpus(2)); got != 3 {
-		t.Fatalf("entitled to %d tasks of 8 CPUs with 2 used", got)
+		t.Fatalf("entitled to %d tasks with 2 of 8 guaranteed CPUs in use", got)
 	}
 	if got := m.Standing("due", "", usage).Entitled(Resources{CPUs: 1, GPUs: 1}); got != 0 {
-		t.Fatal("a guarantee of CPUs claims GPUs:", got)
+		t.Fatal("a guarantee of CPUs covers tasks with GPUs:", got)
 	}
 	compares, ops := m.Reserve(reserve4)
 	if !store.commit(compares, ops) || store.commit(compares, ops) {
-		t.Fatal("the same reservation was made twice, or not at all")
+		t.Fatal("the reservation was committed twice, or not at all")
 	}
 	if got := m.Standing("due", "", usage).Entitled(cpus(2)); got != 1 {
-		t.Fatalf("entitled to %d with 2 used and 4 reserved", got)
+		t.Fatalf("entitled to %d tasks with 2 CPUs in use and 4 reserved", got)
 	}
 }
 
-// A team's surplus is what it uses beyond its guarantee, without what is leaving and what is
-// only being placed.
+// A team's surplus is its use beyond its guarantee. It must not include tasks that are being
+// preempted or placements that are still being committed: the team would lose tasks within
+// its guarantee.
 func TestSurplusExcludesPreemptedAndUncommittedTasks(t *testing.T) {
 	m, store, usage := guaranteedTeams()
 	if !store.commit(m.Reserve(reserve4)) {
-		t.Fatal("not reserved")
+		t.Fatal("reservation not committed")
 	}
 	if got := m.Standing("lend", "", usage).Surplus(cpus(1)); got != 4 {
-		t.Fatalf("surplus %v of 12 with 4 leaving and 4 guaranteed", got)
+		t.Fatalf("surplus %v with 12 CPUs in use, 4 of them being preempted, and 4 guaranteed", got)
 	}
 	if got := m.Standing("poor", "", fakeUsage{inUse: map[string]Resources{"poor": cpus(5)}}).Surplus(cpus(1)); got != 5 {
-		t.Fatal("the surplus of a team without a guarantee is all that it uses, not", got)
+		t.Fatal("the surplus of a team without a guarantee has to be all of its use, got", got)
 	}
 	usage.beingPlaced = map[string]Resources{"lend": cpus(2)}
 	if got := m.Standing("lend", "", usage).Surplus(cpus(1)); got != 2 {
-		t.Fatal("what is only being placed counts as surplus:", got)
+		t.Fatal("uncommitted placements count as surplus:", got)
 	}
 }
 
-// No team loses so much that it has less than its guarantee, and a task that has nothing of
-// the claimed resource stays.
+// Preemptions must not leave a team with less than its guarantee, and a task that uses
+// nothing of the claimed resource must not be preempted.
 func TestPreemptorLeavesTeamsTheirGuarantee(t *testing.T) {
 	m, store, usage := guaranteedTeams()
 	if !store.commit(m.Reserve(reserve4)) {
-		t.Fatal("not reserved")
+		t.Fatal("reservation not committed")
 	}
 	budget := Preemptor{ClaimedTask: cpus(2), StandingOf: func(team string) Standing { return m.Standing(team, "", usage) }}
 	if !budget.MayPreempt("lend", cpus(4), Resources{}) || budget.MayPreempt("lend", cpus(4), cpus(2)) || budget.MayPreempt("lend", Resources{GPUs: 1}, Resources{}) {
-		t.Fatal("what may be preempted")
+		t.Fatal("a task may be preempted within the guarantee or without the claimed resource, or no task may be")
 	}
 	if budget.RecordPreemption("lend", cpus(4)); budget.MayPreempt("lend", cpus(1), Resources{}) {
 		t.Fatal("the team is left with less than its guarantee")
 	}
 }
 
-// A reservation stays until it is placed, its owner is replaced or its capacity is no
-// longer kept; released, it is gone at all teams.
+// A reservation must not be released before it is placed, its shard has another owner or its
+// capacity is no longer kept. A release has to remove it from the records of all teams.
 func TestReservationsExpireAndAreReleasedEverywhere(t *testing.T) {
 	m, store, usage := guaranteedTeams()
 	if !store.commit(m.Reserve(reserve4)) {
-		t.Fatal("not reserved")
+		t.Fatal("reservation not committed")
 	}
 	if expired := m.ExpiredReservations(usage); len(expired) != 0 {
-		t.Fatal("released too early:", expired)
+		t.Fatal("expired too early:", expired)
 	}
 	for _, test := range []struct {
 		name  string
@@ -114,6 +115,6 @@
 		})
 	}
 	if !store.commit(m.Release([]string{"wk-1"})) || len(m.teams["lend"].reservations.Preempted) > 0 || m.HasReservation("due", "wk-1") {
-		t.Fatal("still reserved")
+		t.Fatal("reservation or preemption still recorded")
 	}
 }
--- a/internal/coordination/quota/transfers_test.go
+++ b/internal/coordination/quota/transfers_test.go
@@ -9,9 +9,9 @@
 	"madderslip/internal/storage/records"
 )
 
-// A transfer is one change of its holder's key, conditional on who decides for the holder.
-// While it is being committed it counts as done, and a demand reported before it does not
-// cause a second one.
+// A transfer is one change of its holder's record, conditional on the controller still
+// deciding for the holder. The same amount must not be transferred twice: while a transfer
+// is being committed it counts as done, and demands reported before it are removed.
 func TestTransferBeingCommittedCountsAsDone(t *testing.T) {
 	now := time.Unix(0, 0)
 	m := New(map[string]protocol.Team{"t": {Name: "t", MaxCPUs: 16}}, true, func(string, string) Resources { return Resources{} })
@@ -29,15 +29,15 @@
 		t.Fatal("transferred twice:", again)
 	}
 	if !store.commit(transfers[0].Compares, transfers[0].Ops) {
-		t.Fatal("conditions:", transfers[0].Compares)
+		t.Fatal("conditions of the transfer do not hold:", transfers[0].Compares)
 	}
 	m.FinishTransfer(transfers[0])
 	if m.Grant("t", "n0") != cpus(10) || m.Grant("t", "n1") != cpus(6) || len(m.DueTransfers(ownsN0, now)) != 0 {
 		t.Fatal(m.Grant("t", "n0"), m.Grant("t", "n1"))
 	}
-	store.versions[records.ShardPrefix+"n0"] = 9 // another owner
+	store.versions[records.ShardPrefix+"n0"] = 9 // the shard has another owner
 	m.ObserveDemands("other", []protocol.Demand{{Team: "t", Holder: "n1", Head: cpus(2), PerTask: cpus(2), Total: cpus(8), JobID: "wk-1"}}, now)
 	if due := m.DueTransfers(ownsN0, now); len(due) != 1 || store.commit(due[0].Compares, due[0].Ops) {
-		t.Fatal("a former owner transferred")
+		t.Fatal("no transfer was due, or the former owner's transfer was committed")
 	}
 }
