--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -82,7 +82,7 @@
 		return 0
 	}
 	waiting := entry.PlaceableTasks()
-	entitled := c.view.Quota.Standing(entry.Spec.Team, entry.ClaimKey(), usageView{c}).Entitled(replica.TaskResources(entry.Spec))
+	entitled := c.view.Quota.GuaranteeStatus(entry.Spec.Team, entry.ClaimKey(), usageView{c}).EntitledTasks(replica.TaskResources(entry.Spec))
 	if entry.Spec.Shape == protocol.ShapeGang && entitled < waiting {
 		return 0
 	}
@@ -96,7 +96,7 @@
 	if !c.preemptions.hasGuarantees {
 		return
 	}
-	standings := make(map[string]quota.Standing)
+	standings := make(map[string]quota.GuaranteeStatus)
 	for _, entry := range queue {
 		team := entry.Spec.Team
 		if !c.view.Quota.HasGuarantee(team) {
@@ -107,7 +107,7 @@
 		}
 		standing, known := standings[team]
 		if !known {
-			standing = c.view.Quota.Standing(team, "", usageView{c})
+			standing = c.view.Quota.GuaranteeStatus(team, "", usageView{c})
 		}
 		standings[team] = entitle(entry, standing)
 	}
@@ -116,10 +116,10 @@
 
 // entitle marks an entry that its team's standing entitles, and returns the standing with
 // the entry's tasks reserved.
-func entitle(entry *placement.QueueEntry, standing quota.Standing) quota.Standing {
+func entitle(entry *placement.QueueEntry, standing quota.GuaranteeStatus) quota.GuaranteeStatus {
 	perTask := replica.TaskResources(entry.Spec)
 	need, waiting := entry.MinTasks(), entry.PlaceableTasks()
-	if entitled := standing.Entitled(perTask); entitled >= need && entitled > 0 {
+	if entitled := standing.EntitledTasks(perTask); entitled >= need && entitled > 0 {
 		entry.WithinGuarantee = true
 		standing.Reserved = standing.Reserved.Plus(perTask.Times(float64(min(entitled, waiting))))
 	}
@@ -223,8 +223,8 @@
 	policy := c.preemptionPolicyFor(entry)
 	entitled := policy.entitled
 	// The reservation counts its own victims as leaving already.
-	policy.preemptor.StandingOf = func(team string) quota.Standing {
-		return c.view.Quota.StandingExcludingPreemptionsFor(team, entry.ClaimKey(), usageView{c})
+	policy.preemptor.StatusOf = func(team string) quota.GuaranteeStatus {
+		return c.view.Quota.GuaranteeStatusExcludingPreemptionsFor(team, entry.ClaimKey(), usageView{c})
 	}
 	plan := reservation.validPlan(policy, capacitiesByHost(capacities))
 	if entitled < reservation.tasks || (entry.StartsTogether() && len(plan) < len(reservation.planned)) {
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -173,7 +173,7 @@
 		return c.exceedsLimit(entry)
 	}
 	allowed := c.allowanceOf(shard.Name, entry.Spec) + c.unrecordedCompletions(entry.Claim)
-	yields := c.view.Quota.YieldsTo(team, entry.Spec.Priority(), entry.Job.Record.AcceptedAtMs, entry.Job.ID, now)
+	yields := c.view.Quota.MustYield(team, entry.Spec.Priority(), entry.Job.Record.AcceptedAtMs, entry.Job.ID, now)
 	if allowed < entry.PlaceableTasks() || yields {
 		c.addDemand(entry, capacities, demands, allowed)
 	}
--- a/internal/coordination/controller/preemption.go
+++ b/internal/coordination/controller/preemption.go
@@ -204,14 +204,14 @@
 type preemptionPolicy struct {
 	spec       *protocol.Submission
 	entitled   int // tasks that the guarantee covers
-	preemptor  *quota.Preemptor
-	standings  map[string]quota.Standing
+	preemptor  *quota.PreemptionBudget
+	standings  map[string]quota.GuaranteeStatus
 	controller *Controller
 }
 
 // preemptionPolicyFor returns the policy for a queue entry.
 func (c *Controller) preemptionPolicyFor(entry *placement.QueueEntry) *preemptionPolicy {
-	policy := &preemptionPolicy{spec: entry.Spec, entitled: c.entitledTasks(entry), controller: c, standings: make(map[string]quota.Standing)}
+	policy := &preemptionPolicy{spec: entry.Spec, entitled: c.entitledTasks(entry), controller: c, standings: make(map[string]quota.GuaranteeStatus)}
 	policy.Reset()
 	return policy
 }
@@ -223,14 +223,14 @@
 
 // Reset implements placement.PreemptionPolicy.
 func (p *preemptionPolicy) Reset() {
-	p.preemptor = &quota.Preemptor{ClaimedTask: replica.TaskResources(p.spec), StandingOf: p.standingOf}
+	p.preemptor = &quota.PreemptionBudget{ClaimedTask: replica.TaskResources(p.spec), StatusOf: p.standingOf}
 }
 
 // standingOf returns a team's standing as it was when the policy was made.
-func (p *preemptionPolicy) standingOf(team string) quota.Standing {
+func (p *preemptionPolicy) standingOf(team string) quota.GuaranteeStatus {
 	standing, known := p.standings[team]
 	if !known {
-		standing = p.controller.view.Quota.Standing(team, "", usageView{p.controller})
+		standing = p.controller.view.Quota.GuaranteeStatus(team, "", usageView{p.controller})
 		p.standings[team] = standing
 	}
 	return standing
--- a/internal/coordination/controller/reconcile.go
+++ b/internal/coordination/controller/reconcile.go
@@ -82,7 +82,7 @@
 	next := claim.Record.Clone()
 	next.Placements = next.Placements[:0]
 	team := claim.Spec.Team
-	urgent := c.isLimited(claim.Spec) && (!c.view.Quota.IsAllotted(team) || c.view.Quota.IsDemanded(team))
+	urgent := c.isLimited(claim.Spec) && (!c.view.Quota.IsAllotted(team) || c.view.Quota.HasDemand(team))
 	return &claimReconciliation{next: next, urgent: urgent, recheck: job.Record.IsFinal()}
 }
 
--- a/internal/coordination/quota/allotments.go
+++ b/internal/coordination/quota/allotments.go
@@ -141,7 +141,7 @@
 }
 
 // Allowance returns how many more tasks that use perTask a holder may start. It does not
-// take into account other jobs that are to be served first (see YieldsTo).
+// take into account other jobs that are to be served first (see MustYield).
 func (m *Manager) Allowance(name, holder string, perTask Resources) int {
 	return TasksThatFit(m.Free(name, holder), perTask, m.Limit(name))
 }
--- a/internal/coordination/quota/demands.go
+++ b/internal/coordination/quota/demands.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// IsDemanded reports whether any holder has capacity for more tasks of the team than its
+// HasDemand reports whether any holder has capacity for more tasks of the team than its
 // allotment permits.
-func (m *Manager) IsDemanded(name string) bool {
+func (m *Manager) HasDemand(name string) bool {
 	if team := m.teams[name]; team != nil {
 		for _, demand := range team.demands {
 			if !demand.Anticipated {
@@ -155,10 +155,10 @@
 	return false
 }
 
-// YieldsTo reports whether a job must not start now although its holder's allotment permits
+// MustYield reports whether a job must not start now although its holder's allotment permits
 // the start: another job of the team, earlier in the order, has waited at some holder for
 // StarvationThreshold and is about to receive the allotment that this job would use.
-func (m *Manager) YieldsTo(name string, priority int, acceptedAtMs int64, jobID string, now time.Time) bool {
+func (m *Manager) MustYield(name string, priority int, acceptedAtMs int64, jobID string, now time.Time) bool {
 	team := m.teams[name]
 	if team == nil || !team.isAllotted() {
 		return false
--- a/internal/coordination/quota/guarantee.go
+++ b/internal/coordination/quota/guarantee.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Standing compares a team's use with its guarantee, by the records at one moment.
-type Standing struct {
+// GuaranteeStatus compares a team's use with its guarantee, by the records at one moment.
+type GuaranteeStatus struct {
 	Guarantee      Resources
 	Use            Resources // of tasks that are placed or whose placement is being committed
 	Committed      Resources // of tasks that stay placed whatever the outcome of pending commits; part of Use
@@ -20,10 +20,10 @@
 	return guarantee.CPUs > 0 || guarantee.GPUs > 0
 }
 
-// Standing returns a team's use compared with its guarantee. The reservation of exceptClaim,
-// the claim key of the chunk to be placed, is left out; exceptClaim may be empty.
-func (m *Manager) Standing(name, exceptClaim string, usage Usage) Standing {
-	status := Standing{Guarantee: m.configured[name].Guarantee(), Use: usage.InUse(name), Committed: usage.Committed(name)}
+// GuaranteeStatus returns a team's use compared with its guarantee. The reservation of
+// exceptClaim, the claim key of the chunk to be placed, is left out; exceptClaim may be empty.
+func (m *Manager) GuaranteeStatus(name, exceptClaim string, usage Usage) GuaranteeStatus {
+	status := GuaranteeStatus{Guarantee: m.configured[name].Guarantee(), Use: usage.InUse(name), Committed: usage.Committed(name)}
 	team := m.teams[name]
 	if team == nil {
 		return status
@@ -43,11 +43,11 @@
 	return status
 }
 
-// StandingExcludingPreemptionsFor is like Standing, but also leaves out the preemptions of
-// the team's tasks for the claim. It serves to check a recorded preemption once more before
-// the preemption is executed.
-func (m *Manager) StandingExcludingPreemptionsFor(name, claim string, usage Usage) Standing {
-	status := m.Standing(name, claim, usage)
+// GuaranteeStatusExcludingPreemptionsFor is like GuaranteeStatus, but also leaves out the
+// preemptions of the team's tasks for the claim. It serves to check a recorded preemption
+// once more before the preemption is executed.
+func (m *Manager) GuaranteeStatusExcludingPreemptionsFor(name, claim string, usage Usage) GuaranteeStatus {
+	status := m.GuaranteeStatus(name, claim, usage)
 	if team := m.teams[name]; team != nil {
 		for _, task := range team.reservations.Preempted[claim].Tasks {
 			status.BeingPreempted = status.BeingPreempted.Minus(usage.TaskUse(task))
@@ -56,10 +56,10 @@
 	return status
 }
 
-// Entitled returns how many more tasks that use perTask the team may claim on its guarantee,
-// in addition to its use and its reservations. A guarantee of GPUs alone covers no tasks
-// without GPUs, and a guarantee of CPUs alone covers no tasks with GPUs.
-func (s Standing) Entitled(perTask Resources) int {
+// EntitledTasks returns how many more tasks that use perTask the team may claim on its
+// guarantee, in addition to its use and its reservations. A guarantee of GPUs alone covers no
+// tasks without GPUs, and a guarantee of CPUs alone covers no tasks with GPUs.
+func (s GuaranteeStatus) EntitledTasks(perTask Resources) int {
 	if mainResource(perTask).of(s.Guarantee) == 0 {
 		return 0
 	}
@@ -73,32 +73,32 @@
 // same tasks. Placements that are only being committed do not count either: preempted tasks
 // that are being placed again elsewhere would count as surplus a second time, and the team
 // would lose tasks within its guarantee.
-func (s Standing) Surplus(claimingTask Resources) float64 {
+func (s GuaranteeStatus) Surplus(claimingTask Resources) float64 {
 	return mainResource(claimingTask).of(s.Committed.Difference(s.BeingPreempted).Minus(s.Guarantee))
 }
 
-// Preemptor sums up the resources that preemptions for one claim take from each other team,
-// so that no team is left with less than its guarantee. ClaimedTask and StandingOf must be
+// PreemptionBudget sums up the resources that preemptions for one claim take from each other
+// team, so that no team is left with less than its guarantee. ClaimedTask and StatusOf must be
 // set.
-type Preemptor struct {
+type PreemptionBudget struct {
 	ClaimedTask Resources // one task of the claiming job
-	StandingOf  func(team string) Standing
+	StatusOf    func(team string) GuaranteeStatus
 	taken       map[string]float64 // by team: of the resource by which the claiming tasks are counted
 }
 
 // MayPreempt reports whether one more task of a team may be stopped. beside is the use of
 // the team's tasks that are chosen and not yet passed to RecordPreemption. The surplus must
 // cover the whole task: a task that is partly within the guarantee is not preempted.
-func (p *Preemptor) MayPreempt(team string, task, beside Resources) bool {
+func (p *PreemptionBudget) MayPreempt(team string, task, beside Resources) bool {
 	main := mainResource(p.ClaimedTask)
 	if main.of(task) == 0 {
 		return false // stopping the task frees nothing of the claimed resource
 	}
-	return p.taken[team]+main.of(beside)+main.of(task) <= p.StandingOf(team).Surplus(p.ClaimedTask)+tolerance
+	return p.taken[team]+main.of(beside)+main.of(task) <= p.StatusOf(team).Surplus(p.ClaimedTask)+tolerance
 }
 
 // RecordPreemption counts a task of a team as chosen for preemption.
-func (p *Preemptor) RecordPreemption(team string, task Resources) {
+func (p *PreemptionBudget) RecordPreemption(team string, task Resources) {
 	if p.taken == nil {
 		p.taken = make(map[string]float64)
 	}
--- a/internal/coordination/quota/reservations_test.go
+++ b/internal/coordination/quota/reservations_test.go
@@ -39,17 +39,17 @@
 // reservation must not be committed twice.
 func TestReservationsCountAgainstTheGuarantee(t *testing.T) {
 	m, store, usage := guaranteedTeams()
-	if got := m.Standing("due", "", usage).Entitled(cpus(2)); got != 3 {
+	if got := m.GuaranteeStatus("due", "", usage).EntitledTasks(cpus(2)); got != 3 {
 		t.Fatalf("entitled to %d tasks with 2 of 8 guaranteed CPUs in use", got)
 	}
-	if got := m.Standing("due", "", usage).Entitled(Resources{CPUs: 1, GPUs: 1}); got != 0 {
+	if got := m.GuaranteeStatus("due", "", usage).EntitledTasks(Resources{CPUs: 1, GPUs: 1}); got != 0 {
 		t.Fatal("a guarantee of CPUs covers tasks with GPUs:", got)
 	}
 	compares, ops := m.Reserve(reserve4)
 	if !store.commit(compares, ops) || store.commit(compares, ops) {
 		t.Fatal("the reservation was committed twice, or not at all")
 	}
-	if got := m.Standing("due", "", usage).Entitled(cpus(2)); got != 1 {
+	if got := m.GuaranteeStatus("due", "", usage).EntitledTasks(cpus(2)); got != 1 {
 		t.Fatalf("entitled to %d tasks with 2 CPUs in use and 4 reserved", got)
 	}
 }
@@ -62,26 +62,26 @@
 	if !store.commit(m.Reserve(reserve4)) {
 		t.Fatal("reservation not committed")
 	}
-	if got := m.Standing("lend", "", usage).Surplus(cpus(1)); got != 4 {
+	if got := m.GuaranteeStatus("lend", "", usage).Surplus(cpus(1)); got != 4 {
 		t.Fatalf("surplus %v with 12 CPUs in use, 4 of them being preempted, and 4 guaranteed", got)
 	}
-	if got := m.Standing("poor", "", fakeUsage{inUse: map[string]Resources{"poor": cpus(5)}}).Surplus(cpus(1)); got != 5 {
+	if got := m.GuaranteeStatus("poor", "", fakeUsage{inUse: map[string]Resources{"poor": cpus(5)}}).Surplus(cpus(1)); got != 5 {
 		t.Fatal("the surplus of a team without a guarantee has to be all of its use, got", got)
 	}
 	usage.beingPlaced = map[string]Resources{"lend": cpus(2)}
-	if got := m.Standing("lend", "", usage).Surplus(cpus(1)); got != 2 {
+	if got := m.GuaranteeStatus("lend", "", usage).Surplus(cpus(1)); got != 2 {
 		t.Fatal("uncommitted placements count as surplus:", got)
 	}
 }
 
 // Preemptions must not leave a team with less than its guarantee, and a task that uses
 // nothing of the claimed resource must not be preempted.
-func TestPreemptorLeavesTeamsTheirGuarantee(t *testing.T) {
+func TestPreemptionBudgetLeavesTeamsTheirGuarantee(t *testing.T) {
 	m, store, usage := guaranteedTeams()
 	if !store.commit(m.Reserve(reserve4)) {
 		t.Fatal("reservation not committed")
 	}
-	budget := Preemptor{ClaimedTask: cpus(2), StandingOf: func(team string) Standing { return m.Standing(team, "", usage) }}
+	budget := PreemptionBudget{ClaimedTask: cpus(2), StatusOf: func(team string) GuaranteeStatus { return m.GuaranteeStatus(team, "", usage) }}
 	if !budget.MayPreempt("lend", cpus(4), Resources{}) || budget.MayPreempt("lend", cpus(4), cpus(2)) || budget.MayPreempt("lend", Resources{GPUs: 1}, Resources{}) {
 		t.Fatal("a task may be preempted within the guarantee or without the claimed resource, or no task may be")
 	}
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -83,7 +83,7 @@
 	{"a booking that does not hold any more goes", "coordination/controller/guarantees.go", `if entitled < reservation.tasks ||`, `if (entitled < 0) ||`},
 	{"bookings exclude one another", "coordination/quota/reservations.go", `		compares = append(compares, kv.Compare{Key: key, Version: m.team(name).reservationsVersion})
 `, ``},
-	{"a lender keeps its guarantee", "coordination/quota/guarantee.go", `return p.taken[team]+main.of(beside)+main.of(task) <= p.StandingOf(team).Surplus(p.ClaimedTask)+tolerance`, `return true`},
+	{"a lender keeps its guarantee", "coordination/quota/guarantee.go", `return p.taken[team]+main.of(beside)+main.of(task) <= p.StatusOf(team).Surplus(p.ClaimedTask)+tolerance`, `return true`},
 	{"team use by the record", "coordination/controller/limits.go", `	return use, use.Max(sum)`, `	return sum, sum`},
 	{"404 is confirmed", "coordination/controller/replies.go", `	c.commitWithRevision(kv.PriorityUser, []kv.Compare{{Key: records.JobPrefix + jobID, Version: version}}, nil, within, func(err error, revision uint64) {
 		switch {
