--- a/internal/coordination/quota/limits.go
+++ b/internal/coordination/quota/limits.go
@@ -186,13 +186,13 @@
 	return isLowerLimit(t.configured.CPUs, t.limit.Max.CPUs) || isLowerLimit(t.configured.GPUs, t.limit.Max.GPUs)
 }
 
-// isLowerLimit reports whether a configured limit is lower than the one on record; 0 is
-// no limit.
+// isLowerLimit reports whether a configured limit is lower than the limit in the record; 0
+// means no limit.
 func isLowerLimit(configured, recorded float64) bool {
 	return configured > 0 && (recorded == 0 || configured < recorded-tolerance)
 }
 
-// minLimit returns the lower of two limits, part by part; 0 is no limit.
+// minLimit returns the lower of two limits, for CPUs and GPUs separately; 0 means no limit.
 func minLimit(a, b Resources) Resources {
 	return Resources{CPUs: minLimitPart(a.CPUs, b.CPUs), GPUs: minLimitPart(a.GPUs, b.GPUs)}
 }
@@ -204,10 +204,10 @@
 	return a
 }
 
-// Divide splits a limit among CrossShard and the holders. Each gets what it uses; each
-// holder also gets an equal part of half of the rest, if that is at least initialShare;
-// CrossShard has what remains, and holders demand it from there. It reports false while
-// more is used than the limit.
+// Divide splits a limit among CrossShard and the holders. Each of them gets its current use.
+// Half of the rest is divided equally among the holders, if each part is at least
+// initialShare. CrossShard gets the remainder, which is transferred to holders on demand.
+// Divide returns false if the use exceeds the limit.
 func Divide(limit Resources, holders []string, usage func(holder string) Resources, initialShare Resources) (map[string]Resources, bool) {
 	base := make(map[string]Resources)
 	left := limit
--- a/internal/coordination/quota/rebalance.go
+++ b/internal/coordination/quota/rebalance.go
@@ -11,7 +11,7 @@
 	Name   string
 	Grant  Resources // total that the holder may use
 	Use    Resources // current use
-	Demand *Demand   // nil: none
+	Demand *Demand   // nil if the holder has no demand
 }
 
 // compare orders holders with a demand as they are served. The holder's name is the last
