--- a/internal/coordination/quota/limits_test.go
+++ b/internal/coordination/quota/limits_test.go
@@ -42,14 +42,14 @@
 }
 
 func (l *limitedTeam) clusterState(isLeader bool) ClusterState {
-	state := ClusterState{Revision: l.store.revision, Complete: true, IsLeader: isLeader, Holders: []string{"n0", "n1"}, InitialShare: cpus(8), LeaderCompare: kv.Compare{Key: records.LeaderKey},
+	clusterState := ClusterState{Revision: l.store.revision, Complete: true, IsLeader: isLeader, Holders: []string{"n0", "n1"}, InitialShare: cpus(8), LeaderCompare: kv.Compare{Key: records.LeaderKey},
 		TeamUsageVersion: func(string) uint64 { return l.store.versions[records.TeamUsagePrefix+"t"] }, TeamUsage: func(string) map[string]Resources { return l.use }}
 	for _, m := range l.store.managers {
 		member := Member{}
 		member.QuotaVersion, member.TeamsHash = m.Advertised()
-		state.Members = append(state.Members, member)
+		clusterState.Members = append(clusterState.Members, member)
 	}
-	return state
+	return clusterState
 }
 
 // expectChanges commits the changes of the limit that a controller has due, and checks their
--- a/internal/coordination/quota/transfers_test.go
+++ b/internal/coordination/quota/transfers_test.go
@@ -29,7 +29,7 @@
 		t.Fatal("transferred twice:", again)
 	}
 	if !store.commit(transfers[0].Compares, transfers[0].Ops) {
-		t.Fatal("conditions of the transfer do not hold:", transfers[0].Compares)
+		t.Fatal("conditions:", transfers[0].Compares)
 	}
 	m.FinishTransfer(transfers[0])
 	if m.Grant("t", "n0") != cpus(10) || m.Grant("t", "n1") != cpus(6) || len(m.DueTransfers(ownsN0, now)) != 0 {
