--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -85,7 +85,7 @@
 		return 0
 	}
 	waiting := entry.PlaceableTasks()
-	entitled := c.view.Quota.Standing(entry.Spec.Team, entry.ClaimKey(), usageView{c}).Entitled(replica.TaskResources(entry.Spec))
+	entitled := c.view.Quota.GuaranteeStatus(entry.Spec.Team, entry.ClaimKey(), usageView{c}).EntitledTasks(replica.TaskResources(entry.Spec))
 	if entry.Spec.Shape == protocol.ShapeGang && entitled < waiting {
 		return 0
 	}
@@ -99,7 +99,7 @@
 	if !c.preemptions.hasGuarantees {
 		return
 	}
-	standings := make(map[string]quota.Standing)
+	standings := make(map[string]quota.GuaranteeStatus)
 	for _, entry := range queue {
 		team := entry.Spec.Team
 		if !c.view.Quota.HasGuarantee(team) {
@@ -110,7 +110,7 @@
 		}
 		standing, known := standings[team]
 		if !known {
-			standing = c.view.Quota.Standing(team, "", usageView{c})
+			standing = c.view.Quota.GuaranteeStatus(team, "", usageView{c})
 		}
 		standings[team] = markWithinGuarantee(entry, standing)
 	}
@@ -119,10 +119,10 @@
 
 // markWithinGuarantee marks an entry as within its team's guarantee if the team's standing
 // covers enough of its tasks to start, and returns the standing with these tasks reserved.
-func markWithinGuarantee(entry *placement.QueueEntry, standing quota.Standing) quota.Standing {
+func markWithinGuarantee(entry *placement.QueueEntry, standing quota.GuaranteeStatus) quota.GuaranteeStatus {
 	perTask := replica.TaskResources(entry.Spec)
 	need, waiting := entry.MinTasks(), entry.PlaceableTasks()
-	if entitled := standing.Entitled(perTask); entitled >= need && entitled > 0 {
+	if entitled := standing.EntitledTasks(perTask); entitled >= need && entitled > 0 {
 		entry.WithinGuarantee = true
 		standing.Reserved = standing.Reserved.Plus(perTask.Times(float64(min(entitled, waiting))))
 	}
@@ -227,8 +227,8 @@
 	policy := c.preemptionPolicyFor(entry)
 	entitled := policy.entitled
 	// The reservation's record already counts its victims as leaving: they are left out here.
-	policy.preemptor.StandingOf = func(team string) quota.Standing {
-		return c.view.Quota.StandingExcludingPreemptionsFor(team, entry.ClaimKey(), usageView{c})
+	policy.preemptor.StatusOf = func(team string) quota.GuaranteeStatus {
+		return c.view.Quota.GuaranteeStatusExcludingPreemptionsFor(team, entry.ClaimKey(), usageView{c})
 	}
 	plan := reservation.validPlan(policy, capacitiesByHost(capacities))
 	if entitled < reservation.tasks || (entry.StartsTogether() && len(plan) < len(reservation.planned)) {
--- a/internal/coordination/quota/guarantee.go
+++ b/internal/coordination/quota/guarantee.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// Standing is how a team stands to its guarantee, by the records at one moment.
-type Standing struct {
-	Guarantee Resources
-	Use       Resources // placed, or being placed
-	Committed Resources // of that, what stays placed however a commit under way ends
-	Reserved  Resources // reserved on the guarantee and not placed yet
-	Leaving   Resources // placed, and being preempted for other teams
+// GuaranteeStatus compares a team's use with its guarantee, by the records at one moment.
+type GuaranteeStatus struct {
+	Guarantee      Resources
+	Use            Resources // of tasks that are placed or whose placement is being committed
+	Committed      Resources // of tasks that stay placed whatever the outcome of pending commits; part of Use
+	Reserved       Resources // reserved on the guarantee, for tasks that are not placed yet
+	BeingPreempted Resources // of placed tasks that are being preempted for other teams
 }
 
 // HasGuarantee reports whether a team has a guarantee in this controller's settings.
@@ -20,45 +20,46 @@
 	return guarantee.CPUs > 0 || guarantee.GPUs > 0
 }
 
-// Standing returns how a team stands, without the reservation of exceptClaim, which is the
-// claim key of the chunk that asks, or empty.
-func (m *Manager) Standing(name, exceptClaim string, usage Usage) Standing {
-	standing := Standing{Guarantee: m.configured[name].Guarantee(), Use: usage.InUse(name), Committed: usage.Committed(name)}
+// GuaranteeStatus returns a team's use compared with its guarantee. The reservation of
+// exceptClaim, the claim key of the chunk to be placed, is left out; exceptClaim may be empty.
+func (m *Manager) GuaranteeStatus(name, exceptClaim string, usage Usage) GuaranteeStatus {
+	status := GuaranteeStatus{Guarantee: m.configured[name].Guarantee(), Use: usage.InUse(name), Committed: usage.Committed(name)}
 	team := m.teams[name]
 	if team == nil {
-		return standing
+		return status
 	}
-	// In the order of keys: sums of fractions depend on it, and so does a replay.
+	// In the order of keys: floating-point sums depend on the order, and a replay has to
+	// give the same sums.
 	for _, claim := range slices.Sorted(maps.Keys(team.reservations.ByClaim)) {
 		if reservation := team.reservations.ByClaim[claim]; claim != exceptClaim {
-			standing.Reserved = standing.Reserved.Plus(reservation.Use.Minus(usage.PlacedBy(claim)))
+			status.Reserved = status.Reserved.Plus(reservation.Use.Minus(usage.PlacedBy(claim)))
 		}
 	}
 	for _, claim := range slices.Sorted(maps.Keys(team.reservations.Preempted)) {
 		for _, task := range team.reservations.Preempted[claim].Tasks {
-			standing.Leaving = standing.Leaving.Plus(usage.TaskUse(task))
+			status.BeingPreempted = status.BeingPreempted.Plus(usage.TaskUse(task))
 		}
 	}
-	return standing
+	return status
 }
 
-// StandingExcludingPreemptionsFor returns how a team that loses tasks to a claim stands
-// without that loss and without the claim's own reservation. By it a recorded preemption
-// is checked once more before it is carried out.
-func (m *Manager) StandingExcludingPreemptionsFor(name, claim string, usage Usage) Standing {
-	standing := m.Standing(name, claim, usage)
+// GuaranteeStatusExcludingPreemptionsFor is like GuaranteeStatus, but also leaves out the
+// preemptions of the team's tasks for the claim. It serves to check a recorded preemption
+// once more before the preemption is executed.
+func (m *Manager) GuaranteeStatusExcludingPreemptionsFor(name, claim string, usage Usage) GuaranteeStatus {
+	status := m.GuaranteeStatus(name, claim, usage)
 	if team := m.teams[name]; team != nil {
 		for _, task := range team.reservations.Preempted[claim].Tasks {
-			standing.Leaving = standing.Leaving.Minus(usage.TaskUse(task))
+			status.BeingPreempted = status.BeingPreempted.Minus(usage.TaskUse(task))
 		}
 	}
-	return standing
+	return status
 }
 
-// Entitled returns how many tasks that use perTask the team may still claim on its
-// guarantee, beside what it uses and what is reserved. A guarantee of GPUs alone entitles
-// no tasks without GPUs, and one of CPUs alone none with GPUs.
-func (s Standing) Entitled(perTask Resources) int {
+// EntitledTasks returns how many more tasks that use perTask the team may claim on its
+// guarantee, in addition to its use and its reservations. A guarantee of GPUs alone covers no
+// tasks without GPUs, and a guarantee of CPUs alone covers no tasks with GPUs.
+func (s GuaranteeStatus) EntitledTasks(perTask Resources) int {
 	if mainResource(perTask).of(s.Guarantee) == 0 {
 		return 0
 	}
@@ -66,36 +67,38 @@
 }
 
 // Surplus returns how much the team uses beyond its guarantee, of the resource by which the
-// claiming task is counted; a team without a guarantee has all that it uses as surplus.
+// claiming task is counted. Without a guarantee all of the team's use is surplus.
 //
-// What is leaving already does not count, so that two teams do not preempt the same tasks.
-// Nor does what is only being placed: preempted tasks that try to start elsewhere would
-// show as surplus once more, and cost the team its own guarantee.
-func (s Standing) Surplus(claimingTask Resources) float64 {
-	return mainResource(claimingTask).of(s.Committed.Difference(s.Leaving).Minus(s.Guarantee))
+// Tasks that are already being preempted do not count, so that two teams do not preempt the
+// same tasks. Placements that are only being committed do not count either: preempted tasks
+// that are being placed again elsewhere would count as surplus a second time, and the team
+// would lose tasks within its guarantee.
+func (s GuaranteeStatus) Surplus(claimingTask Resources) float64 {
+	return mainResource(claimingTask).of(s.Committed.Difference(s.BeingPreempted).Minus(s.Guarantee))
 }
 
-// Preemptor sums up what the preemptions for one claim take from other teams, so that none
-// is left with less than its guarantee. Its zero value lacks ClaimedTask and StandingOf.
-type Preemptor struct {
+// PreemptionBudget sums up the resources that preemptions for one claim take from each other
+// team, so that no team is left with less than its guarantee. ClaimedTask and StatusOf must be
+// set.
+type PreemptionBudget struct {
 	ClaimedTask Resources // one task of the claiming job
-	StandingOf  func(team string) Standing
-	taken       map[string]float64 // by team, of the resource by which the claim is counted
+	StatusOf    func(team string) GuaranteeStatus
+	taken       map[string]float64 // by team: of the resource by which the claiming tasks are counted
 }
 
-// MayPreempt reports whether one more task of a team may be stopped, beside tasks of the
-// team that are chosen and not recorded yet. The surplus must cover the whole task: one
-// that is partly within the guarantee stays.
-func (p *Preemptor) MayPreempt(team string, task, beside Resources) bool {
+// MayPreempt reports whether one more task of a team may be stopped. beside is the use of
+// the team's tasks that are chosen and not yet passed to RecordPreemption. The surplus must
+// cover the whole task: a task that is partly within the guarantee is not preempted.
+func (p *PreemptionBudget) MayPreempt(team string, task, beside Resources) bool {
 	main := mainResource(p.ClaimedTask)
 	if main.of(task) == 0 {
-		return false // stopping it frees nothing of what is claimed
+		return false // stopping the task frees nothing of the claimed resource
 	}
-	return p.taken[team]+main.of(beside)+main.of(task) <= p.StandingOf(team).Surplus(p.ClaimedTask)+tolerance
+	return p.taken[team]+main.of(beside)+main.of(task) <= p.StatusOf(team).Surplus(p.ClaimedTask)+tolerance
 }
 
-// RecordPreemption records that a task of a team is chosen.
-func (p *Preemptor) RecordPreemption(team string, task Resources) {
+// RecordPreemption counts a task of a team as chosen for preemption.
+func (p *PreemptionBudget) RecordPreemption(team string, task Resources) {
 	if p.taken == nil {
 		p.taken = make(map[string]float64)
 	}
