--- a/internal/protocol/agents.go
+++ b/internal/protocol/agents.go
@@ -9,36 +9,37 @@
 
 // Phases of a task on a worker.
 const (
-	TaskFetching       = "fetching"  // its image is pulled
+	TaskFetching       = "fetching"  // the worker pulls the container image
 	TaskWaitingForGang = "gathering" // the other tasks of its gang have not all started
 	TaskRunning        = "running"
-	TaskCheckpointing  = "flushing" // it was stopped and saves its progress
-	TaskExited         = "exited"   // kept in the worker's memory until it is reaped
+	TaskCheckpointing  = "flushing" // the task was stopped and saves a checkpoint
+	TaskExited         = "exited"   // kept in the worker's memory until a reap command
 )
 
 // Causes of a task's exit.
 const (
 	CauseDone        = "done"
 	CauseError       = "error"
-	CauseGangTimeout = "incomplete" // a gang's task waited too long for the others
-	CauseNoCapacity  = "no_room"    // the machine could not hold it
-	CauseUnknownJob  = "no_such"    // the worker knows no such job
+	CauseGangTimeout = "incomplete" // the other tasks of the gang did not start in time
+	CauseNoCapacity  = "no_room"    // the machine lacks capacity for the task
+	CauseUnknownJob  = "no_such"    // the worker has no such job or task
 	CauseBusy        = "busy"
 )
 
-// TaskStatus is a task as its worker reports it, in a Heartbeat to a controller.
+// TaskStatus is the status of one task in a worker's Heartbeat.
 //
 //easyjson:json
 type TaskStatus struct {
 	Task         string `json:"shard"` // see TaskName
 	Attempt      uint64 `json:"try"`
-	Phase        string `json:"phase"` // TaskFetching and the like
-	Cause        string `json:"cause"` // of the exit; empty before
-	Checkpointed bool   `json:"kept"`  // it saved its progress as it stopped
+	Phase        string `json:"phase"` // one of TaskFetching to TaskExited
+	Cause        string `json:"cause"` // of the exit; empty before the exit
+	Checkpointed bool   `json:"kept"`  // the task saved a checkpoint when it was stopped
 }
 
-// Heartbeat is sent by a worker's agent to the controller that owns its machine, every
-// WorkerSettings.HeartbeatInterval or so, and in answer to a probe of PathStatus.
+// Heartbeat is sent by a worker's agent to the controller that owns the machine, about
+// every WorkerSettings.HeartbeatInterval, and in response to a CommandRequest or to a probe
+// at PathStatus.
 //
 //easyjson:json
 type Heartbeat struct {
@@ -47,19 +48,19 @@
 	Type         string `json:"flavour"`
 	Zone         string `json:"hall"`
 	Spot         bool   `json:"loaner"`
-	AgentEpoch   uint64 `json:"tenure"` // grows when the agent begins again; never 0
-	Sequence     uint64 `json:"tick"`   // grows with each heartbeat of an epoch
-	FencingToken uint64 `json:"baton"`  // the highest that the agent has seen
-	// PreemptionNoticeS is the time left, in seconds, until the cloud takes a spot machine
-	// back; absent without a notice.
+	AgentEpoch   uint64 `json:"tenure"` // increases when the agent's lease expires, 1 after a restart; never 0
+	Sequence     uint64 `json:"tick"`   // increases with each heartbeat of an epoch
+	FencingToken uint64 `json:"baton"`  // the highest that the agent has received
+	// PreemptionNoticeS is the time in seconds until the cloud preempts a spot machine; nil
+	// if the cloud has given no notice.
 	PreemptionNoticeS *float64     `json:"warningS"`
 	Tasks             []TaskStatus `json:"shards"`
 }
 
-// maxHostBytes bounds a host's name, which is part of keys.
+// maxHostBytes is the longest host name; host names are part of record keys.
 const maxHostBytes = 100
 
-// ParseHeartbeat reads and checks a worker's heartbeat. Errors wrap ErrMalformed.
+// ParseHeartbeat decodes and validates a worker's heartbeat. Errors wrap ErrMalformed.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := heartbeat.UnmarshalJSON(body); err != nil {
@@ -71,7 +72,7 @@
 	return &heartbeat, nil
 }
 
-// validHost reports whether a host's name can be part of a key.
+// validHost reports whether a host name can be part of a record key.
 func validHost(host string) bool {
 	return host != "" && len(host) <= maxHostBytes && !strings.ContainsAny(host, " /")
 }
@@ -80,10 +81,10 @@
 const (
 	VerbStart = "start" // begin an attempt of a task
 	VerbStop  = "stop"  // end an attempt within a grace period
-	VerbReap  = "reap"  // forget an exited task
+	VerbReap  = "reap"  // remove an exited task from the worker's memory
 )
 
-// Command is one order of a controller to a worker, in a HeartbeatResponse or a
+// Command is a controller's command to a worker, sent in a HeartbeatResponse or a
 // CommandRequest.
 //
 //easyjson:json
@@ -91,27 +92,27 @@
 	Verb    string   `json:"verb"`  // VerbStart, VerbStop or VerbReap
 	Task    string   `json:"shard"` // see TaskName
 	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"windDownS,omitempty"` // seconds until a stopped task is killed; of VerbStop alone
+	GraceS  *float64 `json:"windDownS,omitempty"` // seconds until a stopped task is killed; set for VerbStop only
 }
 
-// StartCommand is the command that begins an attempt of a task.
+// StartCommand returns the command that begins an attempt of a task.
 func StartCommand(task string, attempt uint64) Command {
 	return Command{Verb: VerbStart, Task: task, Attempt: attempt}
 }
 
-// StopCommand is the command that ends a task's attempt within a grace period.
+// StopCommand returns the command that ends an attempt of a task within a grace period.
 func StopCommand(task string, attempt uint64, grace time.Duration) Command {
 	graceS := grace.Seconds()
 	return Command{Verb: VerbStop, Task: task, Attempt: attempt, GraceS: &graceS}
 }
 
-// ReapCommand is the command that removes an exited task from the worker's memory.
+// ReapCommand returns the command that removes an exited task from the worker's memory.
 func ReapCommand(task string, attempt uint64) Command {
 	return Command{Verb: VerbReap, Task: task, Attempt: attempt}
 }
 
-// HeartbeatResponse is sent by a controller to a worker in answer to a Heartbeat. It renews
-// the worker's lease and carries what is to be done.
+// HeartbeatResponse is sent by a controller to a worker in response to a Heartbeat. It
+// renews the worker's lease and carries commands.
 //
 //easyjson:json
 type HeartbeatResponse struct {
@@ -119,18 +120,19 @@
 	Commands     []Command `json:"orders"`
 }
 
-// CommandRequest is sent by a controller to a worker at PathCommands, when commands
-// can't wait for the next heartbeat. The worker answers with a Heartbeat.
+// CommandRequest is sent by a controller to a worker at PathCommands, when commands can't
+// wait for the next heartbeat. The worker responds with a Heartbeat.
 //
 //easyjson:json
 type CommandRequest struct {
 	FencingToken uint64    `json:"baton"`
-	AgentEpoch   uint64    `json:"tenure"` // that the commands are meant for
+	AgentEpoch   uint64    `json:"tenure"` // of the agent that the commands are meant for
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect is sent by a controller to a worker with status 421: which controller to send
-// heartbeats to instead. Without a node the worker tries the next one.
+// Redirect is sent by a controller to a worker with HTTP status 421. It names the controller
+// to which the worker's heartbeats should go instead. If Node is empty, the worker tries the
+// next controller.
 type Redirect struct {
 	Node string `json:"steward,omitempty"`
 }
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// MachineType is a kind of machine that the cloud rents, as the cloud's API describes it to
-// controllers.
+// MachineType describes a machine type that the cloud rents out, as the cloud's API sends it
+// to controllers.
 type MachineType struct {
 	Name          string   `json:"label"`
 	CPUs          float64  `json:"cpus"`
 	GPUs          float64  `json:"cards"`
 	MemoryGB      float64  `json:"memGb"`
-	ImageCacheGB  float64  `json:"cacheGb"`     // room for container images
-	ImagePullGBps float64  `json:"pullGbPerS"`  // gigabytes a second
-	Price         float64  `json:"hourly"`      // of an hour on demand
-	SpotPrice     float64  `json:"marketPrice"` // of an hour as a spot machine
+	ImageCacheGB  float64  `json:"cacheGb"`     // space for container images
+	ImagePullGBps float64  `json:"pullGbPerS"`  // gigabytes per second
+	Price         float64  `json:"hourly"`      // on-demand price per hour
+	SpotPrice     float64  `json:"marketPrice"` // spot price per hour
 	BootS         float64  `json:"bootS"`       // seconds, see BootTime
-	Zones         []string `json:"halls"`       // where it is offered
+	Zones         []string `json:"halls"`       // in which the type is offered
 }
 
-// BootTime is the nominal time from the rental to the first heartbeat.
+// BootTime returns the nominal time from the rental to the first heartbeat.
 func (t *MachineType) BootTime() time.Duration { return Seconds(t.BootS) }
 
-// MachineTypes is sent by the cloud's API to controllers: what PathMachineTypes answers.
+// MachineTypes is the cloud's response to a request of PathMachineTypes.
 type MachineTypes struct {
 	Types []MachineType `json:"flavours"`
 }
 
-// ProvisionRequest is sent by controllers to the cloud's API at PathMachines: a request for
-// machines of one kind. The same name asks for the same machines again; it is never used
-// for others.
+// ProvisionRequest is sent by controllers to the cloud's API at PathMachines. It requests
+// machines of one type, zone and pricing. Name makes the request idempotent: a repeated
+// request of the same name is for the same machines, and no name is reused for others.
 type ProvisionRequest struct {
 	Name  string `json:"hire"`
 	Type  string `json:"flavour"`
@@ -36,16 +36,17 @@
 	Count int    `json:"howMany"`
 }
 
-// HostList names machines: sent by the cloud's API to controllers as the answer to a
-// ProvisionRequest, and by controllers to PathReturnMachines.
+// HostList names machines. It is the cloud's response to a ProvisionRequest, and controllers
+// send it to PathReturnMachines.
 type HostList struct {
 	Hosts []string `json:"hosts"`
 }
 
-// MachineFailed is the phase of a listed machine that has failed; the others count as usable.
+// MachineFailed is the phase of a listed machine that has failed. Machines in any other
+// phase count as usable.
 const MachineFailed = "failed"
 
-// ListedMachine is a machine in the list that the cloud's API sends to controllers.
+// ListedMachine is an entry of a MachineList.
 type ListedMachine struct {
 	Host    string  `json:"ref"`
 	Address string  `json:"address"` // of the worker's agent
@@ -53,12 +54,12 @@
 	Zone    string  `json:"hall"`
 	Spot    bool    `json:"loaner"`
 	Phase   string  `json:"phase"`
-	AgeS    float64 `json:"heldS"` // seconds since it was rented
+	AgeS    float64 `json:"heldS"` // seconds since the machine was rented
 }
 
-// MachineList is sent by the cloud's API to controllers: one page of its list, which may
-// lag by CloudLimits.ListLag.
+// MachineList is sent by the cloud's API to controllers. It is one page of the list of
+// rented machines, which may be out of date by up to CloudLimits.ListLag.
 type MachineList struct {
 	Hosts     []ListedMachine `json:"hosts"`
-	Truncated bool            `json:"truncated"` // more follow on another page
+	Truncated bool            `json:"truncated"` // further pages follow
 }
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// ErrMalformed is wrapped by every reason to answer 400.
+// ErrMalformed is wrapped by all errors that lead to a response with HTTP status 400.
 var ErrMalformed = errors.New("malformed")
 
-// malformed returns an error that wraps ErrMalformed; its text reaches the sender.
+// malformed returns an error that wraps ErrMalformed; its text is sent to the client.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// Encode writes a message as JSON, by its generated code if it has any: the
-// standard library would check and copy what that writes once more.
+// Encode returns a message as JSON. If the message has generated code, Encode calls it
+// directly: json.Marshal would check and copy the output of that code once more.
 func Encode(v any) ([]byte, error) {
 	if m, ok := v.(json.Marshaler); ok {
 		return m.MarshalJSON()
@@ -25,7 +25,8 @@
 	return json.Marshal(v)
 }
 
-// Decode reads a message of JSON into v, a pointer, likewise.
+// Decode decodes JSON into v, a pointer to a message. If the message has generated code,
+// Decode calls it directly, as Encode does.
 func Decode(data []byte, v any) error {
 	if u, ok := v.(json.Unmarshaler); ok {
 		return u.UnmarshalJSON(data)
@@ -33,5 +34,5 @@
 	return json.Unmarshal(data, v)
 }
 
-// Seconds turns the wire's seconds into a Duration, rounded to the nanosecond.
+// Seconds converts the wire's seconds to a Duration, rounded to the nanosecond.
 func Seconds(s float64) time.Duration { return time.Duration(math.Round(s * float64(time.Second))) }
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,20 +1,21 @@
-// Package protocol holds the messages between users, worker agents, the cloud's API and
+// Package protocol defines the messages between users, worker agents, the cloud's API and
 // controllers, their validation, the table of public routes, and the platform's settings.
 //
-// It guarantees that a message or setting which passed its check is within the bounds that
-// the rest of the program relies on: ids have their form, amounts are finite and far from
-// overflow. The wire's own spellings stay in struct tags here; fields, and the rest of the
-// program, use the field's usual terms. Seconds on the wire become time.Duration by way of
-// Seconds. The package does no network I/O; it imports no other package of this module.
+// Messages and settings that have passed validation are within the bounds that the rest of
+// the program relies on: ids have the required form, and amounts are finite and far from
+// overflow. The names used on the wire appear only in this package's struct tags and
+// constants; Go identifiers use the terms that are common in cluster scheduling. Seconds
+// converts the wire's seconds to a time.Duration. The package does no network I/O and
+// imports no other package of this module.
 //
-// # Words of the wire
+// # Names on the wire
 //
-//	wire word                   term
+//	name on the wire            term
 //	ref                         job id; in the cloud's list, host
 //	jobclass, owner             job class, team
 //	rank (idle ... critical)    priority class; idle: best-effort
 //	shape sweep, group          job array, gang scheduling
-//	shards, shard               tasks (a submission: their number), a task's name
+//	shards, shard               tasks (in a submission: their number), a task's name
 //	try                         attempt of a task
 //	cards                       GPUs
 //	bundle, sizeGb              container image, its size
@@ -50,7 +51,7 @@
 //	fresh, stamp                key updates, version of a key
 //	intents, planned            claim intents, preemption intents
 //	waits, beat                 pending changes, periodic message
-//	wants, wanting              demands, whether they are complete
+//	wants, wanting              demands, whether the list is complete
 //	took                        accepted
 //	holds                       free CPUs by image
 //	barred, shy                 excluded hosts, unreliability
--- a/internal/protocol/jobs.go
+++ b/internal/protocol/jobs.go
@@ -9,18 +9,18 @@
 
 //go:generate go tool easyjson -output_filename jobs_easyjson.go jobs.go
 
-// JobStatus is sent by controllers to users, in answer to a submission, a query or a
-// cancellation.
+// JobStatus is sent by controllers to users, in response to a submission, a status query or
+// a cancellation.
 //
 //easyjson:json
 type JobStatus struct {
 	JobID        string `json:"ref"`
-	Phase        string `json:"phase"`   // JobPending and the like
-	DoneTasks    int    `json:"done"`    // tasks that are done for good
-	RunningTasks int    `json:"running"` // tasks that run now
+	Phase        string `json:"phase"`   // one of JobPending to JobCancelled
+	DoneTasks    int    `json:"done"`    // tasks that have completed, which is final
+	RunningTasks int    `json:"running"` // tasks that are running
 }
 
-// Phases of a job, as users see them.
+// Phases of a job, as reported to users.
 const (
 	JobPending   = "pending"
 	JobRunning   = "running"
@@ -33,8 +33,8 @@
 	maxJobIDBytes = 40
 )
 
-// ValidJobID reports whether a job id has the form that users give ids: "wk-" and
-// digits, 40 bytes at most.
+// ValidJobID reports whether a job id has the required form: "wk-" and digits, 40 bytes at
+// most.
 func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, jobIDPrefix)
 	if !ok || digits == "" || len(id) > maxJobIDBytes {
@@ -48,8 +48,9 @@
 	return true
 }
 
-// ParseJobID reads only the id of a submission, so that a known job is recognised
-// whatever else its retry holds. Errors wrap ErrMalformed.
+// ParseJobID decodes only the job id of a submission. A retry for a job that was accepted
+// before is thereby recognised even if the rest of the submission is invalid. Errors wrap
+// ErrMalformed.
 func ParseJobID(body []byte) (string, error) {
 	var message struct {
 		JobID *string `json:"ref"`
@@ -67,10 +68,12 @@
 	return *message.JobID, nil
 }
 
-// TaskName is how workers name a task: the job's id and the task's number, from 0.
+// TaskName returns the name of a task in messages to and from workers: the job's id and the
+// task's index, from 0.
 func TaskName(jobID string, task int) string { return jobID + "/" + strconv.Itoa(task) }
 
-// ParseTaskName undoes TaskName; ok reports whether the name has its form.
+// ParseTaskName parses a name that TaskName has returned; ok reports whether the name has
+// that form.
 func ParseTaskName(name string) (jobID string, task int, ok bool) {
 	jobID, digits, found := strings.Cut(name, "/")
 	task, err := strconv.Atoi(digits)
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -11,11 +11,11 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Amounts are amounts by name. They are written in the order of the names, so that a
-// simulation that is repeated sends the same bytes.
+// Amounts maps names to amounts. It is encoded in the order of the names, so that a repeated
+// simulation sends the same bytes.
 type Amounts map[string]float64
 
-// MarshalEasyJSON writes the amounts.
+// MarshalEasyJSON writes the amounts as an object.
 func (a Amounts) MarshalEasyJSON(w *jwriter.Writer) {
 	w.RawByte('{')
 	for i, name := range slices.Sorted(maps.Keys(a)) {
@@ -29,7 +29,7 @@
 	w.RawByte('}')
 }
 
-// UnmarshalEasyJSON reads what MarshalEasyJSON writes; null is no amounts.
+// UnmarshalEasyJSON reads what MarshalEasyJSON writes; null gives an empty map.
 func (a *Amounts) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	*a = make(Amounts)
 	if l.IsNull() {
@@ -46,72 +46,75 @@
 	l.Delim('}')
 }
 
-// PeerMessage is what controllers send each other, each second and when something changes.
-// All of it is advice: missing, late or wrong, it costs time, and no rule rests on it.
-// Transactions on the records decide.
+// PeerMessage is sent by controllers to each other, once a second and after changes. Its
+// content is advisory: a lost, late or wrong message costs time, but no guarantee depends on
+// it, since transactions on the records decide.
 //
 //easyjson:json
 type PeerMessage struct {
 	From    string      `json:"from"`
 	Loads   []ShardLoad `json:"loads,omitempty"`
 	Updates []KeyUpdate `json:"fresh,omitempty"`
-	// ClaimIntents are the keys of claims that the sender is about to create. The jobs'
-	// other shards need not try as well.
+	// ClaimIntents are the keys of claims that the sender is about to create. The owners of
+	// the jobs' other shards need not try to claim the same chunks.
 	ClaimIntents []string `json:"intents,omitempty"`
 	// PreemptionIntents are the keys of claims for which the sender is preempting tasks.
 	PreemptionIntents []string `json:"planned,omitempty"`
-	// PendingChanges is how many of the sender's changes wait for the state service's rate
-	// limit. Only a periodic message tells it.
+	// PendingChanges is the number of the sender's changes that wait for the state service's
+	// rate limit. It is valid in periodic messages only.
 	PendingChanges int `json:"waits,omitempty"`
-	// Periodic marks the message of each second.
+	// Periodic marks the message that is sent once a second.
 	Periodic bool `json:"beat,omitempty"`
-	// Demands are what the sender's shards could start with larger allotments. They are
-	// all of them, none included, if DemandsComplete is set.
+	// Demands lists what the sender's shards could start with larger allotments. If
+	// DemandsComplete is set, the list is complete, and an empty one means no demands;
+	// otherwise the message does not report demands.
 	Demands         []Demand `json:"wants,omitempty"`
 	DemandsComplete bool     `json:"wanting,omitempty"`
-	// StateReachable reports whether the sender has reached the state service just now.
+	// StateReachable reports whether a recent call of the sender to the state service has
+	// succeeded.
 	StateReachable bool `json:"stateOk"`
-	// Accepted, in an answer, reports that the updates were applied. Older versions do not
-	// set it.
+	// Accepted reports, in a response, whether the updates were applied. Older versions
+	// never set it.
 	Accepted bool `json:"took,omitempty"`
 }
 
-// ShardLoad is a shard's load as its owner sees it.
+// ShardLoad is a shard's load as computed by the shard's owner.
 type ShardLoad struct {
 	Shard string `json:"shard"`
 	// FencingToken is the revision at which the sender acquired the shard. A controller
-	// with an older one does not own the shard any more, whatever it has read.
+	// whose token for the shard is older no longer owns the shard, even if its copy of the
+	// records still shows it as the owner.
 	FencingToken    uint64  `json:"token,omitempty"`
 	CPUs            float64 `json:"cpus"`   // of its machines
 	UsedCPUs        float64 `json:"used"`   // by placed tasks
-	QueuedCPUs      float64 `json:"queued"` // of the tasks in its queue
-	FreeCPUsByImage Amounts `json:"holds"`  // by image: the most that is free on one machine with the image
-	// ExcludedHosts are machines that do not count: quarantined ones that are not
-	// returned yet, and those that are late to boot.
+	QueuedCPUs      float64 `json:"queued"` // of the unplaced tasks in its queue
+	FreeCPUsByImage Amounts `json:"holds"`  // by image: the most free CPUs of any machine that caches the image
+	// ExcludedHosts are machines that do not count as supply: quarantined ones that are not
+	// returned yet, and those that have not booted in time.
 	ExcludedHosts []string `json:"barred,omitempty"`
-	// Unreliability is the factor, by "type/zone", by which the price of machines that
-	// fail to boot should seem higher.
+	// Unreliability maps "type/zone" to the factor by which provisioning multiplies the
+	// price of such machines because some have failed to boot.
 	Unreliability Amounts `json:"shy,omitempty"`
 }
 
-// Demand is what a shard, or the work across shards, could start of a team this moment with
-// a larger allotment of the team's limit.
+// Demand is the amount of a team's work that a shard, or the work across shards, could start
+// immediately with a larger allotment of the team's limit.
 type Demand struct {
 	Team         string    `json:"team"`
-	Holder       string    `json:"holder"` // the shard, or "*": across shards
+	Holder       string    `json:"holder"` // the shard, or "*" for work across shards
 	Head         Resources `json:"head"`   // what the first job needs to start
 	PerTask      Resources `json:"unit"`   // one task of the first job
 	Total        Resources `json:"total"`  // all that could be started
 	Priority     int       `json:"rank"`
 	AcceptedAtMs int64     `json:"born"` // Unix milliseconds
 	JobID        string    `json:"ref"`
-	AllOrNothing bool      `json:"whole,omitempty"`
-	Anticipated  bool      `json:"ahead,omitempty"` // there is no capacity for it yet
+	AllOrNothing bool      `json:"whole,omitempty"` // the first job starts completely or not at all
+	Anticipated  bool      `json:"ahead,omitempty"` // there is no capacity for the first job yet
 	WaitedMs     int64     `json:"waitedMs"`        // how long the first job has waited, milliseconds
 }
 
-// KeyUpdate is a version of a record that the sender has just committed, ahead of the
-// receiver's watch.
+// KeyUpdate is a version of a record that the sender has just committed. It usually arrives
+// before the receiver's watch delivers the same version.
 type KeyUpdate struct {
 	Key     string          `json:"key"`
 	Value   json.RawMessage `json:"value"`
--- a/internal/protocol/resources.go
+++ b/internal/protocol/resources.go
@@ -9,21 +9,22 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// Resources is an amount of CPUs and GPUs: of a task, of a team's use, limit or guarantee.
-// Messages and records hold it as the list [cpus,gpus].
+// Resources is an amount of CPUs and GPUs, such as a task's resources or a team's usage,
+// limit or guarantee. In messages and records it is the list [cpus,gpus].
 type Resources struct{ CPUs, GPUs float64 }
 
-// ResourceTolerance is the difference below which two amounts count as equal: adding up
-// fractions of a CPU leaves rounding errors smaller than this.
+// ResourceTolerance is the difference below which two amounts count as equal: sums
+// of fractions of a CPU have rounding errors smaller than this.
 const ResourceTolerance = 1e-6
 
 // TaskResources returns what one task of the job uses.
 func (s *Submission) TaskResources() Resources { return Resources{CPUs: s.CPUs, GPUs: s.GPUs} }
 
-// Limit returns the most that the team may use; a part of 0 is not limited.
+// Limit returns the most that the team may use; a resource with an amount of 0 is not limited.
 func (t Team) Limit() Resources { return Resources{CPUs: t.MaxCPUs, GPUs: t.MaxGPUs} }
 
-// Guarantee returns what the team can claim from others; a part of 0 is not guaranteed.
+// Guarantee returns the amount that the team is entitled to at the expense of other teams; a
+// resource with an amount of 0 is not guaranteed.
 func (t Team) Guarantee() Resources {
 	return Resources{CPUs: t.GuaranteedCPUs, GPUs: t.GuaranteedGPUs}
 }
@@ -33,15 +34,15 @@
 	return Resources{CPUs: r.CPUs + other.CPUs, GPUs: r.GPUs + other.GPUs}
 }
 
-// Difference returns r less other. Parts can be negative.
+// Difference returns r less other. The amounts may be negative.
 func (r Resources) Difference(other Resources) Resources {
 	return Resources{CPUs: r.CPUs - other.CPUs, GPUs: r.GPUs - other.GPUs}
 }
 
-// Minus returns r less other; a part below ResourceTolerance becomes 0.
+// Minus returns r less other; an amount below ResourceTolerance becomes 0.
 func (r Resources) Minus(other Resources) Resources { return r.Difference(other).NonNegative() }
 
-// NonNegative returns r with every part below ResourceTolerance set to 0.
+// NonNegative returns r with every amount below ResourceTolerance set to 0.
 func (r Resources) NonNegative() Resources {
 	if r.CPUs < ResourceTolerance {
 		r.CPUs = 0
@@ -52,12 +53,12 @@
 	return r
 }
 
-// Min returns the lesser of both amounts, part by part.
+// Min returns the lesser amount of each resource.
 func (r Resources) Min(other Resources) Resources {
 	return Resources{CPUs: math.Min(r.CPUs, other.CPUs), GPUs: math.Min(r.GPUs, other.GPUs)}
 }
 
-// Max returns the greater of both amounts, part by part.
+// Max returns the greater amount of each resource.
 func (r Resources) Max(other Resources) Resources {
 	return Resources{CPUs: math.Max(r.CPUs, other.CPUs), GPUs: math.Max(r.GPUs, other.GPUs)}
 }
@@ -67,15 +68,15 @@
 	return Resources{CPUs: r.CPUs * factor, GPUs: r.GPUs * factor}
 }
 
-// IsZero reports whether no part exceeds rounding errors.
+// IsZero reports whether no amount exceeds rounding errors.
 func (r Resources) IsZero() bool { return r.CPUs < ResourceTolerance && r.GPUs < ResourceTolerance }
 
-// Within reports whether no part is greater than bound's, rounding errors aside.
+// Within reports whether no amount is greater than bound's, except for rounding errors.
 func (r Resources) Within(bound Resources) bool {
 	return r.CPUs <= bound.CPUs+ResourceTolerance && r.GPUs <= bound.GPUs+ResourceTolerance
 }
 
-// String returns the amount as logs show it, "[cpus gpus]".
+// String returns the amount in the form used in logs, "[cpus gpus]".
 func (r Resources) String() string { return fmt.Sprint(r.list()) }
 
 func (r Resources) list() [2]float64 { return [2]float64{r.CPUs, r.GPUs} }
@@ -89,8 +90,8 @@
 	w.RawByte(']')
 }
 
-// UnmarshalEasyJSON reads what MarshalEasyJSON writes. A part that is missing or null
-// stays as it is; parts beyond the second are skipped.
+// UnmarshalEasyJSON reads what MarshalEasyJSON writes. A number that is missing or null
+// leaves the amount unchanged; elements beyond the second are skipped.
 func (r *Resources) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	if l.IsNull() {
 		l.Skip()
@@ -113,12 +114,13 @@
 	l.Delim(']')
 }
 
-// MarshalJSON writes the amount as encoding/json writes a list of two numbers: records
-// written by it spell very large and very small numbers differently from messages.
+// MarshalJSON writes the amount as encoding/json writes a list of two numbers. Records that
+// are written by encoding/json format very large and very small numbers differently from
+// messages.
 func (r Resources) MarshalJSON() ([]byte, error) { return json.Marshal(r.list()) }
 
-// UnmarshalJSON reads a list of numbers: a missing part becomes 0, null changes nothing,
-// parts beyond the second are ignored. Any other JSON value is an error.
+// UnmarshalJSON reads a list of numbers: a missing number becomes 0, null changes nothing,
+// elements beyond the second are ignored. Any other JSON value is an error.
 func (r *Resources) UnmarshalJSON(data []byte) error {
 	list := r.list()
 	if err := json.Unmarshal(data, &list); err != nil {
@@ -128,10 +130,10 @@
 	return nil
 }
 
-// MachineResources is an amount of what tasks use of one machine.
+// MachineResources is an amount of one machine's resources.
 type MachineResources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// ResourcesOf returns what an empty machine of a type has.
+// ResourcesOf returns the resources of an empty machine of a type.
 func ResourcesOf(machineType *MachineType) MachineResources {
 	return MachineResources{machineType.CPUs, machineType.GPUs, machineType.MemoryGB}
 }
@@ -141,18 +143,19 @@
 	return r.CPUs+ResourceTolerance >= spec.CPUs && r.GPUs+ResourceTolerance >= spec.GPUs && r.MemoryGB+ResourceTolerance >= spec.MemoryGB
 }
 
-// Plus returns the amount with what one task of a job uses added.
+// Plus returns the amount with the resources of one task of a job added.
 func (r MachineResources) Plus(spec *Submission) MachineResources {
 	return MachineResources{r.CPUs + spec.CPUs, r.GPUs + spec.GPUs, r.MemoryGB + spec.MemoryGB}
 }
 
-// Minus returns the amount without what so many tasks of a job use. It may be negative.
+// Minus returns the amount less the resources of the given number of tasks of a job. The
+// result may be negative.
 func (r MachineResources) Minus(spec *Submission, tasks int) MachineResources {
 	count := float64(tasks)
 	return MachineResources{r.CPUs - count*spec.CPUs, r.GPUs - count*spec.GPUs, r.MemoryGB - count*spec.MemoryGB}
 }
 
-// Max returns the greater of both, part by part.
+// Max returns the greater amount of each resource.
 func (r MachineResources) Max(other MachineResources) MachineResources {
 	return MachineResources{max(r.CPUs, other.CPUs), max(r.GPUs, other.GPUs), max(r.MemoryGB, other.MemoryGB)}
 }
--- a/internal/protocol/routes.go
+++ b/internal/protocol/routes.go
@@ -2,22 +2,22 @@
 
 import "strings"
 
-// Route names a request of the public address.
+// Route identifies a kind of request on the public address.
 type Route int
 
-// The routes, and the two ways for a request to match none.
+// The routes. RouteNotFound and RouteWrongMethod are for requests that match none.
 const (
 	RouteNotFound    Route = iota
-	RouteWrongMethod       // the path is known, the method is not its own
+	RouteWrongMethod       // a route has this path, but with another method
 	RouteSubmit            // a user submits a job
-	RouteQuery             // a user asks for a job's status
+	RouteQuery             // a user queries a job's status
 	RouteCancel            // a user cancels a job
-	RouteHeartbeat         // a worker's agent reports
+	RouteHeartbeat         // a worker's agent sends a heartbeat
 	RouteReady             // the load balancer's health check
 )
 
-// routes are the public routes. Between prefix and suffix stands a job id where withID
-// says so; otherwise the path is the prefix alone.
+// routes are the public routes. If withID is set, the path has a job id between prefix and
+// suffix; otherwise the path is the prefix alone.
 var routes = []struct {
 	method, prefix, suffix string
 	withID                 bool
@@ -30,8 +30,8 @@
 	{"GET", "/ready", "", false, RouteReady},
 }
 
-// MatchRoute finds the route of a request and the id in its path, if it has one. What
-// follows a question mark in the target does not count.
+// MatchRoute returns the route of a request, and the id in its path if the route has one.
+// The query string of the target is ignored.
 func MatchRoute(method, target string) (Route, string) {
 	path, _, _ := strings.Cut(target, "?")
 	found := RouteNotFound
@@ -51,7 +51,7 @@
 	return found, ""
 }
 
-// pathID returns the one segment between a prefix and a suffix, and reports whether the
+// pathID returns the single segment between a prefix and a suffix, and reports whether the
 // path has that form.
 func pathID(path, prefix, suffix string) (string, bool) {
 	rest, hasPrefix := strings.CutPrefix(path, prefix)
@@ -66,20 +66,20 @@
 	return route != RouteHeartbeat && route != RouteReady
 }
 
-// Paths that controllers call, of a worker's agent.
+// Paths of a worker's agent, which controllers call.
 const (
-	PathCommands = "/commands" // takes a CommandRequest, answers with a Heartbeat
-	PathStatus   = "/show"     // answers with a Heartbeat
+	PathCommands = "/commands" // accepts a CommandRequest, responds with a Heartbeat
+	PathStatus   = "/show"     // responds with a Heartbeat
 )
 
-// Paths that controllers call, of the cloud's API.
+// Paths of the cloud's API, which controllers call.
 const (
-	PathMachineTypes   = "/machine_types"   // answers with MachineTypes
-	PathMachines       = "/machines"        // lists machines, takes a ProvisionRequest
-	PathReturnMachines = "/machines/return" // takes a HostList
+	PathMachineTypes   = "/machine_types"   // responds with MachineTypes
+	PathMachines       = "/machines"        // lists machines, accepts a ProvisionRequest
+	PathReturnMachines = "/machines/return" // accepts a HostList
 )
 
-// Paths that controllers call, of the state service.
+// Paths of the state service, which controllers call.
 const (
 	PathKeys         = "/keys"
 	PathTransactions = "/multi"
