--- a/internal/protocol/settingscheck.go
+++ b/internal/protocol/settingscheck.go
@@ -10,18 +10,18 @@
 	bytesPerKB = 1 << 10
 	bytesPerMB = 1 << 20
 
-	// minTxnOps is the fewest changes of a transaction that the service can work with:
-	// a job's end, its last claim and its team's record go together.
+	// minTxnOps is the smallest limit of changes per transaction that controllers can
+	// work with: the end of a job, its last claim and its team's record change together.
 	minTxnOps = 4
 )
 
-// faultAt is a fault of the value at a key; the file is named by whoever has read it.
-func faultAt(key, format string, args ...any) *SettingError {
+// newSettingError returns an error in the value of a key. LoadSettings adds the file's name.
+func newSettingError(key, format string, args ...any) *SettingError {
 	return &SettingError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
-// settings checks a settings file section by section and converts it. It returns the
-// first fault.
+// settings validates and converts a settings file section by section. It returns the first
+// error.
 func (w *wireSettings) settings() (Settings, *SettingError) {
 	s := Settings{
 		NodeName:      w.Node,
@@ -57,27 +57,27 @@
 	return s, nil
 }
 
-// checkIdentity checks that this controller's name and zone are there.
+// checkIdentity checks that this controller's name and zone are set.
 func (w *wireSettings) checkIdentity(*Settings) *SettingError {
 	if w.Node == "" {
-		return faultAt("node", "is missing")
+		return newSettingError("node", "is missing")
 	}
 	if w.Area == "" {
-		return faultAt("area", "is missing")
+		return newSettingError("area", "is missing")
 	}
 	return nil
 }
 
-// readPeers reads the other controllers, whose names must be there and differ.
+// readPeers reads the other controllers, whose names must be set and unique.
 func (w *wireSettings) readPeers(s *Settings) *SettingError {
 	seen := map[string]bool{w.Node: true}
 	for i, other := range w.Others {
 		key := peerKey(i) + ".node"
 		if other.Node == "" {
-			return faultAt(key, "is missing")
+			return newSettingError(key, "is missing")
 		}
 		if seen[other.Node] {
-			return faultAt(key, "names a controller twice: %s", other.Node)
+			return newSettingError(key, "names a controller twice: %s", other.Node)
 		}
 		seen[other.Node] = true
 		s.Peers = append(s.Peers, Peer{Node: other.Node, Zone: other.Area, Addr: other.Endpoint})
@@ -87,7 +87,8 @@
 
 func peerKey(index int) string { return fmt.Sprintf("others[%d]", index) }
 
-// checkAddresses checks that every address is an IP address and port; names are refused.
+// checkAddresses checks that every address is an IP address and port. Host names are not
+// accepted.
 func (w *wireSettings) checkAddresses(s *Settings) *SettingError {
 	type address struct{ key, value string }
 	addresses := []address{
@@ -101,13 +102,13 @@
 	}
 	for _, a := range addresses {
 		if _, err := netip.ParseAddrPort(a.value); err != nil {
-			return faultAt(a.key, "wants an IP address and port, has %q", a.value)
+			return newSettingError(a.key, "wants an IP address and port, has %q", a.value)
 		}
 	}
 	return nil
 }
 
-// checkAboveZero checks the periods, rates and sizes without which nothing works.
+// checkAboveZero checks the periods, rates and sizes that must be finite and above 0.
 func (w *wireSettings) checkAboveZero(*Settings) *SettingError {
 	c := &w.Cluster
 	amounts := []struct {
@@ -130,24 +131,25 @@
 	}
 	for _, amount := range amounts {
 		if !(amount.value > 0) || math.IsInf(amount.value, 0) {
-			return faultAt(amount.key, "must be above 0, has %v", amount.value)
+			return newSettingError(amount.key, "must be above 0, has %v", amount.value)
 		}
 	}
 	return nil
 }
 
-// checkSizes checks that transactions are large enough and that there is a zone.
+// checkSizes checks that transactions may be large enough and that there is a zone.
 func (w *wireSettings) checkSizes(*Settings) *SettingError {
 	if w.Cluster.State.TxnOps < minTxnOps {
-		return faultAt("cluster.state.txn_ops", "must be at least %d", minTxnOps)
+		return newSettingError("cluster.state.txn_ops", "must be at least %d", minTxnOps)
 	}
 	if len(w.Cluster.Zones) == 0 {
-		return faultAt("cluster.zones", "is empty")
+		return newSettingError("cluster.zones", "is empty")
 	}
 	return nil
 }
 
-// readNodeCount reads how many controllers there are; left out, the listed ones.
+// readNodeCount reads the number of controllers. The default is the number of those that
+// the file lists.
 func (w *wireSettings) readNodeCount(s *Settings) *SettingError {
 	s.NodeCount = w.Cluster.Nodes
 	if s.NodeCount == 0 {
@@ -156,18 +158,18 @@
 	return nil
 }
 
-// readTeams reads the teams. What contradicts itself is a warning, not a fault: see
-// Settings.Warnings.
+// readTeams reads the teams. Contradictory settings of a team are a warning, not an error:
+// see Settings.Warnings.
 func (w *wireSettings) readTeams(s *Settings) *SettingError {
 	s.Teams = make(map[string]Team)
 	for i, wire := range w.Cluster.Teams {
 		key := fmt.Sprintf("cluster.teams[%d]", i)
 		if wire.Name == "" {
-			return faultAt(key+".name", "is missing")
+			return newSettingError(key+".name", "is missing")
 		}
 		for _, amount := range []float64{wire.CPUs, wire.CPUsMax, wire.GPUs, wire.GPUsMax} {
 			if !(amount >= 0) || math.IsInf(amount, 0) {
-				return faultAt(key, "has a negative or infinite amount")
+				return newSettingError(key, "has a negative or infinite amount")
 			}
 		}
 		team := Team{
@@ -186,7 +188,7 @@
 	return nil
 }
 
-// guaranteesAboveLimit returns a warning for each guarantee that its limit contradicts.
+// guaranteesAboveLimit returns a warning for each guarantee that is above its limit.
 func (t *Team) guaranteesAboveLimit(key string) []string {
 	var warnings []string
 	for _, resource := range []struct {
@@ -208,7 +210,7 @@
 func (w *wireSettings) readObjectives(s *Settings) *SettingError {
 	for i, objective := range w.Cluster.Objectives {
 		if objective.WithinS < 0 || objective.Kind == "" {
-			return faultAt(fmt.Sprintf("cluster.objectives[%d]", i), "wants a kind and no negative time")
+			return newSettingError(fmt.Sprintf("cluster.objectives[%d]", i), "wants a kind and no negative time")
 		}
 		s.Objectives = append(s.Objectives, Objective{
 			Kind:           objective.Kind,
@@ -221,14 +223,15 @@
 	return nil
 }
 
-// readAnnouncedLimits reads the limits that the state service will have; 0: not announced.
+// readAnnouncedLimits reads the limits that the state service will have in the future. For a
+// limit of 0 no change is announced.
 func (w *wireSettings) readAnnouncedLimits(s *Settings) *SettingError {
 	next := w.Cluster.State.Next
 	if !(next.WriteRPS >= 0 && next.ValueKB >= 0 && next.TxnOps >= 0) {
-		return faultAt("cluster.state.next", "has a negative limit")
+		return newSettingError("cluster.state.next", "has a negative limit")
 	}
 	if next.TxnOps > 0 && next.TxnOps < minTxnOps {
-		return faultAt("cluster.state.next.txn_ops", "must be at least %d", minTxnOps)
+		return newSettingError("cluster.state.next.txn_ops", "must be at least %d", minTxnOps)
 	}
 	s.AnnouncedStateLimits = StateLimits{
 		WriteRate:     next.WriteRPS,
--- a/internal/protocol/settingsfile.go
+++ b/internal/protocol/settingsfile.go
@@ -8,10 +8,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// wireSettings is the settings file in its own words and units; see Settings for the
-// terms. Names that end in _s are seconds, in _ms milliseconds, in _kb and _mb units of
-// 1024 and 1024*1024 bytes; rps is requests a second. Its parts have no names of their own:
-// the library's errors, which operators read, spell the type of a part.
+// wireSettings is the settings file with its own names and units; see Settings for the
+// meaning. Keys that end in _s are in seconds, in _ms in milliseconds, in _kb and _mb in units
+// of 1024 and 1024*1024 bytes; rps is requests per second. The sections have anonymous types
+// because the TOML library's errors, which operators read, contain the type of a section.
 type wireSettings struct {
 	Node       string `toml:"node"`
 	Area       string `toml:"area"`
@@ -75,13 +75,13 @@
 	} `toml:"cluster"`
 }
 
-// SettingError is a fault of a settings file. It names the file, the key and what is
-// wrong with it, in one line.
+// SettingError is an error in a settings file. Its text is one line with the file, the key
+// and the reason.
 type SettingError struct {
 	File   string
 	Key    string // dotted, with an index for lists; "file" or "syntax" for the file as a whole
 	Reason string
-	Cause  error // of a file that can't be read; nil where a value is at fault
+	Cause  error // if the file can't be read or parsed; nil if a value is invalid
 }
 
 func (e *SettingError) Error() string { return e.File + ": " + e.Key + ": " + e.Reason }
@@ -89,7 +89,7 @@
 // Unwrap returns the cause.
 func (e *SettingError) Unwrap() error { return e.Cause }
 
-// LoadSettings reads and checks a settings file. Unknown keys are ignored. Its errors are
+// LoadSettings reads and validates a settings file. Unknown keys are ignored. Its errors are
 // of type *SettingError.
 func LoadSettings(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
@@ -108,13 +108,14 @@
 	return settings, nil
 }
 
-// keyOfTOMLError returns the key that a fault of the file's form was found at.
+// keyOfTOMLError returns the key at which parsing failed, or "syntax" if the error names no
+// key.
 func keyOfTOMLError(err error) string {
 	var parseError toml.ParseError
 	if errors.As(err, &parseError) && parseError.LastKey != "" {
 		return parseError.LastKey
 	}
-	// A value of the wrong type: the library names the key in its text only.
+	// For a value of the wrong type, the library names the key only in the error's text.
 	if _, rest, ok := strings.Cut(err.Error(), `(last key "`); ok {
 		key, _, _ := strings.Cut(rest, `"`)
 		return key
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -6,48 +6,50 @@
 	"time"
 )
 
-// Messages that come by the hundred a second are read and written by generated
-// code: reading them by reflection took a quarter of the processor time.
+// Messages that arrive hundreds of times per second are decoded and encoded by generated
+// code: decoding them by reflection took a quarter of the processor time.
 //
 //go:generate go tool easyjson -output_filename submission_easyjson.go submission.go
 
-// Shape says how a job's tasks belong together.
+// Shape is the kind of a job's task group: array, gang or service.
 type Shape string
 
-// The shapes, spelled as on the wire.
+// The shapes, with their names on the wire.
 const (
-	ShapeArray   Shape = "sweep"   // tasks are independent and end by themselves
-	ShapeGang    Shape = "group"   // tasks start, and run, all together or not at all
+	ShapeArray   Shape = "sweep"   // tasks are independent and run to completion
+	ShapeGang    Shape = "group"   // tasks start and run all together or not at all
 	ShapeService Shape = "service" // replicas run until the job is cancelled
 )
 
 // Bounds of a submission.
 const (
-	// MaxTasks bounds the tasks of one job.
+	// MaxTasks is the largest number of tasks of one job.
 	MaxTasks = 100_000
 
-	// maxAmount keeps sums of amounts, and Durations of seconds, far from overflow.
+	// maxAmount bounds each amount, so that sums of amounts and amounts of seconds as
+	// Durations are far from overflow.
 	maxAmount       = 1e9
 	maxNameBytes    = 200
 	maxMachineTypes = 64
 )
 
-// Submission is a job as users send it to a controller. Amounts are those of one task.
+// Submission is the description of a job that a user sends to a controller. Amounts are per
+// task.
 //
 //easyjson:json
 type Submission struct {
-	JobID               string   `json:"ref"` // the user's; a repeated one is the same job
+	JobID               string   `json:"ref"` // chosen by the user; a submission with a known id is a retry
 	Class               string   `json:"jobclass"`
 	Team                string   `json:"owner"`
 	Shape               Shape    `json:"shape"`
 	PriorityClass       string   `json:"rank"`   // see ParsePriority
-	Tasks               int      `json:"shards"` // how many
+	Tasks               int      `json:"shards"` // the number of tasks
 	CPUs                float64  `json:"cpus"`
 	GPUs                float64  `json:"cards"`
 	MemoryGB            float64  `json:"memGb"`
 	Image               string   `json:"bundle"`
 	ImageGB             float64  `json:"sizeGb"`
-	MachineTypes        []string `json:"flavours,omitempty"` // that will do; empty: any
+	MachineTypes        []string `json:"flavours,omitempty"` // on which the job may run; empty: any
 	Zone                string   `json:"hall,omitempty"`     // where it must run; empty: anywhere
 	SameZone            bool     `json:"samePlace,omitempty"`
 	SpreadZones         bool     `json:"spread,omitempty"`
@@ -56,13 +58,13 @@
 	CheckpointIntervalS float64  `json:"snapshotEveryS,omitempty"` // see CheckpointInterval
 	CheckpointS         float64  `json:"snapshotS,omitempty"`      // see CheckpointDuration
 	DeadlineS           *float64 `json:"dueS,omitempty"`           // see Deadline
-	// Dependencies names the jobs that must be done before a task of this one starts. They
-	// are checked, in order and without duplicates; a job's record keeps them apart from
-	// the description.
+	// Dependencies are the ids of the jobs that must be done before a task of this job
+	// starts. ParseSubmission sorts them and removes duplicates. A job's record holds its
+	// dependencies separately from its description.
 	Dependencies []string `json:"awaits,omitempty"`
 }
 
-// requiredKeys are the keys of a submission that may be neither left out nor null.
+// requiredKeys are the keys of a submission that may be neither missing nor null.
 var requiredKeys = []string{
 	"ref",
 	"jobclass",
@@ -83,34 +85,36 @@
 	"snapshotS",
 }
 
-// priorityClasses are spelled as on the wire, the lowest first.
+// priorityClasses are the priority classes by their names on the wire, the lowest first.
 var priorityClasses = []string{"idle", "normal", "high", "critical"}
 
-// ParsePriority returns the priority of a class: from 0, higher goes first. It reports
-// whether the class is known.
+// ParsePriority returns the priority of a priority class, and reports whether the class is
+// known. The lowest priority is 0; jobs of higher priority go first.
 func ParsePriority(class string) (int, bool) {
 	priority := slices.Index(priorityClasses, class)
 	return max(0, priority), priority >= 0
 }
 
-// PriorityClassOf is the class of a priority; one out of range gives the nearest.
+// PriorityClassOf returns the priority class of a priority, or the nearest class if the
+// priority is out of range.
 func PriorityClassOf(priority int) string {
 	return priorityClasses[min(max(0, priority), len(priorityClasses)-1)]
 }
 
-// RunEstimate is the user's estimate of a task's run time.
+// RunEstimate returns the user's estimate of a task's run time.
 func (s *Submission) RunEstimate() time.Duration { return Seconds(s.RunEstimateS) }
 
-// CheckpointInterval is the progress between checkpoints; 0: it never saves.
+// CheckpointInterval returns the progress between two checkpoints of a task, as run time; 0
+// means that tasks save no checkpoints.
 func (s *Submission) CheckpointInterval() time.Duration { return Seconds(s.CheckpointIntervalS) }
 
-// CheckpointDuration is the time a stopped task needs to save.
+// CheckpointDuration returns the time that a stopped task needs to save a checkpoint.
 func (s *Submission) CheckpointDuration() time.Duration { return Seconds(s.CheckpointS) }
 
-// Deadline is the time from the submission to the deadline; 0 means none.
+// Deadline returns the time from the submission to the deadline; 0 means none.
 func (s *Submission) Deadline() time.Duration { return Seconds(s.deadlineS()) }
 
-// deadlineS is the deadline in seconds; 0 means none.
+// deadlineS returns the deadline in seconds; 0 means none.
 func (s *Submission) deadlineS() float64 {
 	if s.DeadlineS == nil {
 		return 0
@@ -118,15 +122,15 @@
 	return *s.DeadlineS
 }
 
-// Priority is the priority of a checked submission.
+// Priority returns the priority of a validated submission.
 func (s *Submission) Priority() int {
 	priority, _ := ParsePriority(s.PriorityClass)
 	return priority
 }
 
-// ParseSubmission reads and checks a submission's form: keys, spellings and ranges, not
-// whether the team or the machine types exist. Errors wrap ErrMalformed and name the first
-// fault, in the wire's words.
+// ParseSubmission decodes a submission and validates its form: keys, values and ranges, but
+// not whether the team or the machine types exist. Errors wrap ErrMalformed and name the key
+// of the first invalid value as on the wire.
 func ParseSubmission(body []byte) (*Submission, error) {
 	if err := checkRequiredKeys(body); err != nil {
 		return nil, err
@@ -146,8 +150,9 @@
 	return &s, nil
 }
 
-// checkRequiredKeys checks that a body is an object with all required keys: a job that
-// lacks samePlace would run where its user did not want it.
+// checkRequiredKeys checks that a body is an object with all required keys. Without this
+// check a job whose samePlace is missing, for example, would run in zones that its user did
+// not want.
 func checkRequiredKeys(body []byte) error {
 	var present map[string]json.RawMessage
 	if err := json.Unmarshal(body, &present); err != nil || present == nil {
@@ -177,7 +182,7 @@
 		{"dueS", s.deadlineS()},
 	}
 	for _, amount := range amounts {
-		// A NaN fails both comparisons, an infinity one of them.
+		// NaN fails both comparisons, an infinity fails one of them.
 		if !(amount.value >= 0 && amount.value <= maxAmount) {
 			return malformed("%s is out of range", amount.key)
 		}
@@ -185,7 +190,7 @@
 	return nil
 }
 
-// checkForm checks the id, the shape, the number of tasks and the names.
+// checkForm checks the id, the shape, the number of tasks, and the lengths of names and lists.
 func (s *Submission) checkForm() error {
 	switch {
 	case !ValidJobID(s.JobID):
@@ -202,7 +207,7 @@
 	return nil
 }
 
-// checkMachineTypes checks the names of the machine types that will do.
+// checkMachineTypes checks the names of the machine types on which the job may run.
 func (s *Submission) checkMachineTypes() error {
 	for _, machineType := range s.MachineTypes {
 		if !validName(machineType) {
@@ -212,11 +217,11 @@
 	return nil
 }
 
-// validName reports whether a name is there and no longer than maxNameBytes.
+// validName reports whether a name is not empty and at most maxNameBytes long.
 func validName(name string) bool { return name != "" && len(name) <= maxNameBytes }
 
-// checkDependencies checks the jobs that a submission waits for, orders them and drops
-// repeated ones.
+// checkDependencies checks the ids of the jobs that a submission depends on, sorts them and
+// removes duplicates.
 func (s *Submission) checkDependencies() error {
 	for _, jobID := range s.Dependencies {
 		if !ValidJobID(jobID) {
