--- a/internal/protocol/golden_settings_test.go
+++ b/internal/protocol/golden_settings_test.go
@@ -10,8 +10,8 @@
 	"madderslip/internal/golden"
 )
 
-// TestGoldenSettingsHaveEveryKey: the golden settings file sets every key that is read,
-// has no other, and each key is read as by 096baff.
+// TestGoldenSettingsHaveEveryKey checks that the golden settings file sets every key that
+// the code reads and no other, and that each key is read as by commit 096baff.
 func TestGoldenSettingsHaveEveryKey(t *testing.T) {
 	var wire wireSettings
 	meta, err := toml.Decode(string(golden.Read(t, "settings.toml")), &wire)
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -8,12 +8,12 @@
 	"madderslip/internal/protocol"
 )
 
-// codec is how messages are written and read.
+// codec encodes and decodes messages.
 var codec = golden.Codec{Encode: protocol.Encode, Decode: protocol.Decode}
 
-// kinds are the messages between users, workers, the cloud and the controllers. What is
-// set here has a form of its own: escaped text, and numbers that the two JSON writers in
-// use spell differently.
+// kinds are the messages between users, workers, the cloud and the controllers. The values
+// set here are special cases of the encoding: text that is escaped, and numbers that the two
+// JSON encoders in use format differently.
 func kinds() []golden.Kind {
 	return []golden.Kind{
 		{Name: "submission", Value: &protocol.Submission{Class: "é <\"&\\>", Shape: protocol.ShapeGang, PriorityClass: "high", RunEstimateS: 1e6, CheckpointS: 1e-7}},
@@ -34,12 +34,14 @@
 	}
 }
 
-// TestGoldenMessages: every message is read and written byte for byte as by 096baff.
+// TestGoldenMessages checks that every message is decoded and encoded byte for byte as by
+// commit 096baff.
 func TestGoldenMessages(t *testing.T) {
 	golden.Check(t, codec, kinds(), "settings.toml", "settings.keys", "settings.values")
 }
 
-// The checks of what comes from outside let the golden messages through unchanged.
+// TestGoldenMessagesAreAccepted checks that the validation of messages from outside accepts
+// the golden messages and does not change them.
 func TestGoldenMessagesAreAccepted(t *testing.T) {
 	submission, err := protocol.ParseSubmission(golden.Read(t, "submission.json"))
 	if err != nil {
@@ -59,7 +61,8 @@
 	}
 }
 
-// TestGoldenSettings: the settings file means what it meant to 096baff.
+// TestGoldenSettings checks that the golden settings file gives the same Settings as at commit
+// 096baff.
 func TestGoldenSettings(t *testing.T) {
 	settings, err := protocol.LoadSettings("testdata/golden/settings.toml")
 	if err != nil {
@@ -68,7 +71,8 @@
 	golden.CheckText(t, "settings.values", golden.List(reflect.ValueOf(settings)))
 }
 
-// TestGeneratedCodeIsCurrent: the generated codecs know every field of the messages.
+// TestGeneratedCodeIsCurrent checks that the generated codecs handle every field of the
+// messages.
 func TestGeneratedCodeIsCurrent(t *testing.T) {
 	golden.CheckGenerated(t, codec, &protocol.Submission{}, &protocol.JobStatus{}, &protocol.TaskStatus{}, &protocol.Heartbeat{}, &protocol.Command{},
 		&protocol.HeartbeatResponse{}, &protocol.CommandRequest{}, &protocol.PeerMessage{})
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-const goodJob = `{"ref":"wk-000412","jobclass":"train","owner":"vision","shape":"group","rank":"high","shards":16,
+const validSubmission = `{"ref":"wk-000412","jobclass":"train","owner":"vision","shape":"group","rank":"high","shards":16,
  "cpus":8.0,"cards":1.0,"memGb":64.0,"bundle":"img-07","sizeGb":6.2,"flavours":["g8"],"hall":null,"samePlace":true,
  "spread":false,"loaner":true,"expectS":240.0,"snapshotEveryS":30.0,"snapshotS":4.0,"dueS":900.0,"news":1}`
 
 func TestParseSubmission(t *testing.T) {
-	s, err := ParseSubmission([]byte(goodJob))
+	s, err := ParseSubmission([]byte(validSubmission))
 	if err != nil || s.RunEstimate() != 4*time.Minute || s.Deadline() != 15*time.Minute || s.Zone != "" || !s.SameZone || s.Priority() != 2 {
 		t.Fatalf("%+v %v", s, err)
 	}
@@ -36,9 +36,9 @@
 		"unknown rank":   {`"high"`, `"highest"`},
 		"negative due":   {`"dueS":900.0`, `"dueS":-5`},
 		"types no list":  {`["g8"]`, `"g8"`},
-		"not an object":  {goodJob, `[1]`},
-		"null":           {goodJob, `null`},
-		"not JSON":       {goodJob, `{"ref":`},
+		"not an object":  {validSubmission, `[1]`},
+		"null":           {validSubmission, `null`},
+		"not JSON":       {validSubmission, `{"ref":`},
 		"boolean as int": {`"samePlace":true`, `"samePlace":1`},
 		"awaits text":    {`"news":1`, `"awaits":"wk-1"`},
 		"awaits object":  {`"news":1`, `"awaits":{"wk-1":true}`},
@@ -47,14 +47,15 @@
 		"awaits itself":  {`"news":1`, `"awaits":["wk-000412"]`},
 	}
 	for name, f := range faults {
-		body := strings.Replace(goodJob, f[0], f[1], 1)
+		body := strings.Replace(validSubmission, f[0], f[1], 1)
 		if _, err := ParseSubmission([]byte(body)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
 }
 
-// The jobs that one waits for may be left out or null, and count once.
+// TestDependencies checks that the list of dependencies may be missing or null, and that it
+// is sorted and has no duplicates.
 func TestDependencies(t *testing.T) {
 	for with, want := range map[string]string{
 		`"news":1`:                               "",
@@ -63,18 +64,19 @@
 		`"awaits":["wk-2","wk-000001"]`:          "wk-000001 wk-2",
 		`"awaits":["wk-2","wk-1","wk-2","wk-1"]`: "wk-1 wk-2",
 	} {
-		s, err := ParseSubmission([]byte(strings.Replace(goodJob, `"news":1`, with, 1)))
+		s, err := ParseSubmission([]byte(strings.Replace(validSubmission, `"news":1`, with, 1)))
 		if err != nil || strings.Join(s.Dependencies, " ") != want {
 			t.Errorf("%s: %v %v", with, s, err)
 		}
 	}
 }
 
-// Only what may be null may be left out, and the other way round: a job that lacks
-// samePlace was accepted, and its tasks ran where its user did not want them.
+// TestFieldsThatMayNotBeLeftOut checks that the optional fields may be missing or null, and
+// that no other field may be either. A submission without samePlace was accepted, and its
+// tasks ran in zones that its user did not want.
 func TestFieldsThatMayNotBeLeftOut(t *testing.T) {
 	var all map[string]json.RawMessage
-	if err := json.Unmarshal([]byte(goodJob), &all); err != nil {
+	if err := json.Unmarshal([]byte(validSubmission), &all); err != nil {
 		t.Fatal(err)
 	}
 	delete(all, "news") // unknown here
@@ -127,7 +129,7 @@
 	}
 }
 
-const goodSettings = `node = "a"
+const validSettings = `node = "a"
 area = "z"
 public_addr = "127.0.0.1:1"
 peer_bind = "127.0.0.1:2"
@@ -170,7 +172,7 @@
 		s, err := LoadSettings(file)
 		return s, file, err
 	}
-	s, _, err := load(goodSettings)
+	s, _, err := load(validSettings)
 	if err != nil || s.Workers.LeaseDuration != 10*time.Second || s.StateLimits.MaxValueBytes != 8192 || s.NodeCount != 2 {
 		t.Fatalf("%+v %v", s, err)
 	}
@@ -186,7 +188,7 @@
 		{`txn_ops = 12`, "txn_ops = 12\n[cluster.state.next]\nvalue_kb = -2.0", "cluster.state.next"},
 		{`txn_ops = 12`, "txn_ops = 12\n[cluster.state.next]\nvalue_kb = nan", "cluster.state.next"},
 	} {
-		_, file, err := load(strings.Replace(goodSettings, c[0], c[1], 1))
+		_, file, err := load(strings.Replace(validSettings, c[0], c[1], 1))
 		var se *SettingError
 		if !errors.As(err, &se) || !strings.HasPrefix(err.Error(), file+": ") || !strings.Contains(err.Error(), c[2]) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: got %v", fmt.Sprint(c), err)
@@ -194,7 +196,8 @@
 	}
 }
 
-// A settings file that can't be read names its cause, for errors.Is, beside the text.
+// TestSettingsFileIsMissing checks that the error for an unreadable settings file wraps its
+// cause, so that errors.Is finds it.
 func TestSettingsFileIsMissing(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "none.toml")
 	_, err := LoadSettings(file)
@@ -204,10 +207,11 @@
 	}
 }
 
-// Records keep the limits that are announced as well as those of today.
+// TestRecordLimits checks that records observe the announced limits as well as the present
+// ones.
 func TestRecordLimits(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "s.toml")
-	text := strings.Replace(goodSettings, "txn_ops = 12", "txn_ops = 12\n[cluster.state.next]\nvalue_kb = 2.0\nwrite_rps = 21.0", 1)
+	text := strings.Replace(validSettings, "txn_ops = 12", "txn_ops = 12\n[cluster.state.next]\nvalue_kb = 2.0\nwrite_rps = 21.0", 1)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -223,11 +227,11 @@
 	}
 }
 
-// A guest team whose figures contradict one another is no reason not to start: the
-// limit counts, and the contradiction is named.
+// TestContradictoryTeamsAreWarnings checks that contradictory settings of a guest team do not
+// prevent the start: the limit applies, and a warning describes the contradiction.
 func TestContradictoryTeamsAreWarnings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "s.toml")
-	text := goodSettings + `
+	text := validSettings + `
 [[cluster.teams]]
 name = "guest"
 cpus = 40.0
--- a/internal/protocol/resources_test.go
+++ b/internal/protocol/resources_test.go
@@ -10,13 +10,13 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// listOfTwo is an amount as messages and records have held it since 096baff.
+// listOfTwo is the form of an amount in messages and records since commit 096baff.
 type listOfTwo [2]float64
 
 func (l listOfTwo) resources() Resources { return Resources{CPUs: l[0], GPUs: l[1]} }
 
-// TestResourcesAreWrittenAsLists: both JSON writers write an amount byte for byte as they
-// write a list of two numbers, alone and as a map's value.
+// TestResourcesAreWrittenAsLists checks that an amount is encoded byte for byte as a list of
+// two numbers: alone by generated code, as a map's value by encoding/json.
 func TestResourcesAreWrittenAsLists(t *testing.T) {
 	numbers := []float64{0, 1, 0.1, 2.5, 1e6, 1e20, 1e21, 1e-6, 1e-7, 1.0 / 3, -4, math.Copysign(0, -1), math.MaxFloat64, math.SmallestNonzeroFloat64}
 	for _, cpus := range numbers {
@@ -40,12 +40,12 @@
 		}
 	}
 	if _, err := json.Marshal(Resources{CPUs: math.Inf(1)}); err == nil {
-		t.Error("an amount without end was written")
+		t.Error("an infinite amount was encoded")
 	}
 }
 
-// TestResourcesAreReadAsLists: encoding/json reads an amount as it reads a list of two
-// numbers, and refuses what it refuses there.
+// TestResourcesAreReadAsLists checks that encoding/json decodes an amount as it decodes a list
+// of two numbers, and returns an error in the same cases.
 func TestResourcesAreReadAsLists(t *testing.T) {
 	for _, test := range []struct{ name, text string }{
 		{"both parts", `[1.5,2]`}, {"spaces", ` [ 1 , 2 ] `}, {"one part", `[1]`}, {"no part", `[]`}, {"three parts", `[1,2,3]`},
@@ -61,8 +61,9 @@
 	}
 }
 
-// TestGeneratedCodeReadsResources: generated code leaves a part that is missing or null
-// as it is, ignores parts beyond the second, and refuses what is no list of numbers.
+// TestGeneratedCodeReadsResources checks that generated code leaves an amount unchanged whose
+// number is missing or null, ignores elements beyond the second, and returns an error for a
+// value that is not a list of numbers.
 func TestGeneratedCodeReadsResources(t *testing.T) {
 	for _, test := range []struct {
 		name, text string
@@ -89,7 +90,7 @@
 	}
 }
 
-// TestResourcesInText: an amount is logged as the list that it is on the wire.
+// TestResourcesInText checks that an amount is formatted for logs as a list of two numbers.
 func TestResourcesInText(t *testing.T) {
 	if got := fmt.Sprintf("%v %+v", Resources{CPUs: 1.5, GPUs: 2}, map[string]Resources{"n0": {CPUs: 4}}); got != "[1.5 2] map[n0:[4 0]]" {
 		t.Error(got)
