--- a/internal/policy/expression.go
+++ b/internal/policy/expression.go
@@ -11,7 +11,7 @@
 	"madderslip/internal/protocol"
 )
 
-// LineError is a fault of a line of a policy file. Its text is file:line:column: cause.
+// LineError is an error in a line of a policy file. Its text is file:line:column: cause.
 type LineError struct {
 	File         string
 	Line, Column int // from 1
@@ -25,8 +25,8 @@
 // Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// variablesOf are the platform's settings that expressions may use. Times are seconds,
-// rates are a second.
+// variablesOf returns the platform's settings that expressions may use, by name. Times are in
+// seconds, rates are per second.
 func variablesOf(platform protocol.Settings) map[string]float64 {
 	return map[string]float64{
 		"report":          platform.Workers.HeartbeatInterval.Seconds(),
@@ -41,8 +41,8 @@
 	}
 }
 
-// read takes the settings of a file's text into the policy. A name that stands there twice
-// has the latter value.
+// read sets the policy's values from the text of a file. If a name occurs twice, the latter
+// value applies.
 func (p *Policy) read(file, text string, variables map[string]float64) error {
 	for i, line := range strings.Split(text, "\n") {
 		trimmed := strings.TrimSpace(line)
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// readLine takes one "name = expression" into the policy. With an error it returns the
-// column at fault.
+// readLine sets one value of the policy from a line "name = expression". With an error it
+// returns the column of the error.
 func (p *Policy) readLine(line string, variables map[string]float64) (column int, err error) {
 	name, source, ok := strings.Cut(line, "=")
 	if !ok {
@@ -74,7 +74,7 @@
 		return expressionColumn, fmt.Errorf("%s: %w", name, err)
 	}
 	s := settings[known]
-	// A NaN is within no bounds.
+	// NaN is not within any bounds.
 	if !(value >= s.low && value <= s.high) {
 		return expressionColumn, fmt.Errorf("%s is %v, must be from %v to %v", name, value, s.low, s.high)
 	}
@@ -82,11 +82,12 @@
 	return 0, nil
 }
 
-// evaluate checks and evaluates an expression. Its errors are one line.
+// evaluate type-checks and evaluates an expression. The text of its errors is one line.
 func evaluate(source string, variables map[string]float64) (float64, error) {
 	program, err := expr.Compile(source, expr.Env(variables), expr.AsFloat64())
 	if err != nil {
-		// The library draws the place on further lines; one line is enough.
+		// The library marks the position of the error on further lines, which are dropped:
+		// the text of an error is one line.
 		text, _, _ := strings.Cut(err.Error(), "\n")
 		return 0, errors.New(text)
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,10 +1,10 @@
-// Package policy holds the operators' own settings: expressions that are
-// type-checked when they are loaded, with built-in defaults. The language is
-// expr-lang's; the checker's errors carry the line and column in the file.
+// Package policy holds the operators' settings: expressions in the language of expr-lang that
+// are type-checked when they are loaded, with built-in defaults. Errors contain the line and
+// column in the file.
 //
-// It guarantees that every field of a loaded Policy is within its bounds, and that machines
-// are suspected before they are fenced. It imports protocol alone, for the platform's
-// settings that expressions may use.
+// Every field of a loaded Policy is within its bounds, and machines are suspected before they
+// are fenced. Of this module the package imports only protocol, for the platform's settings
+// that expressions may use.
 package policy
 
 import (
@@ -19,89 +19,91 @@
 //go:embed default.policy
 var defaults string
 
-// defaultsName is how errors call the built-in defaults.
+// defaultsName is the file name of the built-in defaults in errors.
 const defaultsName = "default.policy"
 
-// Policy is the checked and evaluated policy; names in brackets are those of the file.
-// Nobody changes it once it is loaded.
+// Policy is the validated and evaluated policy; names in brackets are those of the policy
+// file. It is not modified after it is loaded.
 type Policy struct {
-	// Copies [copies] is at how many shards a job queues.
+	// Copies [copies] is the number of shards at which a job is queued.
 	Copies int
-	// TasksPerChunk [chunk_tasks] is how many tasks of an array are claimed together, an
-	// even number.
+	// TasksPerChunk [chunk_tasks] is the number of tasks of an array that are claimed
+	// together. It is even.
 	TasksPerChunk int
 
-	// NodeLease [node_lease] is the time after which a controller without contact loses
-	// its shard.
+	// NodeLease [node_lease] is the time without contact after which a controller loses its
+	// shard.
 	NodeLease time.Duration
-	// HandbackDelay [handback_after] is how long a returned controller must be stable
-	// before it gets its shard back.
+	// HandbackDelay [handback_after] is the time for which a returned controller must be
+	// stable before it gets its shard back.
 	HandbackDelay time.Duration
 
-	// ProbeAfter [probe_after] is the silence after which a machine is asked.
+	// ProbeAfter [probe_after] is the time without contact after which a machine is probed.
 	ProbeAfter time.Duration
-	// SuspectAfter [suspect_after] is the silence after which a machine gets nothing new.
+	// SuspectAfter [suspect_after] is the time without contact after which a machine gets no
+	// new tasks.
 	SuspectAfter time.Duration
-	// FenceAfter [fence_after] is the silence after which a machine is fenced.
+	// FenceAfter [fence_after] is the time without contact after which a machine is fenced.
 	FenceAfter time.Duration
-	// FenceReplicasAfter [fence_replicas_after] is the same for a machine that runs
-	// replicas of services.
+	// FenceReplicasAfter [fence_replicas_after] is used instead of FenceAfter for a machine
+	// that runs replicas of services.
 	FenceReplicasAfter time.Duration
-	// PartitionPatience [zone_patience] is the same for the machines of a zone that seems
-	// cut off as a whole.
+	// PartitionPatience [zone_patience] is used instead of FenceAfter and FenceReplicasAfter,
+	// if it is longer, for the machines of a zone that seems partitioned as a whole.
 	PartitionPatience time.Duration
 
 	// WarmShare [warm_share] is the part of the services' CPUs that is kept free so that
-	// the next ones start at once; 0.12 is 12 %.
+	// further services start at once; 0.12 is 12 %.
 	WarmShare float64
-	// GPUMachineReserve [card_reserve] is how many whole machines with GPUs each shard
-	// keeps from arrays without GPUs.
+	// GPUMachineReserve [card_reserve] is the number of whole machines with GPUs that each
+	// shard keeps from arrays without GPUs.
 	GPUMachineReserve int
-	// GPUMachineShare [card_share] is the same as a part, from 0 to 1, of the shard's
-	// machines with GPUs, if that is more.
+	// GPUMachineShare [card_share] gives the same number as a part, from 0 to 1, of the
+	// shard's machines with GPUs. The larger number applies.
 	GPUMachineShare float64
 
-	// ArrayWait [array_wait] is the queue, as time, that an array may wait for before
-	// machines are rented for it.
+	// ArrayWait [array_wait] is the time within which queued arrays should be worked off.
+	// Machines are rented for an array if the existing ones need longer.
 	ArrayWait time.Duration
-	// StartAheadAfter [begin_by] is how long an array waits for its turn; then one task of
-	// it begins ahead of others of its priority class.
+	// StartAheadAfter [begin_by] is how long an array waits for its turn. Then one task of it
+	// starts ahead of other jobs of its priority class.
 	StartAheadAfter time.Duration
 
-	// BestEffortWait [idle_wait] is the same as ArrayWait for best-effort arrays, those of
-	// the lowest priority class.
+	// BestEffortWait [idle_wait] is used instead of ArrayWait for best-effort arrays, which
+	// are those of the lowest priority class.
 	BestEffortWait time.Duration
 	// BestEffortShare [idle_share] is the part, from 0 to 1, of a shard's CPUs that
-	// best-effort work may use though others wait.
+	// best-effort jobs may use while other jobs are queued.
 	BestEffortShare float64
-	// BestEffortProvisionShare [idle_rent] is the part, from 0 to 1, of the fleet that may
-	// be rented for best-effort work at most.
+	// BestEffortProvisionShare [idle_rent] is the largest part, from 0 to 1, of all CPUs that
+	// may be rented for best-effort jobs.
 	BestEffortProvisionShare float64
-	// BestEffortGPUMachineShare [idle_cards] is the same as GPUMachineShare, of what is
-	// kept from best-effort arrays.
+	// BestEffortGPUMachineShare [idle_cards] is used instead of GPUMachineShare, if it is
+	// larger, for the machines that are kept from best-effort arrays.
 	BestEffortGPUMachineShare float64
 
-	// IdleMachineTTL [idle_after] is how long an idle machine is kept.
+	// IdleMachineTTL [idle_after] is the time for which an idle machine is kept.
 	IdleMachineTTL time.Duration
-	// RefusedOfferPause [refused_pause] is the time before a refused kind of machine is
-	// asked for again.
+	// RefusedOfferPause [refused_pause] is the time after a refusal before machines of the
+	// refused kind are requested again.
 	RefusedOfferPause time.Duration
-	// CompletionBatchDelay [book_after] is how long completed tasks of an array may wait to
-	// be recorded, so that one write records many.
+	// CompletionBatchDelay [book_after] is how long the completion of an array's tasks may
+	// stay unrecorded, so that one write records many.
 	CompletionBatchDelay time.Duration
-	// Allotments [allotments] is whether each team's limit is divided among the shards;
+	// Allotments [allotments] reports whether each team's limit is divided among the shards;
 	// otherwise all controllers share one record for each team.
 	Allotments bool
 }
 
-// setting is a name of the policy file: its bounds, and how its value gets into a Policy.
+// setting is a name of the policy file, with the bounds of its value and the function that
+// sets the value in a Policy.
 type setting struct {
 	name      string
 	low, high float64 // both included
 	set       func(p *Policy, value float64)
 }
 
-// settings are all names of the policy file. Times are seconds.
+// settings are all names of the policy file. Times are in seconds.
 var settings = []setting{
 	{"copies", 1, 64, func(p *Policy, v float64) { p.Copies = int(v) }},
 	{"chunk_tasks", 2, 128, func(p *Policy, v float64) { p.TasksPerChunk = int(v) &^ 1 }},
@@ -127,8 +129,8 @@
 	{"allotments", 0, 1, func(p *Policy, v float64) { p.Allotments = v != 0 }},
 }
 
-// Load reads the defaults and, if path is not empty, an operators' file over them. A fault
-// of a line is a *LineError.
+// Load reads the defaults and, if path is not empty, an operators' file whose values override
+// the defaults. An error in a line is a *LineError.
 func Load(path string, platform protocol.Settings) (Policy, error) {
 	variables := variablesOf(platform)
 	var p Policy
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// Every field is set by one name, and the defaults set every name.
+// TestEveryNameHasADefault checks that the defaults set every name, that every name sets a
+// field, and that there are as many names as fields.
 func TestEveryNameHasADefault(t *testing.T) {
 	for _, s := range settings {
 		if !strings.Contains(defaults, "\n"+s.name+" = ") {
@@ -42,7 +43,8 @@
 	}
 }
 
-// A fault of a line is told with file, line and column, for people and for errors.As.
+// TestLineError checks that an error in a line contains the file, the line and the column, in
+// the text and in the fields of LineError.
 func TestLineError(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "p")
 	if err := os.WriteFile(file, []byte("copies = 2\n  card_share = 1.5\n"), 0o600); err != nil {
