--- a/cmd/madderslip/run.go
+++ b/cmd/madderslip/run.go
@@ -13,7 +13,7 @@
 	"madderslip"
 )
 
-// runCommand is the program without a verb: it runs a controller until a signal ends it.
+// runCommand returns the root command, which runs a controller until a signal ends it.
 func runCommand(files *configFiles) *cobra.Command {
 	return &cobra.Command{
 		Use:           "madderslip --config FILE",
--- a/madderslip.go
+++ b/madderslip.go
@@ -1,9 +1,9 @@
 // Package madderslip is a cluster scheduler: controllers own shards of rented
 // machines, queue each job at the K least-loaded shards, and start it where it
-// can start first. It can be embedded: LoadConfig, New, then Run.
+// can start first. To embed a controller, call LoadConfig, New and Run.
 //
-// It puts the parts of one controller together and owns their lifetime. All decisions are
-// made below internal/coordination.
+// The package assembles the components of one controller and owns their lifetime. All
+// scheduling decisions are made below internal/coordination.
 package madderslip
 
 import (
@@ -34,9 +34,9 @@
 	Log      *slog.Logger // nil: nothing is logged
 }
 
-// LoadConfig reads and checks the platform's settings file and the operators'
-// policy. policyFile may be empty; then the settings' own entry, or the
-// defaults, hold. An error names the file and what is wrong in it, in one line.
+// LoadConfig reads and validates the platform's settings file and the operators' policy. If
+// policyFile is empty, the policy file that the settings name is used; if they name none, the
+// defaults apply. The text of an error is one line with the file and the reason.
 func LoadConfig(file, policyFile string) (Config, error) {
 	settings, err := protocol.LoadSettings(file)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return Config{Settings: settings, Policy: checked}, nil
 }
 
-// Controller is one controller.
+// Controller is one controller of the cluster.
 type Controller struct {
 	cfg          Config
 	store        *kv.Client
@@ -61,11 +61,11 @@
 	peerClients  []*transport.PeerClient
 }
 
-// dialTimeout is the longest that a connection to a worker, the cloud or the state service
-// may take to be made.
+// dialTimeout is the time limit for opening a connection to a worker, the cloud or the state
+// service.
 const dialTimeout = time.Second
 
-// Idle connections that are kept for another call, per address.
+// Numbers of idle connections that are kept for further calls, per address.
 const (
 	idlePerWorker = 1
 	idlePerState  = 8
@@ -97,7 +97,7 @@
 	return c, nil
 }
 
-// newStore makes the client of the state service.
+// newStore returns a client of the state service.
 func newStore(cfg Config, sockets admission.SocketBudget) *kv.Client {
 	settings := cfg.Settings
 	caller := transport.NewClient(sockets.State, idlePerState, dialTimeout)
@@ -106,7 +106,8 @@
 	return store
 }
 
-// dialPeers prepares a client of each other controller, by its name.
+// dialPeers creates a client for each of the other controllers, and returns the clients by the
+// controllers' names.
 func (c *Controller) dialPeers() (map[string]controller.PeerClient, error) {
 	byName := make(map[string]controller.PeerClient)
 	for _, peer := range c.cfg.Settings.Peers {
@@ -128,12 +129,13 @@
 
 // Times after which the public server closes a connection.
 const (
-	minIdleTime    = 30 * time.Second
-	idleHeartbeats = 5 // heartbeat intervals, if that is longer
-	stallTime      = 10 * time.Second
+	minIdleTime    = 30 * time.Second // idle
+	idleHeartbeats = 5                // idle, in heartbeat intervals, if that is longer
+	stallTime      = 10 * time.Second // with an incomplete request
 )
 
-// publicServerConfig bounds the public server by the process's limits.
+// publicServerConfig returns the configuration of the public server, with limits that follow
+// from those of the process.
 func publicServerConfig(settings protocol.Settings, sockets admission.SocketBudget) transport.ServerConfig {
 	return transport.ServerConfig{
 		Addr:     settings.PublicAddr,
@@ -142,15 +144,17 @@
 		Keep:     sockets.KeepAlive,
 		IsUser:   protocol.IsUserRequest,
 		Limits:   transport.Limits{Head: maxRequestHead, Body: maxRequestBody},
-		// Whoever has nothing to say for several heartbeats has gone, or its machine has.
+		// A client that sends nothing for several heartbeat intervals has terminated, or its
+		// machine has failed.
 		Idle:  max(minIdleTime, idleHeartbeats*settings.Workers.HeartbeatInterval),
 		Stall: stallTime,
 	}
 }
 
-// Run serves until the context ends or an address can't be opened; then it returns the
-// cause, or nil if the context was cancelled. All that it started has ended when it returns:
-// an embedding program may open the same addresses again. It is called once.
+// Run serves until the context ends or an address can't be opened. It returns the cause, or
+// nil if the context was cancelled. All goroutines and servers that it started have ended when
+// it returns, so that an embedding program may open the same addresses again. Run may be
+// called only once.
 func (c *Controller) Run(ctx context.Context) error {
 	tuneMemory(c.cfg.Settings.ProcessLimits.MemoryBytes)
 	peerServer, err := transport.ListenPeers(c.cfg.Settings.PeerAddr, c.node.HandlePeerMessage)
@@ -182,12 +186,12 @@
 	return nil
 }
 
-// gcPercent is how much the heap grows between collections, in percent. Processor time is
-// scarcer than memory: collect less often than usual.
+// gcPercent is by how much the heap grows between garbage collections, in percent. It is
+// higher than Go's default, for fewer collections: processor time is scarcer than memory.
 const gcPercent = 400
 
-// tuneMemory has the runtime collect more often only when memory runs short: beyond 60 %
-// of the process's limit, in bytes.
+// tuneMemory configures the garbage collector: collections are more frequent only when memory
+// use approaches 60 % of the process's limit, which is given in bytes.
 func tuneMemory(limit int64) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(limit * 6 / 10)
