--- a/internal/policy/expression.go
+++ b/internal/policy/expression.go
@@ -65,15 +65,15 @@
 	}
 	expressionColumn := len(name) + len("=") + 1
 	name = strings.TrimSpace(name)
-	known := slices.IndexFunc(settings, func(s setting) bool { return s.name == name })
-	if known < 0 {
+	index := slices.IndexFunc(settings, func(s setting) bool { return s.name == name })
+	if index < 0 {
 		return 1, fmt.Errorf("unknown name %q", name)
 	}
 	value, err := evaluate(source, variables)
 	if err != nil {
 		return expressionColumn, fmt.Errorf("%s: %w", name, err)
 	}
-	s := settings[known]
+	s := settings[index]
 	// NaN is not within any bounds.
 	if !(value >= s.low && value <= s.high) {
 		return expressionColumn, fmt.Errorf("%s is %v, must be from %v to %v", name, value, s.low, s.high)
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -81,7 +81,7 @@
 	}
 	delete(all, "news") // unknown here
 	for key := range all {
-		may := key == "flavours" || key == "hall" || key == "dueS"
+		optional := key == "flavours" || key == "hall" || key == "dueS"
 		for _, value := range []json.RawMessage{nil, json.RawMessage("null")} {
 			part := maps.Clone(all)
 			if delete(part, key); value != nil {
@@ -91,7 +91,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := ParseSubmission(body); (err == nil) != may || (err != nil && !errors.Is(err, ErrMalformed)) {
+			if _, err := ParseSubmission(body); (err == nil) != optional || (err != nil && !errors.Is(err, ErrMalformed)) {
 				t.Errorf("%s as %q: %v", key, value, err)
 			}
 		}
@@ -219,11 +219,11 @@
 	if l := s.RecordLimits(); err != nil || l != (StateLimits{RequestRate: 100, WriteRate: 21, MaxValueBytes: 2048, MaxTxnOps: 12}) {
 		t.Errorf("%+v, %v", l, err)
 	}
-	if open := s.RecordLimits().MaxPlacements(); open < 60 || open*24+384 > 2048 {
-		t.Errorf("%d placements in 2 KB", open)
+	if placements := s.RecordLimits().MaxPlacements(); placements < 60 || placements*24+384 > 2048 {
+		t.Errorf("%d placements in 2 KB", placements)
 	}
-	if open := s.StateLimits.MaxPlacements(); open != 199 {
-		t.Errorf("%d placements in 8 KB, 199 before", open)
+	if placements := s.StateLimits.MaxPlacements(); placements != 199 {
+		t.Errorf("%d placements in 8 KB, wanted 199", placements)
 	}
 }
 
--- a/internal/protocol/routes.go
+++ b/internal/protocol/routes.go
@@ -34,7 +34,7 @@
 // The query string of the target is ignored.
 func MatchRoute(method, target string) (Route, string) {
 	path, _, _ := strings.Cut(target, "?")
-	found := RouteNotFound
+	mismatch := RouteNotFound
 	for _, r := range routes {
 		id, matches := "", path == r.prefix
 		if r.withID {
@@ -46,9 +46,9 @@
 		if r.method == method {
 			return r.route, id
 		}
-		found = RouteWrongMethod
+		mismatch = RouteWrongMethod
 	}
-	return found, ""
+	return mismatch, ""
 }
 
 // pathID returns the single segment between a prefix and a suffix, and reports whether the
