--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -48,8 +48,8 @@
 	// FenceReplicasAfter [fence_replicas_after] is used instead of FenceAfter for a machine
 	// that runs replicas of services.
 	FenceReplicasAfter time.Duration
-	// PartitionPatience [zone_patience] is used instead of FenceAfter and FenceReplicasAfter,
-	// if it is longer, for the machines of a zone that seems partitioned as a whole.
+	// PartitionPatience [zone_patience] is used for the machines of a zone that seems
+	// partitioned as a whole, instead of FenceAfter and FenceReplicasAfter if it is longer.
 	PartitionPatience time.Duration
 
 	// WarmShare [warm_share] is the part of the services' CPUs that is kept free so that
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -11,7 +11,7 @@
 // ErrMalformed is wrapped by all errors that lead to a response with HTTP status 400.
 var ErrMalformed = errors.New("malformed")
 
-// malformed returns an error that wraps ErrMalformed; its text is sent to the client.
+// malformed returns an error that wraps ErrMalformed; its text is part of the response.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -3,8 +3,8 @@
 //
 // Messages and settings that have passed validation are within the bounds that the rest of
 // the program relies on: ids have the required form, and amounts are finite and far from
-// overflow. The names used on the wire appear only in this package's struct tags and
-// constants; Go identifiers use the terms that are common in cluster scheduling. Seconds
+// overflow. The names used on the wire stay in this package's struct tags, constants and
+// error texts; Go identifiers use the terms that are common in cluster scheduling. Seconds
 // converts the wire's seconds to a time.Duration. The package does no network I/O and
 // imports no other package of this module.
 //
