--- a/cmd/madderslip/check.go
+++ b/cmd/madderslip/check.go
@@ -20,7 +20,7 @@
 				fmt.Fprintln(cmd.ErrOrStderr(), "madderslip: doubtful: "+warning)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "ok: node %s, %d peers, K=%d\n",
-				cfg.Settings.NodeName, len(cfg.Settings.Peers), cfg.Policy.Copies)
+				cfg.Settings.NodeName, len(cfg.Settings.Peers), cfg.Policy.ShardsPerJob)
 			return nil
 		},
 	}
--- a/internal/coordination/controller/failuredetection.go
+++ b/internal/coordination/controller/failuredetection.go
@@ -72,7 +72,7 @@
 // fenceDelay returns how long a machine may be silent before it is fenced: usual, or longer
 // while its zone seems partitioned.
 func (c *Controller) fenceDelay(machine *replica.Machine, usual time.Duration, now time.Time) time.Duration {
-	return health.FenceDelay(usual, c.policy.PartitionPatience, c.isPartitioned(machine.Record.Zone, now))
+	return health.FenceDelay(usual, c.policy.FencePartitionedAfter, c.isPartitioned(machine.Record.Zone, now))
 }
 
 // stateDownAfter is the time without any executed call after which the state service counts as
--- a/internal/coordination/controller/queue.go
+++ b/internal/coordination/controller/queue.go
@@ -165,7 +165,7 @@
 const maxReportedLoadAge = 5 * time.Second
 
 // chooseShards chooses the shards at which a job is queued: those with the best scores, as
-// many as the policy's Copies. Shards with free capacity on a machine that holds the image
+// many as the policy's ShardsPerJob. Shards with free capacity on a machine that holds the image
 // are preferred and, at a similar load, shards that this node owns.
 func (c *Controller) chooseShards(spec *protocol.Submission, now time.Time) []string {
 	var all []scoredShard
@@ -176,7 +176,7 @@
 	}
 	slices.SortStableFunc(all, func(a, b scoredShard) int { return cmp.Compare(a.score, b.score) })
 	var chosen []string
-	for _, shard := range all[:min(len(all), c.policy.Copies)] {
+	for _, shard := range all[:min(len(all), c.policy.ShardsPerJob)] {
 		chosen = append(chosen, shard.name)
 	}
 	return chosen
@@ -230,7 +230,7 @@
 // chunkSize returns how many tasks of a job are claimed together. Gangs, services and jobs
 // whose tasks depend on one another's zones are claimed whole, so that one record decides
 // where their tasks may go. Other arrays are cut into few chunks, since each chunk costs
-// writes of its own: as many as the policy's Copies, or fewer where a chunk would be small
+// writes of its own: as many as the policy's ShardsPerJob, or fewer where a chunk would be small
 // compared with the shards that may claim it. Having several chunks prevents a whole array
 // from waiting at one small shard while others have capacity.
 //
@@ -242,7 +242,7 @@
 		return spec.Tasks
 	}
 	maxPlacements := c.settings.RecordLimits().MaxPlacements()
-	chunks := min(max(1, c.policy.Copies, (spec.Tasks-1)/(c.placementWaves(spec)*maxPlacements)+1), maxChunks)
+	chunks := min(max(1, c.policy.ShardsPerJob, (spec.Tasks-1)/(c.placementWaves(spec)*maxPlacements)+1), maxChunks)
 	return min(spec.Tasks, max(c.policy.TasksPerChunk, (spec.Tasks+chunks-1)/chunks, c.smallChunkSize(spec, shardNames)))
 }
 
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -25,8 +25,8 @@
 // Policy is the validated and evaluated policy; names in brackets are those of the policy
 // file. It is not modified after it is loaded.
 type Policy struct {
-	// Copies [copies] is the number of shards at which a job is queued.
-	Copies int
+	// ShardsPerJob [copies] is the number of shards at which a job is queued.
+	ShardsPerJob int
 	// TasksPerChunk [chunk_tasks] is the number of tasks of an array that are claimed
 	// together. It is even.
 	TasksPerChunk int
@@ -48,9 +48,9 @@
 	// FenceReplicasAfter [fence_replicas_after] is used instead of FenceAfter for a machine
 	// that runs replicas of services.
 	FenceReplicasAfter time.Duration
-	// PartitionPatience [zone_patience] is used for the machines of a zone that seems
+	// FencePartitionedAfter [zone_patience] is used for the machines of a zone that seems
 	// partitioned as a whole, instead of FenceAfter and FenceReplicasAfter if it is longer.
-	PartitionPatience time.Duration
+	FencePartitionedAfter time.Duration
 
 	// WarmShare [warm_share] is the part of the services' CPUs that is kept free so that
 	// further services start at once; 0.12 is 12 %.
@@ -105,7 +105,7 @@
 
 // settings are all names of the policy file. Times are in seconds.
 var settings = []setting{
-	{"copies", 1, 64, func(p *Policy, v float64) { p.Copies = int(v) }},
+	{"copies", 1, 64, func(p *Policy, v float64) { p.ShardsPerJob = int(v) }},
 	{"chunk_tasks", 2, 128, func(p *Policy, v float64) { p.TasksPerChunk = int(v) &^ 1 }},
 	{"node_lease", 1, 60, func(p *Policy, v float64) { p.NodeLease = protocol.Seconds(v) }},
 	{"handback_after", 0, 600, func(p *Policy, v float64) { p.HandbackDelay = protocol.Seconds(v) }},
@@ -113,7 +113,7 @@
 	{"suspect_after", 0.5, 600, func(p *Policy, v float64) { p.SuspectAfter = protocol.Seconds(v) }},
 	{"fence_after", 1, 3600, func(p *Policy, v float64) { p.FenceAfter = protocol.Seconds(v) }},
 	{"fence_replicas_after", 1, 3600, func(p *Policy, v float64) { p.FenceReplicasAfter = protocol.Seconds(v) }},
-	{"zone_patience", 0, 3600, func(p *Policy, v float64) { p.PartitionPatience = protocol.Seconds(v) }},
+	{"zone_patience", 0, 3600, func(p *Policy, v float64) { p.FencePartitionedAfter = protocol.Seconds(v) }},
 	{"warm_share", 0, 10, func(p *Policy, v float64) { p.WarmShare = v }},
 	{"card_reserve", 0, 1000, func(p *Policy, v float64) { p.GPUMachineReserve = int(v) }},
 	{"card_share", 0, 1, func(p *Policy, v float64) { p.GPUMachineShare = v }},
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Copies != 2 || p.FenceAfter != 8*time.Second {
+	if p.ShardsPerJob != 2 || p.FenceAfter != 8*time.Second {
 		t.Fatalf("%+v", p)
 	}
 }
@@ -77,7 +77,7 @@
 		}
 		p, err := Load(file, platform())
 		if c.want == "" {
-			if err != nil || p.Copies != 3 || p.IdleMachineTTL != 30*time.Second {
+			if err != nil || p.ShardsPerJob != 3 || p.IdleMachineTTL != 30*time.Second {
 				t.Fatalf("%q: %+v %v", c.text, p, err)
 			}
 			continue
