--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -12,23 +12,24 @@
 	"madderslip/internal/transport"
 )
 
-// heartbeatPath is where controllers take heartbeats.
+// heartbeatPath is the path of the controllers' API that receives heartbeats.
 const heartbeatPath = "/v1/report"
 
-// Waits of a worker's agent, by its own clock.
+// Delays and timeouts of a worker's agent. The pauses between heartbeats are measured by the
+// worker's clock.
 const (
-	wakeDelay        = 500 * time.Millisecond // from a change to the heartbeat that tells it
-	retryInterval    = time.Second            // after a heartbeat that came to nothing
-	heartbeatTimeout = 4 * time.Second        // for a response
-	zoneTimeout      = 5 * time.Second        // for one from a zone that is cut off
-	rebootPoll       = 50 * time.Millisecond
+	wakeDelay        = 500 * time.Millisecond // from a change of state to the heartbeat that reports it
+	retryInterval    = time.Second            // after a heartbeat without a valid response
+	heartbeatTimeout = 4 * time.Second        // for the response of a controller
+	zoneTimeout      = 5 * time.Second        // for the response of a controller beyond a zone partition
+	rebootPoll       = 50 * time.Millisecond  // between checks whether a reboot has finished
 )
 
 // runAgent sends heartbeats to the controllers for as long as the machine exists.
 func (m *Machine) runAgent(after time.Duration) {
 	w := m.world
-	// The runtime may crash on a select over a timer that is due already, in a
-	// test bubble under the race detector; so no such timer is waited on here.
+	// In a testing/synctest bubble under the race detector, the Go runtime may crash in a
+	// select on a timer that is already due, so a delay of zero skips the wait.
 	if after >= neverBoots || (after > 0 && !wait(w.ctx, after)) {
 		return
 	}
@@ -58,7 +59,7 @@
 	}
 }
 
-// wakeAgent has the agent send its next heartbeat soon. It never blocks.
+// wakeAgent makes the agent send its next heartbeat soon, without blocking the caller.
 func (m *Machine) wakeAgent() {
 	select {
 	case m.wakeup <- struct{}{}:
@@ -66,9 +67,8 @@
 	}
 }
 
-// expireLease has the worker give up its tasks and begin a new agent epoch if no
-// controller has answered for as long as its lease lasts. The world's lock is held by the
-// caller.
+// expireLease drops the worker's tasks and begins a new agent epoch if the worker's lease
+// has expired because no controller has renewed it. The world's lock is held by the caller.
 func (m *Machine) expireLease() {
 	if !m.leaseRenewedAt.IsZero() && time.Since(m.leaseRenewedAt) > m.byWorkerClock(m.world.Workers.LeaseDuration) {
 		m.world.recordEvent("%s lease over, agent epoch %d", m.host, m.agentEpoch+1)
@@ -78,8 +78,8 @@
 	}
 }
 
-// heartbeat is the worker's next heartbeat, with the status of every task. The world's
-// lock is held by the caller.
+// heartbeat returns the worker's next heartbeat, with a new sequence number and the status
+// of every task. The world's lock is held by the caller.
 func (m *Machine) heartbeat() protocol.Heartbeat {
 	m.sequence++
 	h := protocol.Heartbeat{Host: m.host, Address: m.world.Address(m.host), Type: m.machineType, Zone: m.zone, Spot: m.spot,
@@ -95,7 +95,7 @@
 	return h
 }
 
-// outgoingHeartbeat is a heartbeat on its way, and what the worker was as it sent it.
+// outgoingHeartbeat is a heartbeat in transit, with the state of the worker that sent it.
 type outgoingHeartbeat struct {
 	controller        string
 	handler           NodeHandler
@@ -103,20 +103,20 @@
 	sentAt            time.Time
 	agentEpoch        uint64
 	boots             int
-	sequence          string // part of the random draws
-	request, response time.Duration
+	sequence          string        // of the heartbeat; part of the names of its random draws
+	request, response time.Duration // delays of the two messages
 }
 
-// post hands the heartbeat to the controller, on a goroutine of its own.
+// post delivers the heartbeat to the controller on a goroutine of its own.
 func (h *outgoingHeartbeat) post(reply func(transport.Response)) {
 	go h.handler("POST", heartbeatPath, h.body, reply)
 }
 
-// resend hands the heartbeat to the controller when nobody waits for the response.
+// resend delivers the heartbeat to the controller late or once more, and ignores the response.
 func (h *outgoingHeartbeat) resend() { h.post(ignoreResponse) }
 
-// exchangeHeartbeat sends one heartbeat, obeys the response and returns how long to wait
-// until the next one.
+// exchangeHeartbeat sends one heartbeat, applies the response and returns the pause before
+// the next heartbeat.
 func (m *Machine) exchangeHeartbeat() time.Duration {
 	ctx := m.world.ctx
 	h, retryAfter := m.nextHeartbeat()
@@ -140,8 +140,9 @@
 	return m.applyResponse(h, response)
 }
 
-// nextHeartbeat makes the next heartbeat and draws how long it takes. It returns nil, and
-// how long to wait until the next one, if the worker sends none or it does not arrive.
+// nextHeartbeat builds the next heartbeat and draws its delays. If the worker sends no
+// heartbeat or the heartbeat does not arrive, it returns nil and the pause before the next
+// attempt.
 func (m *Machine) nextHeartbeat() (*outgoingHeartbeat, time.Duration) {
 	w := m.world
 	w.mu.Lock()
@@ -158,8 +159,8 @@
 	h := m.drawHeartbeat()
 	switch {
 	case m.partitioned:
-		// The packets are held and may arrive once the partition is over, though nobody
-		// waits for a response any more.
+		// The network may hold the packets and deliver them after the partition, when the
+		// worker no longer waits for the response.
 		if h.handler != nil && w.chance(50, m.host, h.sequence) {
 			w.heldDeliveries[m.host] = append(w.heldDeliveries[m.host], h.resend)
 		}
@@ -177,9 +178,10 @@
 	return h, 0
 }
 
-// drawHeartbeat makes a heartbeat to the controller whose turn it is, without a handler if
-// that does not run, and draws the copies of it that arrive later and its delays. The
-// order of the draws decides what each yields. The world's lock is held by the caller.
+// drawHeartbeat builds a heartbeat to the current controller of the rotation and draws its
+// delays and the copies of it that arrive later. The handler is nil if the controller is
+// not running or receives no heartbeats. The order of the draws determines their results.
+// The world's lock is held by the caller.
 func (m *Machine) drawHeartbeat() *outgoingHeartbeat {
 	w := m.world
 	controller := w.controllers[m.controllerIndex%len(w.controllers)]
@@ -203,22 +205,23 @@
 	return h
 }
 
-// receives reports whether a response to a heartbeat reaches the worker that sent it, and
-// not one that has begun again since. The world's lock is held by the caller.
+// receives reports whether the response to a heartbeat reaches the worker, and the worker
+// has neither rebooted nor begun a new agent epoch since it sent the heartbeat. The world's
+// lock is held by the caller.
 func (m *Machine) receives(h *outgoingHeartbeat) bool {
 	return m.responsive() && !m.cannotReceive && m.agentEpoch == h.agentEpoch && m.boots == h.boots &&
 		!m.world.hasFaultOn(faultControllerDeaf, h.controller) && m.reachable(h.controller)
 }
 
-// applyResponse obeys a response to a heartbeat and returns how long to wait until the
-// next one. A response that did not come has no status.
+// applyResponse applies the response to a heartbeat and returns the pause before the next
+// heartbeat. A status of 0 means that no response arrived.
 func (m *Machine) applyResponse(h *outgoingHeartbeat, response transport.Response) time.Duration {
 	w := m.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !m.receives(h) {
 		if m.cannotReceive {
-			m.controllerIndex++ // no response in time: the next controller
+			m.controllerIndex++ // no response arrives in time: try the next controller
 		}
 		return retryInterval
 	}
@@ -230,7 +233,7 @@
 			m.leaseRenewedAt = h.sentAt
 			m.runCommands(body.Commands)
 		}
-		// Give or take a quarter, as workers do.
+		// Workers vary the heartbeat interval by up to a quarter either way.
 		return w.between(w.Workers.HeartbeatInterval*3/4, w.Workers.HeartbeatInterval*5/4, m.host, h.sequence)
 	case http.StatusMisdirectedRequest:
 		var redirect protocol.Redirect
@@ -244,8 +247,8 @@
 	return retryInterval
 }
 
-// raiseToken has the worker obey a fencing token, and say so soon if it is a new one. The
-// world's lock is held by the caller.
+// raiseToken raises the worker's fencing token if the given one is higher, and then makes
+// the agent report it soon. The world's lock is held by the caller.
 func (m *Machine) raiseToken(token uint64) {
 	if token > m.fencingToken {
 		m.fencingToken = token
--- a/internal/emulator/commands.go
+++ b/internal/emulator/commands.go
@@ -15,8 +15,8 @@
 	verbReap  = "reap"
 )
 
-// callWorker carries a controller's call to a worker. Across a partition, or to a hung
-// machine, commands are held and carried out late, though the caller has long given up.
+// callWorker delivers a controller's call to a worker. Commands to a machine that is hung
+// or beyond a partition are held and executed later, long after the call has timed out.
 func (w *World) callWorker(ctx context.Context, node, host, target string, body []byte, delay time.Duration) (int, []byte, error) {
 	w.mu.Lock()
 	machine := w.machines[host]
@@ -54,8 +54,8 @@
 	return status, response, nil
 }
 
-// holdAcrossZones has commands arrive once the partition between the zones of the machine
-// and a controller ends. The world's lock is held by the caller.
+// holdAcrossZones holds commands until the partition between the zones of the machine and
+// of a controller ends, and delivers them then. The world's lock is held by the caller.
 func (m *Machine) holdAcrossZones(node string, body []byte) {
 	m.world.holdUntilHealed(m.zone, m.world.controllerZones[node], func() {
 		if m.responsive() {
@@ -65,8 +65,8 @@
 	})
 }
 
-// handleCommands carries out a command request, unless its fencing token or agent epoch
-// is an older one. The world's lock is held by the caller.
+// handleCommands executes the commands of a request, unless the fencing token is lower than
+// the worker's or the agent epoch is another one. The world's lock is held by the caller.
 func (m *Machine) handleCommands(body []byte) (int, []byte) {
 	var request protocol.CommandRequest
 	if json.Unmarshal(body, &request) != nil || request.FencingToken == 0 || request.AgentEpoch == 0 {
@@ -80,8 +80,9 @@
 	return jsonResponse(200, m.heartbeat())
 }
 
-// runCommands carries out commands one after the other. Those that an earlier copy has
-// carried out already change nothing. The world's lock is held by the caller.
+// runCommands executes commands in order. A command may arrive more than once: starting an
+// attempt that the worker already has, stopping one that has exited and reaping one that is
+// gone have no effect. The world's lock is held by the caller.
 func (m *Machine) runCommands(commands []protocol.Command) {
 	for _, command := range commands {
 		task := m.tasks[command.Task]
