--- a/internal/emulator/dependencies.go
+++ b/internal/emulator/dependencies.go
@@ -7,8 +7,8 @@
 	"madderslip/internal/protocol"
 )
 
-// dependenciesDone reports whether all jobs that one needs are done. The world's lock is
-// held by the caller.
+// dependenciesDone reports whether all direct dependencies of a job are known and done. The
+// world's lock is held by the caller.
 func (w *World) dependenciesDone(job *Job) bool {
 	for _, jobID := range job.Spec.Dependencies {
 		if dependency := w.jobs[jobID]; dependency == nil || !dependency.allTasksDone() {
@@ -18,8 +18,9 @@
 	return true
 }
 
-// eligibleAt is when a job could first have started: when it was accepted, or when the last
-// job that it needs was done. The world's lock is held by the caller.
+// eligibleAt returns the earliest time at which a job could have started: when it was
+// accepted or when its last dependency was done, whichever is later. The world's lock is
+// held by the caller.
 func (w *World) eligibleAt(job *Job) time.Time {
 	at := job.acceptedAt
 	for _, jobID := range job.Spec.Dependencies {
@@ -30,7 +31,7 @@
 	return at
 }
 
-// dependenciesOf lists the known jobs that one needs, directly or through others. The
+// dependenciesOf lists the known jobs that a job depends on, directly or transitively. The
 // world's lock is held by the caller.
 func (w *World) dependenciesOf(jobID string) []*Job {
 	var dependencies []*Job
@@ -53,10 +54,10 @@
 	return dependencies
 }
 
-// cancelledDependency reports whether the user of any job that one needs has asked to
-// cancel it, and since when a user knows that one is cancelled (zero: none does). A job
-// that was answered with done stays so, and what needs it goes on. The world's lock is held
-// by the caller.
+// cancelledDependency reports whether a user has asked to cancel any dependency of a job,
+// direct or transitive, and returns when a user was first told that one is cancelled (zero:
+// none was). Dependencies that a user was told are done do not count as requested: they
+// stay done, and the jobs that depend on them go on. The world's lock is held by the caller.
 func (w *World) cancelledDependency(jobID string) (requested bool, confirmedAt time.Time) {
 	for _, dependency := range w.dependenciesOf(jobID) {
 		if !w.cancelRequested[dependency.Spec.JobID] {
@@ -73,8 +74,8 @@
 	return requested, confirmedAt
 }
 
-// cancelled reports whether a user has asked to cancel a job or one that it needs. The
-// world's lock is held by the caller.
+// cancelled reports whether a user has asked to cancel a job or, as cancelledDependency
+// counts them, any of its dependencies. The world's lock is held by the caller.
 func (w *World) cancelled(jobID string) bool {
 	if w.cancelRequested[jobID] {
 		return true
@@ -83,14 +84,17 @@
 	return requested
 }
 
-// needNotRun reports whether a job does not have to run: nobody accepted it, it fails, it
-// is cancelled, or jobs that it needs are not done. The world's lock is held by the caller.
+// needNotRun reports whether a job is not expected to run: it was not accepted, its tasks
+// always fail, its cancellation or that of a dependency was requested, or its dependencies
+// are not done. The world's lock is held by the caller.
 func (w *World) needNotRun(job *Job) bool {
 	return job.Fail || job.acceptedAt.IsZero() || !w.dependenciesDone(job) || w.cancelled(job.Spec.JobID)
 }
 
-// checkCancelledPhase checks the phase that a user is told of a job against what is known
-// of the jobs that it needs. The world's lock is held by the caller.
+// checkCancelledPhase checks the phase of a job in the response to a user's request against
+// the cancellations of the job and its dependencies: a job is cancelled only on request, and
+// reaches a final phase within the cancel deadline after a user was told that a dependency
+// is cancelled. The world's lock is held by the caller.
 func (w *World) checkCancelledPhase(jobID, phase string, asked time.Time) {
 	requested, confirmedAt := w.cancelledDependency(jobID)
 	if phase == protocol.JobCancelled && !w.cancelRequested[jobID] && !requested {
@@ -102,9 +106,9 @@
 	}
 }
 
-// checkAcceptance checks that all that an accepted job names was submitted, and that a
-// job was not refused for naming others that were accepted before it was submitted. The
-// world's lock is held by the caller.
+// checkAcceptance checks that all dependencies of an accepted job were submitted, and that a
+// job was not rejected with 422 although all of its dependencies were accepted before it was
+// submitted. The world's lock is held by the caller.
 func (w *World) checkAcceptance(job *Job, asked time.Time, status int) {
 	allAccepted := true
 	for _, jobID := range job.Spec.Dependencies {
@@ -119,7 +123,8 @@
 	}
 }
 
-// Endless reports whether a job, or one that it needs, does not end by itself.
+// Endless reports whether a job or any of its dependencies is expected to run forever: it is
+// a service or its tasks always fail, and it is neither done nor to be cancelled.
 func (w *World) Endless(jobID string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -7,19 +7,19 @@
 	"madderslip/internal/protocol"
 )
 
-// causeGangPeerLost is the cause of an exit for the loss of another of the gang's tasks,
-// as the protocol spells it.
+// causeGangPeerLost is the exit cause, as the protocol spells it, of a task whose gang has
+// lost another task.
 const causeGangPeerLost = "peers"
 
-// attemptTask is a task of an attempt of a job, and the machine that has it.
+// attemptTask is a task of an attempt of a job, with the machine that has the task.
 type attemptTask struct {
 	machine *Machine
 	name    string
 	task    *taskAttempt
 }
 
-// attemptTasks lists the tasks of an attempt of a job, in the order of machines and names.
-// The world's lock is held by the caller.
+// attemptTasks lists the tasks of an attempt of a job, ordered by host and task name. The
+// world's lock is held by the caller.
 func (w *World) attemptTasks(jobID string, attempt uint64) []attemptTask {
 	var tasks []attemptTask
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
@@ -34,8 +34,9 @@
 	return tasks
 }
 
-// startGangIfComplete starts a gang's attempt if all of its tasks wait for one another,
-// and reports whether it does. The world's lock is held by the caller.
+// startGangIfComplete starts an attempt of a gang if all of its tasks are waiting for the
+// gang, and reports whether it has started the attempt. The world's lock is held by the
+// caller.
 func (w *World) startGangIfComplete(job *Job, attempt uint64) bool {
 	waiting := slices.DeleteFunc(w.attemptTasks(job.Spec.JobID, attempt), func(t attemptTask) bool {
 		return t.task.phase != protocol.TaskWaitingForGang || t.machine.removed
@@ -52,8 +53,8 @@
 	return true
 }
 
-// exitUnlessGangStarts ends a task that waits for its gang for too long. The world's lock
-// is held by the caller.
+// exitUnlessGangStarts ends a task if it is still waiting for its gang after the gang start
+// timeout. The world's lock is held by the caller.
 func (m *Machine) exitUnlessGangStarts(name string, task *taskAttempt) {
 	m.afterOnTask(name, task, m.world.Workers.GangStartTimeout, func() {
 		if task.phase == protocol.TaskWaitingForGang {
@@ -62,9 +63,9 @@
 	})
 }
 
-// completeGang ends a gang's attempt: its tasks complete together. It does nothing if one
-// of them is lost or hangs, which the others are about to notice. The world's lock is held
-// by the caller.
+// completeGang completes all tasks of a gang's attempt together. It does nothing if a task is
+// lost or its machine is hung: the remaining tasks are about to exit for that reason. The
+// world's lock is held by the caller.
 func (w *World) completeGang(job *Job, attempt uint64) {
 	tasks := w.attemptTasks(job.Spec.JobID, attempt)
 	running := 0
@@ -87,8 +88,8 @@
 	w.jobFinished(job)
 }
 
-// gangCheckpointing reports whether every task of a gang's attempt was told to stop and
-// takes or has taken a checkpoint. The world's lock is held by the caller.
+// gangCheckpointing reports whether every task of a gang's attempt has received a stop
+// command and is taking or has taken its checkpoint. The world's lock is held by the caller.
 func (w *World) gangCheckpointing(job *Job, attempt uint64) bool {
 	checkpointing := 0
 	for _, t := range w.attemptTasks(job.Spec.JobID, attempt) {
@@ -99,8 +100,9 @@
 	return checkpointing == job.Spec.Tasks
 }
 
-// notifyGangPeers has the others of a running gang notice that one of them is gone. The
-// world's lock is held by the caller.
+// notifyGangPeers makes the other running tasks of a gang exit after a running task is lost,
+// each after between half and all of the gang peer timeout. The world's lock is held by the
+// caller.
 func (w *World) notifyGangPeers(name string, lost *taskAttempt) {
 	jobID, _, ok := protocol.ParseTaskName(name)
 	job := w.jobs[jobID]
@@ -115,8 +117,8 @@
 	}
 }
 
-// exitForLostPeer ends a gang's task that still runs when it notices that another one is
-// gone. The world's lock is held by the caller.
+// exitForLostPeer ends a task that is still running because another task of its gang is
+// lost. The world's lock is held by the caller.
 func (m *Machine) exitForLostPeer(name string, task *taskAttempt) {
 	if task.phase == protocol.TaskRunning {
 		m.exitTask(name, task, causeGangPeerLost)
--- a/internal/emulator/job.go
+++ b/internal/emulator/job.go
@@ -8,24 +8,24 @@
 	"madderslip/internal/protocol"
 )
 
-// Job is a job as the world knows it: what was submitted and how its tasks really run. The
-// unexported fields are guarded by the world's lock.
+// Job is a job as the emulator records it: its submission, the actual behaviour of its tasks
+// and what users were told. The unexported fields are guarded by the world's lock.
 type Job struct {
 	Spec  protocol.Submission
-	Run   time.Duration // of each task; 0 for a service
+	Run   time.Duration // run time of each task; 0 for a service, whose tasks do not end
 	Fail  bool          // every task fails
-	Fetch time.Duration // of its image, if longer than usual
+	Fetch time.Duration // fetch time of its image, if longer than the usual 1 s
 
-	acceptedAt  time.Time // when its user was told so
-	lastPhase   string    // the latest phase a user was told, the first of the final ones
-	lastPhaseAt time.Time // when a user was first told that
-	cancelledAt time.Time // when a user was first told so
+	acceptedAt  time.Time // when a user was first told that the job is accepted
+	lastPhase   string    // the latest phase that a user was told; the first final phase stays
+	lastPhaseAt time.Time // when a user was first told lastPhase
+	cancelledAt time.Time // when a user was first told that the job is cancelled
 
-	tasksDone     map[int]bool // by index
-	startedAt     time.Time    // when its first task ran, of a gang all of them
+	tasksDone     map[int]bool // by task index
+	startedAt     time.Time    // when its first task started; for a gang, when all of its tasks did
 	finishedAt    time.Time    // when its last task was done
-	replicaTime   ServedShare  // of a service
-	unplacedSince time.Time    // since when it waits beside capacity that it fits; see trackUnplaced
+	replicaTime   ServedShare  // of a service; see countReplicas
+	unplacedSince time.Time    // since when the job is unplaced despite free capacity for it; see trackUnplaced
 }
 
 // isGang reports whether the tasks of the job start and end together.
@@ -35,7 +35,7 @@
 // the caller.
 func (j *Job) allTasksDone() bool { return len(j.tasksDone) == j.Spec.Tasks }
 
-// AcceptedJob is a job that was accepted, for checks once a test's work is over.
+// AcceptedJob describes an accepted job, for checks at the end of a test.
 type AcceptedJob struct {
 	Ref   string
 	Shape protocol.Shape
@@ -43,7 +43,7 @@
 	Fails bool
 }
 
-// Accepted lists the jobs that users were told are accepted, in the order of their IDs.
+// Accepted lists the jobs that users were told are accepted, ordered by job ID.
 func (w *World) Accepted() []AcceptedJob {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -56,8 +56,8 @@
 	return accepted
 }
 
-// OnStart has the world call started for each task that starts. It is set before machines
-// are added, with RecordStartsOnly; the world's lock is held as started is called.
+// OnStart registers the function to call for each task that starts while RecordStartsOnly
+// is set. Set both before adding machines. The world's lock is held during the call.
 func (w *World) OnStart(started func(jobID string, sinceAccepted time.Duration)) {
 	w.onStart = func(job *Job) {
 		since := time.Duration(0)
@@ -68,8 +68,9 @@
 	}
 }
 
-// Forget drops what the world knows of jobs that are over and of past draws, so that a long
-// measurement does not grow. Nobody may ask about those jobs any more.
+// Forget deletes the jobs that were done more than a minute ago and the counts of random
+// draws, so that memory does not grow during a long measurement. Users must not ask about
+// the deleted jobs afterwards.
 func (w *World) Forget() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
