--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -7,86 +7,89 @@
 	"time"
 )
 
-// Names of the faults as scripts write them. Those below are of the whole world.
+// Names, as scripts write them, of the faults that affect the whole world.
 const (
 	// faultStateOutage: the state service is down.
 	faultStateOutage = "outage"
-	// faultStateSlow: the state service takes up to 2.5 s for a response.
+	// faultStateSlow: calls take up to 2.5 s longer to reach the state service.
 	faultStateSlow = "slow"
-	// faultStateLossy: its responses get lost, and transactions are applied late or twice.
+	// faultStateLossy: responses of the state service to transactions get lost, and
+	// transactions are executed late or twice.
 	faultStateLossy = "lossy"
-	// faultLateWrites: two in five transactions get no response and are carried out 2 to
-	// 12 s later, after newer ones.
+	// faultLateWrites: two in five transactions get no response and are executed 2 to 12 s
+	// later, after newer transactions.
 	faultLateWrites = "late writes"
-	// faultUnansweredWrites: two in five transactions are carried out at once, and only
-	// their response is lost.
+	// faultUnansweredWrites: two in five transactions are executed at once, but their
+	// response is lost.
 	faultUnansweredWrites = "unanswered writes"
-	// faultNoWriteAnswered: every transaction is carried out and no response arrives.
+	// faultNoWriteAnswered: all transactions are executed, but their responses are lost.
 	faultNoWriteAnswered = "swallow"
-	// faultLateHeartbeats: of two in five of the workers' heartbeats a copy arrives again,
-	// from 2 s to well over a lease later.
+	// faultLateHeartbeats: a copy of two in five of the workers' heartbeats arrives between
+	// 2 s and one and a half lease durations later.
 	faultLateHeartbeats = "late reports"
-	// faultStaleHeartbeats: copies of two in five of the workers' heartbeats are kept, and
-	// reach every controller as a shard gets a new fencing token.
+	// faultStaleHeartbeats: copies of two in five of the workers' heartbeats are kept and
+	// delivered to every controller when a shard gets a new fencing token.
 	faultStaleHeartbeats = "reports for next"
-	// faultConcurrentReads: users ask at all controllers within milliseconds, and repeat
-	// the submission, when a job was accepted, has ended or was cancelled.
+	// faultConcurrentReads: when a job is accepted, ends or is cancelled, users query it at
+	// all controllers within milliseconds, and some of them repeat its submission.
 	faultConcurrentReads = "close looks"
-	// faultCancelOnAccept: of those that read concurrently at an acceptance some cancel at
-	// once.
+	// faultCancelOnAccept: some of the users that read a job concurrently at its acceptance
+	// cancel it at once.
 	faultCancelOnAccept = "hasty users"
 	// faultCancelOnEnd: two in five of the jobs that end are cancelled at that moment.
 	faultCancelOnEnd = "cancel at end"
-	// faultInvalidRequests: users repeat submissions, cancel what is done, send what can't
-	// run.
+	// faultInvalidRequests: users repeat submissions, cancel jobs that are done and submit
+	// jobs that cannot run.
 	faultInvalidRequests = "odd requests"
-	// faultCloudDown: the cloud answers 503.
+	// faultCloudDown: the cloud answers every call with 503.
 	faultCloudDown = "cloud"
-	// faultNoCapacity: the cloud has no machines.
+	// faultNoCapacity: the cloud rents no machines.
 	faultNoCapacity = "stingy"
-	// faultHalfCapacity: the cloud gives half of the machines asked for.
+	// faultHalfCapacity: the cloud rents at most half of the machines requested, rounded up.
 	faultHalfCapacity = "half"
-	// faultSlowBoots: most of the machines rented take five times as long to come up.
+	// faultSlowBoots: most of the machines rented take five times as long to boot.
 	faultSlowBoots = "slow boots"
-	// faultNoBoots: none of the machines rented ever comes up.
+	// faultNoBoots: the machines rented never finish booting.
 	faultNoBoots = "no boots"
-	// faultFastBoots: all machines are up within a second.
+	// faultFastBoots: the machines rented boot within a second.
 	faultFastBoots = "fast boots"
-	// faultCloudLossy: responses of the cloud get lost, and some requests are carried out
-	// late.
+	// faultCloudLossy: responses of the cloud get lost, and some requests are executed late
+	// or twice; lists of machines always arrive.
 	faultCloudLossy = "lost"
 )
 
-// Names of the faults of one controller or zone: each is followed by a space and the
-// controller's or the zone's name.
+// Names of the faults that affect one controller or zone. In scripts, a space and the name
+// of the controller or zone follow.
 const (
-	// faultStateRefuses: the state service refuses one controller alone.
+	// faultStateRefuses: the state service refuses this controller only.
 	faultStateRefuses = "refuse"
-	// faultSevered: a controller loses the state service and the other controllers, not
-	// its workers and users.
+	// faultSevered: a controller is disconnected from the state service and the other
+	// controllers, but not from workers and users.
 	faultSevered = "severed"
-	// faultControllerDeaf: a controller reaches no worker and hears none.
+	// faultControllerDeaf: a controller cannot reach workers, and workers' heartbeats do not
+	// reach the controller.
 	faultControllerDeaf = "deaf"
-	// faultPaused: a controller stands still while clocks run on.
+	// faultPaused: a controller is paused while clocks go on.
 	faultPaused = "freeze"
-	// faultZonePartition: a zone is cut off from everything; what is sent across is held
-	// and arrives afterwards.
+	// faultZonePartition: a zone is partitioned from everything outside it. Commands, and
+	// half of the heartbeats, transactions and calls of the cloud, are held and arrive after
+	// the partition.
 	faultZonePartition = "zone"
-	// faultPeersRefuse: the other controllers reach a controller as little as it reaches
-	// them.
+	// faultPeersRefuse: messages between a controller and the other controllers are refused
+	// in both directions.
 	faultPeersRefuse = "alone"
 )
 
-// worldFaults are the faults of the whole world.
+// worldFaults are the faults that affect the whole world.
 var worldFaults = []string{faultStateOutage, faultStateSlow, faultStateLossy, faultLateWrites, faultUnansweredWrites, faultNoWriteAnswered,
 	faultLateHeartbeats, faultStaleHeartbeats, faultConcurrentReads, faultCancelOnAccept, faultCancelOnEnd, faultInvalidRequests,
 	faultCloudDown, faultNoCapacity, faultHalfCapacity, faultSlowBoots, faultNoBoots, faultFastBoots, faultCloudLossy}
 
-// targetedFaults are the faults of one controller or zone.
+// targetedFaults are the faults that affect one controller or zone.
 var targetedFaults = []string{faultStateRefuses, faultSevered, faultControllerDeaf, faultPaused, faultZonePartition, faultPeersRefuse}
 
-// IsFault reports whether SetFault knows a name. A fault of one controller or zone is
-// known for each of the targets.
+// IsFault reports whether a name is that of a fault for SetFault: one of the whole world, or
+// a targeted one followed by a space and one of the targets.
 func IsFault(name string, targets []string) bool {
 	if slices.Contains(worldFaults, name) {
 		return true
@@ -95,17 +98,17 @@
 	return targeted && slices.Contains(targetedFaults, fault) && slices.Contains(targets, target)
 }
 
-// hasFault reports whether a fault of the whole world is on. The world's lock is held by
+// hasFault reports whether a fault of the whole world is active. The world's lock is held by
 // the caller.
 func (w *World) hasFault(fault string) bool { return w.activeFaults[fault] }
 
-// hasFaultOn reports whether a fault of one controller or zone is on. The world's lock is
-// held by the caller.
+// hasFaultOn reports whether a targeted fault is active for a controller or zone. The world's
+// lock is held by the caller.
 func (w *World) hasFaultOn(fault, target string) bool { return w.activeFaults[fault+" "+target] }
 
-// SetFault begins or ends a fault of the whole world, or of the one controller or zone
-// that its name ends in, such as "severed n1"; the constants of this file say what each
-// does. Faults of machines are SetMachineFault's.
+// SetFault begins or ends a fault of the whole world, or of the controller or zone that the
+// name ends with, such as "severed n1". The constants in this file describe the faults. For
+// the faults of machines, see SetMachineFault.
 func (w *World) SetFault(name string, on bool) {
 	w.mu.Lock()
 	was := w.activeFaults[name]
@@ -120,8 +123,8 @@
 	}
 }
 
-// applyTargetedFault does what the beginning and the end of a pause or partition does at
-// once. The world's lock is held by the caller.
+// applyTargetedFault applies the immediate effects of a pause that begins or ends, and of a
+// zone partition that ends. The world's lock is held by the caller.
 func (w *World) applyTargetedFault(name string, on bool) {
 	fault, target, _ := strings.Cut(name, " ")
 	switch {
@@ -132,8 +135,8 @@
 	}
 }
 
-// EndFaults ends all faults, those of machines too, and leaves the cloud at least so many
-// machines to rent.
+// EndFaults ends all faults, including those of machines, and leaves the cloud at least
+// spare machines to rent.
 func (w *World) EndFaults(spare int) {
 	w.mu.Lock()
 	w.spareMachines, w.faultsEndedAt = max(w.spareMachines, spare), time.Now()
@@ -150,7 +153,7 @@
 	}
 }
 
-// ActiveFaults lists the faults that are on, in order.
+// ActiveFaults lists the names of the active faults, sorted. Faults of machines are not among them.
 func (w *World) ActiveFaults() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -17,39 +17,39 @@
 	zone        string
 	spot        bool
 	rentedAt    time.Time
-	upAt        time.Time // until when it boots
+	upAt        time.Time // when it has booted
 	stoppedAt   time.Time // when it was removed or crashed
 
-	removed       bool // returned or taken away by the cloud
-	crashed       bool // it has stopped with all that was on it, and is listed still
-	hung          bool // its processes have stopped; what is sent to it is held and comes late
-	partitioned   bool // no packets in or out; what is sent is held and comes late
-	cannotReceive bool // what is sent to it is lost, its heartbeats arrive
-	cannotSend    bool // it reaches no controller, while commands reach it
-	failsTasks    bool // every task that starts here fails
-	slowsTasks    bool // tasks take four times as long
+	removed       bool // returned, or reclaimed by the cloud
+	crashed       bool // stopped for good and without its tasks, but still listed by the cloud
+	hung          bool // its processes stand still; messages to it are held and arrive late
+	partitioned   bool // no packets get in or out; held ones arrive late
+	cannotReceive bool // messages to it are lost, its heartbeats arrive
+	cannotSend    bool // its heartbeats reach no controller, commands reach it
+	failsTasks    bool // every task that starts on it fails
+	slowsTasks    bool // tasks that start on it run four times as long
 	rebooting     bool
-	boots         int       // how often it has rebooted
-	preemptionAt  time.Time // of its preemption notice, zero without one
+	boots         int       // number of reboots
+	preemptionAt  time.Time // the announced time of its preemption; zero without a notice
 
 	agentEpoch      uint64
-	sequence        uint64 // of the latest heartbeat of the agent epoch
-	fencingToken    uint64 // the highest that the worker was shown
+	sequence        uint64 // of the latest heartbeat in this agent epoch
+	fencingToken    uint64 // the highest that the worker has received
 	tasks           map[string]*taskAttempt
 	cachedImages    map[string]bool
-	controllerIndex int           // the turn of the controller that gets the next heartbeat
-	wakeup          chan struct{} // has the agent send its next heartbeat soon
+	controllerIndex int           // selects, in rotation, the controller that gets the next heartbeat
+	wakeup          chan struct{} // makes the agent send its next heartbeat soon
 	leaseRenewedAt  time.Time
-	clockDrift      time.Duration // what the worker's clock gains in 2,000 s
-	resendHeartbeat func()        // sends the latest heartbeat once more; nil before the first
+	clockDrift      time.Duration // how much longer 2,000 s on the worker's clock take in real time
+	resendHeartbeat func()        // delivers the latest heartbeat once more; nil before the first
 }
 
-// AddMachines starts machines of the first type, not spot ones, that are up at once.
+// AddMachines adds on-demand machines of the first type that have already booted.
 func (w *World) AddMachines(count int, zone string) {
 	w.AddMachinesOfType(count, w.Types[0].Name, zone, false)
 }
 
-// AddMachinesOfType starts machines of a type that are up at once.
+// AddMachinesOfType adds machines of a type that have already booted.
 func (w *World) AddMachinesOfType(count int, machineType, zone string, spot bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -58,8 +58,8 @@
 	}
 }
 
-// bootMachine rents a machine that comes up after a while and returns its host name. The
-// world's lock is held by the caller.
+// bootMachine rents a machine that boots within the given time, and returns its host name.
+// The world's lock is held by the caller.
 func (w *World) bootMachine(machineType, zone string, spot bool, after time.Duration) string {
 	w.machineCount++
 	machine := &Machine{
@@ -76,7 +76,7 @@
 		controllerIndex: w.machineCount,
 		wakeup:          make(chan struct{}, 1),
 	}
-	// Clocks drift apart by as much as 0.05 %.
+	// Each worker's clock drifts by up to 0.05 %.
 	machine.clockDrift = time.Duration(w.roll("drift", machine.host)%2001)*time.Millisecond - time.Second
 	w.machines[machine.host] = machine
 	w.recordEvent("%s rented: %s in %s, spot %v", machine.host, machineType, zone, spot)
@@ -84,25 +84,25 @@
 	return machine.host
 }
 
-// responsive reports whether the machine exists, runs and is not cut off by itself. The
-// world's lock is held by the caller.
+// responsive reports whether the machine exists, runs and is not partitioned on its own;
+// partitions of whole zones do not count. The world's lock is held by the caller.
 func (m *Machine) responsive() bool { return !m.removed && !m.crashed && !m.hung && !m.partitioned }
 
-// booting reports whether nothing listens on the machine yet. The world's lock is held by
-// the caller.
+// booting reports whether the machine is booting or rebooting, so that nothing listens on
+// it. The world's lock is held by the caller.
 func (m *Machine) booting() bool { return m.rebooting || time.Now().Before(m.upAt) }
 
-// holdsPackets reports whether what is sent to a machine that is not responsive arrives
-// once it is. The world's lock is held by the caller.
+// holdsPackets reports whether messages to the machine, while it is not responsive, are held
+// and arrive once it is responsive again. The world's lock is held by the caller.
 func (m *Machine) holdsPackets() bool { return !m.removed && !m.crashed && !m.cannotReceive }
 
-// byWorkerClock is how long a duration of the worker's own clock really takes.
+// byWorkerClock returns the real time that a duration on the worker's clock takes.
 func (m *Machine) byWorkerClock(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*m.clockDrift.Seconds()/2000)
 }
 
-// afterDelay does something after a while, unless the machine is removed by then. The
-// world's lock is held as do is called.
+// afterDelay calls do after a delay, unless the machine is removed by then. The world's lock
+// is held during the call.
 func (m *Machine) afterDelay(delay time.Duration, do func()) {
 	go func() {
 		if wait(m.world.ctx, delay) {
@@ -115,8 +115,8 @@
 	}()
 }
 
-// dropTasks loses every task of the machine, which the others of gangs notice. The world's
-// lock is held by the caller.
+// dropTasks deletes every task of the machine and notifies the peers of those that belong to
+// gangs. The world's lock is held by the caller.
 func (m *Machine) dropTasks() {
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 		task := m.tasks[name]
@@ -125,8 +125,8 @@
 	}
 }
 
-// hasTaskOf reports whether the machine has a task of a job that has not exited. The
-// world's lock is held by the caller.
+// hasTaskOf reports whether the machine has a task of a job, and that task has not exited.
+// The world's lock is held by the caller.
 func (m *Machine) hasTaskOf(jobID string) bool {
 	for name, task := range m.tasks {
 		if id, _, _ := protocol.ParseTaskName(name); id == jobID && task.phase != protocol.TaskExited {
@@ -136,9 +136,9 @@
 	return false
 }
 
-// HostOf is a machine that has a task of a job, or is fetching for it: the one
-// that neither hangs nor is cut off, if there is one, with the lowest name. It is empty
-// without one.
+// HostOf returns a host that has a task of a job which has not exited, also one that still
+// fetches its image: the first by name that is neither hung nor partitioned, or else the last
+// by name. It returns "" if no host has such a task.
 func (w *World) HostOf(jobID string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -155,7 +155,7 @@
 	return best
 }
 
-// Hosts lists the machines that are rented, or the spot ones among them, in order.
+// Hosts lists the rented machines, or only the spot machines among them, ordered by host.
 func (w *World) Hosts(spotOnly bool) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -168,7 +168,7 @@
 	return hosts
 }
 
-// InZone lists the machines of a zone that are rented and have not crashed, in order.
+// InZone lists the rented machines of a zone that have not crashed, ordered by host.
 func (w *World) InZone(zone string) []string {
 	return slices.DeleteFunc(w.Hosts(false), func(host string) bool {
 		w.mu.Lock()
@@ -178,7 +178,7 @@
 	})
 }
 
-// RegisteredWorkers counts the machines whose worker obeys a fencing token.
+// RegisteredWorkers counts the rented machines whose worker has received a fencing token.
 func (w *World) RegisteredWorkers() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -191,9 +191,9 @@
 	return up
 }
 
-// MachineTokens is, by host, the highest fencing token that each worker obeys which
-// nothing keeps from being answered: its machine is well, reached by all, and has had a
-// response lately.
+// MachineTokens returns, by host, the fencing token of each worker that no fault keeps from
+// controllers' responses: its machine is responsive, its zone is not partitioned, and a
+// controller has renewed its lease within the last two heartbeat intervals.
 func (w *World) MachineTokens() map[string]uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/machinefaults.go
+++ b/internal/emulator/machinefaults.go
@@ -8,38 +8,38 @@
 	"madderslip/internal/protocol"
 )
 
-// Names of what scripts have happen to a machine.
+// Names, as scripts write them, of the faults of machines and of their ends.
 const (
-	machineHangs          = "hang"   // its processes stop, and what is sent to it is held
-	machineResumes        = "resume" // it hangs no more
-	machinePartitioned    = "cut"    // no packets get in or out; they are held
-	machineHeals          = "heal"   // it is cut off no more
+	machineHangs          = "hang"   // its processes stand still, and messages to it are held
+	machineResumes        = "resume" // its processes go on
+	machinePartitioned    = "cut"    // no packets get in or out; held ones arrive late
+	machineHeals          = "heal"   // the partition ends
 	machineFailsTasks     = "sick"   // every task that starts on it fails
-	machineSlow           = "slow"   // its tasks take four times as long
-	machineWell           = "well"   // it neither fails tasks nor slows them
-	machineCannotReceive  = "deaf"   // what is sent to it is lost, its heartbeats arrive
-	machineReceives       = "hears"  // it receives again
-	machineCannotSend     = "mute"   // its heartbeats reach nobody, commands reach it
-	machineSends          = "speaks" // it sends again
-	machinePreemptionSoon = "notice" // the cloud announces that it takes it away
-	machineTaken          = "take"   // the cloud takes it away at once
-	machineCrashes        = "die"    // it stops for good and is listed as running for a while
-	machineReboots        = "reboot" // it begins again under its name
+	machineSlow           = "slow"   // tasks that start on it run four times as long
+	machineWell           = "well"   // tasks that start on it neither fail nor are slow
+	machineCannotReceive  = "deaf"   // messages to it are lost, its heartbeats arrive
+	machineReceives       = "hears"  // messages to it arrive again
+	machineCannotSend     = "mute"   // its heartbeats reach no controller, commands reach it
+	machineSends          = "speaks" // its heartbeats arrive again
+	machinePreemptionSoon = "notice" // the cloud sends a preemption notice and reclaims it later
+	machineTaken          = "take"   // the cloud reclaims it at once
+	machineCrashes        = "die"    // it stops for good, but is listed as running for a while
+	machineReboots        = "reboot" // it reboots under the same name
 )
 
-// machineFaults are what SetMachineFault knows.
+// machineFaults are the names that SetMachineFault accepts.
 var machineFaults = []string{machineHangs, machineResumes, machinePartitioned, machineHeals, machineFailsTasks, machineSlow, machineWell,
 	machineCannotReceive, machineReceives, machineCannotSend, machineSends, machinePreemptionSoon, machineTaken, machineCrashes, machineReboots}
 
-// IsMachineFault reports whether SetMachineFault knows a name.
+// IsMachineFault reports whether SetMachineFault accepts a name.
 func IsMachineFault(what string) bool { return slices.Contains(machineFaults, what) }
 
-// preemptionNotice is how long before it takes a machine away the cloud says that it
-// does. It keeps to half of that or up to one and a half times it.
+// preemptionNotice is the time that a preemption notice announces until the cloud reclaims
+// the machine. The actual time is between half and one and a half times that.
 const preemptionNotice = 20 * time.Second
 
-// SetMachineFault begins or ends a fault of a machine, by the name that scripts give it. A
-// machine that was returned has no faults, one that crashed can only be taken away.
+// SetMachineFault begins or ends a fault of a machine, by the name that scripts write. It has
+// no effect on a removed machine; a crashed machine can only be reclaimed.
 func (w *World) SetMachineFault(host, what string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,8 +61,9 @@
 	}
 }
 
-// setCondition begins or ends a fault that lasts, and delivers what was held back by one
-// that ends.
+// setCondition begins or ends a lasting fault. Once the machine is neither hung nor
+// partitioned any more, it delivers the messages that were held. The world's lock is held by
+// the caller.
 func (m *Machine) setCondition(what string) {
 	w := m.world
 	wasHung, wasPartitioned := m.hung, m.partitioned
@@ -106,8 +107,9 @@
 	}
 }
 
-// leaveGangsOnHang has gangs notice that the machine hangs; once it goes on, its own
-// tasks of theirs notice it too. The world's lock is held by the caller.
+// leaveGangsOnHang makes the gang peers of the machine's tasks exit because the machine
+// hangs; its own tasks of these gangs exit once it resumes. The world's lock is held by the
+// caller.
 func (m *Machine) leaveGangsOnHang() {
 	for _, name := range slices.Sorted(maps.Keys(m.tasks)) {
 		task := m.tasks[name]
@@ -121,24 +123,24 @@
 	}
 }
 
-// announcePreemption has the worker report a preemption notice, and the machine taken
-// away some time after. The world's lock is held by the caller.
+// announcePreemption gives the worker a preemption notice to report and reclaims the machine
+// some time later. The world's lock is held by the caller.
 func (m *Machine) announcePreemption() {
 	m.preemptionAt = time.Now().Add(preemptionNotice)
 	m.wakeAgent()
 	m.afterDelay(m.world.between(preemptionNotice/2, preemptionNotice*3/2, "notice", m.host), m.take)
 }
 
-// take has the cloud take the machine away. The world's lock is held by the caller.
+// take makes the cloud reclaim the machine. The world's lock is held by the caller.
 func (m *Machine) take() {
 	m.world.recordEvent("%s taken away", m.host)
 	m.world.removeMachine(m)
 }
 
-// crashedListedAsRunning is how long a machine that crashed is listed as running.
+// crashedListedAsRunning is how long the cloud lists a crashed machine as running.
 const crashedListedAsRunning = 30 * time.Second
 
-// crash ends a machine at once. The cloud goes on listing it until it is returned. The
+// crash stops a machine for good. The cloud lists the machine until it is returned. The
 // world's lock is held by the caller.
 func (m *Machine) crash() {
 	m.crashed, m.stoppedAt = true, time.Now()
@@ -147,10 +149,10 @@
 	m.world.recordEvent("%s crashes", m.host)
 }
 
-// reboot has a machine begin again within a moment, under its name: its tasks are
-// gone, and its worker counts from the start. Late copies of its last heartbeat come
-// after that and look newer than all that it sends now. The world's lock is held by the
-// caller.
+// reboot reboots a machine within a second under the same name: its tasks are lost, and its
+// worker's agent epoch, sequence and fencing token start over. Up to two copies of its last
+// heartbeat from before the reboot arrive later and look newer than its new heartbeats. The
+// world's lock is held by the caller.
 func (m *Machine) reboot() {
 	w := m.world
 	w.recordEvent("%s reboots", m.host)
