--- a/internal/emulator/resources.go
+++ b/internal/emulator/resources.go
@@ -7,28 +7,29 @@
 	"madderslip/internal/protocol"
 )
 
-// rounding is by how much sums of CPUs, GPUs and GB may be off.
+// rounding is the tolerance for rounding errors in sums of CPUs, GPUs and GB.
 const rounding = 1e-6
 
-// resources are what a task takes or a machine has.
+// resources are the resources that a task uses or a machine has.
 type resources struct{ cpus, gpus, memoryGB float64 }
 
-// plus is the sum of two.
+// plus returns the sum of r and other.
 func (r resources) plus(other resources) resources {
 	return resources{r.cpus + other.cpus, r.gpus + other.gpus, r.memoryGB + other.memoryGB}
 }
 
-// minus is what is left of r without another.
+// minus returns r less other.
 func (r resources) minus(other resources) resources {
 	return resources{r.cpus - other.cpus, r.gpus - other.gpus, r.memoryGB - other.memoryGB}
 }
 
-// within reports whether none of r is above its limit.
+// within reports whether no resource in r exceeds its limit, but for rounding errors.
 func (r resources) within(limit resources) bool {
 	return r.cpus <= limit.cpus+rounding && r.gpus <= limit.gpus+rounding && r.memoryGB <= limit.memoryGB+rounding
 }
 
-// countOf is how many tasks of a size fit r, +Inf of a size of nothing.
+// countOf returns how many tasks with the given resources fit in r, +Inf for tasks that use
+// no resources.
 func (r resources) countOf(task resources) float64 {
 	count := math.Inf(1)
 	for _, part := range [...]struct{ free, perTask float64 }{{r.cpus, task.cpus}, {r.gpus, task.gpus}, {r.memoryGB, task.memoryGB}} {
@@ -39,12 +40,12 @@
 	return count
 }
 
-// taskResources is what one task of a job takes.
+// taskResources returns the resources that one task of a job uses.
 func taskResources(spec *protocol.Submission) resources {
 	return resources{spec.CPUs, spec.GPUs, spec.MemoryGB}
 }
 
-// capacityOf is what a machine of a type has; nothing for an unknown type.
+// capacityOf returns the resources of a machine of the given type, none for an unknown type.
 func (w *World) capacityOf(machineType string) resources {
 	for _, t := range w.Types {
 		if t.Name == machineType {
@@ -54,8 +55,8 @@
 	return resources{}
 }
 
-// allocated is what the tasks take that are on the machine or on their way to it. The
-// world's lock is held by the caller.
+// allocated returns the resources of the tasks on the machine that have not exited, including
+// those that still fetch their image. The world's lock is held by the caller.
 func (m *Machine) allocated() resources {
 	var sum resources
 	for name, task := range m.tasks {
@@ -67,8 +68,8 @@
 	return sum
 }
 
-// suits reports whether a job's tasks may run on the machine by its type, zone and price.
-// The world's lock is held by the caller.
+// suits reports whether the submission of a job allows its tasks on the machine, by machine
+// type, zone and use of spot machines. The world's lock is held by the caller.
 func (m *Machine) suits(spec *protocol.Submission) bool {
 	typeAllowed := len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, m.machineType)
 	zoneAllowed := spec.Zone == "" || spec.Zone == m.zone
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -6,26 +6,26 @@
 	"madderslip/internal/protocol"
 )
 
-// causeStopped is the cause of an exit that a stop command asked for, as the protocol
-// spells it.
+// causeStopped is the exit cause, as the protocol spells it, of a task that a stop command
+// has ended.
 const causeStopped = "halted"
 
 // taskAttempt is an attempt of a task on a machine.
 type taskAttempt struct {
 	attempt      uint64
-	phase        string // one of protocol's
-	cause        string // of its exit
+	phase        string // one of the protocol's task phases
+	cause        string // the exit cause; empty before the exit
 	checkpointed bool
 }
 
-// occupiesMachine reports whether a task is on its machine by the rules: from when it has
-// its image until it exits.
+// occupiesMachine reports whether a task is on its machine in the sense of the rules: from
+// the time its image is fetched until the task exits.
 func (t *taskAttempt) occupiesMachine() bool {
 	return t.phase == protocol.TaskRunning || t.phase == protocol.TaskWaitingForGang || t.phase == protocol.TaskCheckpointing
 }
 
-// startTask fetches the image of a task and begins it then. The task exits at once if its
-// job is unknown or the machine lacks capacity. The world's lock is held by the caller.
+// startTask fetches the image of a task and then begins the task. The task exits at once if
+// its job is unknown or the machine lacks capacity. The world's lock is held by the caller.
 func (m *Machine) startTask(name string, attempt uint64) {
 	w := m.world
 	jobID, index, _ := protocol.ParseTaskName(name)
@@ -47,8 +47,8 @@
 	m.afterOnTask(name, task, fetch, func() { m.beginTask(name, task, job) })
 }
 
-// beginTask is the moment a task is on its machine; the rules are checked here. The
-// world's lock is held by the caller.
+// beginTask begins a task whose image is on the machine, and checks the rules that apply to a
+// start. A gang's task waits for its gang. The world's lock is held by the caller.
 func (m *Machine) beginTask(name string, task *taskAttempt, job *Job) {
 	w := m.world
 	m.cachedImages[job.Spec.Image] = true
@@ -79,15 +79,15 @@
 	}
 }
 
-// completeTask ends a task whose work is done, a gang's together with the others. One
-// that is being stopped does not complete. The world's lock is held by the caller.
+// completeTask ends a task whose run time has passed; tasks of a gang complete together. A
+// task that is being stopped does not complete. The world's lock is held by the caller.
 func (m *Machine) completeTask(name string, task *taskAttempt, job *Job) {
 	if task.phase != protocol.TaskRunning {
 		return
 	}
 	if job.isGang() {
 		m.world.completeGang(job, task.attempt)
-		if task.phase == protocol.TaskRunning { // another one's machine hangs
+		if task.phase == protocol.TaskRunning { // another task of the gang is lost or its machine is hung
 			m.afterOnTask(name, task, time.Second, func() { m.completeTask(name, task, job) })
 		}
 		return
@@ -98,9 +98,9 @@
 	m.world.jobFinished(job)
 }
 
-// stopTask ends a task. One that runs and has checkpoints takes one if its grace
-// suffices; a gang's counts only if all of its tasks are told in time. The world's lock is
-// held by the caller.
+// stopTask stops a task. A running task of a job with checkpoints first takes a checkpoint
+// if the grace period suffices; a checkpoint of a gang counts only if all of its tasks receive
+// their stop commands in time. The world's lock is held by the caller.
 func (m *Machine) stopTask(name string, task *taskAttempt, graceS *float64) {
 	w := m.world
 	jobID, _, _ := protocol.ParseTaskName(name)
@@ -129,8 +129,8 @@
 	})
 }
 
-// exitTask ends a task for a cause; the others of a gang notice, unless they caused it.
-// The world's lock is held by the caller.
+// exitTask ends a task with the given cause. It notifies the task's gang peers, unless the
+// task is done or exits because of a lost peer. The world's lock is held by the caller.
 func (m *Machine) exitTask(name string, task *taskAttempt, cause string) {
 	before := *task
 	task.phase, task.cause = protocol.TaskExited, cause
@@ -141,9 +141,9 @@
 	}
 }
 
-// afterOnTask does something to a task later, if it is still there by then. A hung
-// machine does nothing until it resumes. The world's lock is held by the caller, and as
-// do is called.
+// afterOnTask calls do after a delay on the worker's clock, unless the task has exited or is
+// lost by then. While the machine is hung, the call is retried every second. The world's lock
+// is held by the caller and during the call.
 func (m *Machine) afterOnTask(name string, task *taskAttempt, delay time.Duration, do func()) {
 	w, epoch := m.world, m.agentEpoch
 	delay = m.byWorkerClock(delay) + w.between(0, time.Millisecond, "after", m.host, name)
