--- a/internal/emulator/servedshare.go
+++ b/internal/emulator/servedshare.go
@@ -8,10 +8,11 @@
 	"madderslip/internal/protocol"
 )
 
-// ServedShare is what was served of all that could have been, in the class's own measure.
+// ServedShare is how much could have been served and how much was: replica time in seconds
+// for services, tasks for arrays and gangs.
 type ServedShare struct{ Possible, Served float64 }
 
-// Share is the part that was served; 1 where nothing could have been.
+// Share returns the fraction that was served, 1 if nothing could have been served.
 func (s ServedShare) Share() float64 {
 	if s.Possible == 0 {
 		return 1
@@ -19,13 +20,14 @@
 	return s.Served / s.Possible
 }
 
-// plus is the sum of two shares of the same measure.
+// plus returns the sum of two shares in the same unit.
 func (s ServedShare) plus(other ServedShare) ServedShare {
 	return ServedShare{s.Possible + other.Possible, s.Served + other.Served}
 }
 
-// normalized is the share with 1 for what could have been: a class of one shape adds up, a
-// team's classes count alike whatever their measure.
+// normalized scales the share to a Possible of 1, unless that is 0. Shares within a class
+// can be added as they are, because its jobs have one shape; the jobs of a team may differ
+// in shape, so their shares count alike whatever their unit.
 func (s ServedShare) normalized() ServedShare {
 	if s.Possible > 0 {
 		return ServedShare{1, s.Served / s.Possible}
@@ -33,11 +35,12 @@
 	return s
 }
 
-// replicaGrace is from when on a replica counts as missed: a machine may have to boot.
+// replicaGrace is how long after its service could have started a replica begins to count as
+// missed: a machine may have to boot first.
 const replicaGrace = 25 * time.Second
 
-// countReplicas adds an interval to the replica time that services have had. The world's
-// lock is held by the caller.
+// countReplicas adds an interval to the possible and the served replica time of all services.
+// The world's lock is held by the caller.
 func (w *World) countReplicas(interval time.Duration) {
 	running := make(map[string]int)
 	for _, machine := range w.machines {
@@ -59,8 +62,8 @@
 	}
 }
 
-// largestJobs are the largest jobs of each class: those whose tasks together take at least
-// nine tenths of the CPUs that the very largest one's do. The world's lock is held by the
+// largestJobs returns the largest jobs of each class: those whose tasks together use at least
+// nine tenths of the CPUs of the largest job in the class. The world's lock is held by the
 // caller.
 func (w *World) largestJobs() map[*Job]bool {
 	size := func(job *Job) float64 { return job.Spec.CPUs * float64(job.Spec.Tasks) }
@@ -75,9 +78,9 @@
 	return largest
 }
 
-// LargestNotStarted lists the jobs, of those that are their class's largest, that had not
-// started so long after they were accepted, in the order of their IDs. Those that fail or
-// that their users cancelled do not count.
+// LargestNotStarted lists those of the largest jobs of each class that did not start within
+// the given time after they were accepted and their dependencies were done, ordered by job
+// ID. Jobs that fail or that users cancelled do not count.
 func (w *World) LargestNotStarted(within time.Duration) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,11 +102,11 @@
 	return notStarted
 }
 
-// Served is, by class, by team ("team NAME") and of a class's largest jobs alone
-// ("largest of CLASS"), what was served so far: of services the replica time, counted
-// from some time after they were accepted; of arrays and gangs the tasks done, of jobs
-// that were accepted at least early ago. Jobs that fail or that their users cancelled do
-// not count.
+// Served returns how much was served so far by class, by team ("team NAME") and for the
+// largest jobs of each class alone ("largest of CLASS"). Services count by replica time, from
+// replicaGrace after they could have started; arrays and gangs count by tasks done, if they
+// could have started at least early ago. A job can start once it is accepted and its
+// dependencies are done. Jobs that fail or that users cancelled do not count.
 func (w *World) Served(early time.Duration) map[string]ServedShare {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/staleheartbeats.go
+++ b/internal/emulator/staleheartbeats.go
@@ -9,16 +9,16 @@
 	"madderslip/internal/transport"
 )
 
-// keepHeartbeat has a copy of a heartbeat wait for the next owner of a shard. The world's
-// lock is held by the caller.
+// keepHeartbeat keeps a copy of a heartbeat until a shard gets a new fencing token. The
+// world's lock is held by the caller.
 func (w *World) keepHeartbeat(machine *Machine, body []byte) {
-	const most = 3 // of each machine, the first ones: the older the worse
+	const most = 3 // per machine, the earliest heartbeats: older ones are more likely to do harm
 	if kept := w.keptHeartbeats[machine.host]; len(kept) < most {
 		w.keptHeartbeats[machine.host] = append(kept, body)
 	}
 }
 
-// replayKeptHeartbeats has the heartbeats that were kept reach every controller, as a
+// replayKeptHeartbeats delivers the kept heartbeats to every controller. It is called when a
 // shard gets a new fencing token.
 func (w *World) replayKeptHeartbeats() {
 	w.mu.Lock()
@@ -42,5 +42,5 @@
 	}
 }
 
-// ignoreResponse takes a response that nobody waits for.
+// ignoreResponse discards a response that no caller waits for.
 func ignoreResponse(transport.Response) {}
--- a/internal/emulator/unplaced.go
+++ b/internal/emulator/unplaced.go
@@ -8,8 +8,8 @@
 	"madderslip/internal/protocol"
 )
 
-// freeCapacity is what a machine that is well has left; nothing, if it is not. The world's
-// lock is held by the caller.
+// freeCapacity returns the unallocated resources of the machine, none if the machine has a
+// fault or a preemption notice or is booting. The world's lock is held by the caller.
 func (m *Machine) freeCapacity() resources {
 	inContact := m.responsive() && !m.cannotReceive && !m.cannotSend
 	if !inContact || m.failsTasks || m.booting() || !m.preemptionAt.IsZero() {
@@ -18,8 +18,9 @@
 	return m.world.capacityOf(m.machineType).minus(m.allocated())
 }
 
-// capacityFor is how many of a job's tasks would fit what is free, in the zone where most
-// do if they have to share one. The world's lock is held by the caller.
+// capacityFor returns how many of a job's tasks fit in the free capacity of suitable
+// machines. If the tasks must share a zone, only the zone where most fit counts. The world's
+// lock is held by the caller.
 func (w *World) capacityFor(spec *protocol.Submission) int {
 	byZone, total := make(map[string]int), 0
 	for _, machine := range w.machines {
@@ -42,9 +43,9 @@
 	return most
 }
 
-// trackUnplaced records, once all faults have ended, since when a job waits with no task
-// on any machine while one that fits has capacity and its team is under its limit. The
-// world's lock is held by the caller.
+// trackUnplaced records, once all faults have ended, since when each job has no task on any
+// machine although one task, or all tasks of a gang, would fit in the free capacity and in
+// the limits of the job's team. The world's lock is held by the caller.
 func (w *World) trackUnplaced(use map[string]protocol.Resources) {
 	placed := make(map[string]bool)
 	for _, machine := range w.machines {
@@ -69,15 +70,15 @@
 	}
 }
 
-// teamAllows reports whether so many more tasks of a job keep its team within its limits.
-// The world's lock is held by the caller.
+// teamAllows reports whether the job's team stays within its limits with the given number of
+// additional tasks of the job. The world's lock is held by the caller.
 func (w *World) teamAllows(job *Job, tasks int, use map[string]protocol.Resources) bool {
 	used, count := use[job.Spec.Team], float64(tasks)
 	return !exceedsLimit(w.Teams[job.Spec.Team], used.CPUs+job.Spec.CPUs*count, used.GPUs+job.Spec.GPUs*count)
 }
 
-// UnplacedLongerThan lists the jobs that have waited for longer beside capacity that they
-// fit, in the order of their IDs.
+// UnplacedLongerThan lists the jobs that have been unplaced despite free capacity for longer
+// than the given time, ordered by job ID; see trackUnplaced.
 func (w *World) UnplacedLongerThan(longer time.Duration) (jobIDs []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/usage.go
+++ b/internal/emulator/usage.go
@@ -2,8 +2,8 @@
 
 import "madderslip/internal/protocol"
 
-// eachOccupyingTask calls visit with the job and index of every task that is on a machine
-// by the rules. The world's lock is held by the caller.
+// eachOccupyingTask calls visit with the job ID and index of every task that is on a machine
+// in the sense of the rules, see occupiesMachine. The world's lock is held by the caller.
 func (w *World) eachOccupyingTask(visit func(jobID string, index int)) {
 	for _, machine := range w.machines {
 		if machine.removed {
@@ -18,7 +18,7 @@
 	}
 }
 
-// TeamUse is the CPUs and GPUs that each team's tasks take on machines.
+// TeamUse returns, by team, the CPUs and GPUs that its tasks use on machines.
 func (w *World) TeamUse() map[string]protocol.Resources {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -36,8 +36,9 @@
 	return use
 }
 
-// JobUse is the CPUs and GPUs that a job's tasks from one index up to another take on
-// machines. It is for OnStop, whose caller holds the world's lock.
+// JobUse returns the CPUs and GPUs that a job's tasks use on machines, for the indexes from
+// (inclusive) to upTo (exclusive). It is for use in OnStop, which is called with the world's
+// lock held.
 func (w *World) JobUse(jobID string, from, upTo int) (use protocol.Resources) {
 	job := w.jobs[jobID]
 	if job == nil {
@@ -51,8 +52,8 @@
 	return use
 }
 
-// Running counts the tasks of a job that are on machines, or of all jobs if its ID is
-// empty.
+// Running returns the number of a job's tasks that are on machines, or of all jobs' tasks if
+// the job ID is empty.
 func (w *World) Running(jobID string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -65,5 +66,5 @@
 	return count
 }
 
-// RunningTasks counts the tasks of all jobs that are on machines.
+// RunningTasks returns the number of tasks of all jobs that are on machines.
 func (w *World) RunningTasks() int { return w.Running("") }
