--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -102,7 +102,7 @@
 	body              []byte
 	sentAt            time.Time
 	agentEpoch        uint64
-	boots             int
+	reboots           int
 	sequence          string        // of the heartbeat; part of the names of its random draws
 	request, response time.Duration // delays of the two messages
 }
@@ -190,7 +190,7 @@
 		h.handler = nil
 	}
 	h.body, _ = json.Marshal(m.heartbeat())
-	h.sentAt, h.agentEpoch, h.boots, h.sequence = time.Now(), m.agentEpoch, m.boots, strconv.FormatUint(m.sequence, 10)
+	h.sentAt, h.agentEpoch, h.reboots, h.sequence = time.Now(), m.agentEpoch, m.reboots, strconv.FormatUint(m.sequence, 10)
 	if h.handler != nil {
 		m.resendHeartbeat = h.resend
 	}
@@ -209,7 +209,7 @@
 // has neither rebooted nor begun a new agent epoch since it sent the heartbeat. The world's
 // lock is held by the caller.
 func (m *Machine) receives(h *outgoingHeartbeat) bool {
-	return m.responsive() && !m.cannotReceive && m.agentEpoch == h.agentEpoch && m.boots == h.boots &&
+	return m.responsive() && !m.cannotReceive && m.agentEpoch == h.agentEpoch && m.reboots == h.reboots &&
 		!m.world.hasFaultOn(faultControllerDeaf, h.controller) && m.reachable(h.controller)
 }
 
--- a/internal/emulator/dependencies.go
+++ b/internal/emulator/dependencies.go
@@ -54,11 +54,11 @@
 	return dependencies
 }
 
-// cancelledDependency reports whether a user has asked to cancel any dependency of a job,
+// dependencyCancellation reports whether a user has asked to cancel any dependency of a job,
 // direct or transitive, and returns when a user was first told that one is cancelled (zero:
 // none was). Dependencies that a user was told are done do not count as requested: they
 // stay done, and the jobs that depend on them go on. The world's lock is held by the caller.
-func (w *World) cancelledDependency(jobID string) (requested bool, confirmedAt time.Time) {
+func (w *World) dependencyCancellation(jobID string) (requested bool, confirmedAt time.Time) {
 	for _, dependency := range w.dependenciesOf(jobID) {
 		if !w.cancelRequested[dependency.Spec.JobID] {
 			continue
@@ -74,13 +74,14 @@
 	return requested, confirmedAt
 }
 
-// cancelled reports whether a user has asked to cancel a job or, as cancelledDependency
-// counts them, any of its dependencies. The world's lock is held by the caller.
-func (w *World) cancelled(jobID string) bool {
+// isCancelRequested reports whether a user has asked to cancel a job or, as
+// dependencyCancellation counts them, any of its dependencies. The world's lock is held by
+// the caller.
+func (w *World) isCancelRequested(jobID string) bool {
 	if w.cancelRequested[jobID] {
 		return true
 	}
-	requested, _ := w.cancelledDependency(jobID)
+	requested, _ := w.dependencyCancellation(jobID)
 	return requested
 }
 
@@ -88,7 +89,7 @@
 // always fail, its cancellation or that of a dependency was requested, or its dependencies
 // are not done. The world's lock is held by the caller.
 func (w *World) needNotRun(job *Job) bool {
-	return job.Fail || job.acceptedAt.IsZero() || !w.dependenciesDone(job) || w.cancelled(job.Spec.JobID)
+	return job.Fail || job.acceptedAt.IsZero() || !w.dependenciesDone(job) || w.isCancelRequested(job.Spec.JobID)
 }
 
 // checkCancelledPhase checks the phase of a job in the response to a user's request against
@@ -96,7 +97,7 @@
 // reaches a final phase within the cancel deadline after a user was told that a dependency
 // is cancelled. The world's lock is held by the caller.
 func (w *World) checkCancelledPhase(jobID, phase string, asked time.Time) {
-	requested, confirmedAt := w.cancelledDependency(jobID)
+	requested, confirmedAt := w.dependencyCancellation(jobID)
 	if phase == protocol.JobCancelled && !w.cancelRequested[jobID] && !requested {
 		w.recordViolation(ruleWentBack, "%s cancelled by nobody", jobID)
 	}
@@ -134,7 +135,7 @@
 // endless is Endless for callers that hold the world's lock.
 func (w *World) endless(jobID string) bool {
 	job := w.jobs[jobID]
-	if job == nil || w.cancelled(jobID) || job.allTasksDone() {
+	if job == nil || w.isCancelRequested(jobID) || job.allTasksDone() {
 		return false
 	}
 	if job.Fail || job.Spec.Shape == protocol.ShapeService {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -111,10 +111,10 @@
 // the faults of machines, see SetMachineFault.
 func (w *World) SetFault(name string, on bool) {
 	w.mu.Lock()
-	was := w.activeFaults[name]
+	wasActive := w.activeFaults[name]
 	w.activeFaults[name] = on
 	w.recordEvent("%s %v", name, on)
-	if was != on {
+	if wasActive != on {
 		w.applyTargetedFault(name, on)
 	}
 	w.mu.Unlock()
@@ -147,8 +147,8 @@
 		w.SetFault(name, false)
 	}
 	for _, host := range hosts {
-		for _, what := range []string{machineResumes, machineHeals, machineWell, machineReceives, machineSends} {
-			w.SetMachineFault(host, what)
+		for _, recovery := range []string{machineResumes, machineHeals, machineTasksRecover, machineReceives, machineSends} {
+			w.SetMachineFault(host, recovery)
 		}
 	}
 }
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -11,23 +11,23 @@
 // lost another task.
 const causeGangPeerLost = "peers"
 
-// attemptTask is a task of an attempt of a job, with the machine that has the task.
-type attemptTask struct {
+// hostedTask is a task of an attempt of a job, with the machine that has the task.
+type hostedTask struct {
 	machine *Machine
 	name    string
 	task    *taskAttempt
 }
 
-// attemptTasks lists the tasks of an attempt of a job, ordered by host and task name. The
+// tasksOfAttempt lists the tasks of an attempt of a job, ordered by host and task name. The
 // world's lock is held by the caller.
-func (w *World) attemptTasks(jobID string, attempt uint64) []attemptTask {
-	var tasks []attemptTask
+func (w *World) tasksOfAttempt(jobID string, attempt uint64) []hostedTask {
+	var tasks []hostedTask
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
 		machine := w.machines[host]
 		for _, name := range slices.Sorted(maps.Keys(machine.tasks)) {
 			task := machine.tasks[name]
 			if id, _, _ := protocol.ParseTaskName(name); id == jobID && task.attempt == attempt {
-				tasks = append(tasks, attemptTask{machine, name, task})
+				tasks = append(tasks, hostedTask{machine, name, task})
 			}
 		}
 	}
@@ -38,7 +38,7 @@
 // gang, and reports whether it has started the attempt. The world's lock is held by the
 // caller.
 func (w *World) startGangIfComplete(job *Job, attempt uint64) bool {
-	waiting := slices.DeleteFunc(w.attemptTasks(job.Spec.JobID, attempt), func(t attemptTask) bool {
+	waiting := slices.DeleteFunc(w.tasksOfAttempt(job.Spec.JobID, attempt), func(t hostedTask) bool {
 		return t.task.phase != protocol.TaskWaitingForGang || t.machine.removed
 	})
 	if len(waiting) < job.Spec.Tasks {
@@ -56,7 +56,7 @@
 // exitUnlessGangStarts ends a task if it is still waiting for its gang after the gang start
 // timeout. The world's lock is held by the caller.
 func (m *Machine) exitUnlessGangStarts(name string, task *taskAttempt) {
-	m.afterOnTask(name, task, m.world.Workers.GangStartTimeout, func() {
+	m.afterTaskDelay(name, task, m.world.Workers.GangStartTimeout, func() {
 		if task.phase == protocol.TaskWaitingForGang {
 			m.exitTask(name, task, protocol.CauseGangTimeout)
 		}
@@ -67,7 +67,7 @@
 // lost or its machine is hung: the remaining tasks are about to exit for that reason. The
 // world's lock is held by the caller.
 func (w *World) completeGang(job *Job, attempt uint64) {
-	tasks := w.attemptTasks(job.Spec.JobID, attempt)
+	tasks := w.tasksOfAttempt(job.Spec.JobID, attempt)
 	running := 0
 	for _, t := range tasks {
 		if t.task.phase == protocol.TaskRunning && !t.machine.removed && !t.machine.hung {
@@ -88,11 +88,11 @@
 	w.jobFinished(job)
 }
 
-// gangCheckpointing reports whether every task of a gang's attempt has received a stop
+// isGangCheckpointing reports whether every task of a gang's attempt has received a stop
 // command and is taking or has taken its checkpoint. The world's lock is held by the caller.
-func (w *World) gangCheckpointing(job *Job, attempt uint64) bool {
+func (w *World) isGangCheckpointing(job *Job, attempt uint64) bool {
 	checkpointing := 0
-	for _, t := range w.attemptTasks(job.Spec.JobID, attempt) {
+	for _, t := range w.tasksOfAttempt(job.Spec.JobID, attempt) {
 		if (t.task.phase == protocol.TaskCheckpointing || t.task.checkpointed) && !t.machine.removed {
 			checkpointing++
 		}
@@ -109,10 +109,10 @@
 	if !ok || job == nil || !job.isGang() || lost.phase != protocol.TaskRunning {
 		return
 	}
-	for _, t := range w.attemptTasks(jobID, lost.attempt) {
+	for _, t := range w.tasksOfAttempt(jobID, lost.attempt) {
 		if t.task != lost && t.task.phase == protocol.TaskRunning {
 			delay := w.between(w.Workers.GangPeerTimeout/2, w.Workers.GangPeerTimeout, t.name, t.machine.host)
-			t.machine.afterOnTask(t.name, t.task, delay, func() { t.machine.exitForLostPeer(t.name, t.task) })
+			t.machine.afterTaskDelay(t.name, t.task, delay, func() { t.machine.exitForLostPeer(t.name, t.task) })
 		}
 	}
 }
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -29,7 +29,7 @@
 	failsTasks    bool // every task that starts on it fails
 	slowsTasks    bool // tasks that start on it run four times as long
 	rebooting     bool
-	boots         int       // number of reboots
+	reboots       int       // number of reboots
 	preemptionAt  time.Time // the announced time of its preemption; zero without a notice
 
 	agentEpoch      uint64
@@ -101,15 +101,15 @@
 	return d + time.Duration(float64(d)*m.clockDrift.Seconds()/2000)
 }
 
-// afterDelay calls do after a delay, unless the machine is removed by then. The world's lock
-// is held during the call.
-func (m *Machine) afterDelay(delay time.Duration, do func()) {
+// afterDelay calls action after a delay, unless the machine is removed by then. The world's
+// lock is held during the call.
+func (m *Machine) afterDelay(delay time.Duration, action func()) {
 	go func() {
 		if wait(m.world.ctx, delay) {
 			m.world.mu.Lock()
 			defer m.world.mu.Unlock()
 			if !m.removed {
-				do()
+				action()
 			}
 		}
 	}()
@@ -142,17 +142,17 @@
 func (w *World) HostOf(jobID string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	best := ""
+	chosen := ""
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
 		machine := w.machines[host]
 		if machine.removed || !machine.hasTaskOf(jobID) {
 			continue
 		}
-		if best == "" || w.machines[best].hung || w.machines[best].partitioned {
-			best = host
+		if chosen == "" || w.machines[chosen].hung || w.machines[chosen].partitioned {
+			chosen = host
 		}
 	}
-	return best
+	return chosen
 }
 
 // Hosts lists the rented machines, or only the spot machines among them, ordered by host.
@@ -182,13 +182,13 @@
 func (w *World) RegisteredWorkers() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	up := 0
+	registered := 0
 	for _, machine := range w.machines {
 		if !machine.removed && machine.fencingToken > 0 {
-			up++
+			registered++
 		}
 	}
-	return up
+	return registered
 }
 
 // MachineTokens returns, by host, the fencing token of each worker that no fault keeps from
--- a/internal/emulator/resources.go
+++ b/internal/emulator/resources.go
@@ -28,9 +28,9 @@
 	return r.cpus <= limit.cpus+rounding && r.gpus <= limit.gpus+rounding && r.memoryGB <= limit.memoryGB+rounding
 }
 
-// countOf returns how many tasks with the given resources fit in r, +Inf for tasks that use
+// tasksThatFit returns how many tasks with the given resources fit in r, +Inf for tasks that use
 // no resources.
-func (r resources) countOf(task resources) float64 {
+func (r resources) tasksThatFit(task resources) float64 {
 	count := math.Inf(1)
 	for _, part := range [...]struct{ free, perTask float64 }{{r.cpus, task.cpus}, {r.gpus, task.gpus}, {r.memoryGB, task.memoryGB}} {
 		if part.perTask > 0 {
--- a/internal/emulator/servedshare.go
+++ b/internal/emulator/servedshare.go
@@ -67,13 +67,13 @@
 // caller.
 func (w *World) largestJobs() map[*Job]bool {
 	size := func(job *Job) float64 { return job.Spec.CPUs * float64(job.Spec.Tasks) }
-	most := make(map[string]float64)
+	maxSize := make(map[string]float64)
 	for _, job := range w.jobs {
-		most[job.Spec.Class] = max(most[job.Spec.Class], size(job))
+		maxSize[job.Spec.Class] = max(maxSize[job.Spec.Class], size(job))
 	}
 	largest := make(map[*Job]bool)
 	for _, job := range w.jobs {
-		largest[job] = size(job) >= 0.9*most[job.Spec.Class]
+		largest[job] = size(job) >= 0.9*maxSize[job.Spec.Class]
 	}
 	return largest
 }
@@ -105,9 +105,9 @@
 // Served returns how much was served so far by class, by team ("team NAME") and for the
 // largest jobs of each class alone ("largest of CLASS"). Services count by replica time, from
 // replicaGrace after they could have started; arrays and gangs count by tasks done, if they
-// could have started at least early ago. A job can start once it is accepted and its
+// could have started at least minAge ago. A job can start once it is accepted and its
 // dependencies are done. Jobs that fail or that users cancelled do not count.
-func (w *World) Served(early time.Duration) map[string]ServedShare {
+func (w *World) Served(minAge time.Duration) map[string]ServedShare {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	served := make(map[string]ServedShare)
@@ -115,7 +115,7 @@
 	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
 		job := w.jobs[jobID]
 		isService := job.Spec.Shape == protocol.ShapeService
-		if w.needNotRun(job) || (!isService && time.Since(w.eligibleAt(job)) < early) {
+		if w.needNotRun(job) || (!isService && time.Since(w.eligibleAt(job)) < minAge) {
 			continue
 		}
 		share := job.replicaTime
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -44,7 +44,7 @@
 	if m.cachedImages[job.Spec.Image] {
 		fetch = time.Millisecond
 	}
-	m.afterOnTask(name, task, fetch, func() { m.beginTask(name, task, job) })
+	m.afterTaskDelay(name, task, fetch, func() { m.beginTask(name, task, job) })
 }
 
 // beginTask begins a task whose image is on the machine, and checks the rules that apply to a
@@ -67,7 +67,7 @@
 		job.startedAt = time.Now()
 	}
 	if job.Fail || m.failsTasks {
-		m.afterOnTask(name, task, time.Second, func() { m.exitTask(name, task, protocol.CauseError) })
+		m.afterTaskDelay(name, task, time.Second, func() { m.exitTask(name, task, protocol.CauseError) })
 		return
 	}
 	if job.Run > 0 {
@@ -75,7 +75,7 @@
 		if m.slowsTasks {
 			duration *= 4
 		}
-		m.afterOnTask(name, task, duration, func() { m.completeTask(name, task, job) })
+		m.afterTaskDelay(name, task, duration, func() { m.completeTask(name, task, job) })
 	}
 }
 
@@ -88,7 +88,7 @@
 	if job.isGang() {
 		m.world.completeGang(job, task.attempt)
 		if task.phase == protocol.TaskRunning { // another task of the gang is lost or its machine is hung
-			m.afterOnTask(name, task, time.Second, func() { m.completeTask(name, task, job) })
+			m.afterTaskDelay(name, task, time.Second, func() { m.completeTask(name, task, job) })
 		}
 		return
 	}
@@ -109,8 +109,8 @@
 	hasCheckpoints := job != nil && job.Spec.CheckpointIntervalS > 0
 	checkpoints := running && hasCheckpoints && graceS != nil && *graceS >= job.Spec.CheckpointS
 	if w.OnStop != nil && running {
-		if why := w.OnStop(name, m.host, w.teamUse()); why != "" {
-			w.recordViolation(ruleGuarantee, "%s", why)
+		if violation := w.OnStop(name, m.host, w.teamUse()); violation != "" {
+			w.recordViolation(ruleGuarantee, "%s", violation)
 		}
 	}
 	if !checkpoints {
@@ -119,8 +119,8 @@
 	}
 	task.phase = protocol.TaskCheckpointing
 	m.wakeAgent()
-	m.afterOnTask(name, task, job.Spec.CheckpointDuration(), func() {
-		task.checkpointed = !job.isGang() || w.gangCheckpointing(job, task.attempt)
+	m.afterTaskDelay(name, task, job.Spec.CheckpointDuration(), func() {
+		task.checkpointed = !job.isGang() || w.isGangCheckpointing(job, task.attempt)
 		if task.checkpointed {
 			m.exitTask(name, task, causeStopped)
 		} else {
@@ -141,10 +141,10 @@
 	}
 }
 
-// afterOnTask calls do after a delay on the worker's clock, unless the task has exited or is
-// lost by then. While the machine is hung, the call is retried every second. The world's lock
-// is held by the caller and during the call.
-func (m *Machine) afterOnTask(name string, task *taskAttempt, delay time.Duration, do func()) {
+// afterTaskDelay calls action after a delay on the worker's clock, unless the task has exited
+// or is lost by then. While the machine is hung, the call is retried every second. The world's
+// lock is held by the caller and during the call.
+func (m *Machine) afterTaskDelay(name string, task *taskAttempt, delay time.Duration, action func()) {
 	w, epoch := m.world, m.agentEpoch
 	delay = m.byWorkerClock(delay) + w.between(0, time.Millisecond, "after", m.host, name)
 	go func() {
@@ -157,9 +157,9 @@
 		switch {
 		case gone || task.phase == protocol.TaskExited:
 		case m.hung:
-			m.afterOnTask(name, task, time.Second, do)
+			m.afterTaskDelay(name, task, time.Second, action)
 		default:
-			do()
+			action()
 		}
 	}()
 }
--- a/internal/emulator/unplaced.go
+++ b/internal/emulator/unplaced.go
@@ -18,16 +18,16 @@
 	return m.world.capacityOf(m.machineType).minus(m.allocated())
 }
 
-// capacityFor returns how many of a job's tasks fit in the free capacity of suitable
+// countTasksThatFit returns how many of a job's tasks fit in the free capacity of suitable
 // machines. If the tasks must share a zone, only the zone where most fit counts. The world's
 // lock is held by the caller.
-func (w *World) capacityFor(spec *protocol.Submission) int {
+func (w *World) countTasksThatFit(spec *protocol.Submission) int {
 	byZone, total := make(map[string]int), 0
 	for _, machine := range w.machines {
 		if !machine.suits(spec) {
 			continue
 		}
-		if count := machine.freeCapacity().countOf(taskResources(spec)); count > 0 {
+		if count := machine.freeCapacity().tasksThatFit(taskResources(spec)); count > 0 {
 			tasks := int(min(count, float64(spec.Tasks)))
 			byZone[machine.zone] += tasks
 			total += tasks
@@ -36,11 +36,11 @@
 	if !spec.SameZone {
 		return total
 	}
-	most := 0
+	maxInZone := 0
 	for _, count := range byZone {
-		most = max(most, count)
+		maxInZone = max(maxInZone, count)
 	}
-	return most
+	return maxInZone
 }
 
 // trackUnplaced records, once all faults have ended, since when each job has no task on any
@@ -60,9 +60,9 @@
 		if job.isGang() {
 			tasksNeeded = job.Spec.Tasks
 		}
-		mayRun := !placed[jobID] && !job.allTasksDone() && !w.needNotRun(job) && w.teamAllows(job, tasksNeeded, use)
+		mayRun := !placed[jobID] && !job.allTasksDone() && !w.needNotRun(job) && w.fitsTeamLimits(job, tasksNeeded, use)
 		switch {
-		case w.faultsEndedAt.IsZero() || !mayRun || w.capacityFor(&job.Spec) < tasksNeeded:
+		case w.faultsEndedAt.IsZero() || !mayRun || w.countTasksThatFit(&job.Spec) < tasksNeeded:
 			job.unplacedSince = time.Time{}
 		case job.unplacedSince.IsZero():
 			job.unplacedSince = time.Now()
@@ -70,20 +70,20 @@
 	}
 }
 
-// teamAllows reports whether the job's team stays within its limits with the given number of
+// fitsTeamLimits reports whether the job's team stays within its limits with the given number of
 // additional tasks of the job. The world's lock is held by the caller.
-func (w *World) teamAllows(job *Job, tasks int, use map[string]protocol.Resources) bool {
+func (w *World) fitsTeamLimits(job *Job, tasks int, use map[string]protocol.Resources) bool {
 	used, count := use[job.Spec.Team], float64(tasks)
 	return !exceedsLimit(w.Teams[job.Spec.Team], used.CPUs+job.Spec.CPUs*count, used.GPUs+job.Spec.GPUs*count)
 }
 
 // UnplacedLongerThan lists the jobs that have been unplaced despite free capacity for longer
 // than the given time, ordered by job ID; see trackUnplaced.
-func (w *World) UnplacedLongerThan(longer time.Duration) (jobIDs []string) {
+func (w *World) UnplacedLongerThan(limit time.Duration) (jobIDs []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
-		if j := w.jobs[jobID]; !j.unplacedSince.IsZero() && time.Since(j.unplacedSince) > longer {
+		if j := w.jobs[jobID]; !j.unplacedSince.IsZero() && time.Since(j.unplacedSince) > limit {
 			jobIDs = append(jobIDs, jobID)
 		}
 	}
