--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -186,7 +186,7 @@
 	w := m.world
 	controller := w.controllers[m.controllerIndex%len(w.controllers)]
 	h := &outgoingHeartbeat{controller: controller, handler: w.handlers[controller]}
-	if w.hasFaultOn(faultControllerDeaf, controller) {
+	if w.hasFaultOn(faultWorkersLost, controller) {
 		h.handler = nil
 	}
 	h.body, _ = json.Marshal(m.heartbeat())
@@ -210,7 +210,7 @@
 // lock is held by the caller.
 func (m *Machine) receives(h *outgoingHeartbeat) bool {
 	return m.responsive() && !m.cannotReceive && m.agentEpoch == h.agentEpoch && m.reboots == h.reboots &&
-		!m.world.hasFaultOn(faultControllerDeaf, h.controller) && m.reachable(h.controller)
+		!m.world.hasFaultOn(faultWorkersLost, h.controller) && m.reachable(h.controller)
 }
 
 // applyResponse applies the response to a heartbeat and returns the pause before the next
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -66,9 +66,9 @@
 	// faultSevered: a controller is disconnected from the state service and the other
 	// controllers, but not from workers and users.
 	faultSevered = "severed"
-	// faultControllerDeaf: a controller cannot reach workers, and workers' heartbeats do not
+	// faultWorkersLost: a controller cannot reach workers, and workers' heartbeats do not
 	// reach the controller.
-	faultControllerDeaf = "deaf"
+	faultWorkersLost = "deaf"
 	// faultPaused: a controller is paused while clocks go on.
 	faultPaused = "freeze"
 	// faultZonePartition: a zone is partitioned from everything outside it. Commands, and
@@ -86,7 +86,7 @@
 	faultCloudDown, faultNoCapacity, faultHalfCapacity, faultSlowBoots, faultNoBoots, faultFastBoots, faultCloudLossy}
 
 // targetedFaults are the faults that affect one controller or zone.
-var targetedFaults = []string{faultStateRefuses, faultSevered, faultControllerDeaf, faultPaused, faultZonePartition, faultPeersRefuse}
+var targetedFaults = []string{faultStateRefuses, faultSevered, faultWorkersLost, faultPaused, faultZonePartition, faultPeersRefuse}
 
 // IsFault reports whether a name is that of a fault for SetFault: one of the whole world, or
 // a targeted one followed by a space and one of the targets.
--- a/internal/emulator/job.go
+++ b/internal/emulator/job.go
@@ -68,10 +68,10 @@
 	}
 }
 
-// Forget deletes the jobs that were done more than a minute ago and the counts of random
-// draws, so that memory does not grow during a long measurement. Users must not ask about
-// the deleted jobs afterwards.
-func (w *World) Forget() {
+// DropFinishedJobs deletes the jobs that were done more than a minute ago and the counts of
+// random draws, so that memory does not grow during a long measurement. Users must not ask
+// about the deleted jobs afterwards.
+func (w *World) DropFinishedJobs() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for jobID, job := range w.jobs {
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -92,7 +92,7 @@
 	}
 	c.refused = w.hasFaultOn(faultStateRefuses, l.Node)
 	c.severed = addr == stateAddr && w.hasFaultOn(faultSevered, l.Node)
-	c.workersLost = w.hasFaultOn(faultControllerDeaf, l.Node)
+	c.workersLost = w.hasFaultOn(faultWorkersLost, l.Node)
 	return c
 }
 
--- a/internal/emulator/resources.go
+++ b/internal/emulator/resources.go
@@ -7,8 +7,8 @@
 	"madderslip/internal/protocol"
 )
 
-// rounding is the tolerance for rounding errors in sums of CPUs, GPUs and GB.
-const rounding = 1e-6
+// roundingTolerance is the tolerance for rounding errors in sums of CPUs, GPUs and GB.
+const roundingTolerance = 1e-6
 
 // resources are the resources that a task uses or a machine has.
 type resources struct{ cpus, gpus, memoryGB float64 }
@@ -25,7 +25,7 @@
 
 // within reports whether no resource in r exceeds its limit, but for rounding errors.
 func (r resources) within(limit resources) bool {
-	return r.cpus <= limit.cpus+rounding && r.gpus <= limit.gpus+rounding && r.memoryGB <= limit.memoryGB+rounding
+	return r.cpus <= limit.cpus+roundingTolerance && r.gpus <= limit.gpus+roundingTolerance && r.memoryGB <= limit.memoryGB+roundingTolerance
 }
 
 // tasksThatFit returns how many tasks with the given resources fit in r, +Inf for tasks that use
@@ -34,7 +34,7 @@
 	count := math.Inf(1)
 	for _, part := range [...]struct{ free, perTask float64 }{{r.cpus, task.cpus}, {r.gpus, task.gpus}, {r.memoryGB, task.memoryGB}} {
 		if part.perTask > 0 {
-			count = min(count, math.Floor((part.free+rounding)/part.perTask))
+			count = min(count, math.Floor((part.free+roundingTolerance)/part.perTask))
 		}
 	}
 	return count
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -58,7 +58,7 @@
 
 // exceedsLimit reports whether a use of CPUs and GPUs is above a team's limits.
 func exceedsLimit(limit protocol.Team, cpus, gpus float64) bool {
-	return (limit.MaxCPUs > 0 && cpus > limit.MaxCPUs+rounding) || (limit.MaxGPUs > 0 && gpus > limit.MaxGPUs+rounding)
+	return (limit.MaxCPUs > 0 && cpus > limit.MaxCPUs+roundingTolerance) || (limit.MaxGPUs > 0 && gpus > limit.MaxGPUs+roundingTolerance)
 }
 
 // ruleInterval is how often the rules are checked that no single event breaks.
--- a/internal/loadtest/measurement.go
+++ b/internal/loadtest/measurement.go
@@ -197,7 +197,7 @@
 // forgetFinished keeps the world's memory bounded.
 func (m *measurement) forgetFinished(ctx context.Context) {
 	for pause(ctx, forgetInterval) {
-		m.world.Forget()
+		m.world.DropFinishedJobs()
 	}
 }
 
