--- a/internal/emulator/servedshare.go
+++ b/internal/emulator/servedshare.go
@@ -9,7 +9,7 @@
 )
 
 // ServedShare is how much could have been served and how much was: replica time in seconds
-// for services, tasks for arrays and gangs.
+// for services, tasks for arrays and gangs, and sums of normalized shares for teams.
 type ServedShare struct{ Possible, Served float64 }
 
 // Share returns the fraction that was served, 1 if nothing could have been served.
--- a/internal/emulator/unplaced.go
+++ b/internal/emulator/unplaced.go
@@ -8,8 +8,9 @@
 	"madderslip/internal/protocol"
 )
 
-// freeCapacity returns the unallocated resources of the machine, none if the machine has a
-// fault or a preemption notice or is booting. The world's lock is held by the caller.
+// freeCapacity returns the unallocated resources of the machine, none if the machine cannot
+// exchange messages, fails tasks, is booting or has a preemption notice. The world's lock is
+// held by the caller.
 func (m *Machine) freeCapacity() resources {
 	inContact := m.responsive() && !m.cannotReceive && !m.cannotSend
 	if !inContact || m.failsTasks || m.booting() || !m.preemptionAt.IsZero() {
@@ -43,9 +44,9 @@
 	return maxInZone
 }
 
-// trackUnplaced records, once all faults have ended, since when each job has no task on any
-// machine although one task, or all tasks of a gang, would fit in the free capacity and in
-// the limits of the job's team. The world's lock is held by the caller.
+// trackUnplaced records, once all faults have ended, since when each job that is expected to
+// run has no task on any machine although one task, or all tasks of a gang, would fit in the
+// free capacity and in the limits of the job's team. The world's lock is held by the caller.
 func (w *World) trackUnplaced(use map[string]protocol.Resources) {
 	placed := make(map[string]bool)
 	for _, machine := range w.machines {
