--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -49,14 +49,14 @@
 // by the caller.
 func (w *World) listMachines(target string) (int, []byte) {
 	asOf := time.Now().Add(-w.ListLag)
-	from, most := parseListPage(target)
+	from, limit := parseListPage(target)
 	var list protocol.MachineList
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
 		machine := w.machines[host]
 		if host < from {
 			continue
 		}
-		if list.Truncated = len(list.Hosts) == most; list.Truncated {
+		if list.Truncated = len(list.Hosts) == limit; list.Truncated {
 			break
 		}
 		if machine.rentedAt.After(asOf) || (machine.removed && machine.stoppedAt.Before(asOf)) {
@@ -76,15 +76,15 @@
 }
 
 // parseListPage reads where a page of the list begins and how long it may be.
-func parseListPage(target string) (from string, most int) {
-	most = 500
+func parseListPage(target string) (from string, limit int) {
+	limit = 500
 	if u, err := url.Parse(target); err == nil {
 		from = u.Query().Get("from")
 		if n, err := strconv.Atoi(u.Query().Get("most")); err == nil && n > 0 {
-			most = min(n, most)
+			limit = min(n, limit)
 		}
 	}
-	return from, most
+	return from, limit
 }
 
 // provision rents machines, as many as the cloud has of those asked for. A request that is
@@ -122,16 +122,16 @@
 // times as long, or never come, under the cloud's faults. The world's lock is held by the
 // caller.
 func (w *World) drawBootTime(request string) time.Duration {
-	usual := w.between(6*time.Second, 15*time.Second, request)
+	bootTime := w.between(6*time.Second, 15*time.Second, request)
 	switch {
 	case w.hasFault(faultFastBoots):
-		return usual / 20
+		return bootTime / 20
 	case w.hasFault(faultNoBoots):
 		return neverBoots
 	case w.hasFault(faultSlowBoots) && w.chance(60, "boot", request):
-		return usual * 5
+		return bootTime * 5
 	}
-	return usual
+	return bootTime
 }
 
 // removeMachine takes a machine away with everything on it. The world's lock is held by
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -59,11 +59,11 @@
 	if !wait(ctx, c.request) {
 		return 0, nil, errConnectionReset
 	}
-	if c.severed || (c.leavesZones() && l.loseInPartition(c)) {
+	if c.severed || (c.isServiceCall() && l.holdIfPartitioned(c)) {
 		<-ctx.Done()
 		return 0, nil, errConnectionReset
 	}
-	if c.leavesZones() {
+	if c.isServiceCall() {
 		return l.callService(ctx, c)
 	}
 	if c.workersLost {
@@ -96,14 +96,14 @@
 	return c
 }
 
-// leavesZones reports whether a call goes to the region, in which the state service and
+// isServiceCall reports whether a call goes to the region, in which the state service and
 // the cloud are, and not to a worker.
-func (c *call) leavesZones() bool { return c.addr == stateAddr || c.addr == cloudAddr }
+func (c *call) isServiceCall() bool { return c.addr == stateAddr || c.addr == cloudAddr }
 
-// loseInPartition reports whether the controller's zone is cut off from the region. Half
+// holdIfPartitioned reports whether the controller's zone is cut off from the region. Half
 // of the calls that this stops are carried out once the partition ends; of the state
 // service's these are the transactions.
-func (l Link) loseInPartition(c call) bool {
+func (l Link) holdIfPartitioned(c call) bool {
 	w := l.W
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -142,7 +142,7 @@
 		status, body = w.serve(ctx, c)
 	}
 	lost := c.outcome == outcomeExecutedLate || c.outcome == outcomeResponseLost
-	if lost || !w.waitForZoneLink(ctx, l.Node, "") || (c.addr == stateAddr && !w.waitUntilServed(ctx, l.Node, c.target)) {
+	if lost || !w.waitForZoneLink(ctx, l.Node, "") || (c.addr == stateAddr && !w.waitWhileWatchRefused(ctx, l.Node, c.target)) {
 		<-ctx.Done()
 	}
 	if status == 0 || !wait(ctx, c.response) {
@@ -162,16 +162,16 @@
 	return w.State.handle(ctx, c.method, c.target, c.body)
 }
 
-// waitUntilServed waits with the updates of an open watch for as long as the state service
+// waitWhileWatchRefused waits with the updates of an open watch for as long as the state service
 // refuses the controller alone, as it would in an outage. It returns false if the context
 // ends first or the controller is severed: whatever that is answered is lost.
-func (w *World) waitUntilServed(ctx context.Context, node, target string) bool {
+func (w *World) waitWhileWatchRefused(ctx context.Context, node, target string) bool {
 	watch := strings.HasPrefix(target, protocol.PathWatch)
 	for {
 		w.mu.Lock()
-		severed, barred := w.hasFaultOn(faultSevered, node), watch && w.hasFaultOn(faultStateRefuses, node)
+		severed, refused := w.hasFaultOn(faultSevered, node), watch && w.hasFaultOn(faultStateRefuses, node)
 		w.mu.Unlock()
-		if severed || !barred {
+		if severed || !refused {
 			return !severed
 		}
 		if !wait(ctx, 100*time.Millisecond+59*time.Nanosecond) {
--- a/internal/emulator/loopback.go
+++ b/internal/emulator/loopback.go
@@ -54,13 +54,13 @@
 		return w.handleCloud(r.Method, r.URL.RequestURI(), body)
 	}
 	var err error
-	if l.StateAddr, err = l.serve(ctx, "127.0.0.1:0", l.handle(&l.State, callState)); err != nil {
+	if l.StateAddr, err = l.serve(ctx, "127.0.0.1:0", l.newHandler(&l.State, callState)); err != nil {
 		return nil, err
 	}
-	if l.CloudAddr, err = l.serve(ctx, "127.0.0.1:0", l.handle(&l.Cloud, callCloud)); err != nil {
+	if l.CloudAddr, err = l.serve(ctx, "127.0.0.1:0", l.newHandler(&l.Cloud, callCloud)); err != nil {
 		return nil, err
 	}
-	workers, err := l.serve(ctx, "0.0.0.0:0", l.handle(&l.Commands, l.serveWorker))
+	workers, err := l.serve(ctx, "0.0.0.0:0", l.newHandler(&l.Commands, l.serveWorker))
 	if err != nil {
 		return nil, err
 	}
@@ -106,14 +106,14 @@
 	return listener.Addr().String(), nil
 }
 
-// handle answers calls by do and counts them. A call whose status is 0 gets no response.
-func (l *Loopback) handle(traffic *Traffic, do func(*http.Request, []byte) (int, []byte)) http.Handler {
+// newHandler answers calls by respond and counts them. A call whose status is 0 gets no response.
+func (l *Loopback) newHandler(traffic *Traffic, respond func(*http.Request, []byte) (int, []byte)) http.Handler {
 	return http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
-		status, response := do(r, body)
+		status, response := respond(r, body)
 		if status == 0 {
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/emulator/partition.go
+++ b/internal/emulator/partition.go
@@ -85,11 +85,11 @@
 // zonesPartitioned reports whether a partition lies between two zones; the empty one is
 // the region, in which users, cloud and state service are. The world's lock is held by the
 // caller.
-func (w *World) zonesPartitioned(a, b string) bool { return a != b && (w.isCutOff(a) || w.isCutOff(b)) }
+func (w *World) zonesPartitioned(a, b string) bool { return a != b && (w.isPartitioned(a) || w.isPartitioned(b)) }
 
-// isCutOff reports whether a zone is cut off from everything; the region never is. The
+// isPartitioned reports whether a zone is cut off from everything; the region never is. The
 // world's lock is held by the caller.
-func (w *World) isCutOff(zone string) bool {
+func (w *World) isPartitioned(zone string) bool {
 	return zone != "" && w.hasFaultOn(faultZonePartition, zone)
 }
 
@@ -103,7 +103,7 @@
 // off ends. The world's lock is held by the caller, and as deliver is called.
 func (w *World) holdUntilHealed(a, b string, deliver func()) {
 	zone := a
-	if !w.isCutOff(a) {
+	if !w.isPartitioned(a) {
 		zone = b
 	}
 	w.heldAcrossZones[zone] = append(w.heldAcrossZones[zone], deliver)
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -41,17 +41,17 @@
 // that passes it.
 func (w *World) allowance(team string, use protocol.Resources) protocol.Team {
 	limit := w.Teams[team]
-	was, lowered := w.formerLimits[team]
+	former, lowered := w.formerLimits[team]
 	if !lowered {
 		return limit
 	}
-	higher := func(limit, was, use float64) float64 {
-		if limit == 0 || was == 0 {
+	effectiveLimit := func(limit, former, use float64) float64 {
+		if limit == 0 || former == 0 {
 			return limit
 		}
-		return max(limit, min(was, use))
+		return max(limit, min(former, use))
 	}
-	now := protocol.Team{MaxCPUs: higher(limit.MaxCPUs, was.MaxCPUs, use.CPUs), MaxGPUs: higher(limit.MaxGPUs, was.MaxGPUs, use.GPUs)}
+	now := protocol.Team{MaxCPUs: effectiveLimit(limit.MaxCPUs, former.MaxCPUs, use.CPUs), MaxGPUs: effectiveLimit(limit.MaxGPUs, former.MaxGPUs, use.GPUs)}
 	w.formerLimits[team] = now
 	return now
 }
@@ -171,8 +171,8 @@
 
 // recordViolation records that a rule was broken, once for the same details. The world's
 // lock is held by the caller.
-func (w *World) recordViolation(broken rule, format string, details ...any) {
-	text := string(broken) + ": " + fmt.Sprintf(format, details...)
+func (w *World) recordViolation(violated rule, format string, details ...any) {
+	text := string(violated) + ": " + fmt.Sprintf(format, details...)
 	if !slices.Contains(w.violations, text) {
 		w.recordEvent("BROKEN %s", text)
 		w.violations = append(w.violations, text)
--- a/internal/emulator/rules_test.go
+++ b/internal/emulator/rules_test.go
@@ -64,9 +64,9 @@
 	time.Sleep(5 * time.Second)
 }
 
-// readOldStateConcurrently submits a job to one of two controllers while users read
+// readStaleStateConcurrently submits a job to one of two controllers while users read
 // concurrently: the other answers what is older, milliseconds after the acceptance.
-func readOldStateConcurrently(w *World) {
+func readStaleStateConcurrently(w *World) {
 	w.SetFault("close looks", true)
 	for _, name := range []string{"n", "m"} {
 		w.SetNode(name, func(method, _ string, _ []byte, reply func(transport.Response)) {
@@ -87,7 +87,7 @@
 	for _, c := range []struct {
 		name    string
 		want    string // that a violation contains
-		breakIt func(w *World)
+		violate func(w *World)
 	}{
 		{"a task starts on two machines", "ran_twice:", func(w *World) {
 			w.jobs["wk-1"] = testJob("wk-1", 2)
@@ -122,7 +122,7 @@
 			w.Submit("n", testJob("wk-1", 1))
 			w.Query("n", "wk-1")
 		}},
-		{"an accepted job is unknown to another controller", "forgotten: wk-3", readOldStateConcurrently},
+		{"an accepted job is unknown to another controller", "forgotten: wk-3", readStaleStateConcurrently},
 		{"a job that nobody submitted is known", "invented:", func(w *World) {
 			answerUsers(w, `{"phase":"pending"}`)
 			w.Query("n", "wk-9")
@@ -151,7 +151,7 @@
 				if got := w.Broken(); len(got) > 0 {
 					t.Fatalf("broken before: %v", got)
 				}
-				c.breakIt(w)
+				c.violate(w)
 				if got := w.Broken(); len(got) == 0 || !strings.Contains(strings.Join(got, " "), c.want) {
 					t.Fatalf("not noticed: %v", got)
 				}
--- a/internal/emulator/statestore.go
+++ b/internal/emulator/statestore.go
@@ -147,7 +147,7 @@
 			s.appendChange(keyChange{Deleted: key, Version: s.revision})
 		}
 	}
-	s.wakeWatches()
+	s.notifyWatches()
 }
 
 // appendChange keeps a change for watches, and of the older ones as many as they may go
@@ -184,8 +184,8 @@
 	return out
 }
 
-// wakeWatches has open watches look for changes. The service's lock is held by the caller.
-func (s *StateService) wakeWatches() {
+// notifyWatches has open watches look for changes. The service's lock is held by the caller.
+func (s *StateService) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -198,5 +198,5 @@
 	for _, lease := range s.leases {
 		lease.expires = time.Now().Add(lease.ttl)
 	}
-	s.wakeWatches()
+	s.notifyWatches()
 }
--- a/internal/emulator/statestore_api.go
+++ b/internal/emulator/statestore_api.go
@@ -91,10 +91,10 @@
 		}
 	}
 	slices.Sort(names)
-	most, _ := strconv.Atoi(query.Get("most"))
-	truncated := most > 0 && len(names) > most
+	limit, _ := strconv.Atoi(query.Get("most"))
+	truncated := limit > 0 && len(names) > limit
 	if truncated {
-		names = names[:most]
+		names = names[:limit]
 	}
 	items := []keyResponse{}
 	for _, key := range names {
@@ -230,7 +230,7 @@
 			s.appendChange(keyChange{Deleted: op.Delete, Version: s.revision})
 		}
 	}
-	s.wakeWatches()
+	s.notifyWatches()
 }
 
 // watchResponse is what changed up to a revision.
@@ -246,7 +246,7 @@
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
 	blockMs, _ := strconv.Atoi(query.Get("blockMs"))
 	deadline := time.Now().Add(time.Duration(blockMs) * time.Millisecond)
-	nothing := watchResponse{from, []keyChange{}}
+	unchanged := watchResponse{from, []keyChange{}}
 	for {
 		s.mu.Lock()
 		changes := []keyChange{}
@@ -262,14 +262,14 @@
 		if len(changes) > 0 {
 			return jsonResponse(200, watchResponse{revision, changes})
 		}
-		left := time.Until(deadline)
-		if left <= 0 {
-			return jsonResponse(200, nothing)
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
+			return jsonResponse(200, unchanged)
 		}
 		select {
 		case <-changed:
-		case <-time.After(left):
-			return jsonResponse(200, nothing)
+		case <-time.After(remaining):
+			return jsonResponse(200, unchanged)
 		case <-ctx.Done():
 			return 0, nil
 		}
@@ -279,6 +279,6 @@
 // changesAfter lists the changes after a revision. The service's lock is held by the
 // caller.
 func (s *StateService) changesAfter(revision uint64) []keyChange {
-	at, _ := slices.BinarySearchFunc(s.history, revision+1, func(c keyChange, version uint64) int { return cmp.Compare(c.Version, version) })
-	return s.history[at:]
+	index, _ := slices.BinarySearchFunc(s.history, revision+1, func(c keyChange, version uint64) int { return cmp.Compare(c.Version, version) })
+	return s.history[index:]
 }
--- a/internal/emulator/userfaults.go
+++ b/internal/emulator/userfaults.go
@@ -60,10 +60,10 @@
 
 // resubmit repeats a submission. A success counts as the job's acceptance if its user
 // waits for one.
-func (w *World) resubmit(node, jobID string, body []byte, awaited bool) {
-	asked := time.Now()
+func (w *World) resubmit(node, jobID string, body []byte, countsAsAcceptance bool) {
+	sentAt := time.Now()
 	status, response := w.userRequest(node, "POST", submissionsPath, body, submitTimeout)
-	w.checkAnswer(jobID, asked, status, response, awaited && isSuccess(status))
+	w.checkAnswer(jobID, sentAt, status, response, countsAsAcceptance && isSuccess(status))
 }
 
 // jobFinished is the moment at which the last task of a job completes: its users read, and
@@ -92,8 +92,8 @@
 	}()
 }
 
-// mostHostsNamed is how many machines of cancelled jobs CancelRunning names.
-const mostHostsNamed = 8
+// maxHostsReturned is how many machines of cancelled jobs CancelRunning returns.
+const maxHostsReturned = 8
 
 // CancelRunning has users cancel so many of the jobs that run, within a fifth of a second,
 // and returns which, and up to eight of their machines.
@@ -107,7 +107,7 @@
 		}
 		jobIDs = append(jobIDs, jobID)
 		for _, host := range hostsOf[jobID] {
-			if len(hosts) < mostHostsNamed && !slices.Contains(hosts, host) {
+			if len(hosts) < maxHostsReturned && !slices.Contains(hosts, host) {
 				hosts = append(hosts, host)
 			}
 		}
@@ -186,7 +186,7 @@
 
 // invalidSubmission is a submission that no controller may accept, by its number, and the
 // field that it lacks, if that is why.
-func invalidSubmission(number int) (spec protocol.Submission, lacks string) {
+func invalidSubmission(number int) (spec protocol.Submission, missingField string) {
 	spec = protocol.Submission{JobID: fmt.Sprintf("wk-9%05d", number), Class: "odd", Team: "open", Shape: protocol.ShapeArray,
 		PriorityClass: "normal", Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "img-1", ImageGB: 1}
 	switch number / 3 % 4 {
@@ -199,25 +199,25 @@
 			spec.Team, spec.Dependencies = "open", []string{fmt.Sprintf("wk-8%05d", number)} // never submitted
 		}
 	default:
-		lacks = requiredFields[number/12%len(requiredFields)]
+		missingField = requiredFields[number/12%len(requiredFields)]
 	}
-	return spec, lacks
+	return spec, missingField
 }
 
 // submitInvalid submits a job that no controller may accept.
 func (w *World) submitInvalid(node string, number int) {
-	spec, lacks := invalidSubmission(number)
+	spec, missingField := invalidSubmission(number)
 	body := submissionBody(&spec)
-	if lacks != "" {
+	if missingField != "" {
 		var fields map[string]any
 		_ = json.Unmarshal(body, &fields)
-		delete(fields, lacks)
+		delete(fields, missingField)
 		body, _ = json.Marshal(fields)
 	}
 	status, response := w.userRequest(node, "POST", submissionsPath, body, submitTimeout)
 	if isSuccess(status) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.recordViolation(ruleAccepted, "%s, which can't run or lacks a field (%q): %s", spec.JobID, lacks, bytes.TrimSpace(response))
+		w.recordViolation(ruleAccepted, "%s, which can't run or lacks a field (%q): %s", spec.JobID, missingField, bytes.TrimSpace(response))
 	}
 }
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -47,17 +47,17 @@
 // status, 0 without one.
 func (w *World) Submit(node string, job *Job) int {
 	w.mu.Lock()
-	if known := w.jobs[job.Spec.JobID]; known != nil {
-		job = known
+	if existing := w.jobs[job.Spec.JobID]; existing != nil {
+		job = existing
 	} else {
 		job.tasksDone = make(map[int]bool)
 		w.jobs[job.Spec.JobID] = job
 	}
 	w.mu.Unlock()
 	body := submissionBody(&job.Spec)
-	asked := time.Now()
+	sentAt := time.Now()
 	status, response := w.userRequest(node, "POST", submissionsPath, body, submitTimeout)
-	w.checkAnswer(job.Spec.JobID, asked, status, response, isSuccess(status))
+	w.checkAnswer(job.Spec.JobID, sentAt, status, response, isSuccess(status))
 	return status
 }
 
@@ -67,18 +67,18 @@
 	w.mu.Lock()
 	w.cancelRequested[jobID] = true
 	w.mu.Unlock()
-	asked := time.Now()
+	sentAt := time.Now()
 	status, response := w.userRequest(node, "POST", submissionsPath+"/"+jobID+"/abort", nil, submitTimeout)
-	w.checkAnswer(jobID, asked, status, response, false)
+	w.checkAnswer(jobID, sentAt, status, response, false)
 	return status
 }
 
 // Query has a user ask a controller for a job; the phase is empty and the status 0 without
 // an answer.
 func (w *World) Query(node, jobID string) (status int, job protocol.JobStatus) {
-	asked := time.Now()
+	sentAt := time.Now()
 	status, response := w.userRequest(node, "GET", submissionsPath+"/"+jobID, nil, queryTimeout)
-	w.checkAnswer(jobID, asked, status, response, false)
+	w.checkAnswer(jobID, sentAt, status, response, false)
 	_ = json.Unmarshal(response, &job)
 	return status, job
 }
@@ -135,7 +135,7 @@
 // checkAnswer checks an answer against what users were told before they asked. What
 // they were told while the question was on its way cannot be held against it. The answer
 // to a submission that is a success is the job's acceptance.
-func (w *World) checkAnswer(jobID string, asked time.Time, status int, response []byte, accepted bool) {
+func (w *World) checkAnswer(jobID string, sentAt time.Time, status int, response []byte, accepted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	job := w.jobs[jobID]
@@ -145,29 +145,29 @@
 		}
 		return
 	}
-	w.checkAcceptance(job, asked, status)
+	w.checkAcceptance(job, sentAt, status)
 	if accepted && job.acceptedAt.IsZero() {
 		job.acceptedAt = time.Now()
 		w.readConcurrently(jobID, readAccepted)
 	}
-	if isRejection(status) && !job.acceptedAt.IsZero() && !job.acceptedAt.After(asked) {
+	if isRejection(status) && !job.acceptedAt.IsZero() && !job.acceptedAt.After(sentAt) {
 		w.recordViolation(ruleForgotten, "%s got %d", jobID, status)
 	}
 	var answer protocol.JobStatus
 	if isSuccess(status) && json.Unmarshal(response, &answer) == nil {
-		w.checkPhaseAnswer(job, answer.Phase, asked)
+		w.checkPhaseAnswer(job, answer.Phase, sentAt)
 	}
 }
 
 // checkPhaseAnswer checks the phase that a user is told of a job and remembers it. The
 // world's lock is held by the caller.
-func (w *World) checkPhaseAnswer(job *Job, phase string, asked time.Time) {
+func (w *World) checkPhaseAnswer(job *Job, phase string, sentAt time.Time) {
 	jobID := job.Spec.JobID
-	knownBefore := !job.lastPhaseAt.After(asked)
-	if isFinal(job.lastPhase) && phase != job.lastPhase && (isFinal(phase) || knownBefore) {
+	reportedBefore := !job.lastPhaseAt.After(sentAt)
+	if isFinal(job.lastPhase) && phase != job.lastPhase && (isFinal(phase) || reportedBefore) {
 		w.recordViolation(ruleWentBack, "%s was %s, is %s", jobID, job.lastPhase, phase)
 	}
-	w.checkCancelledPhase(jobID, phase, asked)
+	w.checkCancelledPhase(jobID, phase, sentAt)
 	if phase == protocol.JobDone && len(job.tasksDone) < job.Spec.Tasks {
 		w.recordViolation(ruleNotDone, "%s has %d of %d", jobID, len(job.tasksDone), job.Spec.Tasks)
 	}
