--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -11,7 +11,7 @@
 	"madderslip/internal/protocol"
 )
 
-// handleCloud answers a call of the cloud's API.
+// handleCloud answers a request to the cloud's API.
 func (w *World) handleCloud(method, target string, body []byte) (int, []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -28,7 +28,7 @@
 	return w.listMachines(target)
 }
 
-// returnMachines takes back machines; those that are gone already change nothing. The
+// returnMachines takes machines back; those that are already removed are ignored. The
 // world's lock is held by the caller.
 func (w *World) returnMachines(body []byte) (int, []byte) {
 	var request protocol.HostList
@@ -44,9 +44,9 @@
 	return jsonResponse(200, map[string]any{})
 }
 
-// listMachines answers a page of the list of machines. The list is as old as its lag: what
-// is younger is missing, and what has gone since is still there. The world's lock is held
-// by the caller.
+// listMachines answers with one page of the list of machines. The list shows the state as
+// of ListLag ago: machines rented since then are missing, and machines removed since then
+// are still listed. The world's lock is held by the caller.
 func (w *World) listMachines(target string) (int, []byte) {
 	asOf := time.Now().Add(-w.ListLag)
 	from, limit := parseListPage(target)
@@ -75,7 +75,8 @@
 	return jsonResponse(200, list)
 }
 
-// parseListPage reads where a page of the list begins and how long it may be.
+// parseListPage parses the first host of a page of the list and the maximum number of its
+// hosts.
 func parseListPage(target string) (from string, limit int) {
 	limit = 500
 	if u, err := url.Parse(target); err == nil {
@@ -87,8 +88,9 @@
 	return from, limit
 }
 
-// provision rents machines, as many as the cloud has of those asked for. A request that is
-// repeated under its name gets the same machines. The world's lock is held by the caller.
+// provision rents the requested number of machines, or as many of them as the cloud has. A
+// repeated request with the same name gets the same machines. The world's lock is held by
+// the caller.
 func (w *World) provision(body []byte) (int, []byte) {
 	var request protocol.ProvisionRequest
 	if json.Unmarshal(body, &request) != nil {
@@ -115,12 +117,12 @@
 	return jsonResponse(200, protocol.HostList{Hosts: hosts})
 }
 
-// neverBoots is the boot time of machines that never come up: longer than any test.
+// neverBoots is the boot time of machines that never boot; it is longer than any test.
 const neverBoots = 1000 * time.Hour
 
-// drawBootTime draws how long a machine of a request takes to come up: some take several
-// times as long, or never come, under the cloud's faults. The world's lock is held by the
-// caller.
+// drawBootTime draws the boot time of a machine of a provision request. Under the cloud's
+// faults some machines take several times as long, or no machine ever boots. The world's
+// lock is held by the caller.
 func (w *World) drawBootTime(request string) time.Duration {
 	bootTime := w.between(6*time.Second, 15*time.Second, request)
 	switch {
@@ -134,8 +136,8 @@
 	return bootTime
 }
 
-// removeMachine takes a machine away with everything on it. The world's lock is held by
-// the caller.
+// removeMachine removes a machine with its tasks and the messages held for it. The cloud
+// can rent out one machine more afterwards. The world's lock is held by the caller.
 func (w *World) removeMachine(machine *Machine) {
 	machine.removed, machine.stoppedAt = true, time.Now()
 	machine.dropTasks()
@@ -144,8 +146,8 @@
 	machine.wakeAgent()
 }
 
-// listedPhase is the phase that the cloud's list shows. The world's lock is held by the
-// caller.
+// listedPhase returns the machine's phase in the cloud's list. The world's lock is held by
+// the caller.
 func (m *Machine) listedPhase(asOf time.Time) string {
 	switch {
 	case m.crashed && asOf.Sub(m.stoppedAt) > crashedListedAsRunning:
@@ -156,7 +158,7 @@
 	return "running"
 }
 
-// SetSpare sets how many machines the cloud has left to rent.
+// SetSpare sets how many machines the cloud can still rent out.
 func (w *World) SetSpare(count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/userfaults.go
+++ b/internal/emulator/userfaults.go
@@ -11,20 +11,20 @@
 	"madderslip/internal/protocol"
 )
 
-// concurrentReadRounds is how often users ask each controller when they read
-// concurrently.
+// concurrentReadRounds is the number of requests that users send to each controller when
+// they read concurrently.
 const concurrentReadRounds = 4
 
-// Reasons for which users read a job concurrently; they are part of the random draws.
+// Reasons for which users read a job concurrently; they are part of the keys of random draws.
 const (
 	readAccepted  = "accepted"
 	readEnded     = "ended"
 	readCancelled = "cancelled"
 )
 
-// readConcurrently has users ask about a job at all controllers within milliseconds, again
-// and again, and repeat its submission; some cancel it in between if it was just accepted.
-// The world's lock is held by the caller.
+// readConcurrently has users query a job at all controllers several times within
+// milliseconds. Some of the requests repeat the job's submission instead, or cancel the job
+// if it was just accepted. The world's lock is held by the caller.
 func (w *World) readConcurrently(jobID, reason string) {
 	if !w.hasFault(faultConcurrentReads) {
 		return
@@ -58,16 +58,17 @@
 	}
 }
 
-// resubmit repeats a submission. A success counts as the job's acceptance if its user
-// waits for one.
+// resubmit repeats a submission. If countsAsAcceptance is set, the user waits for the
+// acceptance, and a success counts as the job's acceptance.
 func (w *World) resubmit(node, jobID string, body []byte, countsAsAcceptance bool) {
 	sentAt := time.Now()
 	status, response := w.userRequest(node, "POST", submissionsPath, body, submitTimeout)
 	w.checkAnswer(jobID, sentAt, status, response, countsAsAcceptance && isSuccess(status))
 }
 
-// jobFinished is the moment at which the last task of a job completes: its users read, and
-// two of five cancel it. The world's lock is held by the caller.
+// jobFinished handles the completion of the last task of a job: users read the job
+// concurrently, and two in five accepted jobs are cancelled, each under its fault. It does
+// nothing while tasks of the job are left. The world's lock is held by the caller.
 func (w *World) jobFinished(job *Job) {
 	if !job.allTasksDone() {
 		return
@@ -81,8 +82,8 @@
 	}
 }
 
-// cancelAfter has a user cancel a job after a while, and repeat that until there is a
-// definite answer. The world's lock is held by the caller.
+// cancelAfter has a user cancel a job after a delay, and repeat the request until there is
+// a definite answer. The world's lock is held by the caller.
 func (w *World) cancelAfter(delay time.Duration, node, jobID string) {
 	w.cancelRequested[jobID] = true
 	go func() {
@@ -92,11 +93,12 @@
 	}()
 }
 
-// maxHostsReturned is how many machines of cancelled jobs CancelRunning returns.
+// maxHostsReturned is the maximum number of machines of cancelled jobs that CancelRunning
+// returns.
 const maxHostsReturned = 8
 
-// CancelRunning has users cancel so many of the jobs that run, within a fifth of a second,
-// and returns which, and up to eight of their machines.
+// CancelRunning has users cancel up to count running jobs within a fifth of a second, and
+// returns the IDs of these jobs and up to eight of their machines.
 func (w *World) CancelRunning(count int) (jobIDs, hosts []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -117,8 +119,9 @@
 	return jobIDs, hosts
 }
 
-// hostsOfCancellableJobs lists the machines of every accepted job that runs and that no
-// user has asked to cancel, in order. The world's lock is held by the caller.
+// hostsOfCancellableJobs returns, by job, the machines in order of every accepted and
+// running job whose cancellation no user has requested. The world's lock is held by the
+// caller.
 func (w *World) hostsOfCancellableJobs() map[string][]string {
 	hostsOf := make(map[string][]string)
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
@@ -138,9 +141,10 @@
 	return hostsOf
 }
 
-// sendInvalidRequests sends what users should not, for as long as that fault lasts: repeats
-// of submissions, also of jobs that are over, cancellations of jobs that are done, jobs
-// that fit no machine, exceed their team's limit or lack a field.
+// sendInvalidRequests sends requests that users should not send, for as long as that fault
+// lasts: repeated submissions, also of jobs that have ended, cancellations of jobs that are
+// done, and submissions that fit no machine, exceed their team's limit, name an unknown
+// team or dependency, or lack a field.
 func (w *World) sendInvalidRequests() {
 	for number := 0; wait(w.ctx, 300*time.Millisecond+61*time.Nanosecond); number++ {
 		w.mu.Lock()
@@ -158,7 +162,7 @@
 			case number%3 == 0:
 				w.submitInvalid(node, number)
 			case done && number%3 == 1:
-				w.Cancel(node, job.Spec.JobID) // a job that is done stays so, which checkAnswer checks
+				w.Cancel(node, job.Spec.JobID) // checkAnswer checks that the job stays done
 			case job != nil:
 				w.resubmit(node, job.Spec.JobID, submissionBody(&job.Spec), false)
 			}
@@ -166,8 +170,8 @@
 	}
 }
 
-// drawAcceptedJob draws one of the jobs that were accepted, nil without one. The world's
-// lock is held by the caller.
+// drawAcceptedJob draws one of the accepted jobs, or returns nil if there is none. The
+// world's lock is held by the caller.
 func (w *World) drawAcceptedJob(parts ...string) *Job {
 	var accepted []*Job
 	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
@@ -181,11 +185,11 @@
 	return accepted[int(w.roll(parts...)%uint64(len(accepted)))]
 }
 
-// requiredFields are fields that a submission may not lack, as the protocol spells them.
+// requiredFields are fields that a submission must have, as the protocol spells them.
 var requiredFields = []string{"samePlace", "spread", "loaner", "snapshotEveryS", "snapshotS", "expectS", "cards", "rank", "owner"}
 
-// invalidSubmission is a submission that no controller may accept, by its number, and the
-// field that it lacks, if that is why.
+// invalidSubmission returns the submission of a number, which no controller may accept, and
+// the field to remove from it if only the missing field makes it invalid.
 func invalidSubmission(number int) (spec protocol.Submission, missingField string) {
 	spec = protocol.Submission{JobID: fmt.Sprintf("wk-9%05d", number), Class: "odd", Team: "open", Shape: protocol.ShapeArray,
 		PriorityClass: "normal", Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "img-1", ImageGB: 1}
@@ -204,7 +208,8 @@
 	return spec, missingField
 }
 
-// submitInvalid submits a job that no controller may accept.
+// submitInvalid submits a job that no controller may accept, and records a violation if one
+// does.
 func (w *World) submitInvalid(node string, number int) {
 	spec, missingField := invalidSubmission(number)
 	body := submissionBody(&spec)
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -9,27 +9,27 @@
 	"madderslip/internal/transport"
 )
 
-// submissionsPath is where controllers take submissions.
+// submissionsPath is the path at which controllers accept submissions.
 const submissionsPath = "/submissions"
 
-// How long users wait for an answer.
+// Time limits of users' requests.
 const (
 	submitTimeout = 5 * time.Second
 	queryTimeout  = 2 * time.Second
 )
 
-// isSuccess reports whether a status is that of a submission that was accepted, now or
-// before, or of a job's status.
+// isSuccess reports whether a status is that of an accepted submission, new or repeated, or
+// of an answer with a job's status.
 func isSuccess(status int) bool { return status == 200 || status == 201 }
 
-// isRejection reports whether a status denies that a job exists or may.
+// isRejection reports whether a status says that a job does not exist or is not allowed.
 func isRejection(status int) bool { return status == 400 || status == 404 || status == 422 }
 
-// isFinal reports whether a job stays in a phase for good.
+// isFinal reports whether a job never leaves a phase.
 func isFinal(phase string) bool { return phase == protocol.JobDone || phase == protocol.JobCancelled }
 
-// submissionBody is a submission as users send it: every field that may not be left out is
-// there, also those whose value is empty.
+// submissionBody returns a submission as users send it: every required field is present,
+// even if its value is empty.
 func submissionBody(spec *protocol.Submission) []byte {
 	body, _ := json.Marshal(spec)
 	var fields map[string]any
@@ -44,7 +44,7 @@
 }
 
 // Submit has a user submit a job to a controller. It waits for the answer and returns its
-// status, 0 without one.
+// status, or 0 if there is none.
 func (w *World) Submit(node string, job *Job) int {
 	w.mu.Lock()
 	if existing := w.jobs[job.Spec.JobID]; existing != nil {
@@ -61,8 +61,8 @@
 	return status
 }
 
-// Cancel has a user ask a controller to cancel a job. It returns the answer's status, 0
-// without one.
+// Cancel has a user request the cancellation of a job from a controller. It returns the
+// answer's status, or 0 if there is none.
 func (w *World) Cancel(node, jobID string) int {
 	w.mu.Lock()
 	w.cancelRequested[jobID] = true
@@ -73,8 +73,8 @@
 	return status
 }
 
-// Query has a user ask a controller for a job; the phase is empty and the status 0 without
-// an answer.
+// Query has a user request the status of a job from a controller. Without an answer, the
+// status is 0 and the phase is empty.
 func (w *World) Query(node, jobID string) (status int, job protocol.JobStatus) {
 	sentAt := time.Now()
 	status, response := w.userRequest(node, "GET", submissionsPath+"/"+jobID, nil, queryTimeout)
@@ -83,9 +83,9 @@
 	return status, job
 }
 
-// RequestUntilAnswered repeats a request as a user does, at one controller after the
-// other, for up to a minute, until it has a definite answer. It returns that one's status,
-// 0 without one.
+// RequestUntilAnswered repeats a request as a user does, at one controller after the other
+// beginning with node, for up to a minute, until it gets a definite answer. It returns the
+// status of this answer, or 0 if there is none.
 func (w *World) RequestUntilAnswered(node string, request func(node string) int) int {
 	w.mu.Lock()
 	controllers := slices.Clone(w.controllers)
@@ -103,8 +103,8 @@
 	return 0
 }
 
-// userRequest makes a request of a user, who is in no zone. The status is 0 if no answer
-// comes within the timeout.
+// userRequest sends a request from a user, who is in no zone, to a controller. The status
+// is 0 if no answer arrives within the timeout.
 func (w *World) userRequest(node, method, target string, body []byte, timeout time.Duration) (status int, response []byte) {
 	w.mu.Lock()
 	handler := w.handlers[node]
@@ -132,9 +132,10 @@
 	}
 }
 
-// checkAnswer checks an answer against what users were told before they asked. What
-// they were told while the question was on its way cannot be held against it. The answer
-// to a submission that is a success is the job's acceptance.
+// checkAnswer checks an answer against the answers that users had received before the
+// request was sent. Answers received while the request was under way do not count, except
+// that two different final phases always contradict each other. A successful answer to a
+// submission is the acceptance of the job.
 func (w *World) checkAnswer(jobID string, sentAt time.Time, status int, response []byte, accepted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -159,8 +160,8 @@
 	}
 }
 
-// checkPhaseAnswer checks the phase that a user is told of a job and remembers it. The
-// world's lock is held by the caller.
+// checkPhaseAnswer checks the phase in an answer about a job and records it. The world's
+// lock is held by the caller.
 func (w *World) checkPhaseAnswer(job *Job, phase string, sentAt time.Time) {
 	jobID := job.Spec.JobID
 	reportedBefore := !job.lastPhaseAt.After(sentAt)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -11,59 +11,63 @@
 	"madderslip/internal/transport"
 )
 
-// NodeHandler is a controller's public API.
+// NodeHandler passes a request to a controller's public API, which calls reply with the
+// response.
 type NodeHandler func(method, target string, body []byte, reply func(transport.Response))
 
-// World is everything outside the controllers. What it does depends on its
-// seed and on what it is told alone: every delay is drawn from the seed and the
-// message it delays, never from the order in which goroutines happen to run.
+// World simulates everything outside the controllers. Its behaviour depends only on its
+// seed and on the calls that it receives: every delay is drawn from the seed and the
+// message that it delays, never from the order in which goroutines run.
 type World struct {
 	State   *StateService
 	Workers protocol.WorkerSettings
-	Teams   map[string]protocol.Team // replaced by SetTeam, under the lock
-	Types   []protocol.MachineType   // that the cloud rents; set before machines are added
-	ListLag time.Duration            // of the cloud's list
-	// Address is where a machine's worker takes commands; set before machines are added.
+	Teams   map[string]protocol.Team // entries are replaced by SetTeam, under mu
+	Types   []protocol.MachineType   // offered by the cloud; set before machines are added
+	ListLag time.Duration            // age of the state that the cloud's list shows
+	// Address returns the address at which a machine's worker accepts commands; it is set
+	// before machines are added.
 	Address func(host string) string
-	// RecordStartsOnly has the world keep no events, check no rule that needs a walk over
-	// all machines, and count starts instead: for measurements at sizes where its own work
-	// would be what is measured.
+	// RecordStartsOnly turns off the recording of events, the periodic checks of rules and the
+	// checks of each start, which iterate over all machines; the function set by OnStart is
+	// called for each start instead. Load tests set it, because at their sizes the world's own
+	// work would distort the measurement.
 	RecordStartsOnly bool
-	// OnStop, if set, is told of every running task that a command stops, with what
-	// the teams use, and returns what rule that breaks. The world's lock is held as it is
-	// called.
+	// OnStop, if set, is called for every running task that a command stops, with each team's
+	// current use. It returns a description of the rule violation that the stop causes, or an
+	// empty string. The world's lock is held during the call.
 	OnStop func(task, host string, use map[string]protocol.Resources) (violation string)
 
-	ctx  context.Context // the world's life
+	ctx  context.Context // ends the goroutines of the world
 	seed uint64
-	// mu guards all that follows.
+	// mu guards all fields below.
 	mu        sync.Mutex
 	startedAt time.Time
-	draws     map[uint64]uint64 // how often each random draw was made
+	draws     map[uint64]uint64 // number of draws made so far, by the hash of their key
 	events    []string
 
-	handlers     map[string]NodeHandler // of the controllers that run
-	controllers  []string               // all that were ever connected, in that order
-	activeFaults map[string]bool        // by SetFault's name
+	handlers     map[string]NodeHandler // of the running controllers, by name
+	controllers  []string               // all that were ever connected, in the order of their first connection
+	activeFaults map[string]bool        // by the name passed to SetFault
 	partitions
 
-	machines       map[string]*Machine // by host, also those that are removed
+	machines       map[string]*Machine // by host, including removed ones
 	machineCount   int
-	spareMachines  int                 // that the cloud has left to rent
-	provisioned    map[string][]string // hosts, by the name of the request
-	heldDeliveries map[string][]func() // by host, what a hung or cut-off machine is sent
-	keptHeartbeats map[string][][]byte // by host, heartbeats that wait for the next owner of a shard
+	spareMachines  int                 // number of machines that the cloud can still rent out
+	provisioned    map[string][]string // hosts, by the name of the provision request
+	heldDeliveries map[string][]func() // by host, messages to or from a hung or partitioned machine, delivered when it recovers
+	keptHeartbeats map[string][][]byte // by host, copies of heartbeats, replayed when a shard gets a new fencing token
 
 	jobs            map[string]*Job
-	cancelRequested map[string]bool          // jobs that their users asked to cancel
+	cancelRequested map[string]bool          // jobs whose cancellation a user has requested
 	onStart         func(job *Job)           // see OnStart
-	formerLimits    map[string]protocol.Team // what teams may use still whose limits were lowered
+	formerLimits    map[string]protocol.Team // limits from before SetTeam, lowered as the use falls; see allowance
 	violations      []string
 	wastedStarts    int       // starts after a confirmed cancellation
-	faultsEndedAt   time.Time // when EndFaults was called; zero before
+	faultsEndedAt   time.Time // when EndFaults was called; zero before that
 }
 
-// NewWorld makes an empty world. Its goroutines end with the context.
+// NewWorld returns a world without machines, jobs and controllers. Its goroutines end with
+// the context.
 func NewWorld(ctx context.Context, seed uint64, workers protocol.WorkerSettings, teams map[string]protocol.Team) *World {
 	w := &World{
 		State:   newStateService(),
@@ -94,7 +98,8 @@
 	return w
 }
 
-// recordEvent writes a line among the events. The world's lock is held by the caller.
+// recordEvent appends a line to the events, preceded by the seconds since the world was
+// created. The world's lock is held by the caller.
 func (w *World) recordEvent(format string, details ...any) {
 	if w.RecordStartsOnly {
 		return
@@ -102,21 +107,23 @@
 	w.events = append(w.events, fmt.Sprintf("%8.3f %s", time.Since(w.startedAt).Seconds(), fmt.Sprintf(format, details...)))
 }
 
-// Note writes a line among the events.
+// Note appends a line to the events, like recordEvent.
 func (w *World) Note(format string, details ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.recordEvent(format, details...)
 }
 
-// Events is what happened, a line each, with the seconds since the world began.
+// Events returns the recorded events, one line each, with the seconds since the world was
+// created.
 func (w *World) Events() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.events)
 }
 
-// SetNode connects a process of a controller, or with nil ends it.
+// SetNode connects a new process of a controller, or, if handler is nil, disconnects the
+// present one. Requests under way to an earlier process are dropped.
 func (w *World) SetNode(name string, handler NodeHandler) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
