--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -11,44 +11,46 @@
 	"madderslip/internal/transport"
 )
 
-// Addresses that a controller calls, beside those of workers.
+// Addresses of the services that controllers call, and the port of workers.
 const (
 	stateAddr  = "state"
 	cloudAddr  = "cloud"
 	workerPort = ":9000"
 )
 
-// Bounds of the time that a message takes within the region.
+// Bounds of the delay of a message in one direction.
 const (
 	minDelay = 300 * time.Microsecond
 	maxDelay = 3 * time.Millisecond
 )
 
-// errConnectionReset is what a caller gets whose call or response was lost.
+// errConnectionReset is returned to a caller whose request or response was lost.
 var errConnectionReset = errors.New("connection reset")
 
-// Link is a controller's network to the state service, the cloud and workers.
+// Link is a controller's network connection to the state service, the cloud and the
+// workers.
 type Link struct {
 	W    *World
 	Node string
-	Ctx  context.Context // the process's life
+	Ctx  context.Context // ends with the controller's process
 }
 
-// call is a call of a controller, with all that is drawn for it before it is sent.
+// call is a request from a controller, with everything that is drawn for it before it is
+// sent.
 type call struct {
 	addr, method, target string
 	body                 []byte
-	drawKey              []string // of the call's random draws
-	request, response    time.Duration
+	drawKey              []string      // key of the call's random draws
+	request, response    time.Duration // delays
 	outcome              callOutcome
-	lateBy               time.Duration // of a call that is carried out late
-	refused              bool          // the state service refuses the controller
-	severed              bool          // the controller has lost the state service
-	workersLost          bool          // the controller reaches no worker
+	lateBy               time.Duration // delay of the late execution, if the outcome has one
+	refused              bool          // the state service answers the controller with 503
+	severed              bool          // the controller cannot reach the state service
+	workersLost          bool          // the controller cannot reach any worker
 }
 
-// Do makes a call from the controller. What comes back is heard only when the process
-// runs: a paused controller gets the response when it goes on.
+// Do sends a request from the controller and returns the response. While the controller is
+// paused, neither the request is sent nor the response returned.
 func (l Link) Do(ctx context.Context, addr, method, target string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer context.AfterFunc(l.Ctx, cancel)()
@@ -73,7 +75,8 @@
 	return l.W.callWorker(ctx, l.Node, strings.TrimSuffix(addr, workerPort), target, body, c.response)
 }
 
-// drawCall draws what becomes of a call. The order of the draws decides what each yields.
+// drawCall draws the delays and the outcome of a call. The result of each draw depends on
+// the order of the draws.
 func (l Link) drawCall(addr, method, target string, body []byte) call {
 	w := l.W
 	key := []string{l.Node, addr, target, string(body)}
@@ -96,13 +99,13 @@
 	return c
 }
 
-// isServiceCall reports whether a call goes to the region, in which the state service and
-// the cloud are, and not to a worker.
+// isServiceCall reports whether a call goes to the state service or the cloud, which are in
+// the region, and not to a worker.
 func (c *call) isServiceCall() bool { return c.addr == stateAddr || c.addr == cloudAddr }
 
-// holdIfPartitioned reports whether the controller's zone is cut off from the region. Half
-// of the calls that this stops are carried out once the partition ends; of the state
-// service's these are the transactions.
+// holdIfPartitioned reports whether the controller's zone is cut off from the region. If it
+// is, half of the calls are held until the partition ends; calls to the cloud and
+// transactions are carried out then, other calls to the state service are dropped.
 func (l Link) holdIfPartitioned(c call) bool {
 	w := l.W
 	w.mu.Lock()
@@ -125,8 +128,8 @@
 	return true
 }
 
-// callService carries a call to the state service or the cloud and brings back the
-// response, unless one of the two gets lost.
+// callService sends a call to the state service or the cloud and returns the response,
+// unless the request or the response is lost.
 func (l Link) callService(ctx context.Context, c call) (int, []byte, error) {
 	w := l.W
 	if c.outcome == outcomeExecutedLate || c.outcome == outcomeExecutedTwice {
@@ -151,7 +154,7 @@
 	return status, body, nil
 }
 
-// serve has the state service or the cloud answer a call.
+// serve executes a call in the state service or the cloud.
 func (w *World) serve(ctx context.Context, c call) (int, []byte) {
 	switch {
 	case c.addr == cloudAddr:
@@ -162,9 +165,10 @@
 	return w.State.handle(ctx, c.method, c.target, c.body)
 }
 
-// waitWhileWatchRefused waits with the updates of an open watch for as long as the state service
-// refuses the controller alone, as it would in an outage. It returns false if the context
-// ends first or the controller is severed: whatever that is answered is lost.
+// waitWhileWatchRefused delays the response to a watch for as long as the state service
+// refuses this controller alone, since an open watch reports no changes during an outage
+// either. It returns false if the response is lost: the controller is severed from the
+// state service, or the context ends during the wait.
 func (w *World) waitWhileWatchRefused(ctx context.Context, node, target string) bool {
 	watch := strings.HasPrefix(target, protocol.PathWatch)
 	for {
@@ -180,7 +184,8 @@
 	}
 }
 
-// callOutcome is what becomes of a call of the state service or the cloud under loss.
+// callOutcome is the outcome of a call to the state service or the cloud under message
+// loss.
 type callOutcome int
 
 const (
@@ -190,8 +195,9 @@
 	outcomeExecutedTwice             // carried out at once and once more later
 )
 
-// drawOutcome draws what becomes of a call. Reads of the state service and the cloud's
-// list are always delivered. The world's lock is held by the caller.
+// drawOutcome draws the outcome of a call. Calls to the state service other than
+// transactions, and requests for the cloud's list, are always delivered. The world's lock
+// is held by the caller.
 func (w *World) drawOutcome(addr, target string, key []string) callOutcome {
 	isTransaction := addr == stateAddr && target == protocol.PathTransactions
 	switch {
@@ -218,9 +224,9 @@
 	return outcomeDelivered
 }
 
-// SendToPeer carries a message between controllers, if their links are up. A message to a
-// controller that is severed or beyond a partition gets lost: the call ends with its
-// context.
+// SendToPeer carries a message from one controller to another. A message from or to a
+// controller that is severed, or across a partition, is lost: the call ends with its
+// context. The fault "alone" of either controller makes the call fail at once.
 func (w *World) SendToPeer(ctx context.Context, from, to string, raw []byte, deliver func(context.Context, []byte) error) error {
 	w.mu.Lock()
 	refused := w.hasFaultOn(faultPeersRefuse, from) || w.hasFaultOn(faultPeersRefuse, to)
--- a/internal/emulator/loopback.go
+++ b/internal/emulator/loopback.go
@@ -15,36 +15,38 @@
 	"madderslip/internal/transport"
 )
 
-// Traffic counts the requests over one kind of link and the bytes that the world's end of
-// it gets in and sends out; it is safe for concurrent use.
+// Traffic counts the requests of one kind, and the bytes that the world receives and sends
+// with them. It is safe for concurrent use.
 type Traffic struct{ Requests, In, Out atomic.Int64 }
 
-// add counts one request.
+// add counts one request and its bytes.
 func (t *Traffic) add(in, out int) {
 	t.Requests.Add(1)
 	t.In.Add(int64(in))
 	t.Out.Add(int64(out))
 }
 
-// Loopback is a world over loopback: real HTTP on the real clock, for measurements that
-// are too long for a test. Every worker has an address of its own in 127.0.0.0/8; one
-// listener, bound to the loopback device, takes the calls to all of them.
+// Loopback serves a world over real HTTP on the loopback device and the real clock, for
+// measurements that are too long for a test. Every worker has its own address in
+// 127.0.0.0/8; one listener, bound to the loopback device, accepts the connections to all
+// of them.
 type Loopback struct {
 	W          *World
 	StateAddr  string
 	CloudAddr  string
-	State      Traffic // calls of the state service
-	Cloud      Traffic // calls of the cloud
-	Commands   Traffic // controllers' calls of workers
-	Reports    Traffic // workers' heartbeats: Out is what workers send
-	Users      Traffic // users' requests: Out is what users send
+	State      Traffic // calls to the state service
+	Cloud      Traffic // calls to the cloud
+	Commands   Traffic // controllers' calls to workers
+	Reports    Traffic // workers' heartbeats; Out counts the bytes that workers send
+	Users      Traffic // users' requests; Out counts the bytes that users send
 	workerPort int
 	client     *http.Client
 	servers    []*http.Server
 }
 
-// NewLoopback opens the world's addresses and sets its Address. Its workers live at
-// 127.1.X.Y. The caller closes it.
+// NewLoopback listens for calls to the state service, the cloud and the workers, and sets
+// the world's Address. The addresses of the workers are 127.1.X.Y. The caller has to call
+// Close.
 func NewLoopback(ctx context.Context, w *World) (*Loopback, error) {
 	l := &Loopback{W: w, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 20_000, IdleConnTimeout: time.Minute, DisableCompression: true}}}
 	callState := func(r *http.Request, body []byte) (int, []byte) {
@@ -75,14 +77,15 @@
 	return l, nil
 }
 
-// Close ends the servers; calls under way are cut short.
+// Close closes the servers and aborts the calls in progress.
 func (l *Loopback) Close() {
 	for _, s := range l.servers {
 		_ = s.Close()
 	}
 }
 
-// bindToLoopback has a socket take connections of the loopback device alone.
+// bindToLoopback binds a socket to the loopback device, so that it accepts no connections
+// from other devices.
 func bindToLoopback(_, _ string, c syscall.RawConn) error {
 	var err error
 	if control := c.Control(func(fd uintptr) {
@@ -93,7 +96,7 @@
 	return err
 }
 
-// serve has a handler answer calls at an address and returns the one it got.
+// serve starts an HTTP server with a handler and returns the listener's address.
 func (l *Loopback) serve(ctx context.Context, addr string, handler http.Handler) (string, error) {
 	config := net.ListenConfig{Control: bindToLoopback}
 	listener, err := config.Listen(ctx, "tcp4", addr)
@@ -106,7 +109,8 @@
 	return listener.Addr().String(), nil
 }
 
-// newHandler answers calls by respond and counts them. A call whose status is 0 gets no response.
+// newHandler returns an HTTP handler that answers and counts calls. If respond returns the
+// status 0, the connection is closed without a response.
 func (l *Loopback) newHandler(traffic *Traffic, respond func(*http.Request, []byte) (int, []byte)) http.Handler {
 	return http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -124,14 +128,14 @@
 	})
 }
 
-// address is a worker's address: 127.1.X.Y by the machine's number.
+// address returns a worker's address, 127.1.X.Y with the machine's number in X and Y.
 func (l *Loopback) address(host string) string {
 	number := 0
 	_, _ = fmt.Sscanf(host, "vm-%d", &number)
 	return fmt.Sprintf("127.1.%d.%d:%d", number/250, 1+number%250, l.workerPort)
 }
 
-// serveWorker has the worker answer a call whose address took it.
+// serveWorker passes a call to the worker whose address accepted the connection.
 func (l *Loopback) serveWorker(r *http.Request, body []byte) (int, []byte) {
 	local, _ := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	tcp, ok := local.(*net.TCPAddr)
@@ -147,10 +151,10 @@
 	return status, response
 }
 
-// nodeTimeout is how long a controller may take for a response over loopback.
+// nodeTimeout limits the time that a controller may take to respond over loopback.
 const nodeTimeout = 5 * time.Second
 
-// AddNode connects a controller by its public address.
+// AddNode connects a controller that listens at a public address.
 func (l *Loopback) AddNode(name, addr string) {
 	l.W.SetNode(name, func(method, target string, body []byte, reply func(transport.Response)) {
 		traffic := &l.Users
@@ -165,7 +169,7 @@
 		}
 		response, err := l.client.Do(request)
 		if err != nil {
-			return // as if no response came
+			return // the same as a lost response
 		}
 		defer func() { _ = response.Body.Close() }()
 		out, err := io.ReadAll(response.Body)
--- a/internal/emulator/loopback_test.go
+++ b/internal/emulator/loopback_test.go
@@ -11,8 +11,8 @@
 	"madderslip/internal/protocol"
 )
 
-// Each worker answers at an address of its own, with its own name; a machine that is not
-// there answers nothing.
+// TestLoopbackWorkersHaveAddresses checks that each worker answers at its own address with
+// its own host name, and that calls are counted.
 func TestLoopbackWorkersHaveAddresses(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -23,7 +23,7 @@
 	}
 	defer l.Close()
 	w.AddMachines(300, "a")
-	time.Sleep(100 * time.Millisecond) // they come up within a moment
+	time.Sleep(100 * time.Millisecond) // the workers start within milliseconds
 	client := &http.Client{Timeout: 2 * time.Second}
 	for _, host := range []string{"vm-000001", "vm-000249", "vm-000250", "vm-000251", "vm-000300"} {
 		resp, err := client.Get("http://" + w.Address(host) + protocol.PathStatus)
--- a/internal/emulator/partition.go
+++ b/internal/emulator/partition.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// partitions is what the world knows of paused controllers and of zones that are cut off,
-// guarded by its lock.
+// partitions holds the paused controllers and the partitioned zones. It is guarded by the
+// world's lock.
 type partitions struct {
 	controllerZones map[string]string
-	incarnations    map[string]int           // by controller, which of its processes runs
-	paused          map[string]chan struct{} // by controller, closed when it resumes
-	heldAcrossZones map[string][]func()      // by zone, what its partition holds back
-	zoneHealed      chan struct{}            // closed when a zone's partition ends
+	incarnations    map[string]int           // by controller, incremented when a process starts or ends
+	paused          map[string]chan struct{} // by controller; closed when it resumes
+	heldAcrossZones map[string][]func()      // by zone, messages held until its partition ends
+	zoneHealed      chan struct{}            // closed and replaced when a zone's partition ends
 }
 
-// newPartitions is a region without partitions.
+// newPartitions returns a region without partitions and paused controllers.
 func newPartitions() partitions {
 	return partitions{
 		controllerZones: make(map[string]string),
@@ -26,14 +26,14 @@
 	}
 }
 
-// SetZone sets in which zone a controller is; without one it is in the region.
+// SetZone sets the zone of a controller; a controller without a zone is in the region.
 func (w *World) SetZone(node, zone string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.controllerZones[node] = zone
 }
 
-// setPaused pauses a controller, or has it resume. The world's lock is held by the caller.
+// setPaused pauses a controller or resumes it. The world's lock is held by the caller.
 func (w *World) setPaused(node string, on bool) {
 	switch resumed := w.paused[node]; {
 	case on && resumed == nil:
@@ -44,9 +44,9 @@
 	}
 }
 
-// WaitWhilePaused waits for as long as a controller is paused, or until the context ends.
-// What waits goes on one after the other, by what was drawn when each began to wait: all
-// at the same instant they would be in an order that nobody could repeat.
+// WaitWhilePaused blocks while a controller is paused, or until the context ends. After the
+// pause, each waiting goroutine continues after a delay drawn when it began to wait: if all
+// continued at the same instant, their order could not be reproduced.
 func (w *World) WaitWhilePaused(ctx context.Context, node string) {
 	delay := time.Duration(0)
 	for {
@@ -70,8 +70,8 @@
 	}
 }
 
-// deliverIfAlive hands a request to a controller: once it resumes if it is paused, and not
-// at all if the process has ended by then.
+// deliverIfAlive passes a request to a controller's process, after its pause if the
+// controller is paused. The request is dropped if the process has ended by then.
 func (w *World) deliverIfAlive(node string, incarnation int, deliver func()) {
 	w.WaitWhilePaused(w.ctx, node)
 	w.mu.Lock()
@@ -82,25 +82,28 @@
 	}
 }
 
-// zonesPartitioned reports whether a partition lies between two zones; the empty one is
-// the region, in which users, cloud and state service are. The world's lock is held by the
-// caller.
-func (w *World) zonesPartitioned(a, b string) bool { return a != b && (w.isPartitioned(a) || w.isPartitioned(b)) }
-
-// isPartitioned reports whether a zone is cut off from everything; the region never is. The
+// zonesPartitioned reports whether a partition lies between two zones. The empty zone
+// stands for the region, in which the users, the cloud and the state service are. The
 // world's lock is held by the caller.
+func (w *World) zonesPartitioned(a, b string) bool {
+	return a != b && (w.isPartitioned(a) || w.isPartitioned(b))
+}
+
+// isPartitioned reports whether a zone is cut off from everything outside it; the region
+// never is. The world's lock is held by the caller.
 func (w *World) isPartitioned(zone string) bool {
 	return zone != "" && w.hasFaultOn(faultZonePartition, zone)
 }
 
-// reachable reports whether no partition lies between a worker and a controller. The
-// world's lock is held by the caller.
+// reachable reports whether no partition lies between the machine's zone and a
+// controller's. The world's lock is held by the caller.
 func (m *Machine) reachable(node string) bool {
 	return !m.world.zonesPartitioned(m.zone, m.world.controllerZones[node])
 }
 
-// holdUntilHealed keeps a message between two zones until the partition of one that is cut
-// off ends. The world's lock is held by the caller, and as deliver is called.
+// holdUntilHealed holds a message between two zones until the partition that separates them
+// ends; if both zones are partitioned, until that of the first ends. The world's lock is
+// held by the caller, and also while deliver is called.
 func (w *World) holdUntilHealed(a, b string, deliver func()) {
 	zone := a
 	if !w.isPartitioned(a) {
@@ -109,8 +112,8 @@
 	w.heldAcrossZones[zone] = append(w.heldAcrossZones[zone], deliver)
 }
 
-// healZone ends the partition of a zone: what was held back arrives, in order. The world's
-// lock is held by the caller.
+// healZone ends the partition of a zone and delivers the messages held for it, in order.
+// The world's lock is held by the caller.
 func (w *World) healZone(zone string) {
 	held := w.heldAcrossZones[zone]
 	delete(w.heldAcrossZones, zone)
@@ -119,12 +122,12 @@
 	w.zoneHealed = make(chan struct{})
 }
 
-// heldDeliveryGap is how far apart the messages arrive that were held back.
+// heldDeliveryGap is the time between the deliveries of two held messages.
 const heldDeliveryGap = 67 * time.Nanosecond
 
-// deliverHeld has messages that were held back arrive one after the other: all at the same
-// instant they would be in an order that nobody could repeat. The world's lock is held as
-// each is called.
+// deliverHeld delivers held messages one after the other, at different instants: if all
+// arrived at the same instant, their order could not be reproduced. The world's lock is
+// held during each delivery.
 func (w *World) deliverHeld(held []func()) {
 	for i, deliver := range held {
 		go func() {
@@ -137,8 +140,8 @@
 	}
 }
 
-// waitForZoneLink waits for as long as a partition lies between a controller and a zone.
-// It returns false if the context ends first.
+// waitForZoneLink blocks while a partition lies between a controller and a zone. It returns
+// false if the context ends first.
 func (w *World) waitForZoneLink(ctx context.Context, node, zone string) bool {
 	for {
 		w.mu.Lock()
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -8,8 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// roll draws a number for something that happens, which its parts name: the same for the
-// same seed, the next one for each repetition. The world's lock is held by the caller.
+// roll draws a random number for an event, which the parts identify. The number depends
+// only on the seed, the parts and how often a number was drawn for the same parts before.
+// The world's lock is held by the caller.
 func (w *World) roll(parts ...string) uint64 {
 	digest := xxhash.NewWithSeed(w.seed)
 	for _, part := range parts {
@@ -21,14 +22,14 @@
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, key), w.draws[key]))
 }
 
-// between draws a duration. Down to the nanosecond, so that hardly two things happen at
-// the same instant, whose order nobody could repeat. The world's lock is held by the
-// caller.
+// between draws a duration of at least low and less than high. Its unit is the nanosecond,
+// so that two events hardly ever happen at the same instant: their order could not be
+// reproduced. The world's lock is held by the caller.
 func (w *World) between(low, high time.Duration, parts ...string) time.Duration {
 	return low + time.Duration(w.roll(parts...)%uint64(high-low))
 }
 
-// chance draws a yes with so many percent. The world's lock is held by the caller.
+// chance draws true with a probability in percent. The world's lock is held by the caller.
 func (w *World) chance(percent uint64, parts ...string) bool { return w.roll(parts...)%100 < percent }
 
 // drawController draws one of the controllers. The world's lock is held by the caller.
@@ -36,7 +37,7 @@
 	return w.controllers[int(w.roll(parts...)%uint64(len(w.controllers)))]
 }
 
-// wait waits for a while. It returns false if the context ends first.
+// wait blocks for a duration. It returns false if the context ends first.
 func wait(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
