--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -13,21 +13,22 @@
 type rule string
 
 const (
-	ruleAccepted     rule = "accepted"      // what can't run or lacks a field is refused
-	ruleForgotten    rule = "forgotten"     // what was accepted stays known
-	ruleGuarantee    rule = "guarantee"     // nothing is preempted that its team's guarantee covers
-	ruleInvented     rule = "invented"      // nobody is told of a job that was not submitted
-	ruleNotDone      rule = "not_done"      // a job that is called done is done
-	ruleOrphaned     rule = "orphaned"      // what needs a cancelled job is cancelled too
+	ruleAccepted     rule = "accepted"      // a submission that cannot run or lacks a field is refused
+	ruleForgotten    rule = "forgotten"     // an accepted job stays known to the controllers
+	ruleGuarantee    rule = "guarantee"     // no task is preempted that its team's guarantee covers
+	ruleInvented     rule = "invented"      // no answer mentions a job as existing that was not submitted
+	ruleNotDone      rule = "not_done"      // all tasks of a job that is reported as done are done
+	ruleOrphaned     rule = "orphaned"      // a job that depends on a cancelled one is cancelled too
 	ruleQuota        rule = "quota"         // a team uses no more than its limits
-	ruleRanCancelled rule = "ran_cancelled" // no task outlives its job's cancellation for long
-	ruleRanTwice     rule = "ran_twice"     // no task is on two machines at a time
-	ruleTooEarly     rule = "too_early"     // no task starts before what its job needs is done
-	ruleWentBack     rule = "went_back"     // a final phase stays, and comes of a request
-	ruleWrongPlace   rule = "wrong_place"   // tasks run where their job's submission wants them
+	ruleRanCancelled rule = "ran_cancelled" // no task occupies a machine beyond its job's cancel deadline
+	ruleRanTwice     rule = "ran_twice"     // no task occupies two machines at a time
+	ruleTooEarly     rule = "too_early"     // no task starts before its job's dependencies are done
+	ruleWentBack     rule = "went_back"     // a final phase never changes; jobs are cancelled on request only
+	ruleWrongPlace   rule = "wrong_place"   // tasks run on the machines and in the zones that their submission allows
 )
 
-// SetTeam has the rules go by another guarantee or limit of a team from now on.
+// SetTeam sets the guarantee and the limits of a team by which the rules are checked from
+// now on.
 func (w *World) SetTeam(t protocol.Team) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -36,9 +37,9 @@
 	w.recordEvent("team %s: %+v", t.Name, t)
 }
 
-// allowance is what a team may use now: its limit or, since that was lowered below
-// what ran, what still runs of it. Nothing need be stopped, and nothing may start
-// that passes it.
+// allowance returns the limits that apply to a team now. After a limit was lowered below
+// the use, the tasks that run need not be stopped, and none may start beyond the limit: the
+// allowance follows the use down to the new limit.
 func (w *World) allowance(team string, use protocol.Resources) protocol.Team {
 	limit := w.Teams[team]
 	former, lowered := w.formerLimits[team]
@@ -61,11 +62,13 @@
 	return (limit.MaxCPUs > 0 && cpus > limit.MaxCPUs+rounding) || (limit.MaxGPUs > 0 && gpus > limit.MaxGPUs+rounding)
 }
 
-// ruleInterval is how often the rules are checked that no single event breaks.
+// ruleInterval is the interval of the periodic checks, which cover the rules that no single
+// event breaks.
 const ruleInterval = 500 * time.Millisecond
 
-// checkRulesPeriodically checks, until the world ends, the rules that no single event
-// breaks, and adds to what they are measured by.
+// checkRulesPeriodically checks, until the world's context ends, the rules that no single
+// event breaks. It also updates the replica time of services and, once all faults have
+// ended, the times since when jobs are unplaced.
 func (w *World) checkRulesPeriodically() {
 	for wait(w.ctx, ruleInterval+73*time.Nanosecond) {
 		w.mu.Lock()
@@ -82,8 +85,9 @@
 	}
 }
 
-// checkCancelledTasks looks for tasks that are on machines too long after their user was
-// told that the job is cancelled. The world's lock is held by the caller.
+// checkCancelledTasks records a violation for each task that occupies a machine beyond its
+// job's cancel deadline, counted from the moment at which a user was first told that the
+// job is cancelled. The world's lock is held by the caller.
 func (w *World) checkCancelledTasks() {
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
 		machine := w.machines[host]
@@ -100,14 +104,14 @@
 	}
 }
 
-// pastCancelDeadline reports whether no task of a job may be on a machine any more. The
-// world's lock is held by the caller.
+// pastCancelDeadline reports whether the cancel deadline of a job has passed, after which
+// none of its tasks may occupy a machine. The world's lock is held by the caller.
 func (w *World) pastCancelDeadline(job *Job) bool {
 	return !job.cancelledAt.IsZero() && time.Since(job.cancelledAt) > w.Workers.CancelDeadline
 }
 
-// checkTeamLimits looks for teams that use more than their limits. The world's lock is
-// held by the caller.
+// checkTeamLimits records a violation for each team whose use exceeds its allowance. The
+// world's lock is held by the caller.
 func (w *World) checkTeamLimits(use map[string]protocol.Resources) {
 	for _, team := range slices.Sorted(maps.Keys(use)) {
 		limit, used := w.allowance(team, use[team]), use[team]
@@ -117,7 +121,8 @@
 	}
 }
 
-// checkStart checks a start against the rules. The world's lock is held by the caller.
+// checkStart checks the start of a task against the rules. The world's lock is held by the
+// caller.
 func (w *World) checkStart(machine *Machine, name string, task *taskAttempt, job *Job) {
 	if w.RecordStartsOnly {
 		w.onStart(job)
@@ -136,9 +141,9 @@
 	}
 }
 
-// checkPlacement checks that a task that starts runs nowhere else, and on a machine and
-// beside others of its job as its submission wants. The world's lock is held by the
-// caller.
+// checkPlacement checks that a task that starts occupies no other machine, and that its
+// machine and the zones of its job's tasks are as the submission demands. The world's lock
+// is held by the caller.
 func (w *World) checkPlacement(machine *Machine, name string, task *taskAttempt, spec *protocol.Submission) {
 	inZone := 1
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
@@ -169,7 +174,7 @@
 	}
 }
 
-// recordViolation records that a rule was broken, once for the same details. The world's
+// recordViolation records the violation of a rule, once for the same details. The world's
 // lock is held by the caller.
 func (w *World) recordViolation(violated rule, format string, details ...any) {
 	text := string(violated) + ": " + fmt.Sprintf(format, details...)
@@ -179,14 +184,15 @@
 	}
 }
 
-// Broken lists the rules that were broken, each with its details.
+// Broken lists the recorded violations, each with the name of the rule and the details.
 func (w *World) Broken() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.violations)
 }
 
-// WastedStarts counts the starts after a confirmed cancellation.
+// WastedStarts counts the starts of tasks after their job's cancellation was confirmed to a
+// user.
 func (w *World) WastedStarts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/rules_test.go
+++ b/internal/emulator/rules_test.go
@@ -11,12 +11,12 @@
 	"madderslip/internal/transport"
 )
 
-// testJob is an array of tasks of 2 CPUs that run for an hour.
+// testJob returns an array job whose tasks take 2 CPUs and run for an hour.
 func testJob(jobID string, tasks int) *Job {
 	return &Job{Run: time.Hour, Spec: protocol.Submission{JobID: jobID, Team: "t", Shape: protocol.ShapeArray, Tasks: tasks, CPUs: 2, Image: "i"}}
 }
 
-// startTask has a worker start a task, and waits until it runs.
+// startTask has a worker carry out a start command, and waits until the task runs.
 func startTask(w *World, host, task string, attempt uint64) {
 	w.mu.Lock()
 	w.machines[host].runCommands([]protocol.Command{protocol.StartCommand(task, attempt)})
@@ -24,8 +24,8 @@
 	time.Sleep(2 * time.Second)
 }
 
-// confirmCancellation is as if a user had been told that a job is cancelled; then it waits
-// until beyond the deadline.
+// confirmCancellation records that a user was told that a job is cancelled, and waits until
+// after the cancel deadline.
 func confirmCancellation(w *World, jobID string) {
 	w.mu.Lock()
 	w.jobs[jobID].cancelledAt = time.Now()
@@ -33,8 +33,9 @@
 	time.Sleep(10 * time.Second)
 }
 
-// answerUsers connects a controller that takes no heartbeats and answers users' requests
-// with one body after the other; "404" is that status.
+// answerUsers connects a controller that refuses heartbeats and answers users' requests
+// with one body after the other, with status 200; the body "404" stands for an answer with
+// that status.
 func answerUsers(w *World, answers ...string) {
 	w.SetNode("n", func(_, target string, _ []byte, reply func(transport.Response)) {
 		if target == heartbeatPath {
@@ -50,7 +51,7 @@
 	})
 }
 
-// acceptInvalidRequests connects a controller that accepts every submission while users
+// acceptInvalidRequests connects a controller that accepts every submission, while users
 // send invalid ones.
 func acceptInvalidRequests(w *World) {
 	w.SetNode("n", func(_, target string, _ []byte, reply func(transport.Response)) {
@@ -65,7 +66,8 @@
 }
 
 // readStaleStateConcurrently submits a job to one of two controllers while users read
-// concurrently: the other answers what is older, milliseconds after the acceptance.
+// concurrently. The other controller answers from older state that the job does not exist,
+// milliseconds after the acceptance.
 func readStaleStateConcurrently(w *World) {
 	w.SetFault("close looks", true)
 	for _, name := range []string{"n", "m"} {
@@ -81,12 +83,12 @@
 	time.Sleep(time.Second)
 }
 
-// TestEveryRuleCanBreak breaks each rule on purpose: a check that can't fail guards
-// nothing.
+// TestEveryRuleCanBreak breaks rules on purpose and expects a violation: a check that
+// cannot fail guards nothing.
 func TestEveryRuleCanBreak(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		want    string // that a violation contains
+		want    string // text that a violation contains
 		violate func(w *World)
 	}{
 		{"a task starts on two machines", "ran_twice:", func(w *World) {
@@ -149,20 +151,21 @@
 				w.AddMachines(2, "a")
 				time.Sleep(time.Second)
 				if got := w.Broken(); len(got) > 0 {
-					t.Fatalf("broken before: %v", got)
+					t.Fatalf("violations before the rule is broken: %v", got)
 				}
 				c.violate(w)
 				if got := w.Broken(); len(got) == 0 || !strings.Contains(strings.Join(got, " "), c.want) {
-					t.Fatalf("not noticed: %v", got)
+					t.Fatalf("violation not recorded: %v", got)
 				}
 			})
 		})
 	}
 }
 
-// Once all faults have ended, a job that waits beside capacity that it fits is noticed, one
-// whose team is at its limit or that fits nowhere is not; and so is a start after a
-// cancellation.
+// TestUnplacedJobsAndWastedStartsAreNoticed checks that, once all faults have ended, a job
+// that stays unplaced beside free capacity that it fits is listed, that a job whose team is
+// at its limit or that fits on no free capacity is not, and that a start after a confirmed
+// cancellation is counted.
 func TestUnplacedJobsAndWastedStartsAreNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -189,7 +192,7 @@
 		w.EndFaults(0)
 		time.Sleep(2 * time.Minute)
 		if got := strings.Join(w.UnplacedLongerThan(90*time.Second), " "); got != "wk-1 wk-4" {
-			t.Errorf("waiting beside capacity: %s", got)
+			t.Errorf("unplaced beside free capacity: %s", got)
 		}
 		w.mu.Lock()
 		w.jobs["wk-1"].cancelledAt = time.Now()
--- a/internal/emulator/statestore.go
+++ b/internal/emulator/statestore.go
@@ -12,17 +12,17 @@
 	"golang.org/x/time/rate"
 )
 
-// shardKeyPrefix is what the keys of shards' owners begin with.
+// shardKeyPrefix is the prefix of the keys of shard owners.
 const shardKeyPrefix = "madderslip/s/"
 
-// storedValue is the value of a key.
+// storedValue is the stored value of a key.
 type storedValue struct {
 	value   json.RawMessage
 	version uint64 // the revision of its latest change
-	leaseID uint64 // of the lease with which the key ends; 0 for none
+	leaseID uint64 // lease whose end deletes the key; 0 for none
 }
 
-// keyChange is a change of a key, as watches tell of it.
+// keyChange is a change of a key in the response to a watch.
 type keyChange struct {
 	Set     string          `json:"set,omitempty"`
 	Deleted string          `json:"drop,omitempty"`
@@ -30,35 +30,36 @@
 	Version uint64          `json:"stamp"`
 }
 
-// Change is a key as a transaction, or the end of a lease, left it.
+// Change is the state of a key after a transaction, or after the end of the lease that
+// deleted the key.
 type Change struct {
 	Key     string
 	Value   json.RawMessage // nil if the key was deleted
 	Version uint64          // the same for all changes of a transaction
 }
 
-// Observe has every change from now on passed to observe, in order and at its instant. The
-// state service's lock is held meanwhile: observe must not call it.
+// Observe passes every later change to observe, in order and at the instant of the change.
+// The state service's lock is held during each call: observe must not call the service.
 func (s *StateService) Observe(observe func(Change)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.observe = observe
 }
 
-// lease keeps keys for as long as it is extended.
+// lease keeps its keys stored until it expires; extending the lease postpones that.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
-// StateService is the consensus-backed key-value store: compare-and-swap transactions,
-// watches, leases, limits of rate and size. It is safe for concurrent use.
+// StateService simulates the consensus-backed key-value store: compare-and-swap
+// transactions, watches, leases, limits on rates and sizes. It is safe for concurrent use.
 type StateService struct {
 	mu                 sync.Mutex
 	keys               map[string]storedValue
 	history            []keyChange
-	minHistory         int    // how many changes a watch can go back, at least
-	compactedAt        uint64 // the newest change that is no longer kept
+	minHistory         int    // minimum number of changes kept for watches
+	compactedAt        uint64 // revision of the newest change that is no longer kept
 	revision           uint64
 	leases             map[uint64]*lease
 	lastLeaseID        uint64
@@ -67,24 +68,26 @@
 	requestLimiter     *rate.Limiter
 	writeLimiter       *rate.Limiter
 	counts             Counts
-	onShardOwnerChange func()       // called on a goroutine of its own as a shard gets a new fencing token
-	observe            func(Change) // told of every change, if set
+	onShardOwnerChange func()       // called on a new goroutine when a shard gets a new fencing token
+	observe            func(Change) // called with every change, if set
 	sizeLimits         SizeLimits
-	refusedForSize     map[string]int // transactions refused for their size, by the first key
+	refusedForSize     map[string]int // number of transactions refused for their size, by the first key that each changes
 }
 
-// SizeLimits bound values and transactions; 0 is no bound. Four times as many compares as
-// changes may be in a transaction.
+// SizeLimits are the maximum size of a value and the maximum number of changes in a
+// transaction; 0 means no limit. A transaction may have four times as many compares as
+// changes.
 type SizeLimits struct{ ValueBytes, Changes int }
 
-// SetSizeLimits sets the bounds on sizes from now on. What is stored stays readable.
+// SetSizeLimits sets the limits on sizes from now on. Stored values that exceed them stay
+// readable.
 func (s *StateService) SetSizeLimits(limits SizeLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sizeLimits = limits
 }
 
-// RefusedForSize is how many transactions were refused for their size, by the first
+// RefusedForSize returns the number of transactions refused for their size, by the first
 // key that each changes.
 func (s *StateService) RefusedForSize() map[string]int {
 	s.mu.Lock()
@@ -92,23 +95,25 @@
 	return maps.Clone(s.refusedForSize)
 }
 
-// Counts is what transactions with changes have come to.
+// Counts are the number of changes carried out and of transactions with changes that a
+// compare refused.
 type Counts struct{ Changes, Refused int }
 
-// Counts is how many changes were carried out, and transactions refused by a compare.
+// Counts returns the counts since the state service was created.
 func (s *StateService) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// newStateService makes an empty store without limits.
+// newStateService returns an empty store without limits.
 func newStateService() *StateService {
 	return &StateService{keys: make(map[string]storedValue), minHistory: 10_000, leases: make(map[uint64]*lease), changed: make(chan struct{}),
 		refusedForSize: make(map[string]int), requestLimiter: rate.NewLimiter(rate.Inf, 0), writeLimiter: rate.NewLimiter(rate.Inf, 0)}
 }
 
-// SetRateLimits sets the limits of requests and of changes a second; both allow bursts of one second's worth.
+// SetRateLimits limits the requests and the changes per second; both limits allow bursts of
+// one second's worth.
 func (s *StateService) SetRateLimits(requestRate, writeRate float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,8 +121,8 @@
 	s.writeLimiter = rate.NewLimiter(rate.Limit(writeRate), int(writeRate))
 }
 
-// expireLeases ends leases until the context does. They end as much as 100 ms late, but
-// never early.
+// expireLeases ends expired leases until the context ends. Leases end up to 140 ms late, 90
+// ms by their ID and 50 ms by the interval of the checks, but never early.
 func (s *StateService) expireLeases(ctx context.Context) {
 	for {
 		select {
@@ -150,8 +155,8 @@
 	s.notifyWatches()
 }
 
-// appendChange keeps a change for watches, and of the older ones as many as they may go
-// back. The service's lock is held by the caller.
+// appendChange passes a change to the observer and keeps it for watches, together with at
+// least minHistory older ones. The service's lock is held by the caller.
 func (s *StateService) appendChange(c keyChange) {
 	if s.observe != nil {
 		s.observe(Change{Key: cmp.Or(c.Set, c.Deleted), Value: c.Value, Version: c.Version})
@@ -162,7 +167,7 @@
 	}
 }
 
-// Keys is what is stored, for checks once a test's work is over.
+// Keys returns the stored values by key, for checks at the end of a test.
 func (s *StateService) Keys() map[string]json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +178,7 @@
 	return out
 }
 
-// Versions is the revision of each key's latest change.
+// Versions returns the revision of each key's latest change.
 func (s *StateService) Versions() map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,13 +189,15 @@
 	return out
 }
 
-// notifyWatches has open watches look for changes. The service's lock is held by the caller.
+// notifyWatches makes open watches check for changes. The service's lock is held by the
+// caller.
 func (s *StateService) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// setOutage begins or ends an outage; after it every lease has its full time.
+// setOutage begins or ends an outage. After an outage every lease has its full time to live
+// again.
 func (s *StateService) setOutage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/statestore_api.go
+++ b/internal/emulator/statestore_api.go
@@ -16,13 +16,13 @@
 // minLeaseMs is the shortest time to live of a lease, in milliseconds.
 const minLeaseMs = 100
 
-// jsonResponse is a response with a value for its body.
+// jsonResponse returns a response with a value as its JSON body.
 func jsonResponse(status int, body any) (int, []byte) {
 	raw, _ := json.Marshal(body)
 	return status, raw
 }
 
-// handle answers a call of the state service's API. The status is 0 if the context of a
+// handle answers a request to the state service's API. The status is 0 if the context of a
 // watch ends.
 func (s *StateService) handle(ctx context.Context, method, target string, body []byte) (int, []byte) {
 	u, err := url.Parse(target)
@@ -37,7 +37,7 @@
 	case !s.requestLimiter.Allow():
 		return 429, nil
 	case method == "GET" && u.Path == protocol.PathWatch:
-		s.mu.Unlock() // for as long as the watch waits
+		s.mu.Unlock() // unlocked while the watch waits
 		defer s.mu.Lock()
 		return s.watch(ctx, u.Query())
 	case method == "GET" && u.Path == protocol.PathKeys:
@@ -55,24 +55,24 @@
 	return 404, nil
 }
 
-// keyResponse is a key in responses.
+// keyResponse is a key with its value and version in a response.
 type keyResponse struct {
 	Key     string          `json:"key"`
 	Version uint64          `json:"stamp"`
 	Value   json.RawMessage `json:"value"`
 }
 
-// revisionResponse is a response that says no more than the revision.
+// revisionResponse is a response that contains the revision only.
 type revisionResponse struct {
 	Revision uint64 `json:"epoch"`
 }
 
-// leaseResponse is a response about a lease.
+// leaseResponse is the response to a request to grant or extend a lease.
 type leaseResponse struct {
 	LeaseID uint64 `json:"permit"`
 }
 
-// get answers a read of one key. The service's lock is held by the caller.
+// get answers a request for one key. The service's lock is held by the caller.
 func (s *StateService) get(key string) (int, []byte) {
 	stored, ok := s.keys[key]
 	if !ok {
@@ -81,8 +81,8 @@
 	return jsonResponse(200, keyResponse{Key: key, Version: stored.version, Value: stored.value})
 }
 
-// list answers a page of the keys under a prefix, in order. The service's lock is held by
-// the caller.
+// list answers with a page of the keys under a prefix, in order. The service's lock is held
+// by the caller.
 func (s *StateService) list(query url.Values) (int, []byte) {
 	var names []string
 	for key := range s.keys {
@@ -107,7 +107,7 @@
 	}{s.revision, items, truncated})
 }
 
-// grantLease answers a request for a lease. The service's lock is held by the caller.
+// grantLease answers a request for a new lease. The service's lock is held by the caller.
 func (s *StateService) grantLease(body []byte) (int, []byte) {
 	var request struct {
 		TTLMs int64 `json:"ttlMs"`
@@ -121,7 +121,7 @@
 	return jsonResponse(200, leaseResponse{s.lastLeaseID})
 }
 
-// extendLease answers a request to keep a lease alive. The service's lock is held by the
+// extendLease answers a request to extend a lease. The service's lock is held by the
 // caller.
 func (s *StateService) extendLease(id uint64) (int, []byte) {
 	lease := s.leases[id]
@@ -132,7 +132,7 @@
 	return jsonResponse(200, leaseResponse{id})
 }
 
-// transaction is the body of a call of PathTransactions.
+// transaction is the body of a request to PathTransactions.
 type transaction struct {
 	Compares []struct {
 		Key     string `json:"key"`
@@ -149,7 +149,7 @@
 	LeaseID uint64          `json:"permit"`
 }
 
-// withinLimits reports whether a transaction and its values are small enough.
+// withinLimits reports whether a transaction and its values are within the limits on sizes.
 func (t *transaction) withinLimits(limits SizeLimits) bool {
 	if limits.Changes > 0 && (len(t.Ops) > limits.Changes || len(t.Compares) > 4*limits.Changes) {
 		return false
@@ -162,7 +162,8 @@
 	return true
 }
 
-// firstKey names a transaction by the first key that it changes.
+// firstKey returns the first key that a transaction changes, under which refused
+// transactions are counted.
 func (t *transaction) firstKey() string {
 	if len(t.Ops) == 0 {
 		return "no change"
@@ -170,8 +171,9 @@
 	return t.Ops[0].Set + t.Ops[0].Delete
 }
 
-// commit answers a transaction: all of its changes are made, or none if a compare fails,
-// a lease has ended or it is beyond a limit. The service's lock is held by the caller.
+// commit answers a transaction: either all of its changes are made, or none, if a compare
+// fails, a lease has ended or a limit is exceeded. The service's lock is held by the
+// caller.
 func (s *StateService) commit(body []byte) (int, []byte) {
 	var txn transaction
 	if json.Unmarshal(body, &txn) != nil {
@@ -199,8 +201,8 @@
 	return jsonResponse(200, revisionResponse{s.revision})
 }
 
-// failedCompares lists the keys whose version is not the one that a transaction wants. The
-// service's lock is held by the caller.
+// failedCompares lists the keys whose version differs from the one that a transaction
+// requires. The service's lock is held by the caller.
 func (s *StateService) failedCompares(txn *transaction) []string {
 	var failed []string
 	for _, compare := range txn.Compares {
@@ -211,8 +213,8 @@
 	return failed
 }
 
-// apply makes changes, all at one new revision. Deleting a key that is not there is none
-// that watches see. The service's lock is held by the caller.
+// apply makes changes, all at one new revision. The deletion of a key that does not exist
+// is not reported to watches. The service's lock is held by the caller.
 func (s *StateService) apply(ops []transactionOp) {
 	if len(ops) > 0 {
 		s.revision++
@@ -233,15 +235,15 @@
 	s.notifyWatches()
 }
 
-// watchResponse is what changed up to a revision.
+// watchResponse contains the changes up to a revision.
 type watchResponse struct {
 	Revision uint64      `json:"epoch"`
 	Changes  []keyChange `json:"news"`
 }
 
-// watch answers with the changes after a revision, and waits for some as long as the call
-// wants; 410 if the changes are no longer kept. During an outage an open watch stays
-// silent.
+// watch answers with the changes after a revision, or waits for changes up to the time that
+// the request states. The status is 410 if the changes are no longer kept. During an outage
+// an open watch reports no changes.
 func (s *StateService) watch(ctx context.Context, query url.Values) (int, []byte) {
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
 	blockMs, _ := strconv.Atoi(query.Get("blockMs"))
