--- a/internal/emulator/statestore.go
+++ b/internal/emulator/statestore.go
@@ -121,8 +121,8 @@
 	s.writeLimiter = rate.NewLimiter(rate.Limit(writeRate), int(writeRate))
 }
 
-// expireLeases ends expired leases until the context ends. Leases end up to 140 ms late, 90
-// ms by their ID and 50 ms by the interval of the checks, but never early.
+// expireLeases ends expired leases until the context ends. Leases end up to 140 ms late (90
+// ms by their ID, 50 ms by the interval of the checks) but never early.
 func (s *StateService) expireLeases(ctx context.Context) {
 	for {
 		select {
@@ -155,8 +155,9 @@
 	s.notifyWatches()
 }
 
-// appendChange passes a change to the observer and keeps it for watches, together with at
-// least minHistory older ones. The service's lock is held by the caller.
+// appendChange passes a change to the observer and appends it to the history for watches,
+// of which at least the latest minHistory changes are kept. The service's lock is held by
+// the caller.
 func (s *StateService) appendChange(c keyChange) {
 	if s.observe != nil {
 		s.observe(Change{Key: cmp.Or(c.Set, c.Deleted), Value: c.Value, Version: c.Version})
