--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -98,7 +98,7 @@
 // outgoingHeartbeat is a heartbeat on its way, and what the worker was as it sent it.
 type outgoingHeartbeat struct {
 	controller        string
-	handler           NodeHandler
+	handler           ControllerHandler
 	body              []byte
 	sentAt            time.Time
 	agentEpoch        uint64
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -84,7 +84,7 @@
 			t.machine.exitTask(t.name, t.task, protocol.CauseDone)
 		}
 	}
-	w.jobFinished(job)
+	w.handleJobFinished(job)
 }
 
 // gangCheckpointing reports whether every task of a gang's attempt was told to stop and
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -213,7 +213,7 @@
 	if !lossyState && !lossyCloud {
 		return outcomeDelivered
 	}
-	switch percent := w.roll(key...) % 100; {
+	switch percent := w.drawNumber(key...) % 100; {
 	case percent < 12:
 		return outcomeResponseLost
 	case percent < 22:
--- a/internal/emulator/loopback.go
+++ b/internal/emulator/loopback.go
@@ -37,7 +37,7 @@
 	State      Traffic // calls to the state service
 	Cloud      Traffic // calls to the cloud
 	Commands   Traffic // controllers' calls to workers
-	Reports    Traffic // workers' heartbeats; Out counts the bytes that workers send
+	Heartbeats Traffic // workers' heartbeats; Out counts the bytes that workers send
 	Users      Traffic // users' requests; Out counts the bytes that users send
 	workerPort int
 	client     *http.Client
@@ -154,12 +154,12 @@
 // nodeTimeout limits the time that a controller may take to respond over loopback.
 const nodeTimeout = 5 * time.Second
 
-// AddNode connects a controller that listens at a public address.
-func (l *Loopback) AddNode(name, addr string) {
-	l.W.SetNode(name, func(method, target string, body []byte, reply func(transport.Response)) {
+// AddController connects a controller that listens at a public address.
+func (l *Loopback) AddController(name, addr string) {
+	l.W.SetController(name, func(method, target string, body []byte, reply func(transport.Response)) {
 		traffic := &l.Users
 		if target == heartbeatPath {
-			traffic = &l.Reports
+			traffic = &l.Heartbeats
 		}
 		ctx, cancel := context.WithTimeout(l.W.ctx, nodeTimeout)
 		defer cancel()
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -77,7 +77,7 @@
 		wakeup:          make(chan struct{}, 1),
 	}
 	// Clocks drift apart by as much as 0.05 %.
-	machine.clockDrift = time.Duration(w.roll("drift", machine.host)%2001)*time.Millisecond - time.Second
+	machine.clockDrift = time.Duration(w.drawNumber("drift", machine.host)%2001)*time.Millisecond - time.Second
 	w.machines[machine.host] = machine
 	w.recordEvent("%s rented: %s in %s, spot %v", machine.host, machineType, zone, spot)
 	go machine.runAgent(after + time.Duration(w.machineCount)*17*time.Microsecond)
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -8,10 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// roll draws a random number for an event, which the parts identify. The number depends
+// drawNumber draws a random number for an event, which the parts identify. The number depends
 // only on the seed, the parts and how often a number was drawn for the same parts before.
 // The world's lock is held by the caller.
-func (w *World) roll(parts ...string) uint64 {
+func (w *World) drawNumber(parts ...string) uint64 {
 	digest := xxhash.NewWithSeed(w.seed)
 	for _, part := range parts {
 		_, _ = digest.WriteString(part)
@@ -26,15 +26,17 @@
 // so that two events hardly ever happen at the same instant: their order could not be
 // reproduced. The world's lock is held by the caller.
 func (w *World) between(low, high time.Duration, parts ...string) time.Duration {
-	return low + time.Duration(w.roll(parts...)%uint64(high-low))
+	return low + time.Duration(w.drawNumber(parts...)%uint64(high-low))
 }
 
 // chance draws true with a probability in percent. The world's lock is held by the caller.
-func (w *World) chance(percent uint64, parts ...string) bool { return w.roll(parts...)%100 < percent }
+func (w *World) chance(percent uint64, parts ...string) bool {
+	return w.drawNumber(parts...)%100 < percent
+}
 
 // drawController draws one of the controllers. The world's lock is held by the caller.
 func (w *World) drawController(parts ...string) string {
-	return w.controllers[int(w.roll(parts...)%uint64(len(w.controllers)))]
+	return w.controllers[int(w.drawNumber(parts...)%uint64(len(w.controllers)))]
 }
 
 // wait blocks for a duration. It returns false if the context ends first.
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// Broken lists the recorded violations, each with the name of the rule and the details.
-func (w *World) Broken() []string {
+// Violations lists the recorded violations, each with the name of the rule and the details.
+func (w *World) Violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.violations)
--- a/internal/emulator/rules_test.go
+++ b/internal/emulator/rules_test.go
@@ -37,7 +37,7 @@
 // with one body after the other, with status 200; the body "404" stands for an answer with
 // that status.
 func answerUsers(w *World, answers ...string) {
-	w.SetNode("n", func(_, target string, _ []byte, reply func(transport.Response)) {
+	w.SetController("n", func(_, target string, _ []byte, reply func(transport.Response)) {
 		if target == heartbeatPath {
 			reply(transport.Response{Status: 503})
 			return
@@ -54,7 +54,7 @@
 // acceptInvalidRequests connects a controller that accepts every submission, while users
 // send invalid ones.
 func acceptInvalidRequests(w *World) {
-	w.SetNode("n", func(_, target string, _ []byte, reply func(transport.Response)) {
+	w.SetController("n", func(_, target string, _ []byte, reply func(transport.Response)) {
 		status := 503
 		if target == submissionsPath {
 			status = 201
@@ -71,7 +71,7 @@
 func readStaleStateConcurrently(w *World) {
 	w.SetFault("close looks", true)
 	for _, name := range []string{"n", "m"} {
-		w.SetNode(name, func(method, _ string, _ []byte, reply func(transport.Response)) {
+		w.SetController(name, func(method, _ string, _ []byte, reply func(transport.Response)) {
 			if method == "POST" && name == "n" {
 				reply(transport.Response{Status: 201, Body: []byte(`{"phase":"pending"}`)})
 			} else {
@@ -150,11 +150,11 @@
 					map[string]protocol.Team{"t": {MaxCPUs: 3}})
 				w.AddMachines(2, "a")
 				time.Sleep(time.Second)
-				if got := w.Broken(); len(got) > 0 {
+				if got := w.Violations(); len(got) > 0 {
 					t.Fatalf("violations before the rule is broken: %v", got)
 				}
 				c.violate(w)
-				if got := w.Broken(); len(got) == 0 || !strings.Contains(strings.Join(got, " "), c.want) {
+				if got := w.Violations(); len(got) == 0 || !strings.Contains(strings.Join(got, " "), c.want) {
 					t.Fatalf("violation not recorded: %v", got)
 				}
 			})
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -95,7 +95,7 @@
 	_, index, _ := protocol.ParseTaskName(name)
 	job.tasksDone[index] = true
 	m.exitTask(name, task, protocol.CauseDone)
-	m.world.jobFinished(job)
+	m.world.handleJobFinished(job)
 }
 
 // stopTask ends a task. One that runs and has checkpoints takes one if its grace
--- a/internal/emulator/userfaults.go
+++ b/internal/emulator/userfaults.go
@@ -66,10 +66,10 @@
 	w.checkAnswer(jobID, sentAt, status, response, countsAsAcceptance && isSuccess(status))
 }
 
-// jobFinished handles the completion of the last task of a job: users read the job
+// handleJobFinished handles the completion of the last task of a job: users read the job
 // concurrently, and two in five accepted jobs are cancelled, each under its fault. It does
 // nothing while tasks of the job are left. The world's lock is held by the caller.
-func (w *World) jobFinished(job *Job) {
+func (w *World) handleJobFinished(job *Job) {
 	if !job.allTasksDone() {
 		return
 	}
@@ -182,7 +182,7 @@
 	if len(accepted) == 0 {
 		return nil
 	}
-	return accepted[int(w.roll(parts...)%uint64(len(accepted)))]
+	return accepted[int(w.drawNumber(parts...)%uint64(len(accepted)))]
 }
 
 // requiredFields are fields that a submission must have, as the protocol spells them.
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -11,9 +11,9 @@
 	"madderslip/internal/transport"
 )
 
-// NodeHandler passes a request to a controller's public API, which calls reply with the
+// ControllerHandler passes a request to a controller's public API, which calls reply with the
 // response.
-type NodeHandler func(method, target string, body []byte, reply func(transport.Response))
+type ControllerHandler func(method, target string, body []byte, reply func(transport.Response))
 
 // World simulates everything outside the controllers. Its behaviour depends only on its
 // seed and on the calls that it receives: every delay is drawn from the seed and the
@@ -45,9 +45,9 @@
 	draws     map[uint64]uint64 // number of draws made so far, by the hash of their key
 	events    []string
 
-	handlers     map[string]NodeHandler // of the running controllers, by name
-	controllers  []string               // all that were ever connected, in the order of their first connection
-	activeFaults map[string]bool        // by the name passed to SetFault
+	handlers     map[string]ControllerHandler // of the running controllers, by name
+	controllers  []string                     // all that were ever connected, in the order of their first connection
+	activeFaults map[string]bool              // by the name passed to SetFault
 	partitions
 
 	machines       map[string]*Machine // by host, including removed ones
@@ -80,7 +80,7 @@
 		seed:            seed,
 		startedAt:       time.Now(),
 		draws:           make(map[uint64]uint64),
-		handlers:        make(map[string]NodeHandler),
+		handlers:        make(map[string]ControllerHandler),
 		activeFaults:    make(map[string]bool),
 		partitions:      newPartitions(),
 		machines:        make(map[string]*Machine),
@@ -122,9 +122,9 @@
 	return slices.Clone(w.events)
 }
 
-// SetNode connects a new process of a controller, or, if handler is nil, disconnects the
+// SetController connects a new process of a controller, or, if handler is nil, disconnects the
 // present one. Requests under way to an earlier process are dropped.
-func (w *World) SetNode(name string, handler NodeHandler) {
+func (w *World) SetController(name string, handler ControllerHandler) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !slices.Contains(w.controllers, name) {
--- a/internal/loadtest/counters.go
+++ b/internal/loadtest/counters.go
@@ -46,7 +46,7 @@
 		changes:    state.Changes,
 		refused:    state.Refused,
 		state:      trafficOf(&m.loopback.State),
-		heartbeats: trafficOf(&m.loopback.Reports),
+		heartbeats: trafficOf(&m.loopback.Heartbeats),
 		commands:   trafficOf(&m.loopback.Commands),
 	}
 	for _, c := range m.controllers {
--- a/internal/loadtest/measurement.go
+++ b/internal/loadtest/measurement.go
@@ -98,7 +98,7 @@
 			return err
 		}
 		m.world.SetZone(c.name, "")
-		m.loopback.AddNode(c.name, c.publicAddr)
+		m.loopback.AddController(c.name, c.publicAddr)
 	}
 	return nil
 }
--- a/internal/simtest/play.go
+++ b/internal/simtest/play.go
@@ -43,7 +43,7 @@
 		}
 	}
 	out.Line, out.Err = c.playLines(script)
-	out.Broken, out.Events = c.world.Broken(), c.world.Events()
+	out.Broken, out.Events = c.world.Violations(), c.world.Events()
 	if stored := c.records(); out.Kind() != "" {
 		out.Left = unfinishedRecords(stored)
 	}
--- a/internal/simtest/process.go
+++ b/internal/simtest/process.go
@@ -66,7 +66,7 @@
 		p.controller.Run(ctx)
 		close(p.ended)
 	}()
-	c.world.SetNode(name, p.controller.Handle)
+	c.world.SetController(name, p.controller.Handle)
 	return nil
 }
 
@@ -112,7 +112,7 @@
 		return
 	}
 	c.world.Note("%s ends", name)
-	c.world.SetNode(name, nil)
+	c.world.SetController(name, nil)
 	p.stop()
 	c.users.Go(func() {
 		select {
--- a/internal/simtest/quiescence.go
+++ b/internal/simtest/quiescence.go
@@ -75,7 +75,7 @@
 		if failure := c.firstFailure(); failure != nil {
 			return failure
 		}
-		if err == nil || time.Now().After(deadline) || len(c.world.Broken()) > 0 {
+		if err == nil || time.Now().After(deadline) || len(c.world.Violations()) > 0 {
 			return err
 		}
 		time.Sleep(checkInterval)
