--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -6,6 +6,6 @@
 //
 // It injects faults by the names that scripts use (SetFault for faults of the world, of one
 // controller or of one zone, SetMachineFault for those of a machine) and checks the rules
-// of the protocol itself, so that a test fails if a rule is broken (Violations). It must not
-// import the code under test: no package of the controllers.
+// of the protocol itself, so that a test fails if a rule is broken (Violations). It must
+// not import the code under test: no package of the controllers.
 package emulator
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// drawNumber draws a random number for an event, which the parts identify. The number depends
-// only on the seed, the parts and how often a number was drawn for the same parts before.
-// The world's lock is held by the caller.
+// drawNumber draws a random number for an event, which the parts identify. The number
+// depends only on the seed, the parts and how often a number was drawn for the same parts
+// before. The world's lock is held by the caller.
 func (w *World) drawNumber(parts ...string) uint64 {
 	digest := xxhash.NewWithSeed(w.seed)
 	for _, part := range parts {
--- a/internal/emulator/userfaults.go
+++ b/internal/emulator/userfaults.go
@@ -23,8 +23,9 @@
 )
 
 // readConcurrently has users query a job at all controllers several times within
-// milliseconds. Some of the requests repeat the job's submission instead, or cancel the job
-// if it was just accepted. The world's lock is held by the caller.
+// milliseconds, if the fault is on. Some of the requests repeat the job's submission
+// instead; under faultCancelOnAccept, some cancel a job that was just accepted. The world's
+// lock is held by the caller.
 func (w *World) readConcurrently(jobID, reason string) {
 	if !w.hasFault(faultConcurrentReads) {
 		return
@@ -119,9 +120,9 @@
 	return jobIDs, hosts
 }
 
-// hostsOfCancellableJobs returns, by job, the machines in order of every accepted and
-// running job whose cancellation no user has requested. The world's lock is held by the
-// caller.
+// hostsOfCancellableJobs returns, by job, the machines of every accepted and running job
+// whose cancellation no user has requested, in the order of their host names. The world's
+// lock is held by the caller.
 func (w *World) hostsOfCancellableJobs() map[string][]string {
 	hostsOf := make(map[string][]string)
 	for _, host := range slices.Sorted(maps.Keys(w.machines)) {
@@ -188,8 +189,8 @@
 // requiredFields are fields that a submission must have, as the protocol spells them.
 var requiredFields = []string{"samePlace", "spread", "loaner", "snapshotEveryS", "snapshotS", "expectS", "cards", "rank", "owner"}
 
-// invalidSubmission returns the submission of a number, which no controller may accept, and
-// the field to remove from it if only the missing field makes it invalid.
+// invalidSubmission returns a submission that no controller may accept, selected by a
+// number, and the field to remove from it if only the missing field makes it invalid.
 func invalidSubmission(number int) (spec protocol.Submission, missingField string) {
 	spec = protocol.Submission{JobID: fmt.Sprintf("wk-9%05d", number), Class: "odd", Team: "open", Shape: protocol.ShapeArray,
 		PriorityClass: "normal", Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "img-1", ImageGB: 1}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -11,8 +11,8 @@
 	"madderslip/internal/transport"
 )
 
-// ControllerHandler passes a request to a controller's public API, which calls reply with the
-// response.
+// ControllerHandler passes a request to a controller's public API, which calls reply with
+// the response.
 type ControllerHandler func(method, target string, body []byte, reply func(transport.Response))
 
 // World simulates everything outside the controllers. Its behaviour depends only on its
@@ -122,8 +122,8 @@
 	return slices.Clone(w.events)
 }
 
-// SetController connects a new process of a controller, or, if handler is nil, disconnects the
-// present one. Requests under way to an earlier process are dropped.
+// SetController connects a new process of a controller, or, if handler is nil, disconnects
+// the present one. Requests under way to an earlier process are dropped.
 func (w *World) SetController(name string, handler ControllerHandler) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
