--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -18,7 +18,7 @@
 	workerPort = ":9000"
 )
 
-// Bounds of the delay of a message in one direction.
+// Bounds of the one-way delay of a message within the region.
 const (
 	minDelay = 300 * time.Microsecond
 	maxDelay = 3 * time.Millisecond
@@ -104,8 +104,9 @@
 func (c *call) isServiceCall() bool { return c.addr == stateAddr || c.addr == cloudAddr }
 
 // holdIfPartitioned reports whether the controller's zone is cut off from the region. If it
-// is, half of the calls are held until the partition ends; calls to the cloud and
-// transactions are carried out then, other calls to the state service are dropped.
+// is, half of the calls are held until the partition ends, and the others are lost. When it
+// ends, held calls to the cloud and held transactions are carried out; other held calls to
+// the state service are dropped.
 func (l Link) holdIfPartitioned(c call) bool {
 	w := l.W
 	w.mu.Lock()
--- a/internal/emulator/random.go
+++ b/internal/emulator/random.go
@@ -29,7 +29,8 @@
 	return low + time.Duration(w.drawNumber(parts...)%uint64(high-low))
 }
 
-// chance draws true with a probability in percent. The world's lock is held by the caller.
+// chance returns true with the given probability in percent. The world's lock is held by
+// the caller.
 func (w *World) chance(percent uint64, parts ...string) bool {
 	return w.drawNumber(parts...)%100 < percent
 }
--- a/internal/emulator/rules.go
+++ b/internal/emulator/rules.go
@@ -16,7 +16,7 @@
 	ruleAccepted     rule = "accepted"      // a submission that cannot run or lacks a field is refused
 	ruleForgotten    rule = "forgotten"     // an accepted job stays known to the controllers
 	ruleGuarantee    rule = "guarantee"     // no task is preempted that its team's guarantee covers
-	ruleInvented     rule = "invented"      // no answer mentions a job as existing that was not submitted
+	ruleInvented     rule = "invented"      // no answer implies the existence of a job that was not submitted
 	ruleNotDone      rule = "not_done"      // all tasks of a job that is reported as done are done
 	ruleOrphaned     rule = "orphaned"      // a job that depends on a cancelled one is cancelled too
 	ruleQuota        rule = "quota"         // a team uses no more than its limits
