--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -98,7 +98,7 @@
 // outgoingHeartbeat is a heartbeat in transit, with the state of the worker that sent it.
 type outgoingHeartbeat struct {
 	controller        string
-	handler           NodeHandler
+	handler           ControllerHandler
 	body              []byte
 	sentAt            time.Time
 	agentEpoch        uint64
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -85,7 +85,7 @@
 			t.machine.exitTask(t.name, t.task, protocol.CauseDone)
 		}
 	}
-	w.jobFinished(job)
+	w.handleJobFinished(job)
 }
 
 // isGangCheckpointing reports whether every task of a gang's attempt has received a stop
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -95,7 +95,7 @@
 	_, index, _ := protocol.ParseTaskName(name)
 	job.tasksDone[index] = true
 	m.exitTask(name, task, protocol.CauseDone)
-	m.world.jobFinished(job)
+	m.world.handleJobFinished(job)
 }
 
 // stopTask stops a task. A running task of a job with checkpoints first takes a checkpoint
