--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// ErrNotSent marks a call of which no byte can have reached the peer. Every
-// other error leaves open whether the request was, or will yet be, executed.
+// ErrNotSent marks a call of which no byte can have reached the peer. After any
+// other error the peer may have executed the request, or may still execute it.
 var ErrNotSent = errors.New("request not sent")
 
 // notSent returns an error that wraps ErrNotSent and its cause.
 func notSent(cause error) error { return fmt.Errorf("%w: %w", ErrNotSent, cause) }
 
-// CallError is a call that failed after its request may have been sent: where, at which
-// step and why. Its text names step and cause.
+// CallError is the error of a call that failed after its request may have been sent. Its
+// text contains the step and the cause, but not the address.
 type CallError struct {
 	Step string // "write", "read" or "status"
-	Addr string // that was called, IP address and port
-	Err  error  // what failed, an *HTTPError among others
+	Addr string // IP address and port of the peer
+	Err  error  // cause; an *HTTPError if the response is malformed or too long
 }
 
 func (e *CallError) Error() string { return e.Step + ": " + e.Err.Error() }
@@ -35,9 +35,9 @@
 type Client struct {
 	DialTimeout time.Duration
 	Limits      Limits // of a response
-	MaxIdle     int    // connections kept per address
+	MaxIdle     int    // idle connections kept per address
 
-	calls chan struct{} // holds one element for each call in progress
+	calls chan struct{} // semaphore with one element for each call in progress
 	pool  *connPool
 }
 
@@ -47,8 +47,8 @@
 	maxResponseBody = 64 << 20
 )
 
-// NewClient makes a client that holds at most maxConns connections at once, idle ones
-// included, and keeps at most maxIdle idle ones per address.
+// NewClient returns a client that holds at most maxConns connections at once, idle ones
+// included, and keeps at most maxIdle idle connections per address.
 func NewClient(maxConns, maxIdle int, dialTimeout time.Duration) *Client {
 	return &Client{
 		DialTimeout: dialTimeout,
@@ -59,12 +59,13 @@
 	}
 }
 
-// Open counts the connections that are held now.
+// Open returns the number of connections that are in use, idle or being dialled.
 func (c *Client) Open() int { return c.pool.count() }
 
-// Do makes one call and returns the status and body of its answer. It waits until a
-// connection may be opened, and ends with the context at the latest. An error wraps
-// ErrNotSent, or is a *CallError: then the request may have been executed.
+// Do makes one call and returns the status and body of the response. It blocks while
+// maxConns calls are in progress, and returns when the context ends at the latest. An
+// error either wraps ErrNotSent or is a *CallError; after a *CallError the request may have
+// been executed.
 func (c *Client) Do(ctx context.Context, addr, method, target string, body []byte) (int, []byte, error) {
 	select {
 	case c.calls <- struct{}{}:
@@ -83,44 +84,46 @@
 			return 0, nil, notSent(err)
 		}
 	}
-	// A deadline alone would hold a caller whose context is cancelled: a watch
-	// waits for many seconds.
+	// The connection's deadline alone does not end the call of a cancelled context: a watch
+	// request waits for many seconds.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	response, status, err := c.exchange(conn, addr, AppendRequest(nil, method, target, addr, body))
 	if err != nil {
 		return 0, nil, err
 	}
-	// Not kept when the context has just ended: its deadline may yet be set.
+	// A connection is not reused if the context has just ended, because the AfterFunc above
+	// may still set the connection's deadline.
 	reusable = stop() && !response.Close && conn.SetDeadline(time.Time{}) == nil
 	return status, response.Body, nil
 }
 
-// connect returns an idle connection to an address or makes one.
+// connect returns an idle connection to an address, or dials a new one.
 func (c *Client) connect(ctx context.Context, addr string) (net.Conn, error) {
-	if conn := c.pool.take(addr); conn != nil {
+	if conn := c.pool.takeOrReserve(addr); conn != nil {
 		return conn, nil
 	}
 	dialer := net.Dialer{Timeout: c.DialTimeout, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp4", addr)
 	if err != nil {
-		c.pool.forget()
+		c.pool.releaseSlot()
 		return nil, err
 	}
 	return conn, nil
 }
 
-// release keeps a connection for another call if it is reusable, and closes it otherwise.
+// release returns a reusable connection to the pool and closes any other.
 func (c *Client) release(addr string, conn net.Conn, reusable bool) {
 	if reusable {
 		c.pool.put(addr, conn, c.MaxIdle)
 		return
 	}
 	_ = conn.Close()
-	c.pool.forget()
+	c.pool.releaseSlot()
 }
 
-// exchange writes a request and reads its response, whose status it returns as well.
+// exchange writes a request and reads the response. It returns the response and its
+// parsed status.
 func (c *Client) exchange(conn net.Conn, addr string, request []byte) (Message, int, error) {
 	if _, err := conn.Write(request); err != nil {
 		return Message{}, 0, &CallError{Step: "write", Addr: addr, Err: err}
@@ -136,7 +139,8 @@
 	return response, status, nil
 }
 
-// read reads one response. A connection that ends before is io.ErrUnexpectedEOF.
+// read reads one response. If the peer closes the connection before the response is
+// complete, it returns io.ErrUnexpectedEOF.
 func (c *Client) read(conn net.Conn) (Message, error) {
 	buf := make([]byte, 0, 2048)
 	for {
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A connection that ends before its answer leaves open whether the request was executed:
-// the error names address, step and cause, and is not ErrNotSent.
+// If the peer closes the connection before it answers, the request may have been executed:
+// the error holds the address, the step and the cause, and must not be ErrNotSent.
 func TestCallErrorNamesAddressStepAndCause(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -32,12 +32,12 @@
 	<-served
 	var call *CallError
 	if !errors.As(err, &call) || call.Addr != addr || call.Step != "read" || !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, ErrNotSent) {
-		t.Errorf("%v", err)
+		t.Errorf("got %v, wanted a CallError at step read", err)
 	}
 	if err.Error() != "read: unexpected EOF" {
-		t.Errorf("text %q", err)
+		t.Errorf("error text %q", err)
 	}
 	if open := client.Open(); open != 0 {
-		t.Errorf("%d connections are held", open)
+		t.Errorf("%d connections open, wanted 0", open)
 	}
 }
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -7,24 +7,25 @@
 	"github.com/tidwall/evio"
 )
 
-// keptBufferBytes is the largest empty receive buffer that a connection keeps.
-const keptBufferBytes = 16 << 10
+// maxRetainedBufferBytes is the capacity above which a connection releases its receive
+// buffer when the buffer is empty.
+const maxRetainedBufferBytes = 16 << 10
 
-// connection is what a Server knows of one client's connection. Requests are handled one
-// at a time, in their order.
+// connection is the state of one client connection of a Server. Requests on a connection
+// are handled one at a time, in the order of arrival.
 type connection struct {
-	mu           sync.Mutex // guards all below; the event loop and replying goroutines take it
-	received     []byte     // not parsed yet
-	pending      []byte     // to be sent
+	mu           sync.Mutex // guards all fields below; taken by the event loop and by replying goroutines
+	received     []byte     // received bytes that are not parsed yet
+	pending      []byte     // response bytes to send
 	handling     bool       // a request is being handled
-	inEventLoop  bool       // the event loop is inside the handler and will look at pending itself
-	closing      bool       // nothing more is read; closed once nothing is being handled
-	sentContinue bool       // "100 Continue" went out for the request that is being received
-	admitted     bool       // its first request has come
-	lastActivity time.Time  // a request began to arrive, or was answered
+	inEventLoop  bool       // the event loop is inside the handler and sends pending when the handler returns
+	closing      bool       // no more bytes are read; the connection is closed once no request is being handled
+	sentContinue bool       // "100 Continue" was queued for the request that is being received
+	admitted     bool       // the first request has been received, and was admitted or refused
+	lastActivity time.Time  // last time at which a request began to arrive or was answered
 }
 
-// receive takes bytes from the client. conn.mu is held by the caller.
+// receive appends bytes from the client to the receive buffer. The caller holds conn.mu.
 func (conn *connection) receive(data []byte) {
 	if len(data) == 0 || conn.closing {
 		return
@@ -35,22 +36,23 @@
 	conn.received = append(conn.received, data...)
 }
 
-// mayHandle reports whether another request may be looked for. conn.mu is held by the
-// caller.
+// mayHandle reports whether the next request may be parsed and handled. The caller holds
+// conn.mu.
 func (conn *connection) mayHandle() bool {
 	return !conn.handling && !conn.closing && len(conn.received) > 0
 }
 
-// consume drops what was parsed, and the buffer if it was a large one. conn.mu is held by
-// the caller.
+// consume removes the first count bytes from the receive buffer, and releases the buffer if
+// it is then empty and larger than maxRetainedBufferBytes. The caller holds conn.mu.
 func (conn *connection) consume(count int) {
 	conn.received = append(conn.received[:0], conn.received[count:]...)
-	if len(conn.received) == 0 && cap(conn.received) > keptBufferBytes {
+	if len(conn.received) == 0 && cap(conn.received) > maxRetainedBufferBytes {
 		conn.received = nil
 	}
 }
 
-// sendContinue asks the client for its body, once a request. conn.mu is held by the caller.
+// sendContinue queues "100 Continue", at most once per request, so that the client sends
+// the body. The caller holds conn.mu.
 func (conn *connection) sendContinue() {
 	if conn.sentContinue {
 		return
@@ -59,15 +61,16 @@
 	conn.pending = append(conn.pending, "HTTP/1.1 100 Continue\r\n\r\n"...)
 }
 
-// refuse answers without a handler and closes the connection. conn.mu is held by the caller.
+// refuse queues a response without calling the handler and marks the connection for
+// closing. The caller holds conn.mu.
 func (conn *connection) refuse(r Response) {
 	r.Close = true
 	conn.pending = AppendResponse(conn.pending, r)
 	conn.closing = true
 }
 
-// reply takes the answer to the request that is being handled. It reports whether the
-// event loop sends it without being woken.
+// reply queues the response to the request that is being handled. It reports whether the
+// event loop is inside the handler and sends the response without being woken.
 func (conn *connection) reply(r Response) (inEventLoop bool) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -78,8 +81,8 @@
 	return conn.inEventLoop
 }
 
-// flush returns what is to be sent, and whether the connection is closed behind it. conn.mu
-// is held by the caller.
+// flush removes and returns the bytes to send, and returns evio.Close if the connection is
+// closed after they are sent. The caller holds conn.mu.
 func (conn *connection) flush() ([]byte, evio.Action) {
 	pending := conn.pending
 	conn.pending = nil
@@ -89,9 +92,10 @@
 	return pending, evio.None
 }
 
-// closeIfStale marks a connection that was idle or half-sent for too long, and reports
-// whether it did: then the event loop has to be woken.
-func (conn *connection) closeIfStale(now time.Time, idle, stall time.Duration) bool {
+// closeIfStale marks a connection for closing if it has been idle for longer than
+// idleTimeout, or has held a partly received request for longer than stallTimeout. It
+// reports whether the connection was marked; the caller then has to wake the event loop.
+func (conn *connection) closeIfStale(now time.Time, idleTimeout, stallTimeout time.Duration) bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if conn.handling || conn.closing {
@@ -99,7 +103,7 @@
 	}
 	age := now.Sub(conn.lastActivity)
 	halfSent := len(conn.received) > 0
-	if age <= idle && !(halfSent && age > stall) {
+	if age <= idleTimeout && !(halfSent && age > stallTimeout) {
 		return false
 	}
 	conn.closing = true
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,9 +1,10 @@
-// Package transport moves bytes: the evio server that users, workers and health checks
-// reach, the pooled HTTP client for outbound calls, and the gRPC link between controllers.
+// Package transport holds the network endpoints of a controller: the evio HTTP server for
+// users, agents and health checks, the pooled HTTP client for outbound calls, and the gRPC
+// server and clients between controllers.
 //
-// It guarantees bounds: on the size of a message, on the time that a half-sent request or
-// an idle connection is kept, and on the sockets that server and client hold. It says of
-// each failed call whether the request can have reached the other side (ErrNotSent). It
-// knows nothing of jobs or machines and imports no other package of this module but
-// protocol, for the encoding of messages.
+// It bounds the size of a message, the time for which a partly received request or an idle
+// connection is kept, and the number of sockets that server and client hold. A failed HTTP
+// call reports whether its request can have reached the peer (ErrNotSent). The package
+// contains no logic of jobs or machines; of this module it imports only protocol, for the
+// encoding of messages.
 package transport
--- a/internal/transport/parse.go
+++ b/internal/transport/parse.go
@@ -14,26 +14,28 @@
 	Body int
 }
 
-// Message is one parsed HTTP/1.1 request or response. For a request the start
-// line is method, target and version; for a response version, status, reason.
+// Message is one parsed HTTP/1.1 request or response. Start holds method, target and
+// version of a request, or version, status and reason of a response.
 type Message struct {
 	Start  [3]string
 	Body   []byte // may share memory with the parsed buffer
-	Close  bool   // the sender wants the connection closed afterwards
-	Expect bool   // the sender waits for "100 Continue" before its body
+	Close  bool   // the connection is closed after this message
+	Expect bool   // the sender waits for "100 Continue" before it sends the body
 }
 
 func (m *Message) method() string { return m.Start[0] } // of a request
 func (m *Message) target() string { return m.Start[1] } // of a request
 func (m *Message) status() string { return m.Start[1] } // of a response
 
-// hasNoBody reports whether a response has no body, whatever its header says.
+// hasNoBody reports whether a response has no body because of its status, regardless of
+// its header fields.
 func (m *Message) hasNoBody() bool {
 	status := m.status()
 	return status == "204" || status == "304" || strings.HasPrefix(status, "1")
 }
 
-// HTTPError is a fault of the peer's message, with the status that answers it.
+// HTTPError describes a message of the peer that is malformed, too long or not supported,
+// with the status with which a server answers such a request.
 type HTTPError struct {
 	Status int
 	Reason string
@@ -53,10 +55,10 @@
 	return &HTTPError{Status: http.StatusRequestEntityTooLarge, Reason: "body too long"}
 }
 
-// errIncomplete says that more bytes are needed.
+// errIncomplete means that the rest of the message has not been received yet.
 var errIncomplete = errors.New("incomplete message")
 
-// Bounds of what surrounds a message, in bytes.
+// Bounds of the blank lines before a message, and of chunk lines and trailers, in bytes.
 const (
 	maxBlankLines   = 8 // before a start line
 	maxChunkLine    = 256
@@ -68,15 +70,15 @@
 	endOfHead = []byte("\r\n\r\n")
 )
 
-// Parse reads one message from the front of buf. It returns the number of
-// bytes consumed; zero with a nil error means that more bytes are needed, and of the
-// message only Expect counts then. Its errors are of type *HTTPError.
-// One parser serves both directions: response says which start line to expect.
+// Parse parses one message at the start of buf and returns the number of bytes consumed.
+// Zero bytes and a nil error mean that the message is incomplete; then only the field
+// Expect of the returned message is meaningful. Errors are of type *HTTPError. If response
+// is set, buf holds a response, otherwise a request.
 func Parse(buf []byte, limits Limits, response bool) (Message, int, error) {
 	start := skipBlankLines(buf)
 	head, err := cutHead(buf[start:], limits.Head)
 	if err != nil {
-		return orWantsMore(Message{}, err)
+		return incompleteOrError(Message{}, err)
 	}
 	var m Message
 	lines := strings.Split(string(head), "\r\n")
@@ -101,21 +103,22 @@
 		m.Body, consumed, err = cutBody(buf[bodyAt:], max(0, length), limits.Body)
 	}
 	if err != nil {
-		return orWantsMore(m, err)
+		return incompleteOrError(m, err)
 	}
 	return m, bodyAt + consumed, nil
 }
 
-// orWantsMore is what Parse returns on an error: none if more bytes are needed.
-func orWantsMore(m Message, err error) (Message, int, error) {
+// incompleteOrError returns the results of Parse for an error of one of its steps: zero
+// bytes consumed, and a nil error if the message is only incomplete.
+func incompleteOrError(m Message, err error) (Message, int, error) {
 	if errors.Is(err, errIncomplete) {
 		return m, 0, nil
 	}
 	return m, 0, err
 }
 
-// skipBlankLines returns where the start line begins. Stray blank lines before it are
-// tolerated, as RFC 9112 advises.
+// skipBlankLines returns the offset of the start line. Blank lines before the start line
+// are ignored, as RFC 9112 recommends, up to maxBlankLines bytes.
 func skipBlankLines(buf []byte) int {
 	at := 0
 	for at < maxBlankLines && bytes.HasPrefix(buf[at:], endOfLine) {
@@ -124,7 +127,7 @@
 	return at
 }
 
-// cutHead returns the start line and the header fields, without the blank line behind them.
+// cutHead returns the start line and the header fields, without the blank line after them.
 func cutHead(buf []byte, limit int) ([]byte, error) {
 	end := bytes.Index(buf, endOfHead)
 	switch {
@@ -136,7 +139,7 @@
 	return buf[:end], nil
 }
 
-// cutBody returns a body of known length and how many bytes it takes.
+// cutBody returns a body of known length and the number of bytes consumed.
 func cutBody(buf []byte, length, limit int) (body []byte, consumed int, err error) {
 	if length > limit {
 		return nil, 0, bodyTooLong()
@@ -191,10 +194,11 @@
 	return nil
 }
 
-// lengthUnknown stands for a body's length without a Content-Length.
+// lengthUnknown is the length of a body whose header has no Content-Length.
 const lengthUnknown = -1
 
-// parseFields reads the fields that matter here: framing and connection use.
+// parseFields parses the header fields that concern framing and the connection: the
+// Content-Length, Transfer-Encoding, Connection and Expect fields. Others are ignored.
 func parseFields(m *Message, lines []string) (length int, chunked bool, err error) {
 	length = lengthUnknown
 	for _, line := range lines {
@@ -221,15 +225,16 @@
 			m.Expect = strings.EqualFold(value, "100-continue")
 		}
 	}
-	// Both framings at once is how requests are smuggled past proxies.
+	// A message with both framings is refused: proxies and servers that choose different
+	// ones allow request smuggling.
 	if chunked && length != lengthUnknown {
 		return 0, false, malformed("both Content-Length and Transfer-Encoding")
 	}
 	return length, chunked, nil
 }
 
-// parseChunks reads a chunked body with its trailers, which it drops, and returns how many
-// bytes that takes.
+// parseChunks parses a chunked body. It discards the trailers, and returns the body and the
+// number of bytes consumed, trailers included.
 func parseChunks(buf []byte, limit int) (body []byte, consumed int, err error) {
 	for {
 		size, lineBytes, err := parseChunkSize(buf[consumed:])
@@ -259,8 +264,8 @@
 	}
 }
 
-// parseChunkSize reads the line before a chunk: its size in bytes, and how many bytes the
-// line takes itself.
+// parseChunkSize parses the line before a chunk. It returns the size of the chunk and the
+// length of the line, both in bytes.
 func parseChunkSize(buf []byte) (size, lineBytes int, err error) {
 	end := bytes.Index(buf, endOfLine)
 	if end < 0 {
@@ -277,7 +282,8 @@
 	return int(parsed), end + len(endOfLine), nil
 }
 
-// skipTrailers returns how many bytes the trailers take, the blank line behind them included.
+// skipTrailers returns the number of bytes of the trailers, including the blank line after
+// them.
 func skipTrailers(buf []byte) (int, error) {
 	consumed := 0
 	for {
--- a/internal/transport/parse_test.go
+++ b/internal/transport/parse_test.go
@@ -11,7 +11,7 @@
 func TestParseRequests(t *testing.T) {
 	cases := []struct {
 		name, in   string
-		status     int // 0: parsed, -1: wants more
+		status     int // 0: parsed, -1: incomplete
 		body       string
 		consumed   int
 		wantsClose bool
@@ -41,10 +41,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			m, n, err := Parse([]byte(c.in), testLimits, false)
-			var he *HTTPError
+			var httpErr *HTTPError
 			switch {
 			case c.status > 0:
-				if !errors.As(err, &he) || he.Status != c.status {
+				if !errors.As(err, &httpErr) || httpErr.Status != c.status {
 					t.Fatalf("got %v, wanted status %d", err, c.status)
 				}
 			case err != nil:
@@ -71,8 +71,8 @@
 	}
 }
 
-// FuzzParse looks for panics, for reads beyond the buffer, and for messages
-// whose parse depends on how much of the next one has arrived.
+// FuzzParse searches for panics, for reads beyond the buffer, and for messages
+// whose result depends on the bytes of the next message that follow in the buffer.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		"GET / HTTP/1.1\r\n\r\n", "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET",
@@ -90,7 +90,7 @@
 		if n > 0 {
 			again, k, err := Parse(in[:n], testLimits, response)
 			if err != nil || k != n || string(again.Body) != string(m.Body) {
-				t.Fatalf("the same message alone: n=%d, err=%v", k, err)
+				t.Fatalf("the same message without following bytes: n=%d, err=%v", k, err)
 			}
 		}
 	})
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -15,8 +15,8 @@
 	"madderslip/internal/protocol"
 )
 
-// jsonCodec lets the controllers' messages be the plain structs of package
-// protocol, which reads and writes them.
+// jsonCodec is the gRPC codec of messages between controllers. Messages are plain structs
+// of package protocol, which encodes and decodes them.
 type jsonCodec struct{}
 
 func (jsonCodec) Marshal(v any) ([]byte, error)      { return protocol.Encode(v) }
@@ -25,11 +25,11 @@
 
 var _ encoding.Codec = jsonCodec{}
 
-// PeerHandler receives another controller's message and answers it. The context ends when
-// the caller gives up.
+// PeerHandler handles a message of another controller and returns the answer. The context
+// ends when the caller cancels the call or its deadline passes.
 type PeerHandler func(ctx context.Context, in json.RawMessage) (json.RawMessage, error)
 
-// The one gRPC method between controllers.
+// Names of the only gRPC method between controllers.
 const (
 	peerService    = "madderslip.Peers"
 	peerMethodName = "Exchange"
@@ -39,7 +39,7 @@
 // Bounds of the peer server.
 const (
 	maxPeerMessageBytes = 1 << 20
-	maxPeerStreams      = 64 // calls at once on a connection
+	maxPeerStreams      = 64 // concurrent calls per connection
 )
 
 // PeerServer is the gRPC server on the peer address.
@@ -48,7 +48,7 @@
 	listener net.Listener
 }
 
-// ListenPeers opens the peer address; Run serves it.
+// ListenPeers listens on the peer address. Run serves the connections.
 func ListenPeers(addr string, handle PeerHandler) (*PeerServer, error) {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -63,7 +63,8 @@
 	return &PeerServer{server: server, listener: listener}, nil
 }
 
-// peerServiceDesc describes the service by hand: its messages have no protobuf types.
+// peerServiceDesc builds the gRPC service description, which cannot be generated because
+// the messages have no protobuf types.
 func peerServiceDesc(handle PeerHandler) *grpc.ServiceDesc {
 	exchange := func(_ any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		var in json.RawMessage
@@ -80,14 +81,14 @@
 	}
 }
 
-// Run serves until the context ends. Calls that are in progress then are cut off.
+// Run serves until the context ends. Calls that are then in progress fail.
 func (p *PeerServer) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, p.server.Stop)
 	defer stop()
 	return p.server.Serve(p.listener)
 }
 
-// reconnectBackoff is the pause before a lost connection is made again.
+// reconnectBackoff is the backoff between attempts to re-establish a lost connection.
 var reconnectBackoff = backoff.Config{
 	BaseDelay:  500 * time.Millisecond,
 	Multiplier: 1.5,
@@ -95,13 +96,14 @@
 	MaxDelay:   3 * time.Second,
 }
 
-// minConnectTimeout is the least time that an attempt to connect is given.
+// minConnectTimeout is the minimum time allowed for one attempt to connect.
 const minConnectTimeout = 2 * time.Second
 
 // PeerClient calls one other controller. Its methods may be called from any goroutine.
 type PeerClient struct{ conn *grpc.ClientConn }
 
-// DialPeer prepares a client; the connection is made when first used, and again when lost.
+// DialPeer returns a client that connects on first use and reconnects when the connection
+// is lost.
 func DialPeer(addr string) (*PeerClient, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -117,11 +119,11 @@
 	return &PeerClient{conn: conn}, nil
 }
 
-// Call sends one message and decodes the answer into out, a pointer. Its errors carry a
-// gRPC status.
+// Call sends one message and decodes the answer into out, which is a pointer. Errors carry
+// a gRPC status.
 func (p *PeerClient) Call(ctx context.Context, in, out any) error {
 	return p.conn.Invoke(ctx, peerMethod, in, out)
 }
 
-// Close ends the client; calls in progress fail.
+// Close closes the client's connection; calls in progress fail.
 func (p *PeerClient) Close() error { return p.conn.Close() }
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// maxIdleTime is how long an idle connection may be used again.
+// maxIdleTime is the time after which an idle connection is closed instead of reused.
 const maxIdleTime = 45 * time.Second
 
-// connPool counts the connections of a Client and keeps idle ones for another call. It
-// holds at most maxOpen at once, idle ones included: after a takeover an idle one for each
-// machine of two shards would leave a process short of its last socket.
+// connPool counts the connections of a Client and keeps idle connections for reuse. It
+// holds at most maxOpen connections at once, including idle ones: after a takeover, an idle
+// connection to each machine of two shards would use up the sockets of the process.
 type connPool struct {
 	maxOpen int
 
-	mu     sync.Mutex // guards all below; held for bookkeeping alone, never over I/O but a close
+	mu     sync.Mutex // guards all fields below; the only I/O under the lock is closing a connection
 	idle   map[string][]*idleConn
 	oldest list.List // of *idleConn, the longest idle first
-	open   int       // connections in use, idle, or being made
+	open   int       // connections in use, idle, or being dialled
 }
 
-// idleConn is a connection that waits for another call to its address.
+// idleConn is a connection that is kept for the next call to its address.
 type idleConn struct {
 	net.Conn
 	addr    string
 	since   time.Time
-	element *list.Element // its own in connPool.oldest
+	element *list.Element // the connection's element in connPool.oldest
 }
 
 func (c *idleConn) expired() bool { return time.Since(c.since) >= maxIdleTime }
@@ -37,9 +37,10 @@
 	return &connPool{maxOpen: maxOpen, idle: make(map[string][]*idleConn)}
 }
 
-// take returns an idle connection to an address, or nil and leave to make one. The
-// caller of a nil has to count the new one off with forget.
-func (p *connPool) take(addr string) net.Conn {
+// takeOrReserve returns an idle connection to an address. If there is none, it returns nil
+// and counts a connection that the caller may open; the caller calls releaseSlot if dialling
+// fails or once the connection is closed.
+func (p *connPool) takeOrReserve(addr string) net.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for conns := p.idle[addr]; len(conns) > 0; conns = p.idle[addr] {
@@ -48,35 +49,35 @@
 			p.discard(latest)
 			continue
 		}
-		p.unlink(latest)
+		p.removeIdle(latest)
 		return latest.Conn
 	}
-	p.makeRoom()
+	p.evictIdle()
 	p.open++
 	return nil
 }
 
-// preemptFor closes idle connections, the longest idle first: expired ones in any case,
-// others until one more may be opened. p.mu is held by the caller.
-func (p *connPool) makeRoom() {
+// evictIdle closes idle connections, the longest idle first: all that have expired, and
+// others until one more connection may be opened. The caller holds p.mu.
+func (p *connPool) evictIdle() {
 	for element := p.oldest.Front(); element != nil; element = p.oldest.Front() {
-		longest := element.Value.(*idleConn)
-		if p.open < p.maxOpen && !longest.expired() {
+		oldestIdle := element.Value.(*idleConn)
+		if p.open < p.maxOpen && !oldestIdle.expired() {
 			return
 		}
-		p.discard(longest)
+		p.discard(oldestIdle)
 	}
 }
 
-// discard closes an idle connection. p.mu is held by the caller.
+// discard removes an idle connection from the pool and closes it. The caller holds p.mu.
 func (p *connPool) discard(conn *idleConn) {
-	p.unlink(conn)
+	p.removeIdle(conn)
 	p.open--
 	_ = conn.Close()
 }
 
-// unlink takes a connection out of the idle ones. p.mu is held by the caller.
-func (p *connPool) unlink(conn *idleConn) {
+// removeIdle removes a connection from the idle connections. The caller holds p.mu.
+func (p *connPool) removeIdle(conn *idleConn) {
 	p.oldest.Remove(conn.element)
 	rest := slices.DeleteFunc(p.idle[conn.addr], func(other *idleConn) bool { return other == conn })
 	if p.idle[conn.addr] = rest; len(rest) == 0 {
@@ -84,7 +85,8 @@
 	}
 }
 
-// put keeps a connection for another call, or closes it if the address has maxIdle.
+// put keeps a connection for reuse, or closes it if maxIdle idle connections to the address
+// are kept already.
 func (p *connPool) put(addr string, conn net.Conn, maxIdle int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,14 +100,14 @@
 	p.idle[addr] = append(p.idle[addr], kept)
 }
 
-// forget counts a connection off that was closed, or not made.
-func (p *connPool) forget() {
+// releaseSlot subtracts a connection that was closed or could not be opened from the count.
+func (p *connPool) releaseSlot() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// count returns how many connections are held now.
+// count returns the number of connections that are in use, idle or being dialled.
 func (p *connPool) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -12,60 +12,61 @@
 	"github.com/tidwall/evio"
 )
 
-// Handler answers one request. It may keep body. reply may be called from any goroutine;
-// only its first call counts. No lock is held while the handler runs.
+// Handler handles one request. It may retain body. reply may be called from any goroutine;
+// calls after the first have no effect. No lock is held while the handler runs.
 type Handler func(method, target string, body []byte, reply func(Response))
 
 // ServerConfig bounds the public server.
 type ServerConfig struct {
 	Addr     string // IP address and port
 	MaxConns int    // connections open at once
-	// A connection whose first request is a user's is closed beyond so many that
-	// are open, of whatever kind: the rest is for workers, whose leases run out.
+	// MaxUsers is the number of open connections, of users and agents together, above which
+	// a connection whose first request comes from a user is refused. The remaining
+	// connections are reserved for agents, whose leases expire without heartbeats.
 	MaxUsers int
-	// Beyond so many open ones each is closed with its next answer, and made anew when
-	// there is something to say: then only those hold a socket who are being answered.
-	// 0: never.
-	Keep   int
-	IsUser func(method, target string) bool // nil: nobody is a user
-	Limits Limits                           // of a request
-	Idle   time.Duration                    // an idle connection is closed after this
-	Stall  time.Duration                    // a half-sent request is cut off after this
+	// KeepAlive is the number of open connections above which each connection is closed
+	// after its next response, so that only requests in progress hold a socket. Clients
+	// reconnect for their next request. 0 means no such limit.
+	KeepAlive    int
+	IsUser       func(method, target string) bool // reports whether a request comes from a user; nil: none does
+	Limits       Limits                           // of a request
+	IdleTimeout  time.Duration                    // time after which an idle connection is closed
+	StallTimeout time.Duration                    // time after which a connection with a partly received request is closed
 }
 
 const (
-	// sweepInterval is how often idle and half-open connections are looked for.
+	// sweepInterval is the interval between checks for idle and stalled connections.
 	sweepInterval = time.Second
-	// reopenDelay is the pause before a server that ended opens its address again.
+	// reopenDelay is the pause before a server that failed listens on its address again.
 	reopenDelay = 200 * time.Millisecond
-	// turnedAwayRetryAfter is when a client without a connection may come back, in seconds.
-	turnedAwayRetryAfter = 2
+	// refusedRetryAfter is the Retry-After of a refused connection, in seconds.
+	refusedRetryAfter = 2
 )
 
-// Server is the evio server on the public address. It answers every request that it has
-// read whole, one after the other on a connection, and turns away at once, with a time to
-// come back, what it has no connection for.
+// Server is the evio HTTP server on the public address. It handles the requests of a
+// connection one after the other. Connections above its limits are refused immediately with
+// status 503 and a Retry-After.
 type Server struct {
 	cfg    ServerConfig
 	handle Handler
 	log    *slog.Logger
-	open   atomic.Int32 // connections
+	open   atomic.Int32 // number of open connections
 
-	mu    sync.Mutex // guards conns; taken before a connection's own, never after
+	mu    sync.Mutex // guards conns; lock order: mu before connection.mu
 	conns map[evio.Conn]*connection
 }
 
-// NewServer makes a server; Run starts it.
+// NewServer returns a server, which Run starts.
 func NewServer(cfg ServerConfig, handle Handler, log *slog.Logger) *Server {
 	return &Server{cfg: cfg, handle: handle, log: log, conns: make(map[evio.Conn]*connection)}
 }
 
 var errStopped = errors.New("server stopped")
 
-// Run serves until the context ends, and calls ready, if there is one, each time that the
-// address has been opened. evio leaves its loop for good on any
-// error of accept (an aborted handshake is enough), so the listener is opened
-// again rather than leaving a deaf process behind.
+// Run serves until the context ends. It calls ready, if not nil, each time that it has
+// opened the listener. evio leaves its loop on any error of accept, such as an aborted
+// handshake, and does not resume; Run then opens the listener again, because the process
+// would otherwise keep running without accepting connections.
 func (s *Server) Run(ctx context.Context, ready func()) error {
 	for {
 		err := s.serveOnce(ctx, ready)
@@ -108,7 +109,7 @@
 	return errStopped
 }
 
-// opened takes a new connection, or turns it away beyond MaxConns.
+// opened registers a new connection, or refuses it above MaxConns.
 func (s *Server) opened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
 	conn := &connection{lastActivity: time.Now()}
 	c.SetContext(conn)
@@ -116,13 +117,13 @@
 	s.conns[c] = conn
 	s.mu.Unlock()
 	if int(s.open.Add(1)) > s.cfg.MaxConns {
-		busy := Response{Status: http.StatusServiceUnavailable, RetryAfter: turnedAwayRetryAfter, Close: true}
+		busy := Response{Status: http.StatusServiceUnavailable, RetryAfter: refusedRetryAfter, Close: true}
 		return AppendResponse(nil, busy), evio.Options{}, evio.Close
 	}
 	return nil, evio.Options{}, evio.None
 }
 
-// closed forgets a connection.
+// closed removes a closed connection from conns and from the count of open ones.
 func (s *Server) closed(c evio.Conn, _ error) evio.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,19 +134,19 @@
 	return evio.None
 }
 
-// sweep cuts off idle and half-open connections.
+// sweep closes connections that are idle or stalled in the middle of a request.
 func (s *Server) sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c, conn := range s.conns {
-		if conn.closeIfStale(now, s.cfg.Idle, s.cfg.Stall) {
+		if conn.closeIfStale(now, s.cfg.IdleTimeout, s.cfg.StallTimeout) {
 			c.Wake()
 		}
 	}
 }
 
-// data is called by the event loop with new bytes, or with none after a Wake. It returns
-// what is to be sent.
+// data is called by the event loop with received bytes, or with none after a Wake. It
+// returns the bytes to send and whether the connection is then closed.
 func (s *Server) data(c evio.Conn, received []byte) ([]byte, evio.Action) {
 	conn, _ := c.Context().(*connection)
 	if conn == nil {
@@ -172,15 +173,17 @@
 	return response, action
 }
 
-// maxBuffered is how many bytes a connection may send ahead of what is handled.
+// maxBuffered returns the number of received and not yet parsed bytes above which a
+// connection is closed.
 func (s *Server) maxBuffered() int { return s.cfg.Limits.Head + s.cfg.Limits.Body + 4096 }
 
-// nextRequest takes one whole request from what a connection has received. Without one,
-// or with one that is turned away, it returns false. conn.mu is held by the caller.
+// nextRequest removes one complete request from the receive buffer of a connection. It
+// returns false if no request is complete, or if the request is refused. The caller holds
+// conn.mu.
 func (s *Server) nextRequest(conn *connection) (Message, bool) {
 	request, consumed, err := Parse(conn.received, s.cfg.Limits, false)
 	if err != nil {
-		conn.refuse(faultResponse(err))
+		conn.refuse(parseErrorResponse(err))
 		return Message{}, false
 	}
 	if consumed == 0 {
@@ -194,29 +197,30 @@
 		conn.refuse(Response{
 			Status:     http.StatusServiceUnavailable,
 			Body:       []byte(`{"error":"too many connections"}`),
-			RetryAfter: turnedAwayRetryAfter,
+			RetryAfter: refusedRetryAfter,
 		})
 		return Message{}, false
 	}
-	// The body shares memory with what the connection receives next.
+	// The body is copied because it shares memory with the receive buffer, which is
+	// overwritten.
 	request.Body = append([]byte(nil), request.Body...)
 	conn.consume(consumed)
 	return request, true
 }
 
-// admit reports whether a connection's request is to be handled: its first one decides
-// for all. conn.mu is held by the caller.
+// admit reports whether a request is handled. Only the first request of a connection is
+// checked against MaxUsers; later ones are admitted. The caller holds conn.mu.
 func (s *Server) admit(conn *connection, request *Message) bool {
 	if conn.admitted {
 		return true
 	}
 	conn.admitted = true
-	crowded := s.cfg.IsUser != nil && int(s.open.Load()) > s.cfg.MaxUsers
-	return !crowded || !s.cfg.IsUser(request.method(), request.target())
+	aboveUserLimit := s.cfg.IsUser != nil && int(s.open.Load()) > s.cfg.MaxUsers
+	return !aboveUserLimit || !s.cfg.IsUser(request.method(), request.target())
 }
 
-// faultResponse is the answer to a request that can't be parsed.
-func faultResponse(err error) Response {
+// parseErrorResponse returns the response to a request that cannot be parsed.
+func parseErrorResponse(err error) Response {
 	status := http.StatusBadRequest
 	var fault *HTTPError
 	if errors.As(err, &fault) {
@@ -225,13 +229,13 @@
 	return Response{Status: status, Body: []byte(`{"error":"` + err.Error() + `"}`)}
 }
 
-// dispatch has a request handled. The first reply is written out: by the event loop if
-// the handler replies before it returns, else after a Wake.
+// dispatch calls the handler for a request. Only the handler's first reply is sent: by the
+// event loop if the handler replies before it returns, otherwise after a Wake.
 func (s *Server) dispatch(c evio.Conn, conn *connection, request Message) {
 	var once sync.Once
 	s.handle(request.method(), request.target(), request.Body, func(r Response) {
 		once.Do(func() {
-			r.Close = r.Close || request.Close || s.isCrowded()
+			r.Close = r.Close || request.Close || s.exceedsKeepAlive()
 			if !conn.reply(r) {
 				c.Wake()
 			}
@@ -239,5 +243,8 @@
 	})
 }
 
-// isCrowded reports whether connections are closed with their next answer.
-func (s *Server) isCrowded() bool { return s.cfg.Keep > 0 && int(s.open.Load()) > s.cfg.Keep }
+// exceedsKeepAlive reports whether more connections are open than KeepAlive allows, so that
+// each is closed after its next response.
+func (s *Server) exceedsKeepAlive() bool {
+	return s.cfg.KeepAlive > 0 && int(s.open.Load()) > s.cfg.KeepAlive
+}
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// serve runs a server on a free port until the test ends.
+// serve runs a server on a free port until the test ends, and returns it and its address.
 func serve(t *testing.T, cfg ServerConfig, h Handler) (*Server, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Addr, cfg.Limits, cfg.Idle, cfg.Stall = ln.Addr().String(), testLimits, time.Minute, time.Minute
+	cfg.Addr, cfg.Limits, cfg.IdleTimeout, cfg.StallTimeout = ln.Addr().String(), testLimits, time.Minute, time.Minute
 	ln.Close()
 	srv, ready := NewServer(cfg, h, slog.New(slog.DiscardHandler)), make(chan struct{})
 	go func() {
@@ -27,7 +27,7 @@
 	return srv, cfg.Addr
 }
 
-// TestServerAndClient talks over a real connection: keep-alive, a late answer
+// TestServerAndClient makes calls over a real connection and covers keep-alive, a response
 // from another goroutine, a malformed request, and a refused connection.
 func TestServerAndClient(t *testing.T) {
 	ctx := t.Context()
@@ -49,24 +49,24 @@
 		}
 	}
 	if got := srv.open.Load(); got != 1 {
-		t.Fatalf("%d connections, wanted one kept alive", got)
+		t.Fatalf("%d connections open, wanted 1 kept alive", got)
 	}
 	if status, _, err := c.Do(ctx, addr, "bad", "/x", nil); err != nil || status != 400 {
 		t.Fatalf("malformed request: %d %v", status, err)
 	}
-	gone, err := net.Listen("tcp4", "127.0.0.1:0")
+	closedListener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead := gone.Addr().String()
-	gone.Close()
-	if _, _, err := c.Do(ctx, dead, "GET", "/", nil); !errors.Is(err, ErrNotSent) {
-		t.Fatalf("a refused connection must count as not sent, got %v", err)
+	refusedAddr := closedListener.Addr().String()
+	closedListener.Close()
+	if _, _, err := c.Do(ctx, refusedAddr, "GET", "/", nil); !errors.Is(err, ErrNotSent) {
+		t.Fatalf("refused connection: got %v, wanted ErrNotSent", err)
 	}
 }
 
-// A client of so many sockets holds no more, idle ones included: an owner that
-// had talked to the machines of two shards stood short of its last socket.
+// A client must never hold more connections than its limit, idle ones included. Otherwise a
+// shard owner that has called the machines of two shards uses up its process's sockets.
 func TestClientBoundsIdleConnections(t *testing.T) {
 	c := NewClient(2, 1, time.Second)
 	for range 5 {
@@ -95,27 +95,27 @@
 				}()
 			}
 		}()
-		for range 2 { // the second time over the idle connection
+		for range 2 { // the second call reuses the idle connection
 			if status, _, err := c.Do(t.Context(), ln.Addr().String(), "GET", "/", nil); err != nil || status != 200 {
 				t.Fatalf("%d %v", status, err)
 			}
 			if c.Open() > 2 {
-				t.Fatalf("%d connections are held", c.Open())
+				t.Fatalf("%d connections open, wanted at most 2", c.Open())
 			}
 		}
 	}
 	if c.Open() != 2 {
-		t.Fatalf("%d connections are kept, wanted the two latest", c.Open())
+		t.Fatalf("%d connections open, wanted 2", c.Open())
 	}
 }
 
-// With sockets short, users are turned away at their first request and told when
-// to come back, while workers are still served: their leases run out.
-func TestUsersAreTurnedAwayFirst(t *testing.T) {
+// When connections are scarce, a user's connection is refused at its first request, with a
+// Retry-After, while agents, whose leases would expire, are still served.
+func TestUsersAreRefusedBeforeAgents(t *testing.T) {
 	ctx := t.Context()
 	_, addr := serve(t, ServerConfig{MaxConns: 6, MaxUsers: 2, IsUser: func(_, target string) bool { return target != "/report" }},
 		func(_, _ string, _ []byte, reply func(Response)) { reply(Response{Status: 200}) })
-	ask := func(target string) (*Client, int) {
+	doRequest := func(target string) (*Client, int) {
 		c := NewClient(1, 1, time.Minute)
 		status, _, err := c.Do(ctx, addr, "GET", target, nil)
 		if err != nil {
@@ -123,32 +123,32 @@
 		}
 		return c, status
 	}
-	first, status := ask("/user")
+	firstUser, status := doRequest("/user")
 	if status != 200 {
 		t.Fatal(status)
 	}
-	for i, want := range []int{200, 200, 200} { // workers, up to the limit
-		if _, status := ask("/report"); status != want {
-			t.Fatalf("worker %d: %d", i, status)
+	for i, want := range []int{200, 200, 200} { // agents, within MaxConns
+		if _, status := doRequest("/report"); status != want {
+			t.Fatalf("agent %d: status %d", i, status)
 		}
 		if i == 1 {
-			if _, status := ask("/user"); status != 503 {
-				t.Fatalf("a user beyond the users' part: %d", status)
+			if _, status := doRequest("/user"); status != 503 {
+				t.Fatalf("user above MaxUsers: status %d", status)
 			}
 		}
 	}
-	if status, _, err := first.Do(ctx, addr, "GET", "/user", nil); err != nil || status != 200 {
-		t.Fatalf("a user that was there before: %d %v", status, err)
+	if status, _, err := firstUser.Do(ctx, addr, "GET", "/user", nil); err != nil || status != 200 {
+		t.Fatalf("user admitted before: status %d, %v", status, err)
 	}
 }
 
-// A controller that is left with the machines of others held a socket for each until it
-// had none. Beyond a number of open connections each is closed once it is answered, and
-// whoever has something to say makes another.
-func TestConnectionsAreNotKeptWhenThereAreMany(t *testing.T) {
-	_, addr := serve(t, ServerConfig{MaxConns: 6, Keep: 3}, func(_, _ string, _ []byte, reply func(Response)) { reply(Response{Status: 200}) })
+// A controller that takes over the machines of other controllers must not hold a socket for
+// each agent until it has none left. Above KeepAlive open connections, each connection is
+// closed after its response, and the client reconnects for its next request.
+func TestConnectionsCloseAfterReplyAboveKeepAlive(t *testing.T) {
+	_, addr := serve(t, ServerConfig{MaxConns: 6, KeepAlive: 3}, func(_, _ string, _ []byte, reply func(Response)) { reply(Response{Status: 200}) })
 	var clients []*Client
-	for range 30 { // five times as many as there are sockets, each twice
+	for range 30 { // five times MaxConns; each client makes two calls
 		clients = append(clients, NewClient(1, 1, time.Minute))
 	}
 	kept := 0
@@ -162,6 +162,6 @@
 		}
 	}
 	if kept != 3 {
-		t.Errorf("%d connections are kept, wanted 3", kept)
+		t.Errorf("%d connections kept open, wanted 3", kept)
 	}
 }
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// AppendRequest appends a request in wire form to dst.
+// AppendRequest appends an encoded HTTP/1.1 request to dst.
 func AppendRequest(dst []byte, method, target, host string, body []byte) []byte {
 	dst = append(dst, method...)
 	dst = append(dst, ' ')
@@ -21,7 +21,7 @@
 	return append(dst, body...)
 }
 
-// reasons are the phrases of the statuses in use.
+// reasons maps each status in use to its reason phrase.
 var reasons = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusCreated:                     "Created",
@@ -39,15 +39,15 @@
 	http.StatusServiceUnavailable:          "Service Unavailable",
 }
 
-// Response is an answer to one request.
+// Response is the response to one request.
 type Response struct {
 	Status     int
 	Body       []byte // JSON
-	RetryAfter int    // seconds; 0 leaves the field out
-	Close      bool   // the connection is closed behind the answer
+	RetryAfter int    // Retry-After in seconds; 0 omits the header field
+	Close      bool   // the connection is closed after the response
 }
 
-// AppendResponse appends a response in wire form to dst.
+// AppendResponse appends an encoded HTTP/1.1 response to dst.
 func AppendResponse(dst []byte, r Response) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(r.Status), 10)
