--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -32,7 +32,7 @@
 	<-served
 	var call *CallError
 	if !errors.As(err, &call) || call.Addr != addr || call.Step != "read" || !errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, ErrNotSent) {
-		t.Errorf("got %v, wanted a CallError at step read", err)
+		t.Errorf("%v", err)
 	}
 	if err.Error() != "read: unexpected EOF" {
 		t.Errorf("error text %q", err)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -24,10 +24,10 @@
 	// a connection whose first request comes from a user is refused. The remaining
 	// connections are reserved for agents, whose leases expire without heartbeats.
 	MaxUsers int
-	// KeepAlive is the number of open connections above which each connection is closed
+	// MaxKeepAlive is the number of open connections above which each connection is closed
 	// after its next response, so that only requests in progress hold a socket. Clients
 	// reconnect for their next request. 0 means no such limit.
-	KeepAlive    int
+	MaxKeepAlive int
 	IsUser       func(method, target string) bool // reports whether a request comes from a user; nil: none does
 	Limits       Limits                           // of a request
 	IdleTimeout  time.Duration                    // time after which an idle connection is closed
@@ -243,8 +243,8 @@
 	})
 }
 
-// exceedsKeepAlive reports whether more connections are open than KeepAlive allows, so that
+// exceedsKeepAlive reports whether more connections are open than MaxKeepAlive allows, so that
 // each is closed after its next response.
 func (s *Server) exceedsKeepAlive() bool {
-	return s.cfg.KeepAlive > 0 && int(s.open.Load()) > s.cfg.KeepAlive
+	return s.cfg.MaxKeepAlive > 0 && int(s.open.Load()) > s.cfg.MaxKeepAlive
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -143,10 +143,10 @@
 }
 
 // A controller that takes over the machines of other controllers must not hold a socket for
-// each agent until it has none left. Above KeepAlive open connections, each connection is
+// each agent until it has none left. Above MaxKeepAlive open connections, each connection is
 // closed after its response, and the client reconnects for its next request.
 func TestConnectionsCloseAfterReplyAboveKeepAlive(t *testing.T) {
-	_, addr := serve(t, ServerConfig{MaxConns: 6, KeepAlive: 3}, func(_, _ string, _ []byte, reply func(Response)) { reply(Response{Status: 200}) })
+	_, addr := serve(t, ServerConfig{MaxConns: 6, MaxKeepAlive: 3}, func(_, _ string, _ []byte, reply func(Response)) { reply(Response{Status: 200}) })
 	var clients []*Client
 	for range 30 { // five times MaxConns; each client makes two calls
 		clients = append(clients, NewClient(1, 1, time.Minute))
--- a/madderslip.go
+++ b/madderslip.go
@@ -136,12 +136,12 @@
 // publicServerConfig bounds the public server by the process's limits.
 func publicServerConfig(settings protocol.Settings, sockets admission.SocketBudget) transport.ServerConfig {
 	return transport.ServerConfig{
-		Addr:      settings.PublicAddr,
-		MaxConns:  sockets.Public,
-		MaxUsers:  sockets.Users,
-		KeepAlive: sockets.KeepAlive,
-		IsUser:    protocol.IsUserRequest,
-		Limits:    transport.Limits{Head: maxRequestHead, Body: maxRequestBody},
+		Addr:         settings.PublicAddr,
+		MaxConns:     sockets.Public,
+		MaxUsers:     sockets.Users,
+		MaxKeepAlive: sockets.KeepAlive,
+		IsUser:       protocol.IsUserRequest,
+		Limits:       transport.Limits{Head: maxRequestHead, Body: maxRequestBody},
 		// Whoever has nothing to say for several heartbeats has gone, or its machine has.
 		IdleTimeout:  max(minIdleTime, idleHeartbeats*settings.Workers.HeartbeatInterval),
 		StallTimeout: stallTime,
