--- a/internal/golden/generated.go
+++ b/internal/golden/generated.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// CheckGenerated compares the generated codec of each message with what the standard
-// library makes of the same fields. A field that is added to a message without running
-// go generate would be lost without an error. Messages are pointers to zero values.
+// CheckGenerated compares the output of the generated codec of each message with the output
+// of encoding/json for the same fields. It detects a field that was added to a message
+// without running go generate, which the generated codec omits without an error. Messages
+// are pointers to zero values.
 func CheckGenerated(t *testing.T, codec Codec, messages ...any) {
 	t.Helper()
 	for _, message := range messages {
@@ -38,8 +39,8 @@
 	}
 }
 
-// withoutMethods copies a struct to a type of the same fields that has no methods, so
-// that the standard library encodes it field by field.
+// withoutMethods copies a struct to a type with the same fields and without methods, so
+// that encoding/json encodes the fields instead of calling the generated codec.
 func withoutMethods(value reflect.Value) any {
 	var fields []reflect.StructField
 	for i := range value.NumField() {
@@ -52,8 +53,9 @@
 	return plain.Interface()
 }
 
-// sameJSON reports whether two texts hold the same values. The fields of an embedded
-// struct come in another order in generated code.
+// sameJSON reports whether two JSON texts hold the same values. The texts are not compared
+// byte for byte because generated code writes the fields of an embedded struct in another
+// order.
 func sameJSON(a, b []byte) bool {
 	var left, right any
 	return json.Unmarshal(a, &left) == nil && json.Unmarshal(b, &right) == nil && reflect.DeepEqual(left, right)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,12 +1,12 @@
-// Package golden compares what is written to the wire and to the records with the bytes
-// that an earlier version wrote. Each kind has three files, so that a change of a key, of
-// omitempty and of a custom codec shows:
+// Package golden compares encoded messages and records with the bytes that an earlier
+// version wrote. Each kind has three files, so that changes of a key, of omitempty and of a
+// custom codec are detected:
 //
 //   - KIND.json: every field set, lists and maps with two elements,
 //   - KIND.sparse.json: every list, map and pointer present, all other fields zero,
 //   - KIND.empty.json: the zero value.
 //
-// Nothing in the files comes from a Go name, so renaming types and fields changes none.
+// The files contain no names of Go types or fields, so renaming these changes no file.
 package golden
 
 import (
@@ -21,12 +21,12 @@
 	"testing"
 )
 
-// update makes the tests write the files instead of comparing with them.
+// update makes the tests write the golden files before they compare with them.
 var update = flag.Bool("update-golden", false, "write the golden files from the current code")
 
 var directory = filepath.Join("testdata", "golden")
 
-// Codec is how the program writes and reads what is compared.
+// Codec holds the functions with which the program encodes and decodes the compared values.
 type Codec struct {
 	Encode func(value any) ([]byte, error)
 	Decode func(data []byte, value any) error
@@ -34,15 +34,15 @@
 
 // Kind is one kind of message or record.
 type Kind struct {
-	// Name is the start of the file names, a word of the wire.
+	// Name is the prefix of the file names, a name used on the wire and not that of a Go type.
 	Name string
-	// Value points to a value of the kind's type. What it has set already is kept in
-	// KIND.json, everything else is filled in, also in the structs of its lists.
+	// Value points to a value of the kind's type. KIND.json keeps the fields that are set in
+	// Value; all others are filled in, also in the structs of its lists.
 	Value any
 }
 
-// Check compares each kind with its files, and the files with the kinds: a file that no
-// kind reads is an error. Other names the files beside those of the kinds.
+// Check compares each kind with its files, and reports files in the directory that belong
+// to no kind as errors. The names in other are further files that may be there.
 func Check(t *testing.T, codec Codec, kinds []Kind, other ...string) {
 	t.Helper()
 	known := make(map[string]bool)
@@ -81,7 +81,8 @@
 	if !bytes.Equal(again, raw) {
 		t.Errorf("read and written again:\n%swanted:\n%s", again, raw)
 	}
-	// Compared with the value as well, so that reading and writing can't change together.
+	// The value itself is encoded and compared too: a change that affects encoding and
+	// decoding alike would pass the round trip.
 	if encoded, err := c.Encode(value.Addr().Interface()); err != nil || !bytes.Equal(append(encoded, '\n'), raw) {
 		t.Errorf("written (%v):\n%s\nwanted:\n%s", err, encoded, raw)
 	}
@@ -95,7 +96,8 @@
 	}
 }
 
-// roundTrip reads JSON into a value of a type and writes it again with a newline.
+// roundTrip decodes JSON into a value of a type, and encodes the value again with a newline
+// appended.
 func (c Codec) roundTrip(raw []byte, valueType reflect.Type) ([]byte, reflect.Value, error) {
 	decoded := reflect.New(valueType)
 	if err := c.Decode(raw, decoded.Interface()); err != nil {
@@ -112,12 +114,12 @@
 	}
 	for _, entry := range entries {
 		if !known[entry.Name()] {
-			t.Errorf("%s is of no kind that is tested", entry.Name())
+			t.Errorf("%s belongs to no tested kind", entry.Name())
 		}
 	}
 }
 
-// Read returns a golden file's content.
+// Read returns the content of a golden file.
 func Read(t *testing.T, file string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(directory, file))
@@ -138,7 +140,7 @@
 	}
 }
 
-// CheckText compares a text with a golden file, or writes it there with -update-golden.
+// CheckText compares a text with a golden file. With -update-golden it writes the file first.
 func CheckText(t *testing.T, file, text string) {
 	t.Helper()
 	if *update {
@@ -151,15 +153,15 @@
 
 var rawMessage = reflect.TypeFor[json.RawMessage]()
 
-// filler sets fields to values that differ from each other.
+// filler sets fields to distinct values. Each value contains the next number.
 type filler struct{ last int }
 
-// fill sets whatever is zero in a value, recursively. Every text is a job id, which is
-// what the shortened lists of ids need.
+// fill sets everything that is zero in a value, recursively. Every string is a job ID,
+// because records.JobIDs encodes lists of job IDs in a shortened form.
 func (f *filler) fill(value reflect.Value) {
 	if value.Kind() == reflect.Struct {
-		if isListOfAmounts(value.Type()) && value.IsZero() {
-			f.last++ // as every list takes a number of its own
+		if isNumberList(value.Type()) && value.IsZero() {
+			f.last++ // the struct is a list on the wire, and each list uses up a number
 		}
 		for i := range value.NumField() {
 			f.fill(value.Field(i))
@@ -210,9 +212,9 @@
 	}
 }
 
-// isListOfAmounts reports whether a struct is a list of numbers on the wire: all its
-// fields are numbers without a wire key, as protocol.Resources' are.
-func isListOfAmounts(structType reflect.Type) bool {
+// isNumberList reports whether a struct is encoded as a list of numbers: all its fields are
+// float64 without a struct tag, as those of protocol.Resources.
+func isNumberList(structType reflect.Type) bool {
 	for i := range structType.NumField() {
 		if field := structType.Field(i); field.Type.Kind() != reflect.Float64 || field.Tag != "" {
 			return false
@@ -227,8 +229,8 @@
 	}
 }
 
-// addElements gives every list, map and pointer of a value one element. Elements that are
-// structs stay zero but for their own lists; texts and numbers in lists are set.
+// addElements gives every list, map and pointer of a value one element. Struct elements stay
+// zero except for their own lists, maps and pointers; strings and numbers in lists are set.
 func addElements(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
@@ -257,7 +259,8 @@
 	}
 }
 
-// ZeroFields names what is zero or empty in a value, recursively, by its wire keys.
+// ZeroFields returns the paths of all zero or empty fields of a value, recursively. A path
+// consists of wire keys.
 func ZeroFields(value reflect.Value) []string {
 	var zero []string
 	walk(value, "", func(path string, leaf reflect.Value) {
@@ -269,8 +272,8 @@
 	return zero
 }
 
-// List writes a value as lines "path = value" in the order of declaration. A path has the
-// fields' wire keys, or their numbers where a field has no struct tag.
+// List formats a value as lines "path = value" in the order of declaration. A path consists
+// of the fields' wire keys, or of the fields' numbers where they have no struct tag.
 func List(value reflect.Value) string {
 	var text strings.Builder
 	walk(value, "", func(path string, leaf reflect.Value) {
--- a/internal/golden/walk.go
+++ b/internal/golden/walk.go
@@ -8,8 +8,9 @@
 	"strings"
 )
 
-// walk visits the leaves of a value: everything but structs, and lists, maps and pointers
-// that have elements. Raw bytes are leaves. Maps are visited in the order of their keys.
+// walk visits the leaves of a value: everything except structs, arrays, and slices, maps and
+// pointers that are not empty. Byte slices are leaves. Maps are visited in the order of their
+// keys.
 func walk(value reflect.Value, path string, visit func(path string, leaf reflect.Value)) {
 	switch kind := value.Kind(); {
 	case kind == reflect.Struct:
@@ -33,7 +34,8 @@
 	}
 }
 
-// wireKey is a field's name on the wire, or its number if it has no struct tag.
+// wireKey returns the JSON or TOML key of a field, or the field's number if it has no
+// struct tag.
 func wireKey(field reflect.StructField, number int) string {
 	for _, format := range []string{"json", "toml"} {
 		if key, _, _ := strings.Cut(field.Tag.Get(format), ","); key != "" {
--- a/internal/testreport/doc.go
+++ b/internal/testreport/doc.go
@@ -1,8 +1,8 @@
-// Package testreport judges a run of the tests, as go test -json prints it, against the
-// list of known failures: exactly these may fail, and nothing else.
+// Package testreport compares the output of go test -json with the list of known failures.
+// The run passes only if exactly the listed tests fail.
 //
-// It guarantees that a run passes only if tests ran and each failure is explained by a
-// listed one: a package that fails outside its tests, does not build, panics or is ended by
-// the runtime fails the run, and so does a listed test that passes, is skipped or is not
-// there. It imports no other package of this module.
+// At least one test has to run, and each failure has to be explained by a listed test. A run
+// fails if a package fails outside its tests, does not build, panics or is ended by the
+// runtime, and if a listed test passes, is skipped or does not exist. The package imports no
+// other package of this module.
 package testreport
--- a/internal/testreport/events.go
+++ b/internal/testreport/events.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// event is a line of go test -json; its fields are named as there.
+// event is one line of the output of go test -json, with the field names of that format.
 type event struct {
 	Action     string
 	Package    string
@@ -26,24 +26,25 @@
 	skipped = "skip"
 )
 
-// results are what is known of a run. Tests and packages go by their names below the module.
+// results are the collected events of a run. The keys are the names of tests and packages
+// without the module's path.
 type results struct {
 	module         string
-	ended          map[string]string // by test: passed, failed or skipped
+	outcomes       map[string]string // per test: passed, failed or skipped
 	output         map[string][]string
 	failedPackages map[string]bool
-	hasOwnOutput   map[string]bool // tests that said something themselves
-	faults         []string        // of the run as a whole
+	hasLogged      map[string]bool // tests that logged lines of their own
+	faults         []string        // failures that concern the run as a whole, such as a panic
 }
 
-// readResults reads what go test -json printed for a module.
+// readResults reads the output of go test -json for a module.
 func readResults(in io.Reader, module string) (*results, error) {
 	r := &results{
 		module:         module,
-		ended:          make(map[string]string),
+		outcomes:       make(map[string]string),
 		output:         make(map[string][]string),
 		failedPackages: make(map[string]bool),
-		hasOwnOutput:   make(map[string]bool),
+		hasLogged:      make(map[string]bool),
 	}
 	decoder := json.NewDecoder(in)
 	for {
@@ -61,9 +62,9 @@
 	}
 }
 
-// add takes a line of the run.
+// add records one event.
 func (r *results) add(e event) {
-	pkg, _, _ := strings.Cut(cmp.Or(e.Package, e.ImportPath), " ") // "m/a [m/a.test]" of a package's tests
+	pkg, _, _ := strings.Cut(cmp.Or(e.Package, e.ImportPath), " ") // for a package's tests the import path is "m/a [m/a.test]"
 	name := r.name(pkg, e.Test)
 	switch e.Action {
 	case "output", "build-output":
@@ -72,14 +73,15 @@
 		r.faults = append(r.faults, name+" does not build")
 	case passed, failed, skipped:
 		if e.Test != "" {
-			r.ended[name] = e.Action
+			r.outcomes[name] = e.Action
 		} else if e.Action == failed {
 			r.failedPackages[name] = true
 		}
 	}
 }
 
-// name is a test's or a package's name below the module.
+// name returns the name of a test, or of a package if test is empty, without the module's
+// path.
 func (r *results) name(pkg, test string) string {
 	short := strings.TrimPrefix(strings.TrimPrefix(pkg, r.module), "/")
 	switch {
@@ -91,33 +93,34 @@
 	return short + "." + test
 }
 
-// ownLine matches a line that a test itself has logged.
-var ownLine = regexp.MustCompile(`^\s+\S+_test\.go:\d+: `)
+// testLogLine matches a line that a test has logged, with its file and line number.
+var testLogLine = regexp.MustCompile(`^\s+\S+_test\.go:\d+: `)
 
-// crashMarks are how lines begin that tell of the end of the whole process: whatever test
-// was running, others did not.
-var crashMarks = []struct{ prefix, fault string }{
+// crashPrefixes are the prefixes of lines that report the end of the whole test process. A
+// crash fails the run even if the running test is a known failure, because the remaining
+// tests did not run.
+var crashPrefixes = []struct{ prefix, fault string }{
 	{"panic: ", "a panic"},
 	{"fatal error: ", "the runtime ended it"},
 }
 
-// addOutput takes a line of output of a test or a package.
+// addOutput records a line of output of a test or a package.
 func (r *results) addOutput(name, line string) {
 	r.output[name] = append(r.output[name], line)
-	if ownLine.MatchString(line) {
-		r.hasOwnOutput[name] = true
+	if testLogLine.MatchString(line) {
+		r.hasLogged[name] = true
 	}
-	for _, mark := range crashMarks {
-		if strings.HasPrefix(line, mark.prefix) {
-			r.faults = append(r.faults, fmt.Sprintf("%s: %s: %s", name, mark.fault, strings.TrimSpace(line)))
+	for _, crash := range crashPrefixes {
+		if strings.HasPrefix(line, crash.prefix) {
+			r.faults = append(r.faults, fmt.Sprintf("%s: %s: %s", name, crash.fault, strings.TrimSpace(line)))
 		}
 	}
 }
 
-// partFails reports whether a part of a test fails.
-func (r *results) partFails(test string) bool {
-	for part, how := range r.ended {
-		if how == failed && strings.HasPrefix(part, test+"/") {
+// hasFailedSubtest reports whether a subtest of a test failed.
+func (r *results) hasFailedSubtest(test string) bool {
+	for subtest, outcome := range r.outcomes {
+		if outcome == failed && strings.HasPrefix(subtest, test+"/") {
 			return true
 		}
 	}
--- a/internal/testreport/known.go
+++ b/internal/testreport/known.go
@@ -12,24 +12,25 @@
 	"strings"
 )
 
-// MaxKnown is how many tests may be known to fail at a time.
+// MaxKnown is the maximum number of listed known failures.
 const MaxKnown = 3
 
-// KnownFailure is a test that fails for a real fault which is not mended yet.
+// KnownFailure is a test that fails because of a defect that is not fixed yet.
 type KnownFailure struct {
-	Test  string // the package below the module, a point, and the test's name
+	Test  string // package path without the module, a dot, and the test's name
 	Cause string
 	Issue string
 }
 
 func (k KnownFailure) String() string { return k.Test + " | " + k.Cause + " | " + k.Issue }
 
-// testName matches KnownFailure.Test; a part of a test has slashes behind the test's name.
+// testName matches KnownFailure.Test. The name of a subtest follows the test's name after a
+// slash.
 var testName = regexp.MustCompile(`^([a-z0-9_./-]+\.)?Test[^ .|][^ |]*$`)
 
-// ListError is a fault of the list of known failures.
+// ListError describes an invalid line of the list of known failures.
 type ListError struct {
-	Line   int // from 1
+	Line   int // line number, from 1
 	Reason string
 }
 
@@ -37,7 +38,7 @@
 	return fmt.Sprintf("list of known failures: line %d %s", e.Line, e.Reason)
 }
 
-// ReadKnownFile reads the list from a file; without the file no test is known to fail.
+// ReadKnownFile reads the list from a file. The list is empty if the file does not exist.
 func ReadKnownFile(name string) ([]KnownFailure, error) {
 	file, err := os.Open(name)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -50,8 +51,9 @@
 	return ReadKnown(file)
 }
 
-// ReadKnown reads the list: a line "test | cause | issue" each, MaxKnown at most. A fault
-// of a line is a *ListError.
+// ReadKnown reads the list, which has at most MaxKnown lines of the form
+// "test | cause | issue". Blank lines are skipped. The error for an invalid line is a
+// *ListError.
 func ReadKnown(in io.Reader) ([]KnownFailure, error) {
 	var known []KnownFailure
 	lines := bufio.NewScanner(in)
@@ -74,7 +76,7 @@
 	return known, lines.Err()
 }
 
-// parseKnown reads a line of the list, and reports whether it has its form.
+// parseKnown parses a line of the list and reports whether the line is valid.
 func parseKnown(text string) (KnownFailure, bool) {
 	fields := strings.Split(text, "|")
 	for i := range fields {
--- a/internal/testreport/report.go
+++ b/internal/testreport/report.go
@@ -9,16 +9,17 @@
 	"strings"
 )
 
-// Report is what a run came to.
+// Report is the result of a run.
 type Report struct {
-	Passed, Failed, Skipped int            // tests, and parts of tests
-	KnownFailures           []KnownFailure // those that failed as listed
-	Reasons                 []string       // why the run failed; none: it passed
-	Output                  []string       // of what failed, for people
+	Passed, Failed, Skipped int            // numbers of tests, subtests included
+	KnownFailures           []KnownFailure // listed tests that failed
+	Reasons                 []string       // reasons why the run failed; empty if it passed
+	Output                  []string       // output of the tests and packages that failed
 }
 
-// Judge reads what go test -json printed for the module, and compares it with the list of
-// known failures. An error tells that the input can't be read; a run that fails is none.
+// Judge reads the output of go test -json for the module and compares it with the list of
+// known failures. It returns an error only if the input cannot be read; a failed run is
+// described by the report's Reasons.
 func Judge(in io.Reader, module string, known []KnownFailure) (Report, error) {
 	r, err := readResults(in, module)
 	if err != nil {
@@ -27,24 +28,25 @@
 	report := Report{Reasons: r.faults}
 	explained := report.addTests(r, known)
 	report.addPackages(r, explained)
-	report.addUnexpected(r, known)
+	report.addUnfailedKnown(r, known)
 	if report.Passed+report.Failed == 0 {
 		report.fail("no test ran")
 	}
 	return report, nil
 }
 
-// fail adds a reason, and the output that goes with it.
+// fail adds a reason why the run failed, and the output that belongs to it.
 func (v *Report) fail(reason string, output ...string) {
 	v.Reasons = append(v.Reasons, reason)
 	v.Output = append(v.Output, output...)
 }
 
-// addTests judges every test and returns the packages whose failure a test explains.
+// addTests adds every test to the report and returns the packages that have a failed test,
+// which explains the failure of the package.
 func (v *Report) addTests(r *results, known []KnownFailure) (explained map[string]bool) {
 	explained = make(map[string]bool)
-	for _, test := range slices.Sorted(maps.Keys(r.ended)) {
-		switch r.ended[test] {
+	for _, test := range slices.Sorted(maps.Keys(r.outcomes)) {
+		switch r.outcomes[test] {
 		case passed:
 			v.Passed++
 		case skipped:
@@ -59,20 +61,21 @@
 	return explained
 }
 
-// addFailed judges a test that failed: as listed, as its parts do, or unexpectedly.
+// addFailed adds a failed test to the report, as a known failure, as the consequence of a
+// failed subtest, or as a reason why the run failed.
 func (v *Report) addFailed(test string, r *results, known []KnownFailure) {
 	listed := slices.IndexFunc(known, func(k KnownFailure) bool { return k.Test == test })
 	switch {
 	case listed >= 0:
 		v.KnownFailures = append(v.KnownFailures, known[listed])
-	case r.partFails(test) && !r.hasOwnOutput[test]:
-		// It fails as its parts do, each of which is judged itself.
+	case r.hasFailedSubtest(test) && !r.hasLogged[test]:
+		// The test failed only because of its subtests, which are reported themselves.
 	default:
 		v.fail(test+" fails", r.output[test]...)
 	}
 }
 
-// addPackages judges packages that failed though none of their tests did.
+// addPackages adds a reason for each package that failed without a failed test.
 func (v *Report) addPackages(r *results, explained map[string]bool) {
 	for _, pkg := range slices.Sorted(maps.Keys(r.failedPackages)) {
 		if !explained[pkg] {
@@ -81,20 +84,21 @@
 	}
 }
 
-// addUnexpected judges listed tests that did not fail: the list has to go with the run.
-func (v *Report) addUnexpected(r *results, known []KnownFailure) {
+// addUnfailedKnown adds a reason for each listed test that did not fail, so that the list
+// is kept up to date.
+func (v *Report) addUnfailedKnown(r *results, known []KnownFailure) {
 	for _, k := range known {
-		switch how, ran := r.ended[k.Test]; {
+		switch outcome, ran := r.outcomes[k.Test]; {
 		case !ran:
 			v.fail(k.Test + " is listed as known to fail, and there is no such test")
-		case how != failed:
-			v.fail(fmt.Sprintf("%s is listed as known to fail, and the run says %s", k.Test, how))
+		case outcome != failed:
+			v.fail(fmt.Sprintf("%s is listed as known to fail, and the run says %s", k.Test, outcome))
 		}
 	}
 }
 
-// Write writes the report for people: the output of what failed, the known failures and
-// the counts.
+// Write writes the report as text: the output of the failed tests and packages, the known
+// failures and the counts.
 func (v *Report) Write(w io.Writer) error {
 	var text strings.Builder
 	text.WriteString(strings.Join(v.Output, ""))
@@ -106,8 +110,8 @@
 	return err
 }
 
-// Err returns why the run failed, or nil. status is go test's exit status: one other than
-// "0" that no test explains fails the run as well.
+// Err returns the reasons why the run failed, or nil. status is the exit status of go test;
+// the run also fails if the status is not "0" and no test failed.
 func (v *Report) Err(status string) error {
 	if status != "0" && v.Failed+len(v.Reasons) == 0 {
 		return fmt.Errorf("go test ended with status %s, and no test failed", status)
--- a/internal/testreport/report_test.go
+++ b/internal/testreport/report_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// events writes lines of go test -json: "action package [test [output]]".
+// events converts lines "action package [test [output]]" to the format of go test -json. A
+// test "-" is left out.
 func events(lines ...string) string {
 	var b strings.Builder
 	for _, line := range lines {
@@ -30,32 +31,32 @@
 	return b.String()
 }
 
-// Exactly the listed tests may fail; whatever else goes wrong fails the run.
+// Exactly the listed tests may fail; any other failure fails the run.
 func TestJudge(t *testing.T) {
-	const red = "internal/a.TestRed | it forgets | issue 7"
+	const knownRed = "internal/a.TestRed | it forgets | issue 7"
 	clean := []string{"pass internal/a TestGood", "pass internal/a"}
 	fails := []string{"pass internal/a TestGood", "fail internal/a TestRed", "fail internal/a"}
-	part := []string{"fail internal/a TestAll/one", "pass internal/a TestAll/two", "fail internal/a TestAll", "fail internal/a"}
+	subtests := []string{"fail internal/a TestAll/one", "pass internal/a TestAll/two", "fail internal/a TestAll", "fail internal/a"}
 	for _, c := range []struct {
 		name, known string
 		lines       []string
 		want        string // in a reason; empty: the run passes
 	}{
 		{"all pass", "", clean, ""},
-		{"a known one fails", red, fails, ""},
+		{"a known one fails", knownRed, fails, ""},
 		{"an unknown one fails", "", fails, "internal/a.TestRed fails"},
-		{"another one fails beside it", red, append([]string{"fail internal/a TestGreen"}, fails...), "internal/a.TestGreen fails"},
-		{"a known one passes", red, append([]string{"pass internal/a TestRed"}, clean...), "the run says pass"},
-		{"a known one is skipped", red, append([]string{"skip internal/a TestRed"}, clean...), "the run says skip"},
-		{"a known one does not exist", red, clean, "there is no such test"},
-		{"a known part fails", "internal/a.TestAll/one | x | issue 7", part, ""},
-		{"the whole says more than its known part", "internal/a.TestAll/one | x | issue 7", append([]string{"output internal/a TestAll     a_test.go:7: more"}, part...), "internal/a.TestAll fails"},
-		{"an unknown part fails", "", part, "internal/a.TestAll/one fails"},
-		{"it does not build", red, append([]string{"build-output internal/b - no such name", "build-fail internal/b"}, fails...), "internal/b does not build"},
-		{"a panic in a known one", red, append([]string{"output internal/a TestRed panic: no such key"}, fails...), "a panic"},
-		{"a time-out", red, append([]string{"output internal/a TestRed panic: test timed out after 10m0s"}, fails...), "timed out"},
-		{"a data race outside the tests", red, append([]string{"output internal/b - WARNING: DATA RACE", "fail internal/b"}, fails...), "internal/b fails, and none of its tests"},
-		{"a data race in another test", red, append([]string{"output internal/b TestB     testing.go:1: race detected", "fail internal/b TestB", "fail internal/b"}, fails...), "internal/b.TestB fails"},
+		{"another one fails beside it", knownRed, append([]string{"fail internal/a TestGreen"}, fails...), "internal/a.TestGreen fails"},
+		{"a known one passes", knownRed, append([]string{"pass internal/a TestRed"}, clean...), "the run says pass"},
+		{"a known one is skipped", knownRed, append([]string{"skip internal/a TestRed"}, clean...), "the run says skip"},
+		{"a known one does not exist", knownRed, clean, "there is no such test"},
+		{"a known part fails", "internal/a.TestAll/one | x | issue 7", subtests, ""},
+		{"the whole says more than its known part", "internal/a.TestAll/one | x | issue 7", append([]string{"output internal/a TestAll     a_test.go:7: more"}, subtests...), "internal/a.TestAll fails"},
+		{"an unknown part fails", "", subtests, "internal/a.TestAll/one fails"},
+		{"it does not build", knownRed, append([]string{"build-output internal/b - no such name", "build-fail internal/b"}, fails...), "internal/b does not build"},
+		{"a panic in a known one", knownRed, append([]string{"output internal/a TestRed panic: no such key"}, fails...), "a panic"},
+		{"a time-out", knownRed, append([]string{"output internal/a TestRed panic: test timed out after 10m0s"}, fails...), "timed out"},
+		{"a data race outside the tests", knownRed, append([]string{"output internal/b - WARNING: DATA RACE", "fail internal/b"}, fails...), "internal/b fails, and none of its tests"},
+		{"a data race in another test", knownRed, append([]string{"output internal/b TestB     testing.go:1: race detected", "fail internal/b TestB", "fail internal/b"}, fails...), "internal/b.TestB fails"},
 		{"nothing ran", "", []string{"pass internal/a"}, "no test ran"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -69,12 +70,12 @@
 				t.Errorf("%q, %v, wanted %q", reasons, err, c.want)
 			}
 			if c.want == "" && len(v.KnownFailures) != len(known) {
-				t.Errorf("%v are named, wanted %v", v.KnownFailures, known)
+				t.Errorf("known failures %v, wanted %v", v.KnownFailures, known)
 			}
 		})
 	}
 	if _, err := Judge(strings.NewReader("ok m 0.1s\n"), "m", nil); err == nil {
-		t.Error("what is not JSON is taken for results")
+		t.Error("input that is not JSON was accepted")
 	}
 }
 
@@ -97,8 +98,8 @@
 	}
 }
 
-// A fault of the list names its line, for people and for errors.As; a list that is not
-// there is empty.
+// The error for an invalid line contains the line number, as a *ListError too. The list is
+// empty if the file does not exist.
 func TestReadKnownFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "list")
 	if known, err := ReadKnownFile(file); known != nil || err != nil {
@@ -114,12 +115,12 @@
 	}
 }
 
-// A run fails for a reason of its own, or for a status that no test explains.
+// A run fails for each of its reasons, and for an exit status that no failed test explains.
 func TestReportErr(t *testing.T) {
 	for _, c := range []struct {
 		name, status string
 		report       Report
-		want         string // empty: none
+		want         string // empty: no error
 	}{
 		{"all pass", "0", Report{Passed: 1}, ""},
 		{"a status without a failure", "2", Report{Passed: 1}, "go test ended with status 2, and no test failed"},
