--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -1,5 +1,5 @@
-// Command loadtest measures controllers at sizes that tests can't have, and prepares the
-// sites of such measurements. Each verb ends by itself.
+// Command loadtest measures controllers at sizes that are too large for tests, and prepares
+// the site files for such measurements. Each subcommand ends by itself.
 package main
 
 import (
--- a/cmd/madderslip/main.go
+++ b/cmd/madderslip/main.go
@@ -15,10 +15,10 @@
 // Exit statuses.
 const (
 	exitFailure = 1
-	exitConfig  = 2 // faulty settings or arguments
+	exitConfig  = 2 // invalid settings or arguments
 )
 
-// configError is an error for which the settings or the arguments are at fault.
+// configError is an error caused by invalid settings or arguments.
 type configError struct{ error }
 
 func (e configError) Unwrap() error { return e.error }
@@ -38,7 +38,7 @@
 	return exitFailure
 }
 
-// configFiles are the flags of all verbs that read a configuration.
+// configFiles holds the flags of all commands that read a configuration.
 type configFiles struct{ settings, policy string }
 
 func (f *configFiles) load() (madderslip.Config, error) {
--- a/cmd/madderslip/run.go
+++ b/cmd/madderslip/run.go
@@ -13,7 +13,8 @@
 	"madderslip"
 )
 
-// runCommand is the program without a verb: it runs a controller until a signal ends it.
+// runCommand returns the root command, which runs a controller until the process receives
+// an interrupt or SIGTERM.
 func runCommand(files *configFiles) *cobra.Command {
 	return &cobra.Command{
 		Use:           "madderslip --config FILE",
--- a/cmd/testreport/main.go
+++ b/cmd/testreport/main.go
@@ -1,5 +1,6 @@
-// Command testreport judges a run of the tests for CI: go test -json on standard input;
-// its arguments are the file that lists the tests known to fail and go test's exit status.
+// Command testreport evaluates a test run for CI. It reads the output of go test -json from
+// standard input. Its arguments are the file with the list of known failures and the exit
+// status of go test.
 package main
 
 import (
--- a/docs_test.go
+++ b/docs_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestArchitecturePageNamesWhatExists: every package and every exported name of a package
-// that docs/ARCHITECTURE.md mentions is in the sources.
+// TestArchitecturePageNamesWhatExists checks that every package and every exported name that
+// docs/ARCHITECTURE.md mentions exists in the sources.
 func TestArchitecturePageNamesWhatExists(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("docs", "ARCHITECTURE.md"))
 	if err != nil {
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestPagesNameTestsThatExist: every test that a page below docs names is in the sources, so
-// that a guard's test is found by the name the page gives it.
+// TestPagesNameTestsThatExist checks that every test that a page below docs names exists in
+// the sources, so that the test of a guard can be found by the name on the page.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	tests := testNames(t)
 	pages, err := filepath.Glob(filepath.Join("docs", "*", "*.md"))
@@ -52,34 +52,36 @@
 	}
 }
 
-// testNames lists the functions of all test files.
+// testNames returns the names that the module's test files declare at the top level, methods
+// left out.
 func testNames(t *testing.T) map[string]bool {
 	names := make(map[string]bool)
 	isTest := func(path string) bool { return strings.HasSuffix(path, "_test.go") }
 	for _, file := range parseSources(t, ".", isTest) {
-		for name := range fileScope(file) {
+		for name := range topLevelNames(file) {
 			names[name] = true
 		}
 	}
 	return names
 }
 
-// exportedNames lists the exported types, functions and constants of all packages below
-// internal, as package.Name.
+// exportedNames returns the names that the packages below internal declare at the top level,
+// as package.Name, methods left out. Unexported names are included, which the caller never
+// looks up.
 func exportedNames(t *testing.T) map[string]bool {
 	names := make(map[string]bool)
 	isSource := func(path string) bool {
 		return strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go")
 	}
 	for _, file := range parseSources(t, "internal", isSource) {
-		for name := range fileScope(file) {
+		for name := range topLevelNames(file) {
 			names[file.Name.Name+"."+name] = true
 		}
 	}
 	return names
 }
 
-// parseSources parses the files below root whose path is wanted.
+// parseSources parses the files below root for whose path wanted reports true.
 func parseSources(t *testing.T, root string, wanted func(path string) bool) []*ast.File {
 	var files []*ast.File
 	err := filepath.WalkDir(root, func(path string, entry os.DirEntry, err error) error {
@@ -99,8 +101,8 @@
 	return files
 }
 
-// fileScope returns the names that a file declares at the top level, methods left out.
-func fileScope(file *ast.File) map[string]bool {
+// topLevelNames returns the names that a file declares at the top level, methods left out.
+func topLevelNames(file *ast.File) map[string]bool {
 	names := make(map[string]bool)
 	for _, declaration := range file.Decls {
 		switch declared := declaration.(type) {
--- a/logmessages_test.go
+++ b/logmessages_test.go
@@ -14,17 +14,17 @@
 	"testing"
 )
 
-// The messages that the module logs against the on-call page. An engineer who finds a line in
-// the log must find it there, with its level and fields, and must not look there for lines
-// that nothing logs any more.
+// These tests compare the messages that the module logs with the on-call page. The page must
+// list each message that an engineer can find in the log, with its level and fields, and no
+// message that is no longer logged.
 const (
 	moduleRoot = "."
 	pagePath   = "docs/operators/README.md"
 )
 
-// TestEveryLogMessageIsOnThePage demands that each message of level error, warn or info
-// stands on the on-call page with its level and fields, and that the page lists no message,
-// of debug neither, that the code does not log.
+// TestEveryLogMessageIsOnThePage checks that the on-call page lists each message of level
+// error, warn or info with its level and fields, and that the page lists no message of any
+// level, debug included, that the code does not log.
 func TestEveryLogMessageIsOnThePage(t *testing.T) {
 	calls, problems := collectModule(t)
 	text, err := os.ReadFile(filepath.Join(moduleRoot, pagePath))
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestOtherPagesQuoteLoggedMessages demands that each table of messages on another operators'
-// page begins its rows with a message that the code logs. Such rows stayed behind when
-// messages were renamed.
+// TestOtherPagesQuoteLoggedMessages checks that each row in the tables of messages on the
+// operators' pages begins with a message that the code logs. Such rows were left unchanged
+// when messages were renamed.
 func TestOtherPagesQuoteLoggedMessages(t *testing.T) {
 	calls, _ := collectModule(t)
 	pages, err := filepath.Glob(filepath.Join(moduleRoot, "docs", "operators", "*.md"))
@@ -68,8 +68,8 @@
 	}
 }
 
-// quotedMessages returns the first text in backquotes of each row of the tables whose first
-// column is message.
+// quotedMessages returns the first text in backquotes in each row of the tables whose first
+// column is "message".
 func quotedMessages(text string) (quotes []pageRow) {
 	inTable := false
 	for i, line := range strings.Split(text, "\n") {
@@ -86,23 +86,23 @@
 	return quotes
 }
 
-// logCall is one call that logs.
+// logCall is one call of a logging method or function.
 type logCall struct {
 	message, level string
-	keys           []string // of the fields, in order; meaningless if openKeys
-	openKeys       bool     // the fields are not all written out in the call
+	keys           []string // keys of the fields, in order; meaningless if openKeys
+	openKeys       bool     // the call does not write out all keys
 	position       string   // file:line
 }
 
 // pageRow is one row of a table of messages on the page.
 type pageRow struct {
 	message, level string
-	keys           []string // in order; none if the row names none
+	keys           []string // keys of the fields, in order; empty if the row names none
 	line           int
 }
 
-// collectModule collects the log calls of all non-test Go files of the module, and a text
-// for each whose message or level can't be read.
+// collectModule returns the log calls of all non-test Go files of the module, and a problem
+// for each call whose message or level cannot be determined.
 func collectModule(t *testing.T) (calls []logCall, problems []string) {
 	t.Helper()
 	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
@@ -132,8 +132,8 @@
 	return calls, problems
 }
 
-// isOutsideModule reports whether the go command passes over a directory: hidden ones, test
-// data, and modules of their own.
+// isOutsideModule reports whether the go command skips a directory: hidden directories,
+// testdata, vendor, and directories with a module of their own.
 func isOutsideModule(path, name string) bool {
 	if path == moduleRoot {
 		return false
@@ -145,7 +145,7 @@
 	return err == nil
 }
 
-// collectFile collects the log calls of one file.
+// collectFile returns the log calls of one file, and the problems with them.
 func collectFile(name, source string) (calls []logCall, problems []string, err error) {
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, name, source, parser.SkipObjectResolution)
@@ -171,10 +171,10 @@
 	return calls, problems, nil
 }
 
-// logMethods are the methods and functions that log, by the place of the message among
-// their arguments.
+// logMethods are the names of the methods and functions that log, with their level and the
+// index of the message among their arguments.
 var logMethods = map[string]struct {
-	level     string // empty: an argument
+	level     string // empty: the level is an argument
 	messageAt int
 }{
 	"Debug": {"debug", 0}, "DebugContext": {"debug", 1},
@@ -184,9 +184,10 @@
 	"Log": {"", 2}, "LogAttrs": {"", 2},
 }
 
-// readCall returns what a call logs, nil if it doesn't log, or a text that says what can't
-// be read of it. Whatever has one of the names and enough arguments counts as logging, so
-// that a logger under a new name is not overlooked.
+// readCall returns the log call that a call is, or nil if the call does not log, or a problem
+// if its message or level cannot be determined. Every call of one of the names with enough
+// arguments counts as logging, whatever the receiver, so that no logger is overlooked
+// because of the name of its variable.
 func readCall(call *ast.CallExpr) (*logCall, string) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
@@ -207,8 +208,8 @@
 	return &logCall{message: message, level: method.level, keys: keys, openKeys: open}, ""
 }
 
-// isTestingValue reports whether an expression is the t of a test helper, which has an Error
-// of its own.
+// isTestingValue reports whether an expression is the t of a test helper, whose method Error
+// does not log.
 func isTestingValue(receiver ast.Expr) bool {
 	name, ok := receiver.(*ast.Ident)
 	return ok && name.Name == "t"
@@ -223,8 +224,8 @@
 	return text, err == nil
 }
 
-// fieldKeys returns the keys of alternating keys and values; open reports that they are not
-// all written out.
+// fieldKeys returns the keys of a list of alternating keys and values. open reports whether
+// not all keys are written out as string literals.
 func fieldKeys(args []ast.Expr, spread bool) (keys []string, open bool) {
 	for i := 0; i < len(args); i += 2 {
 		key, ok := stringLiteral(args[i])
@@ -237,7 +238,7 @@
 }
 
 // parsePage returns the rows of the tables whose first columns are message, level and
-// fields, and a text for each row that can't be read.
+// fields, and a problem for each row that cannot be parsed.
 func parsePage(text string) (rows []pageRow, problems []string) {
 	inTable := false
 	for i, line := range strings.Split(text, "\n") {
@@ -284,7 +285,7 @@
 	return row, slices.Contains([]string{"error", "warn", "info", "debug"}, row.level)
 }
 
-// backquoted returns the texts that stand in backquotes.
+// backquoted returns the texts in backquotes.
 func backquoted(text string) (out []string) {
 	for i, part := range strings.Split(text, "`") {
 		if i%2 == 1 {
@@ -294,7 +295,8 @@
 	return out
 }
 
-// compare returns a text for each difference between what the code logs and the page.
+// compare returns a problem for each difference between the log calls and the rows of the
+// page.
 func compare(calls []logCall, rows []pageRow) (problems []string) {
 	byMessage := make(map[string]pageRow)
 	for _, row := range rows {
@@ -320,7 +322,7 @@
 	return problems
 }
 
-// compareRow compares a call with the row of its message.
+// compareRow returns a problem for each difference between a call and the row of its message.
 func compareRow(call logCall, row pageRow) (problems []string) {
 	if call.level != row.level {
 		problems = append(problems, fmt.Sprintf("%s:%d: message %q has level %s on the page, %s in %s", pagePath, row.line, row.message, row.level, call.level, call.position))
@@ -333,12 +335,12 @@
 
 const pageHead = "| message | level | fields | what it means |\n| --- | --- | --- | --- |\n"
 
-// The comparison itself: each kind of difference shows, and nothing else does.
+// The comparison must report each kind of difference, and nothing else.
 func TestLogMessageDifferencesShow(t *testing.T) {
 	calls := []logCall{{message: "shard lost", level: "info", keys: []string{"shard"}, position: "shards.go:37"}, {message: "watch failed", level: "debug", position: "watch.go:35"}}
 	for name, c := range map[string]struct {
 		page string
-		want []string // what the only problem contains; none: no problem
+		want []string // texts that the only problem contains; empty: no problem
 	}{
 		"the same":                {"| `shard lost` | info | `shard` | x |", nil},
 		"missing":                 {"", []string{`log message "shard lost" (info, shards.go:37) is not in ` + pagePath}},
@@ -366,7 +368,8 @@
 	}
 }
 
-// The collection: which calls count as logging, and what can't be read.
+// The collection must recognize the calls that log, and report those whose message or level
+// cannot be determined.
 func TestLogMessageCallsAreFound(t *testing.T) {
 	for call, want := range map[string]string{
 		`c.log.Info("shard lost", "shard", name)`:             `info "shard lost" ["shard"]`,
@@ -393,7 +396,7 @@
 	}
 }
 
-// describe puts what was collected into a line.
+// describe formats the collected calls and problems as one line.
 func describe(calls []logCall, problems []string) string {
 	lines := slices.Clone(problems)
 	for _, call := range calls {
--- a/madderslip.go
+++ b/madderslip.go
@@ -2,8 +2,8 @@
 // machines, queue each job at the K least-loaded shards, and start it where it
 // can start first. It can be embedded: LoadConfig, New, then Run.
 //
-// It puts the parts of one controller together and owns their lifetime. All decisions are
-// made below internal/coordination.
+// The package connects the components of one controller, and starts and stops them. The
+// packages below internal/coordination make all scheduling decisions.
 package madderslip
 
 import (
@@ -35,8 +35,8 @@
 }
 
 // LoadConfig reads and checks the platform's settings file and the operators'
-// policy. policyFile may be empty; then the settings' own entry, or the
-// defaults, hold. An error names the file and what is wrong in it, in one line.
+// policy. If policyFile is empty, the policy file that the settings name is read, or the
+// default policy is used. An error names the file and its fault in one line.
 func LoadConfig(file, policyFile string) (Config, error) {
 	settings, err := protocol.LoadSettings(file)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return Config{Settings: settings, Policy: checked}, nil
 }
 
-// Controller is one controller.
+// Controller is one controller process: its servers, its clients and the scheduler.
 type Controller struct {
 	cfg          Config
 	store        *kv.Client
@@ -61,17 +61,17 @@
 	peerClients  []*transport.PeerClient
 }
 
-// dialTimeout is the longest that a connection to a worker, the cloud or the state service
-// may take to be made.
+// dialTimeout is the maximum time for opening a connection to an agent, the cloud or the
+// state service.
 const dialTimeout = time.Second
 
-// Idle connections that are kept for another call, per address.
+// Numbers of idle connections that are kept for reuse, per address.
 const (
 	idlePerWorker = 1
 	idlePerState  = 8
 )
 
-// New prepares a controller; nothing is opened before Run.
+// New returns a controller. It opens no address and no connection before Run.
 func New(cfg Config) (*Controller, error) {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -97,7 +97,7 @@
 	return c, nil
 }
 
-// newStore makes the client of the state service.
+// newStore returns the client of the state service.
 func newStore(cfg Config, sockets admission.SocketBudget) *kv.Client {
 	settings := cfg.Settings
 	caller := transport.NewClient(sockets.State, idlePerState, dialTimeout)
@@ -106,7 +106,7 @@
 	return store
 }
 
-// dialPeers prepares a client of each other controller, by its name.
+// dialPeers returns a client for each other controller, by the controller's name.
 func (c *Controller) dialPeers() (map[string]controller.PeerClient, error) {
 	byName := make(map[string]controller.PeerClient)
 	for _, peer := range c.cfg.Settings.Peers {
@@ -126,14 +126,16 @@
 	maxRequestBody = 64 << 10
 )
 
-// Times after which the public server closes a connection.
+// Times after which the public server closes an idle connection, or one with a partly
+// received request.
 const (
 	minIdleTime    = 30 * time.Second
-	idleHeartbeats = 5 // heartbeat intervals, if that is longer
+	idleHeartbeats = 5 // idle time in heartbeat intervals, if longer than minIdleTime
 	stallTime      = 10 * time.Second
 )
 
-// publicServerConfig bounds the public server by the process's limits.
+// publicServerConfig returns the limits of the public server, derived from the process's
+// socket budget and the heartbeat interval.
 func publicServerConfig(settings protocol.Settings, sockets admission.SocketBudget) transport.ServerConfig {
 	return transport.ServerConfig{
 		Addr:         settings.PublicAddr,
@@ -142,15 +144,17 @@
 		MaxKeepAlive: sockets.KeepAlive,
 		IsUser:       protocol.IsUserRequest,
 		Limits:       transport.Limits{Head: maxRequestHead, Body: maxRequestBody},
-		// Whoever has nothing to say for several heartbeats has gone, or its machine has.
+		// An agent that sends nothing for several heartbeat intervals has stopped, or its
+		// machine is gone.
 		IdleTimeout:  max(minIdleTime, idleHeartbeats*settings.Workers.HeartbeatInterval),
 		StallTimeout: stallTime,
 	}
 }
 
-// Run serves until the context ends or an address can't be opened; then it returns the
-// cause, or nil if the context was cancelled. All that it started has ended when it returns:
-// an embedding program may open the same addresses again. It is called once.
+// Run serves until the context ends or a server fails, for example because its address
+// cannot be opened. It returns the cause, or nil if the context was cancelled. Everything
+// that Run started has ended when it returns, so that an embedding program can open the same
+// addresses again. Run may be called only once.
 func (c *Controller) Run(ctx context.Context) error {
 	tuneMemory(c.cfg.Settings.ProcessLimits.MemoryBytes)
 	peerServer, err := transport.ListenPeers(c.cfg.Settings.PeerAddr, c.node.HandlePeerMessage)
@@ -182,12 +186,12 @@
 	return nil
 }
 
-// gcPercent is how much the heap grows between collections, in percent. Processor time is
-// scarcer than memory: collect less often than usual.
+// gcPercent is the growth of the heap between garbage collections, in percent. It is above
+// the default of 100 because CPU time is scarcer than memory.
 const gcPercent = 400
 
-// tuneMemory has the runtime collect more often only when memory runs short: beyond 60 %
-// of the process's limit, in bytes.
+// tuneMemory configures the garbage collector: it runs at gcPercent, and more often only when
+// memory use approaches 60 % of the process's limit, which is in bytes.
 func tuneMemory(limit int64) {
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(limit * 6 / 10)
