--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Open returns the number of connections that are in use, idle or being dialled.
-func (c *Client) Open() int { return c.pool.count() }
+// OpenConnections returns the number of connections that are in use, idle or being dialled.
+func (c *Client) OpenConnections() int { return c.pool.count() }
 
 // Do makes one call and returns the status and body of the response. It blocks while
 // maxConns calls are in progress, and returns when the context ends at the latest. An
--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -37,7 +37,7 @@
 	if err.Error() != "read: unexpected EOF" {
 		t.Errorf("error text %q", err)
 	}
-	if open := client.Open(); open != 0 {
+	if open := client.OpenConnections(); open != 0 {
 		t.Errorf("%d connections open, wanted 0", open)
 	}
 }
--- a/internal/transport/parse.go
+++ b/internal/transport/parse.go
@@ -14,18 +14,18 @@
 	Body int
 }
 
-// Message is one parsed HTTP/1.1 request or response. Start holds method, target and
+// Message is one parsed HTTP/1.1 request or response. StartLine holds method, target and
 // version of a request, or version, status and reason of a response.
 type Message struct {
-	Start  [3]string
-	Body   []byte // may share memory with the parsed buffer
-	Close  bool   // the connection is closed after this message
-	Expect bool   // the sender waits for "100 Continue" before it sends the body
+	StartLine [3]string
+	Body      []byte // may share memory with the parsed buffer
+	Close     bool   // the connection is closed after this message
+	Expect    bool   // the sender waits for "100 Continue" before it sends the body
 }
 
-func (m *Message) method() string { return m.Start[0] } // of a request
-func (m *Message) target() string { return m.Start[1] } // of a request
-func (m *Message) status() string { return m.Start[1] } // of a response
+func (m *Message) method() string { return m.StartLine[0] } // of a request
+func (m *Message) target() string { return m.StartLine[1] } // of a request
+func (m *Message) status() string { return m.StartLine[1] } // of a response
 
 // hasNoBody reports whether a response has no body because of its status, regardless of
 // its header fields.
@@ -165,7 +165,7 @@
 	if code, err := strconv.Atoi(parts[1]); err != nil || code < 100 || code > 999 {
 		return malformed("malformed status")
 	}
-	copy(m.Start[:], parts)
+	copy(m.StartLine[:], parts)
 	return nil
 }
 
@@ -190,7 +190,7 @@
 	default:
 		return malformed("unsupported version")
 	}
-	copy(m.Start[:], parts)
+	copy(m.StartLine[:], parts)
 	return nil
 }
 
--- a/internal/transport/parse_test.go
+++ b/internal/transport/parse_test.go
@@ -63,7 +63,7 @@
 func TestResponseRoundTrip(t *testing.T) {
 	raw := AppendResponse(nil, Response{Status: 503, Body: []byte(`{"error":"x"}`), RetryAfter: 2, Close: true})
 	m, n, err := Parse(raw, testLimits, true)
-	if err != nil || n != len(raw) || m.Start[1] != "503" || string(m.Body) != `{"error":"x"}` || !m.Close {
+	if err != nil || n != len(raw) || m.StartLine[1] != "503" || string(m.Body) != `{"error":"x"}` || !m.Close {
 		t.Fatalf("%v %d %+v", err, n, m)
 	}
 	if !strings.Contains(string(raw), "Retry-After: 2\r\n") {
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -99,13 +99,13 @@
 			if status, _, err := c.Do(t.Context(), ln.Addr().String(), "GET", "/", nil); err != nil || status != 200 {
 				t.Fatalf("%d %v", status, err)
 			}
-			if c.Open() > 2 {
-				t.Fatalf("%d connections open, wanted at most 2", c.Open())
+			if c.OpenConnections() > 2 {
+				t.Fatalf("%d connections open, wanted at most 2", c.OpenConnections())
 			}
 		}
 	}
-	if c.Open() != 2 {
-		t.Fatalf("%d connections open, wanted 2", c.Open())
+	if c.OpenConnections() != 2 {
+		t.Fatalf("%d connections open, wanted 2", c.OpenConnections())
 	}
 }
 
@@ -158,7 +158,7 @@
 			if status, _, err := c.Do(t.Context(), addr, "GET", "/report", nil); err != nil || status != 200 {
 				t.Fatalf("client %d: %d %v", i, status, err)
 			}
-			kept += c.Open()
+			kept += c.OpenConnections()
 		}
 	}
 	if kept != 3 {
