--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -18,7 +18,7 @@
 func notSent(cause error) error { return fmt.Errorf("%w: %w", ErrNotSent, cause) }
 
 // CallError is the error of a call that failed after its request may have been sent. Its
-// text contains the step and the cause, but not the address.
+// text contains the step and the cause.
 type CallError struct {
 	Step string // "write", "read" or "status"
 	Addr string // IP address and port of the peer
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -14,15 +14,15 @@
 // connection is the state of one client connection of a Server. Requests on a connection
 // are handled one at a time, in the order of arrival.
 type connection struct {
-	mu           sync.Mutex // guards all fields below; taken by the event loop and by replying goroutines
-	received     []byte     // received bytes that are not parsed yet
-	pending      []byte     // response bytes to send
-	handling     bool       // a request is being handled
-	inEventLoop  bool       // the event loop is inside the handler and sends pending when the handler returns
-	closing      bool       // no more bytes are read; the connection is closed once no request is being handled
-	sentContinue bool       // "100 Continue" was queued for the request that is being received
-	admitted     bool       // the first request has been received, and was admitted or refused
-	lastActivity time.Time  // last time at which a request began to arrive or was answered
+	mu               sync.Mutex // guards all fields below; taken by the event loop and by replying goroutines
+	received         []byte     // received bytes that are not parsed yet
+	pending          []byte     // response bytes to send
+	handling         bool       // a request is being handled
+	inEventLoop      bool       // the event loop is inside the handler and sends pending when the handler returns
+	closing          bool       // no more bytes are read; the connection is closed once no request is being handled
+	sentContinue     bool       // "100 Continue" was queued for the request that is being received
+	admissionChecked bool       // the first request was received and checked against MaxUsers
+	lastActivity     time.Time  // last time at which a request began to arrive or was answered
 }
 
 // receive appends bytes from the client to the receive buffer. The caller holds conn.mu.
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -211,10 +211,10 @@
 // admit reports whether a request is handled. Only the first request of a connection is
 // checked against MaxUsers; later ones are admitted. The caller holds conn.mu.
 func (s *Server) admit(conn *connection, request *Message) bool {
-	if conn.admitted {
+	if conn.admissionChecked {
 		return true
 	}
-	conn.admitted = true
+	conn.admissionChecked = true
 	aboveUserLimit := s.cfg.IsUser != nil && int(s.open.Load()) > s.cfg.MaxUsers
 	return !aboveUserLimit || !s.cfg.IsUser(request.method(), request.target())
 }
