--- a/madderslip.go
+++ b/madderslip.go
@@ -151,10 +151,11 @@
 	}
 }
 
-// Run serves until the context ends or a server fails, for example because its address
-// cannot be opened. It returns the cause, or nil if the context was cancelled. Everything
-// that Run started has ended when it returns, so that an embedding program can open the same
-// addresses again. Run may be called only once.
+// Run serves until the context ends or the peer server fails, for example because the peer
+// address cannot be opened; the public server opens its address again after a failure. Run
+// returns the cause, or nil if the context was cancelled. Everything that Run started has
+// ended when it returns, so that an embedding program can open the same addresses again. Run
+// may be called only once.
 func (c *Controller) Run(ctx context.Context) error {
 	tuneMemory(c.cfg.Settings.ProcessLimits.MemoryBytes)
 	peerServer, err := transport.ListenPeers(c.cfg.Settings.PeerAddr, c.node.HandlePeerMessage)
