--- a/internal/transport/client_test.go
+++ b/internal/transport/client_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A connection that ends before its answer leaves open whether the request was executed:
-// the error names address, step and cause, and is not ErrNotSent.
+// If the peer closes the connection before it answers, the request may have been executed:
+// the error holds the address, the step and the cause, and must not be ErrNotSent.
 func TestCallErrorNamesAddressStepAndCause(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -35,9 +35,9 @@
 		t.Errorf("%v", err)
 	}
 	if err.Error() != "read: unexpected EOF" {
-		t.Errorf("text %q", err)
+		t.Errorf("error text %q", err)
 	}
-	if open := client.Open(); open != 0 {
-		t.Errorf("%d connections are held", open)
+	if open := client.OpenConnections(); open != 0 {
+		t.Errorf("%d connections open, wanted 0", open)
 	}
 }
--- a/madderslip.go
+++ b/madderslip.go
@@ -71,7 +71,7 @@
 	idlePerState  = 8
 )
 
-// New prepares a controller; nothing is opened before Run.
+// New returns a controller. It opens no address and no connection before Run.
 func New(cfg Config) (*Controller, error) {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -127,7 +127,8 @@
 	maxRequestBody = 64 << 10
 )
 
-// Times after which the public server closes a connection.
+// Times after which the public server closes an idle connection, or one with a partly
+// received request.
 const (
 	minIdleTime    = 30 * time.Second // idle
 	idleHeartbeats = 5                // idle, in heartbeat intervals, if that is longer
@@ -138,23 +139,24 @@
 // from those of the process.
 func publicServerConfig(settings protocol.Settings, sockets admission.SocketBudget) transport.ServerConfig {
 	return transport.ServerConfig{
-		Addr:     settings.PublicAddr,
-		MaxConns: sockets.Public,
-		MaxUsers: sockets.Users,
-		Keep:     sockets.KeepAlive,
-		IsUser:   protocol.IsUserRequest,
-		Limits:   transport.Limits{Head: maxRequestHead, Body: maxRequestBody},
+		Addr:         settings.PublicAddr,
+		MaxConns:     sockets.Public,
+		MaxUsers:     sockets.Users,
+		MaxKeepAlive: sockets.KeepAlive,
+		IsUser:       protocol.IsUserRequest,
+		Limits:       transport.Limits{Head: maxRequestHead, Body: maxRequestBody},
 		// A client that sends nothing for several heartbeat intervals has terminated, or its
 		// machine has failed.
-		Idle:  max(minIdleTime, idleHeartbeats*settings.Workers.HeartbeatInterval),
-		Stall: stallTime,
+		IdleTimeout:  max(minIdleTime, idleHeartbeats*settings.Workers.HeartbeatInterval),
+		StallTimeout: stallTime,
 	}
 }
 
-// Run serves until the context ends or an address can't be opened. It returns the cause, or
-// nil if the context was cancelled. All goroutines and servers that it started have ended when
-// it returns, so that an embedding program may open the same addresses again. Run may be
-// called only once.
+// Run serves until the context ends or the peer server fails, for example because the peer
+// address cannot be opened; the public server opens its address again after a failure. Run
+// returns the cause, or nil if the context was cancelled. Everything that Run started has
+// ended when it returns, so that an embedding program can open the same addresses again. Run
+// may be called only once.
 func (c *Controller) Run(ctx context.Context) error {
 	tuneMemory(c.cfg.Settings.ProcessLimits.MemoryBytes)
 	peerServer, err := transport.ListenPeers(c.cfg.Settings.PeerAddr, c.node.HandlePeerMessage)
