--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -16,13 +16,13 @@
 // processed now.
 const heartbeatRetrySeconds = 1
 
-// observeHeartbeat records an agent's heartbeat, received by itself or as the answer to a direct
+// observeHeartbeat records a heartbeat that an agent sent of its own or as the answer to a direct
 // call. It records nothing and returns false if a newer heartbeat is already recorded or if the
 // heartbeat may be of an earlier incarnation of the agent.
 func (c *Controller) observeHeartbeat(machine *replica.Machine, heartbeat *protocol.Heartbeat) bool {
 	if machine.Agent.Heartbeat != nil {
-		incarnation := replica.MessagePositionOf(heartbeat)
-		if !incarnation.Supersedes(replica.MessagePositionOf(machine.Agent.Heartbeat)) || !incarnation.Valid(machine.Agent.MinToken) {
+		position := replica.MessagePositionOf(heartbeat)
+		if !position.Supersedes(replica.MessagePositionOf(machine.Agent.Heartbeat)) || !position.Valid(machine.Agent.MinToken) {
 			return false
 		}
 	}
--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -24,7 +24,7 @@
 //
 // A controller that may not act for the machine's shard also enforces the deadline: it probes
 // the machine and stops the cancelled tasks that the machine reports, and returns the machine
-// as a last resort (see health.MisplacedTask).
+// as a last resort (see health.ForeignCancelledTask).
 //
 // The times count from the recorded cancellation, so a restart does not reset them. The
 // enforcement does not depend on the reconciliation of claims, which skips a claim while a
@@ -63,7 +63,7 @@
 			}
 		}
 	}
-	c.probeMisplacedTasks(pass.probes, now)
+	c.probeForeignCancelledTasks(pass.probes, now)
 	if len(pass.unrecorded) > 0 && !c.provisioner.returningUnrecorded {
 		slices.Sort(pass.unrecorded)
 		hosts := pass.unrecorded[:min(len(pass.unrecorded), maxReturnsPerCall)]
@@ -84,7 +84,7 @@
 	if c.view.IsActive(c.view.Shards[machine.Record.Shard]) {
 		mustReturn = c.mayRunTask(machine, slot) && c.enforceCancellation(job, machine, pass.now)
 	} else if machine.Record.State == records.MachineInUse {
-		task := c.misplacedTask(job, machine, slot, pass.now)
+		task := c.foreignCancelledTask(job, machine, slot, pass.now)
 		mustReturn = pass.mayAct && task.ShouldReturn(c.settings.Workers.CancelDeadline, c.isStateDown(pass.now)) && !c.isRefusedAlone(pass.now)
 		mayProbe := pass.mayAct && !machine.Detector.Probing && machine.Address() != ""
 		if mayProbe && task.ShouldProbe(c.settings.Workers.CancelDeadline) {
@@ -109,7 +109,7 @@
 // returned without waiting any longer for a record.
 func (c *Controller) enforceCancellation(job *replica.Job, machine *replica.Machine, now time.Time) bool {
 	limit, shard := c.settings.Workers.CancelDeadline, c.view.Shards[machine.Record.Shard]
-	cancelled := health.CancelledTask{Age: now.Sub(job.FinalAt), Heard: machine.ShowsToken(shard), OwnedFor: now.Sub(shard.OwnedSince),
+	cancelled := health.CancelledTask{Age: now.Sub(job.FinalAt), TokenShown: machine.ShowsToken(shard), OwnedFor: now.Sub(shard.OwnedSince),
 		Silent: c.isSilentByItself(shard, machine, now)}
 	if !cancelled.ShouldFence(limit, c.maxHeartbeatGap()) {
 		return false
@@ -129,14 +129,14 @@
 // cancelled task on each.
 func (c *Controller) isSilentByItself(shard *replica.Shard, machine *replica.Machine, now time.Time) bool {
 	silent := machine.Agent.Heartbeat != nil && c.silenceOf(machine, now) > c.policy.SuspectAfter && machine.Detector.UnansweredAt.After(machine.Agent.LastContact)
-	return silent && !c.isOwnFault(shard, now) && !c.isPartitioned(machine.Record.Zone, now)
+	return silent && !c.isSelfIsolated(shard, now) && !c.isPartitioned(machine.Record.Zone, now)
 }
 
-// misplacedTask returns what this controller has observed of a cancelled task on a machine
+// foreignCancelledTask returns what this controller has observed of a cancelled task on a machine
 // whose shard it may not act for.
-func (c *Controller) misplacedTask(job *replica.Job, machine *replica.Machine, slot *replica.Slot, now time.Time) health.MisplacedTask {
+func (c *Controller) foreignCancelledTask(job *replica.Job, machine *replica.Machine, slot *replica.Slot, now time.Time) health.ForeignCancelledTask {
 	unansweredAt := machine.Detector.UnansweredAt
-	task := health.MisplacedTask{Age: now.Sub(job.FinalAt), SinceProbe: now.Sub(machine.Detector.CancellationProbedAt),
+	task := health.ForeignCancelledTask{Age: now.Sub(job.FinalAt), SinceProbe: now.Sub(machine.Detector.CancellationProbedAt),
 		Unanswered: unansweredAt.After(job.FinalAt) && unansweredAt.After(machine.Agent.LastContact)}
 	if shard := c.view.Shards[machine.Record.Shard]; shard != nil && shard.Record != nil {
 		owner := shard.Record.Owner
@@ -165,10 +165,10 @@
 // passes a second.
 const maxCancelProbes = 20
 
-// probeMisplacedTasks probes the machines that are due, the least recently probed ones first.
+// probeForeignCancelledTasks probes the machines that are due, the least recently probed ones first.
 // Each controller starts at a different position of the list, so that together the controllers
 // probe all machines sooner.
-func (c *Controller) probeMisplacedTasks(due map[*replica.Machine]bool, now time.Time) {
+func (c *Controller) probeForeignCancelledTasks(due map[*replica.Machine]bool, now time.Time) {
 	machines := slices.SortedFunc(maps.Keys(due), compareHosts)
 	controllers := append(slices.Collect(maps.Keys(c.peerClients)), c.settings.NodeName)
 	slices.Sort(controllers)
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -45,7 +45,7 @@
 	preemptions     preemptions
 	provisioner     provisioner
 	dependencies    dependencies
-	quotaSync       quotaSync
+	demandBroadcast demandBroadcast
 	pauses          health.PauseDetector
 	partitionSeenAt map[string]time.Time // by zone: when the zone last seemed partitioned
 	runtimeRatios   map[string]float64   // by job class: observed run time over the estimate
--- a/internal/coordination/controller/failuredetection.go
+++ b/internal/coordination/controller/failuredetection.go
@@ -137,14 +137,14 @@
 	return now.Sub(since)
 }
 
-// isOwnFault reports whether nearly all of a shard's machines are silent at the same time, which
+// isSelfIsolated reports whether nearly all of a shard's machines are silent at the same time, which
 // indicates a fault of this controller's own links. Machines that become unreachable at one
 // instant seem silent for different times, because the phases of their heartbeats differ. The
 // threshold is therefore only a little more than one heartbeat interval (maxHeartbeatGap), so that
 // it is reached before the first machine is due for fencing. The result is cached for one pass.
-func (c *Controller) isOwnFault(shard *replica.Shard, now time.Time) bool {
+func (c *Controller) isSelfIsolated(shard *replica.Shard, now time.Time) bool {
 	if !shard.IsolationCheckedAt.Equal(now) {
-		shard.IsolationCheckedAt, shard.SelfIsolated = now, c.leastLoadedPeer() != "" && c.isSelfIsolated(shard, c.maxHeartbeatGap(), now)
+		shard.IsolationCheckedAt, shard.SelfIsolated = now, c.leastLoadedPeer() != "" && c.detectSelfIsolation(shard, c.maxHeartbeatGap(), now)
 	}
 	return shard.SelfIsolated
 }
--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -99,34 +99,34 @@
 	if !c.preemptions.hasGuarantees {
 		return
 	}
-	standings := make(map[string]quota.GuaranteeStatus)
+	statuses := make(map[string]quota.GuaranteeStatus)
 	for _, entry := range queue {
 		team := entry.Spec.Team
 		if !c.view.Quota.HasGuarantee(team) {
 			continue
 		}
 		if entry.WithinGuarantee = c.view.Quota.HasReservation(team, entry.ClaimKey()); entry.WithinGuarantee {
-			continue // the team's standing already counts the reservation
+			continue // the team's status already counts the reservation
 		}
-		standing, known := standings[team]
+		status, known := statuses[team]
 		if !known {
-			standing = c.view.Quota.GuaranteeStatus(team, "", usageView{c})
+			status = c.view.Quota.GuaranteeStatus(team, "", usageView{c})
 		}
-		standings[team] = markWithinGuarantee(entry, standing)
+		statuses[team] = markWithinGuarantee(entry, status)
 	}
 	slices.SortStableFunc(queue, comparePrecedence) // StartsAhead is not set yet
 }
 
-// markWithinGuarantee marks an entry as within its team's guarantee if the team's standing
-// covers enough of its tasks to start, and returns the standing with these tasks reserved.
-func markWithinGuarantee(entry *placement.QueueEntry, standing quota.GuaranteeStatus) quota.GuaranteeStatus {
+// markWithinGuarantee marks an entry as within its team's guarantee if the team's status
+// entitles enough of its tasks to start, and returns the status with these tasks reserved.
+func markWithinGuarantee(entry *placement.QueueEntry, status quota.GuaranteeStatus) quota.GuaranteeStatus {
 	perTask := replica.TaskResources(entry.Spec)
 	need, waiting := entry.MinTasks(), entry.PlaceableTasks()
-	if entitled := standing.EntitledTasks(perTask); entitled >= need && entitled > 0 {
+	if entitled := status.EntitledTasks(perTask); entitled >= need && entitled > 0 {
 		entry.WithinGuarantee = true
-		standing.Reserved = standing.Reserved.Plus(perTask.Times(float64(min(entitled, waiting))))
+		status.Reserved = status.Reserved.Plus(perTask.Times(float64(min(entitled, waiting))))
 	}
-	return standing
+	return status
 }
 
 // guaranteeReservation is a planned preemption on a team's guarantee. It is executed once its
@@ -227,7 +227,7 @@
 	policy := c.preemptionPolicyFor(entry)
 	entitled := policy.entitled
 	// The reservation's record already counts its victims as leaving: they are left out here.
-	policy.preemptor.StatusOf = func(team string) quota.GuaranteeStatus {
+	policy.budget.StatusOf = func(team string) quota.GuaranteeStatus {
 		return c.view.Quota.GuaranteeStatusExcludingPreemptionsFor(team, entry.ClaimKey(), usageView{c})
 	}
 	plan := reservation.validPlan(policy, capacitiesByHost(capacities))
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -244,8 +244,8 @@
 	}
 }
 
-// quotaSync is the state of this controller's broadcasts of its shards' demands.
-type quotaSync struct {
+// demandBroadcast is the state of this controller's broadcasts of its shards' demands.
+type demandBroadcast struct {
 	hadDemands  bool // the last broadcast contained demands
 	broadcastAt time.Time
 }
@@ -258,8 +258,8 @@
 // that are due from their allotments.
 func (c *Controller) transferAllotments(now time.Time) {
 	demands := c.view.Quota.Demands(now)
-	if (len(demands) > 0 || c.quotaSync.hadDemands) && now.Sub(c.quotaSync.broadcastAt) >= demandInterval {
-		c.quotaSync.hadDemands, c.quotaSync.broadcastAt = len(demands) > 0, now
+	if (len(demands) > 0 || c.demandBroadcast.hadDemands) && now.Sub(c.demandBroadcast.broadcastAt) >= demandInterval {
+		c.demandBroadcast.hadDemands, c.demandBroadcast.broadcastAt = len(demands) > 0, now
 		c.broadcast(c.ctx, protocol.PeerMessage{From: c.settings.NodeName, StateReachable: true, Demands: demands, DemandsComplete: true})
 	}
 	for _, transfer := range c.view.Quota.DueTransfers(c.transferCondition, now) {
--- a/internal/coordination/controller/preemption.go
+++ b/internal/coordination/controller/preemption.go
@@ -206,14 +206,14 @@
 type preemptionPolicy struct {
 	spec       *protocol.Submission
 	entitled   int // tasks of the job that the guarantee still covers
-	preemptor  *quota.PreemptionBudget
-	standings  map[string]quota.GuaranteeStatus
+	budget     *quota.PreemptionBudget
+	statuses   map[string]quota.GuaranteeStatus
 	controller *Controller
 }
 
 // preemptionPolicyFor returns the policy for a queue entry.
 func (c *Controller) preemptionPolicyFor(entry *placement.QueueEntry) *preemptionPolicy {
-	policy := &preemptionPolicy{spec: entry.Spec, entitled: c.entitledTasks(entry), controller: c, standings: make(map[string]quota.GuaranteeStatus)}
+	policy := &preemptionPolicy{spec: entry.Spec, entitled: c.entitledTasks(entry), controller: c, statuses: make(map[string]quota.GuaranteeStatus)}
 	policy.Reset()
 	return policy
 }
@@ -225,17 +225,17 @@
 
 // Reset implements placement.PreemptionPolicy.
 func (p *preemptionPolicy) Reset() {
-	p.preemptor = &quota.PreemptionBudget{ClaimedTask: replica.TaskResources(p.spec), StatusOf: p.standingOf}
+	p.budget = &quota.PreemptionBudget{ClaimedTask: replica.TaskResources(p.spec), StatusOf: p.guaranteeStatusOf}
 }
 
-// standingOf returns a team's standing, which is computed once for each policy.
-func (p *preemptionPolicy) standingOf(team string) quota.GuaranteeStatus {
-	standing, known := p.standings[team]
+// guaranteeStatusOf returns a team's guarantee status, which is computed once for each policy.
+func (p *preemptionPolicy) guaranteeStatusOf(team string) quota.GuaranteeStatus {
+	status, known := p.statuses[team]
 	if !known {
-		standing = p.controller.view.Quota.GuaranteeStatus(team, "", usageView{p.controller})
-		p.standings[team] = standing
+		status = p.controller.view.Quota.GuaranteeStatus(team, "", usageView{p.controller})
+		p.statuses[team] = status
 	}
-	return standing
+	return status
 }
 
 // MayPreempt reports whether one more task may be preempted in addition to the chosen ones.
@@ -252,7 +252,7 @@
 			chosenBorrowed = chosenBorrowed.Plus(replica.TaskResources(other))
 		}
 	}
-	return p.preemptor.MayPreempt(victim.Team, replica.TaskResources(victim), chosenBorrowed)
+	return p.budget.MayPreempt(victim.Team, replica.TaskResources(victim), chosenBorrowed)
 }
 
 // isBorrowed reports whether a victim can be preempted only on the guarantee, since its
@@ -272,7 +272,7 @@
 	usesGuarantee := false
 	for i := range victims {
 		if p.isBorrowed(&victims[i]) {
-			p.preemptor.RecordPreemption(victims[i].Claim.Spec.Team, replica.TaskResources(victims[i].Claim.Spec))
+			p.budget.RecordPreemption(victims[i].Claim.Spec.Team, replica.TaskResources(victims[i].Claim.Spec))
 			usesGuarantee = true
 		}
 	}
--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -19,9 +19,9 @@
 	// newOwnerFenceFactor multiplies the fence delay of a machine that this process has not
 	// been in contact with since it became the shard owner.
 	newOwnerFenceFactor = 2
-	// ownFaultFenceFactor multiplies the fence delay while the silence of a shard's machines
+	// selfIsolatedFenceFactor multiplies the fence delay while the silence of a shard's machines
 	// seems to be caused by this controller's own links.
-	ownFaultFenceFactor = 3
+	selfIsolatedFenceFactor = 3
 )
 
 // probeLoop periodically detects partitions, probes and fences silent machines, updates their
@@ -97,7 +97,7 @@
 // are lost.
 func (c *Controller) isUnreachable(shard *replica.Shard, machine *replica.Machine, silence time.Duration, now time.Time) bool {
 	answersProbesOnly := health.Unreachable(machine.Agent.LastHeartbeat, c.inContactSince(machine), now, c.settings.Workers.LeaseDuration) && silence <= c.policy.SuspectAfter
-	return answersProbesOnly && !machine.Lifecycle.Returning && !c.isOwnFault(shard, now) && !c.isStateDown(now) && machine.RunsNothingPlaced()
+	return answersProbesOnly && !machine.Lifecycle.Returning && !c.isSelfIsolated(shard, now) && !c.isStateDown(now) && machine.RunsNothingPlaced()
 }
 
 // cannotShowToken reports whether a machine must be fenced because it does not receive the current
@@ -116,8 +116,8 @@
 	if silence <= limit || machine.Lifecycle.Returning || !unanswered {
 		return false
 	}
-	if c.isOwnFault(shard, now) && silence < ownFaultFenceFactor*limit {
-		return false // the shard is transferred to another controller instead, see isCutOff
+	if c.isSelfIsolated(shard, now) && silence < selfIsolatedFenceFactor*limit {
+		return false // the shard is transferred to another controller instead, see shouldGiveAway
 	}
 	return !c.isStateDown(now) // in an outage no return can be recorded, and contact may be restored before the outage ends
 }
--- a/internal/coordination/controller/shards.go
+++ b/internal/coordination/controller/shards.go
@@ -24,9 +24,9 @@
 	// homeTakeoverGrace is the time after a home node's registration for which other nodes
 	// leave its ownerless shard to it.
 	homeTakeoverGrace = 2 * time.Second
-	// awayTime is the time for which a shard that was given away is not handed back to its
+	// noHandbackTime is the time for which a shard that was given away is not handed back to its
 	// home node, since that node's network links appear to be faulty.
-	awayTime = time.Minute
+	noHandbackTime = time.Minute
 	// arrivalFenceDelays is the time, in fence delays since this node acquired its home shard,
 	// for which agents of the shard may still be switching to this node.
 	arrivalFenceDelays = 3
@@ -194,7 +194,7 @@
 	case c.shouldHandBack(shard, now):
 		c.log.Info("shard handed back", "shard", shard.Name)
 		c.writeShard(shard, shard.Name, []kv.Compare{{Key: records.NodePrefix + shard.Name, Version: c.view.Nodes[shard.Name].Version}})
-	case c.isCutOff(shard, now):
+	case c.shouldGiveAway(shard, now):
 		if peer := c.leastLoadedPeer(); peer != "" {
 			c.log.Info("shard given away, most machines are silent", "shard", shard.Name, "node", peer)
 			c.giveAway(shard, peer, now)
@@ -203,7 +203,7 @@
 }
 
 // shouldHandBack reports whether to hand a shard back to its home node. The home node must
-// have been live for the policy's HandbackDelay, awayTime must have passed since it gave the shard
+// have been live for the policy's HandbackDelay, noHandbackTime must have passed since it gave the shard
 // away, and this node must have owned the shard for minOwnership.
 func (c *Controller) shouldHandBack(shard *replica.Shard, now time.Time) bool {
 	home, homeLive := c.view.Nodes[shard.Name]
@@ -248,11 +248,11 @@
 }
 
 // giveAway makes a node that may reach a shard's machines the owner of the shard. A node that
-// gives its home shard away gets it back after awayTime at the earliest.
+// gives its home shard away gets it back after noHandbackTime at the earliest.
 func (c *Controller) giveAway(shard *replica.Shard, to string, now time.Time) {
 	next := &records.Shard{Owner: to, Changes: shard.Record.Changes + 1, NoHandbackUntilMs: shard.Record.NoHandbackUntilMs}
 	if shard.Name == c.settings.NodeName {
-		next.NoHandbackUntilMs = now.Add(awayTime).UnixMilli()
+		next.NoHandbackUntilMs = now.Add(noHandbackTime).UnixMilli()
 	}
 	c.commitShard(shard, next, []kv.Compare{{Key: records.NodePrefix + to, Version: c.view.Nodes[to].Version}})
 }
@@ -286,19 +286,19 @@
 	return best
 }
 
-// isCutOff reports whether nearly all of a shard's machines are silent, apparently because of
+// shouldGiveAway reports whether nearly all of a shard's machines are silent, apparently because of
 // a fault in this node's own network links, and another controller is live. Giving the shard
 // to a node that may reach the machines keeps their leases alive.
-func (c *Controller) isCutOff(shard *replica.Shard, now time.Time) bool {
+func (c *Controller) shouldGiveAway(shard *replica.Shard, now time.Time) bool {
 	if shard.Name == c.settings.NodeName && now.Sub(shard.OwnedSince) < arrivalFenceDelays*c.policy.FenceAfter {
 		return false // agents may still be switching to this node
 	}
-	return c.leastLoadedPeer() != "" && c.isSelfIsolated(shard, c.policy.SuspectAfter, now)
+	return c.leastLoadedPeer() != "" && c.detectSelfIsolation(shard, c.policy.SuspectAfter, now)
 }
 
-// isSelfIsolated reports whether a fault in this node's own network links explains that a
+// detectSelfIsolation reports whether a fault in this node's own network links explains that a
 // shard's machines have been silent for longer than a timeout.
-func (c *Controller) isSelfIsolated(shard *replica.Shard, timeout time.Duration, now time.Time) bool {
+func (c *Controller) detectSelfIsolation(shard *replica.Shard, timeout time.Duration, now time.Time) bool {
 	var silence health.ShardSilence
 	var all []health.ShardSilence
 	for _, other := range c.view.Shards {
--- a/internal/coordination/health/cancelled_tasks.go
+++ b/internal/coordination/health/cancelled_tasks.go
@@ -8,10 +8,10 @@
 // The limit that its methods take is the longest time that a task may run after the
 // cancellation was confirmed to the user.
 type CancelledTask struct {
-	Age      time.Duration // since the cancellation was confirmed to the user
-	Silent   bool          // the machine is silent while others are not, and did not answer a probe
-	Heard    bool          // the machine has shown the owner's fencing token
-	OwnedFor time.Duration // since the owner began to act for the machine
+	Age        time.Duration // since the cancellation was confirmed to the user
+	Silent     bool          // the machine is silent while others are not, and did not answer a probe
+	TokenShown bool          // the machine has shown the owner's fencing token
+	OwnedFor   time.Duration // since the owner began to act for the machine
 }
 
 // escalationAge returns the age of a cancellation from which the limit leaves no time for
@@ -45,7 +45,7 @@
 	if t.Silent || t.Age > escalationAge(limit) {
 		return true
 	}
-	return t.Age > stopGrace(limit) && (t.Heard || t.OwnedFor > contactTimeouts*heartbeatTimeout)
+	return t.Age > stopGrace(limit) && (t.TokenShown || t.OwnedFor > contactTimeouts*heartbeatTimeout)
 }
 
 // ShouldReturnUnrecorded reports whether the return of a machine that should be fenced must
--- a/internal/coordination/health/cancelled_tasks_test.go
+++ b/internal/coordination/health/cancelled_tasks_test.go
@@ -16,14 +16,14 @@
 		fence      bool
 		unrecorded bool
 	}{
-		"its stop command is in transit":                        {CancelledTask{Age: 10 * sec, Heard: true, OwnedFor: 60 * sec}, false, false, false},
-		"the machine is in contact and keeps the task":          {CancelledTask{Age: 19 * sec, Heard: true, OwnedFor: 60 * sec}, false, true, false},
+		"its stop command is in transit":                        {CancelledTask{Age: 10 * sec, TokenShown: true, OwnedFor: 60 * sec}, false, false, false},
+		"the machine is in contact and keeps the task":          {CancelledTask{Age: 19 * sec, TokenShown: true, OwnedFor: 60 * sec}, false, true, false},
 		"the machine is silent":                                 {CancelledTask{Age: sec, Silent: true, OwnedFor: 60 * sec}, false, true, false},
 		"its owner has just begun to act for it":                {CancelledTask{Age: 30 * sec, OwnedFor: sec}, false, false, false},
 		"no contact with a new owner in two heartbeat timeouts": {CancelledTask{Age: 30 * sec, OwnedFor: 14 * sec}, false, true, false},
 		"the limit leaves no time to wait for contact":          {CancelledTask{Age: 33 * sec, OwnedFor: sec}, false, true, false},
-		"no record can be written":                              {CancelledTask{Age: 24 * sec, Heard: true, OwnedFor: 60 * sec}, true, true, true},
-		"records are written slowly":                            {CancelledTask{Age: 36 * sec, Heard: true, OwnedFor: 60 * sec}, false, true, true},
+		"no record can be written":                              {CancelledTask{Age: 24 * sec, TokenShown: true, OwnedFor: 60 * sec}, true, true, true},
+		"records are written slowly":                            {CancelledTask{Age: 36 * sec, TokenShown: true, OwnedFor: 60 * sec}, false, true, true},
 	} {
 		if fence, unrecorded := c.task.ShouldFence(limit, timeout), c.task.ShouldReturnUnrecorded(limit, c.stateDown); fence != c.fence || (fence && unrecorded != c.unrecorded) {
 			t.Errorf("%s: fence %v, without a record %v", name, fence, unrecorded)
--- a/internal/coordination/health/isolation.go
+++ b/internal/coordination/health/isolation.go
@@ -29,8 +29,8 @@
 	if s.Home {
 		return true
 	}
-	heardSinceTakeover := s.Lost*2 >= s.Silent
-	if !heardSinceTakeover {
+	inContactSinceTakeover := s.Lost*2 >= s.Silent
+	if !inContactSinceTakeover {
 		return false
 	}
 	for _, other := range all {
--- a/internal/coordination/health/misplaced_tasks.go
+++ b/internal/coordination/health/misplaced_tasks.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// MisplacedTask is what a controller that may not act for a machine's shard has observed of
+// ForeignCancelledTask is what a controller that may not act for a machine's shard has observed of
 // a task there whose job is cancelled. The owner of the shard may not have received the
 // cancellation: if the state service refuses the owner's requests alone, the owner reads no
 // records, and in an outage after that no other controller can take over its shard.
 //
 // The limit that its methods take is the longest time that a task may run after the
 // cancellation was confirmed to the user.
-type MisplacedTask struct {
+type ForeignCancelledTask struct {
 	Age           time.Duration // since the cancellation was confirmed to the user
 	OwnerNotified bool          // the owner has confirmed this controller's notice, or reads records itself
 	SinceProbe    time.Duration // since this controller last probed the machine
@@ -22,10 +22,10 @@
 
 // The findings of a cancelled task.
 const (
-	NotHeard Finding = iota // no message of the machine has arrived since the cancellation
-	Absent                  // the machine does not run the task; a start command may still be in transit
-	Present                 // the machine lists the task, which has not exited
-	Ended                   // the task has exited; while the machine lists it, the shard owner cannot start it again
+	NoMessage Finding = iota // no message of the machine has arrived since the cancellation
+	Absent                   // the machine does not run the task; a start command may still be in transit
+	Present                  // the machine lists the task, which has not exited
+	Ended                    // the task has exited; while the machine lists it, the shard owner cannot start it again
 )
 
 // probeInterval is the shortest time between two probes of a machine. Probes are repeated
@@ -47,7 +47,7 @@
 // ShouldProbe reports whether to probe the machine; the caller stops the task if the answer
 // shows that it runs. A stop is safe at any time: a cancelled task stays cancelled, and its
 // name is not used again.
-func (t MisplacedTask) ShouldProbe(limit time.Duration) bool {
+func (t ForeignCancelledTask) ShouldProbe(limit time.Duration) bool {
 	delay, interval := ownerGrace(limit), probeInterval
 	if !t.OwnerNotified {
 		delay = unnotifiedProbeDelay // possibly no other controller acts on the cancellation
@@ -65,7 +65,7 @@
 // outage of the state service (stateDown), and from the escalation age in any case. A
 // machine that answers is returned only in an outage, from the escalation age: while records
 // can be written, the present or next owner of the shard returns the machine with a record.
-func (t MisplacedTask) ShouldReturn(limit time.Duration, stateDown bool) bool {
+func (t ForeignCancelledTask) ShouldReturn(limit time.Duration, stateDown bool) bool {
 	escalated := t.Age > escalationAge(limit)
 	switch {
 	case t.Finding == Ended:
--- a/internal/coordination/health/partition.go
+++ b/internal/coordination/health/partition.go
@@ -42,11 +42,11 @@
 // behind a partition they continue to run tasks. So the caller waits longer before it fences
 // them (see FenceDelay).
 func PartitionedZones(ownZone string, machines []MachineSilence, timeout time.Duration, controllers []PeerStatus) map[string]bool {
-	zones, heardTotal := countByZone(machines, timeout)
+	zones, responsiveTotal := countByZone(machines, timeout)
 	partitioned := make(map[string]bool)
 	for zone, c := range zones {
-		heardElsewhere := heardTotal - c.heard
-		if zone == ownZone || !mostlySilent(c.silent, c.total()) || heardElsewhere < minMachines {
+		responsiveElsewhere := responsiveTotal - c.responsive
+		if zone == ownZone || !mostlySilent(c.silent, c.total()) || responsiveElsewhere < minMachines {
 			continue
 		}
 		if !hasLiveController(zone, controllers) {
@@ -58,25 +58,25 @@
 
 // zoneCount counts the machines of a zone: those silent for longer than the timeout, and
 // the others.
-type zoneCount struct{ silent, heard int }
+type zoneCount struct{ silent, responsive int }
 
-func (c zoneCount) total() int { return c.silent + c.heard }
+func (c zoneCount) total() int { return c.silent + c.responsive }
 
 // countByZone counts the machines of each zone, and over all zones those that are not silent
 // for longer than timeout.
-func countByZone(machines []MachineSilence, timeout time.Duration) (zones map[string]zoneCount, heard int) {
+func countByZone(machines []MachineSilence, timeout time.Duration) (zones map[string]zoneCount, responsive int) {
 	zones = make(map[string]zoneCount)
 	for _, m := range machines {
 		c := zones[m.Zone]
 		if m.Silent > timeout {
 			c.silent++
 		} else {
-			c.heard++
-			heard++
+			c.responsive++
+			responsive++
 		}
 		zones[m.Zone] = c
 	}
-	return zones, heard
+	return zones, responsive
 }
 
 // hasLiveController reports whether a live controller runs in the zone.
