--- a/internal/coordination/controller/adoption.go
+++ b/internal/coordination/controller/adoption.go
@@ -26,16 +26,16 @@
 	adoptionCommitTimeout = 5 * time.Second
 )
 
-// noteUnrecorded notes a machine without a record, if this controller is the leader. Only the
-// leader records such machines: several controllers that choose shards at the same time,
-// independently of each other, would all choose the same shard.
-func (c *Controller) noteUnrecorded(host, typeName, zone string, spot bool) {
+// addUnrecorded adds a machine without a record to those to be adopted, if this controller is the
+// leader. Only the leader records such machines: several controllers that choose shards at the
+// same time, independently of each other, would all choose the same shard.
+func (c *Controller) addUnrecorded(host, typeName, zone string, spot bool) {
 	if _, seen := c.provisioner.unrecorded[host]; !seen && c.isLeader() {
 		c.provisioner.unrecorded[host] = unrecordedHost{firstSeen: time.Now(), kind: replica.MachineKind{Type: typeName, Zone: zone, Spot: spot}}
 	}
 }
 
-// adoptMachines records the machines that were noted, grouped by kind.
+// adoptMachines records the machines to be adopted whose grace has passed, grouped by kind.
 func (c *Controller) adoptMachines(now time.Time) {
 	grace := time.Duration(0)
 	if len(c.view.Provisions) > 0 {
@@ -67,7 +67,7 @@
 	ops := []kv.Op{{Key: key, Value: record}}
 	compares, ops = c.excludeAnswers(kind, compares, ops)
 	if len(ops) > c.settings.RecordLimits().MaxTxnOps {
-		c.dropUnrecorded(hosts) // they are noted again; the adoption fits once fewer requests are unanswered
+		c.dropUnrecorded(hosts) // they are added again, and the transaction is small enough once fewer requests are unanswered
 		return
 	}
 	c.commit(kv.PriorityLease, compares, ops, adoptionCommitTimeout, func(err error) {
@@ -78,7 +78,8 @@
 	})
 }
 
-// dropUnrecorded removes noted machines. They are noted again if they still have no record.
+// dropUnrecorded removes machines from those to be adopted. They are added again if they still
+// have no record.
 func (c *Controller) dropUnrecorded(hosts []string) {
 	for _, host := range hosts {
 		delete(c.provisioner.unrecorded, host)
--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -16,9 +16,9 @@
 // processed now.
 const heartbeatRetrySeconds = 1
 
-// observeHeartbeat records a heartbeat that an agent sent of its own or as the answer to a direct
-// call. It records nothing and returns false if a newer heartbeat is already recorded or if the
-// heartbeat may be of an earlier incarnation of the agent.
+// observeHeartbeat records an agent's heartbeat, whether it is a request of the agent or the answer
+// to a direct call. It records nothing and returns false if a newer heartbeat is already recorded or
+// if the heartbeat may be of an earlier incarnation of the agent.
 func (c *Controller) observeHeartbeat(machine *replica.Machine, heartbeat *protocol.Heartbeat) bool {
 	if machine.Agent.Heartbeat != nil {
 		position := replica.MessagePositionOf(heartbeat)
@@ -143,7 +143,8 @@
 }
 
 // respondToHeartbeat accepts a heartbeat of a machine whose shard this process owns. Otherwise it
-// redirects the agent to the shard's owner, extends the agent's lease, or turns the agent away.
+// redirects the agent to the shard's owner, extends the agent's lease, or answers
+// with an error.
 func (c *Controller) respondToHeartbeat(heartbeat *protocol.Heartbeat) transport.Response {
 	if !c.view.Loaded {
 		if extension, ok := c.extendLeaseWithoutRecords(heartbeat, time.Now()); ok {
@@ -177,7 +178,7 @@
 // respondToUnrecorded answers the agent of a machine without a record. Only the leader records
 // such machines, so the agent is redirected to the leader if that is another live controller.
 func (c *Controller) respondToUnrecorded(heartbeat *protocol.Heartbeat) transport.Response {
-	c.noteUnrecorded(heartbeat.Host, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
+	c.addUnrecorded(heartbeat.Host, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
 	if _, live := c.view.Nodes[c.leadership.node]; live && c.leadership.node != c.settings.NodeName {
 		return redirectTo(c.leadership.node)
 	}
--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -232,7 +232,7 @@
 
 // returnUnrecorded returns machines whose return could not be recorded. As for any return, the
 // cloud's status 200 proves that they are gone. A call that is executed late or twice, or that
-// a node makes which no longer owns the shard, removes a machine that had a cancelled task when
+// a controller makes which no longer owns the shard, removes a machine that had a cancelled task when
 // the call was sent, together with the tasks placed there since. Its owner handles the machine
 // as one that was lost without notice: the loss is detected and proved as usual, no task counts
 // as gone because of the call, and no task name is used again.
--- a/internal/coordination/controller/capacities.go
+++ b/internal/coordination/controller/capacities.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// fillCapacity sets a capacity to what a machine has free.
+// fillCapacity sets a capacity to the state of a machine: its free resources, whether new tasks may
+// start there, when it is expected to have booted, and which jobs avoid it.
 func (c *Controller) fillCapacity(capacity *placement.Capacity, shard *replica.Shard, machine *replica.Machine, machineType *protocol.MachineType, now time.Time) {
 	*capacity = placement.Capacity{
 		Releases: capacity.Releases[:0], // the memory is reused
@@ -66,7 +67,7 @@
 	}
 	for _, avoiding := range machine.Quarantine.Evidence.AvoidedBy(now) {
 		if job := c.view.Jobs[avoiding]; job != nil && job.OnProbation(now) {
-			continue // the fault is the job's own, and trying it again costs least where its image is cached
+			continue // the job fails on every machine; a retry costs least where its image is cached
 		}
 		if capacity.AvoidedBy == nil {
 			capacity.AvoidedBy = make(map[string]bool)
--- a/internal/coordination/controller/cloud.go
+++ b/internal/coordination/controller/cloud.go
@@ -154,7 +154,7 @@
 		// still be recorded by the controller that requested it.
 		oldEnough := protocol.Seconds(listed.AgeS) > minUnrecordedAge+2*c.settings.CloudLimits.ListLag
 		if c.isLeader() && oldEnough {
-			c.noteUnrecorded(listed.Host, listed.Type, listed.Zone, listed.Spot)
+			c.addUnrecorded(listed.Host, listed.Type, listed.Zone, listed.Spot)
 		}
 	case listed.Phase == protocol.MachineFailed && machine.Record.State == records.MachineInUse:
 		if shard := c.view.Shards[machine.Record.Shard]; c.view.IsActive(shard) {
--- a/internal/coordination/controller/commit.go
+++ b/internal/coordination/controller/commit.go
@@ -48,7 +48,7 @@
 	go c.refreshKeys(c.refreshCount, keys, result.Revision, txn.Deadline.IsZero(), func(read bool) {
 		if !read && txn.Priority == kv.PriorityUser {
 			// A view newer than the failed condition may still be older than the records
-			// from which another node has answered users, so the outcome counts as unknown.
+			// from which another controller has answered users, so the outcome counts as unknown.
 			done(kv.ErrOutcomeUnknown, 0)
 			return
 		}
@@ -75,7 +75,7 @@
 
 // needsRefresh reports whether the key of a failed condition must be read: the watch has
 // not delivered a newer version yet, or the transaction answers a user. Users may have been
-// answered by another node from records that are newer than the view, even if the view is
+// answered by another controller from records that are newer than the view, even if the view is
 // newer than the condition.
 func (c *Controller) needsRefresh(txn *kv.Txn, compare kv.Compare) bool {
 	return txn.Priority == kv.PriorityUser || c.view.Versions[compare.Key] <= compare.Version
--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -287,7 +287,7 @@
 	}
 }
 
-// PreemptedFor returns the key of the claim for which this node preempts a task on a
+// PreemptedFor returns the key of the claim for which this controller preempts a task on a
 // guarantee. It is empty if there is none, even if the task is stopped for another reason.
 func (c *Controller) PreemptedFor(jobID string, task int, host string) string {
 	c.mu.Lock()
--- a/internal/coordination/controller/membership.go
+++ b/internal/coordination/controller/membership.go
@@ -74,8 +74,8 @@
 	key := records.NodePrefix + c.settings.NodeName
 	outcome := make(chan error, 1)
 	c.mu.Lock()
-	// The condition rejects a late copy of a registration that an earlier process of this node
-	// sent. Without the condition the copy would attach the record to that process's lease,
+	// The condition makes a late copy of a registration fail that an earlier process of this
+	// node sent. Without the condition the copy would attach the record to that process's lease,
 	// and this node would appear to have failed when that lease expires.
 	c.commit(kv.PriorityLease, []kv.Compare{{Key: key, Version: c.view.Nodes[c.settings.NodeName].Version}}, []kv.Op{{Key: key, Value: record, Lease: lease}}, nodeCommitTimeout,
 		func(err error) {
--- a/internal/coordination/controller/peers.go
+++ b/internal/coordination/controller/peers.go
@@ -75,7 +75,7 @@
 
 // repeatedCancellations returns the cancellations to send again. The watch delivers a
 // cancellation to every controller that the state service serves. It does not reach an owner
-// that the state service rejects, or one that was partitioned when the job was cancelled and
+// that the state service refuses, or one that was partitioned when the job was cancelled and
 // whose zone has rejoined during an outage of the state service. Repeating the cancellation
 // keeps such an owner from running the job's tasks beyond the deadline although other
 // controllers have received the cancellation. The cancellations are sent in rotation, so that
--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -168,7 +168,7 @@
 		return
 	}
 	// The machine answers but has not received the current token yet: an earlier owner that is
-	// cut off from the state service and from the other controllers may still answer its agent.
+	// partitioned from the state service and from the other controllers may still answer its agent.
 	// Once the machine has received the token, the agent ignores the answers of that owner.
 	if machine.Record.State == records.MachineInUse && heartbeat.FencingToken < shard.FencingToken {
 		c.sendCommands(shard, machine)
--- a/internal/coordination/controller/queue.go
+++ b/internal/coordination/controller/queue.go
@@ -183,7 +183,7 @@
 }
 
 // shardScore returns the score of a shard for a job, which rises with the shard's load. The
-// load is the CPUs in use, the CPUs queued, and the CPUs that this node has queued there
+// load is the CPUs in use, the CPUs queued, and the CPUs that this controller has queued there
 // since the shard last reported its load. The last part spreads a burst of jobs over the
 // shards.
 func (c *Controller) shardScore(shard *replica.Shard, spec *protocol.Submission, now time.Time) float64 {
--- a/internal/coordination/controller/reconcile.go
+++ b/internal/coordination/controller/reconcile.go
@@ -10,8 +10,8 @@
 	"madderslip/internal/storage/records"
 )
 
-// reconcileClaims compares those claims of a shard that are marked dirty with what the machines
-// show: it records ended tasks, starts missing tasks and stops tasks that must not run.
+// reconcileClaims compares those claims of a shard that are marked dirty with the heartbeats of
+// the machines: it records ended tasks, starts missing tasks and stops tasks that must not run.
 func (c *Controller) reconcileClaims(shard *replica.Shard, now time.Time) {
 	for _, claim := range c.view.TakeDirtyClaims(shard, now) {
 		job := c.view.Jobs[claim.JobID]
@@ -32,7 +32,7 @@
 	outcomeGone                     // the task is not on its machine and cannot start there any more
 )
 
-// claimReconciliation is the result of comparing a claim with what the machines show.
+// claimReconciliation is the result of comparing a claim with the heartbeats of its machines.
 type claimReconciliation struct {
 	next    *records.Claim // the claim without the placements that have ended
 	changed bool           // next differs from the committed version
--- a/internal/coordination/controller/replies.go
+++ b/internal/coordination/controller/replies.go
@@ -62,7 +62,7 @@
 // is sent once the watch has reached the cancellation: no task of the job is placed after that
 // revision, so this controller's view then has every machine that may run a task of the job,
 // and this controller can end the tasks when no other can. If the answer were sent at once, a
-// claim that its owner committed just before it was cut off could be missing from the views of
+// claim that its owner committed just before it was partitioned could be missing from the views of
 // all other controllers in an outage. If the watch does not reach the cancellation in time, the
 // user is asked to retry.
 func (c *Controller) replyStatus(jobID string, status int, within time.Duration, reply func(transport.Response)) {
--- a/internal/coordination/controller/schedule.go
+++ b/internal/coordination/controller/schedule.go
@@ -19,7 +19,7 @@
 	demands    *passDemands
 	now        time.Time
 
-	largestFree    protocol.MachineResources     // upper bound of what any usable machine has free
+	largestFree    protocol.MachineResources     // upper bound of the free capacity of any usable machine
 	blocked        bool                          // an earlier entry waits for capacity
 	delaysArrays   bool                          // arrays are not placed in this pass
 	failedRequests map[placement.RequestKey]bool // requests for which this pass found no capacity
--- a/internal/coordination/controller/shards.go
+++ b/internal/coordination/controller/shards.go
@@ -48,7 +48,7 @@
 	return machines
 }
 
-// takeoverDelay returns how long this node waits, so that other nodes can act first, before
+// takeoverDelay returns how long this controller waits, so that others can act first, before
 // it takes over a shard whose owner's lease has expired.
 func (c *Controller) takeoverDelay() time.Duration {
 	machines := c.machinesByOwner()
@@ -96,11 +96,11 @@
 }
 
 // yieldToNewOwner gives up a shard that another controller reports to have acquired under a
-// newer token. If the state service rejects this node but not the others, the watch does not
-// deliver the new record here. This node would then go on answering the shard's agents under
-// its old token, so the agents would never switch to the new owner. A wrong report does no
-// harm: sending fewer commands breaks no rule, and the next version of the record clears
-// NewOwner.
+// newer token. If the state service refuses this controller but not the others, the watch does
+// not deliver the new record here. This controller would then continue to answer the shard's
+// agents under its old token, so the agents would never switch to the new owner. A wrong report
+// does no harm: sending fewer commands breaks no rule, and the next version of the record
+// clears NewOwner.
 func (c *Controller) yieldToNewOwner(shard *replica.Shard, newOwner string, token uint64) {
 	notOwned := shard.FencingToken == 0 && shard.NewOwner == ""
 	if newOwner == c.settings.NodeName || token <= max(shard.FencingToken, shard.NewOwnerToken) || notOwned {
@@ -182,7 +182,7 @@
 
 // reconcileOwnedShard acts on a shard that is recorded as this node's. It acquires the shard
 // anew if its fencing token is missing or has to be renewed, hands the shard back to its home
-// node, or gives the shard away if this node cannot reach its machines.
+// node, or gives the shard away if this controller cannot reach its machines.
 func (c *Controller) reconcileOwnedShard(shard *replica.Shard, now time.Time) {
 	switch {
 	case shard.FencingToken == 0:
@@ -203,8 +203,8 @@
 }
 
 // shouldHandBack reports whether to hand a shard back to its home node. The home node must
-// have been live for the policy's HandbackDelay, noHandbackTime must have passed since it gave the shard
-// away, and this node must have owned the shard for minOwnership.
+// have been live for the policy's HandbackDelay, noHandbackTime must have passed since it gave
+// the shard away, and this node must have owned the shard for minOwnership.
 func (c *Controller) shouldHandBack(shard *replica.Shard, now time.Time) bool {
 	home, homeLive := c.view.Nodes[shard.Name]
 	if shard.Name == c.settings.NodeName || !homeLive {
@@ -286,9 +286,10 @@
 	return best
 }
 
-// shouldGiveAway reports whether nearly all of a shard's machines are silent, apparently because of
-// a fault in this node's own network links, and another controller is live. Giving the shard
-// to a node that may reach the machines keeps their leases alive.
+// shouldGiveAway reports whether to make another controller the owner of a shard: one is live, and
+// nearly all of the shard's machines are silent, apparently because of a fault in this
+// controller's own network links. A new owner that reaches the machines keeps their leases alive.
+// The timeout is the policy's SuspectAfter; that of isSelfIsolated is maxHeartbeatGap.
 func (c *Controller) shouldGiveAway(shard *replica.Shard, now time.Time) bool {
 	if shard.Name == c.settings.NodeName && now.Sub(shard.OwnedSince) < arrivalFenceDelays*c.policy.FenceAfter {
 		return false // agents may still be switching to this node
@@ -296,8 +297,8 @@
 	return c.leastLoadedPeer() != "" && c.detectSelfIsolation(shard, c.policy.SuspectAfter, now)
 }
 
-// detectSelfIsolation reports whether a fault in this node's own network links explains that a
-// shard's machines have been silent for longer than a timeout.
+// detectSelfIsolation reports whether a fault in this controller's own network links explains that
+// a shard's machines have been silent for longer than a timeout.
 func (c *Controller) detectSelfIsolation(shard *replica.Shard, timeout time.Duration, now time.Time) bool {
 	var silence health.ShardSilence
 	var all []health.ShardSilence
--- a/internal/coordination/health/cancelled_tasks.go
+++ b/internal/coordination/health/cancelled_tasks.go
@@ -48,8 +48,8 @@
 	return t.Age > stopGrace(limit) && (t.TokenShown || t.OwnedFor > contactTimeouts*heartbeatTimeout)
 }
 
-// ShouldReturnUnrecorded reports whether the return of a machine that should be fenced must
-// not wait for its record any longer. stateDown means that the state service accepts no
+// ShouldReturnUnrecorded reports whether a machine that should be fenced has to be returned
+// although its return is not recorded yet. stateDown means that the state service accepts no
 // record.
 func (t CancelledTask) ShouldReturnUnrecorded(limit time.Duration, stateDown bool) bool {
 	if stateDown {
--- a/internal/coordination/health/partition_test.go
+++ b/internal/coordination/health/partition_test.go
@@ -36,8 +36,8 @@
 		want        string
 	}{
 		"all of b silent, its controller not live":     {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 20, 9*sec)), noneLive, "map[b:true]"},
-		"a fifth of b is heard":                        {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 16, 9*sec), machinesSilentFor("b", 4, sec)), noneLive, "map[b:true]"},
-		"a quarter of b is heard":                      {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 15, 9*sec), machinesSilentFor("b", 5, sec)), noneLive, "map[]"},
+		"a fifth of b is in contact":                   {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 16, 9*sec), machinesSilentFor("b", 4, sec)), noneLive, "map[b:true]"},
+		"a quarter of b is in contact":                 {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 15, 9*sec), machinesSilentFor("b", 5, sec)), noneLive, "map[]"},
 		"b's controller is live: its machines hang":    {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 20, 9*sec)), allLive, "map[]"},
 		"all of b silent, but not for the timeout yet": {concat(machinesSilentFor("a", 20, sec), machinesSilentFor("b", 20, 5*sec)), noneLive, "map[]"},
 		"all silent: the fault is the caller's":        {concat(machinesSilentFor("a", 20, 9*sec), machinesSilentFor("b", 20, 9*sec)), noneLive, "map[]"},
--- a/internal/coordination/health/reachability_test.go
+++ b/internal/coordination/health/reachability_test.go
@@ -15,12 +15,12 @@
 		likelyCannotReceive, cannotReceive bool
 	}{
 		"one call is lost": {func(r *Reachability) { r.RecordAnswer(at(1)); r.RecordFailure(at(5), at(4)) }, false, false},
-		"two calls are lost, and it was heard in between": {func(r *Reachability) {
+		"two calls are lost, a message arrived in between": {func(r *Reachability) {
 			r.RecordAnswer(at(1))
 			r.RecordFailure(at(5), at(4))
 			r.RecordFailure(at(9), at(7))
 		}, true, false},
-		"two calls are lost, and it was silent": {func(r *Reachability) {
+		"two calls are lost, no message arrived in between": {func(r *Reachability) {
 			r.RecordAnswer(at(1))
 			r.RecordFailure(at(5), at(4))
 			r.RecordFailure(at(9), at(4))
--- a/internal/coordination/quota/limits_test.go
+++ b/internal/coordination/quota/limits_test.go
@@ -52,7 +52,7 @@
 	return clusterState
 }
 
-// expectChanges commits the changes of the limit that a controller has due, and checks their
+// expectChanges commits the steps of LimitChanges that are due at a controller, and checks their
 // descriptions.
 func (l *limitedTeam) expectChanges(m *Manager, isLeader bool, want ...string) {
 	l.t.Helper()
--- a/internal/coordination/replica/job.go
+++ b/internal/coordination/replica/job.go
@@ -20,7 +20,7 @@
 	FinalAt       time.Time              // when its cancellation was accepted, or else when this controller first read it as final
 	NotifiedAt    map[string]time.Time   // by other controller: when it last confirmed the job's cancellation
 	Evidence      quarantine.JobEvidence // of failures, and of successes after them
-	NotBefore     time.Time              // earliest next start, after an agent refused one because the job was unknown to it
+	NotBefore     time.Time              // earliest next start, after an agent rejected one because the job was unknown to it
 	DeferredUntil map[int]time.Time      // by chunk: earliest next claim, while another shard is expected to claim the chunk
 	Inherited     Inheritance            // from the jobs that depend on it
 	claimKeys     []string               // of its claims, by chunk; built by the first call of ClaimKey
--- a/internal/coordination/replica/machine.go
+++ b/internal/coordination/replica/machine.go
@@ -34,7 +34,7 @@
 	Heartbeat          *protocol.Heartbeat             // the newest, by epoch and sequence; nil: none yet
 	Tasks              map[string]*protocol.TaskStatus // by name, as the newest heartbeat lists them
 	LastContact        time.Time                       // when the newest heartbeat or answer to a direct call arrived
-	LastHeartbeat      time.Time                       // when a heartbeat last arrived that the agent sent by itself
+	LastHeartbeat      time.Time                       // when a heartbeat last arrived that is not the answer to a direct call
 	ContactRestoredAt  time.Time                       // when contact was last restored after a silence
 	RunningSince       map[string]time.Time            // by task: when it was first reported as running
 	PreemptionNoticeAt time.Time                       // when the agent of a spot instance first reported a preemption notice; zero: none
@@ -52,19 +52,19 @@
 }
 
 // QuarantineState is whether tasks may be placed on a machine, judged by the tasks that
-// failed or were refused there.
+// failed or were rejected there.
 type QuarantineState struct {
 	Evidence       quarantine.MachineEvidence
 	Active         bool      // the machine is quarantined
 	ChangedAt      time.Time // when Active last changed
-	RejectingUntil time.Time // no start before, since the agent refused one for lack of capacity
+	RejectingUntil time.Time // until then nothing is placed there, since the agent rejected a start for lack of capacity
 }
 
 // Lifecycle is the state of a machine between boot and return.
 type Lifecycle struct {
-	Overdue       bool      // it did not boot in the expected time
-	IdleSince     time.Time // since when it is idle; zero: it is in use
-	DrainingSince time.Time // zero: it is not being drained
+	Overdue       bool      // the machine did not boot in the expected time
+	IdleSince     time.Time // when the machine became idle; zero: it is in use
+	DrainingSince time.Time // when the drain of the machine began; zero: it is not being drained
 	Returning     bool      // a commit of its return is in progress
 	ReturnRetryAt time.Time // earliest next attempt to return it or to record that it is gone
 	Gone          bool      // the cloud has confirmed its return, which may not be recorded yet
--- a/internal/coordination/replica/recount.go
+++ b/internal/coordination/replica/recount.go
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// checkShards compares each shard's claims and machines. Of the claims that no shard lists,
-// those without a shard must be in the index of cross-shard claims, and no others.
+// checkShards compares each shard's claims and machines. Of the claims that no shard
+// lists, exactly those that have no shard must be in the index of cross-shard claims.
 func (v *View) checkShards(counted *recount) error {
 	for _, shard := range v.Shards {
 		for claim := range shard.Claims {
--- a/internal/storage/kv/limiter.go
+++ b/internal/storage/kv/limiter.go
@@ -134,9 +134,9 @@
 	return l.initial
 }
 
-// recordRefused records that the service refused a batch, given as one transaction. If the
-// batch exceeds only the announced limits, these are in effect from now on. It reports
-// whether this refusal put them into effect.
+// recordRefused records that the service refused a batch. merged holds all changes and
+// conditions of the batch (see mergeBatch). If the batch exceeds only the announced limits,
+// these are in effect from now on. It reports whether this refusal put them into effect.
 func (l *learnedLimits) recordRefused(merged *Txn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/storage/kv/send_test.go
+++ b/internal/storage/kv/send_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestTooLargeAndExpiredTransactionsFail: a transaction that is larger than the state service
-// accepts is rejected, and one whose deadline passes while the service is unavailable
-// ends with ErrNotExecuted.
+// accepts is rejected, and one whose deadline passes while the service is unavailable is not
+// sent again and ends with ErrNotExecuted.
 func TestTooLargeAndExpiredTransactionsFail(t *testing.T) {
 	s := &scriptedService{answer: func(int, string) (int, string, error) { return 503, "", nil }}
 	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
