--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -250,8 +250,8 @@
 }
 
 // cleanupPlaced returns the cleanup command for a task that is placed on its machine, and reports
-// whether the task needs one: a stop, or a reap so that a gang's task that exited because it
-// waited too long for the others can start again.
+// whether the task needs one: a stop, or a reap for a task of a gang that waited too long for the
+// others and exited, so that it can start again.
 func (c *Controller) cleanupPlaced(machine *replica.Machine, claim *replica.Claim, placement *records.Placement, status *protocol.TaskStatus, now time.Time) (protocol.Command, bool) {
 	grace, stop := c.shouldStop(claim, placement, now)
 	exited := status.Phase == protocol.TaskExited
--- a/internal/coordination/controller/boots.go
+++ b/internal/coordination/controller/boots.go
@@ -26,8 +26,8 @@
 	booting := 0
 	for _, machine := range shard.Machines {
 		// Only machines that were provisioned while this process owned the shard count. This
-		// process does not have the heartbeats that an earlier owner received, so that all
-		// other machines would appear overdue.
+		// process does not have the heartbeats that an earlier owner received, and without
+		// them all other machines would appear overdue.
 		if machine.Agent.Heartbeat != nil || machine.Lifecycle.Returning || !shard.OwnedSince.Before(time.UnixMilli(machine.Record.RentedAtMs)) {
 			continue
 		}
--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -43,8 +43,8 @@
 type cancellationPass struct {
 	now time.Time
 	// mayAct is set if this process has neither just started nor just resumed after a pause.
-	// Until then it has the age of a cancellation, but may not have received what other
-	// controllers have done about it.
+	// Until then the age of a cancellation is available, but messages about what other
+	// controllers have done may still be missing.
 	mayAct     bool
 	unrecorded []string // hosts to be returned without a record
 	probes     map[*replica.Machine]bool
--- a/internal/coordination/controller/capacities.go
+++ b/internal/coordination/controller/capacities.go
@@ -95,8 +95,8 @@
 	return machine.Quarantine.Active || rejecting || machine.Capacity.UnknownUse || len(machine.Commands.Unknown) > 0
 }
 
-// isReachable reports whether a machine has given a sign of life within the policy's
-// SuspectAfter, can receive commands, and can report.
+// isReachable reports whether a machine was in contact within the policy's SuspectAfter, can receive
+// commands, and can report.
 func (c *Controller) isReachable(machine *replica.Machine, now time.Time) bool {
 	return c.silenceOf(machine, now) < c.policy.SuspectAfter && !machine.Detector.Reachability.CannotReceive() && !c.cannotReport(machine, now)
 }
@@ -168,8 +168,8 @@
 // evictionTime is how soon an evicted task is expected to have released its capacity.
 const evictionTime = 300 * time.Millisecond
 
-// addRelease adds the expected end of a task to its machine's releases, unless the task is of
-// a service, and the task to the machine's victims if it can be preempted.
+// addRelease adds a task's expected end to the releases of its machine, unless the task belongs to
+// a service, whose tasks do not end. If the task can be preempted, it is added to the victims.
 func (c *Controller) addRelease(machine *replica.Machine, slot *replica.Slot, now time.Time) {
 	claim := slot.Claim
 	startedAt, running := machine.Agent.RunningSince[slot.TaskName]
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -54,7 +54,7 @@
 	claimIntents    []string                      // keys of new claims not yet announced to the other controllers
 	nextRepeated    string                        // the cancelled job with which the next message's repeated cancellations begin
 	readingOrphans  bool                          // a goroutine is reading the jobs of orphaned claims
-	refreshCount    int                           // refreshes of keys started after failed transactions; each is numbered by the count
+	refreshCount    int                           // refreshes of keys started so far; the count numbers each new refresh
 	gangsSearchedAt time.Time                     // when capacity for gangs was last searched for
 	scratch         capacityScratch
 }
--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -114,7 +114,7 @@
 		}
 		statuses[team] = markWithinGuarantee(entry, status)
 	}
-	slices.SortStableFunc(queue, comparePrecedence) // StartsAhead is not set yet
+	slices.SortStableFunc(queue, comparePrecedence) // by priority and guarantee, since StartsAhead is set only later
 }
 
 // markWithinGuarantee marks an entry as within its team's guarantee if the team's status
--- a/internal/coordination/controller/queue.go
+++ b/internal/coordination/controller/queue.go
@@ -78,8 +78,8 @@
 	return entries, allPlaced
 }
 
-// isPlaced reports whether no task of an entry is left to be placed, by the committed
-// version of its claim.
+// isPlaced reports whether the committed version of an entry's claim leaves no task to be placed.
+// It returns false while another version is being committed.
 func isPlaced(entry *placement.QueueEntry) bool {
 	return entry.Claim != nil && entry.Claim.Pending == nil && entry.PlaceableTasks() == 0
 }
--- a/internal/coordination/controller/replies.go
+++ b/internal/coordination/controller/replies.go
@@ -176,7 +176,7 @@
 	switch {
 	case !status.known || status.version == old:
 		reply(unavailable(shortRetry))
-	case c.isUndecided(jobID): // happens at most once: the record of a blocked job is written once
+	case c.isUndecided(jobID): // repeated at most once, since the record of a blocked job is written only once
 		c.confirmStatus(jobID, time.Until(until), onNotFound, reply)
 	default:
 		c.replyStatus(jobID, http.StatusOK, time.Until(until), reply)
--- a/internal/coordination/controller/schedule.go
+++ b/internal/coordination/controller/schedule.go
@@ -257,7 +257,7 @@
 	}
 	if isGang && entry.Claim != nil && len(entry.Claim.Record.Placements) > 0 {
 		placement.ReleaseAssignments(entry.Spec, assignments, capacities)
-		return false, false // the old attempt has to be gone first
+		return false, false // all placements of the gang's former attempt have to end first
 	}
 	if entry.Claim != nil {
 		c.recordCompletions(entry.Claim, next)
--- a/internal/coordination/health/isolation.go
+++ b/internal/coordination/health/isolation.go
@@ -1,7 +1,7 @@
 package health
 
-// ShardSilence counts the machines of one shard that a controller acts for, by the time
-// since their last heartbeat or answer to a probe arrived.
+// ShardSilence counts the silent machines of one shard that a controller acts for. A machine
+// is silent if its last heartbeat or answer to a probe arrived longer ago than a timeout.
 type ShardSilence struct {
 	Home      bool // the controller's own shard, not one that it has taken over
 	Reporting int  // machines from which this process has received a heartbeat or an answer
--- a/internal/coordination/health/partition.go
+++ b/internal/coordination/health/partition.go
@@ -90,11 +90,11 @@
 }
 
 // FenceDelay returns how long a machine may be silent before it is fenced: usual, or
-// patience if that is longer and the machine's zone is partitioned. Behind a partition the
-// machine's tasks most likely continue to run; patience bounds the delay.
-func FenceDelay(usual, patience time.Duration, partitioned bool) time.Duration {
+// partitionDelay if that is longer and the machine's zone is partitioned. Behind a partition the
+// machine's tasks most likely continue to run; partitionDelay bounds the time that they get.
+func FenceDelay(usual, partitionDelay time.Duration, partitioned bool) time.Duration {
 	if partitioned {
-		return max(usual, patience)
+		return max(usual, partitionDelay)
 	}
 	return usual
 }
--- a/internal/coordination/replica/shard.go
+++ b/internal/coordination/replica/shard.go
@@ -42,8 +42,8 @@
 	NeedsNewToken  bool // a new token is needed, to invalidate messages or commands sent under the present one
 	TokenRaisedAt  time.Time
 	OwnerlessSince time.Time // since when this process observes that the owner's lease has expired; zero: it has not
-	// NewOwner is a controller that has notified this one that it acquired the shard, before
-	// the shard's record of this arrived, and NewOwnerToken is its fencing token. Empty: none.
+	// NewOwner is a controller that reported its ownership of the shard before the shard's
+	// record arrived here, and NewOwnerToken is its fencing token. Empty: none.
 	NewOwner      string
 	NewOwnerToken uint64
 }
--- a/internal/simtest/guards_test.go
+++ b/internal/simtest/guards_test.go
@@ -122,7 +122,7 @@
 			c.endGangReservation`},
 	{"a gang's old attempt has to be gone", "coordination/controller/schedule.go", `	if isGang && entry.Claim != nil && len(entry.Claim.Record.Placements) > 0 {
 		placement.ReleaseAssignments(entry.Spec, assignments, capacities)
-		return false, false // the old attempt has to be gone first
+		return false, false // all placements of the gang's former attempt have to end first
 	}
 `, ``},
 	{"done frees a placement under the present token only", "coordination/controller/reconcile.go", `if !task.machine.ShowsToken(task.shard) && !isReturned(task.machine) {
