--- a/internal/coordination/controller/capacities.go
+++ b/internal/coordination/controller/capacities.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// fillCapacity sets a capacity to what a machine has free.
+// fillCapacity sets a capacity to the state of a machine: its free resources, whether new tasks may
+// start there, when it is expected to have booted, and which jobs avoid it.
 func (c *Controller) fillCapacity(capacity *placement.Capacity, shard *replica.Shard, machine *replica.Machine, machineType *protocol.MachineType, now time.Time) {
 	*capacity = placement.Capacity{
 		Releases: capacity.Releases[:0], // the memory is reused
@@ -66,7 +67,7 @@
 	}
 	for _, avoiding := range machine.Quarantine.Evidence.AvoidedBy(now) {
 		if job := c.view.Jobs[avoiding]; job != nil && job.OnProbation(now) {
-			continue // the fault is the job's own, and trying it again costs least where its image is cached
+			continue // the job fails on every machine; a retry costs least where its image is cached
 		}
 		if capacity.AvoidedBy == nil {
 			capacity.AvoidedBy = make(map[string]bool)
@@ -94,8 +95,8 @@
 	return machine.Quarantine.Active || rejecting || machine.Capacity.UnknownUse || len(machine.Commands.Unknown) > 0
 }
 
-// isReachable reports whether a machine has given a sign of life within the policy's
-// SuspectAfter, can receive commands, and can report.
+// isReachable reports whether a machine was in contact within the policy's SuspectAfter, can receive
+// commands, and can report.
 func (c *Controller) isReachable(machine *replica.Machine, now time.Time) bool {
 	return c.silenceOf(machine, now) < c.policy.SuspectAfter && !machine.Detector.Reachability.CannotReceive() && !c.cannotReport(machine, now)
 }
@@ -167,8 +168,8 @@
 // evictionTime is how soon an evicted task is expected to have released its capacity.
 const evictionTime = 300 * time.Millisecond
 
-// addRelease adds the expected end of a task to its machine's releases, unless the task is of
-// a service, and the task to the machine's victims if it can be preempted.
+// addRelease adds a task's expected end to the releases of its machine, unless the task belongs to
+// a service, whose tasks do not end. If the task can be preempted, it is added to the victims.
 func (c *Controller) addRelease(machine *replica.Machine, slot *replica.Slot, now time.Time) {
 	claim := slot.Claim
 	startedAt, running := machine.Agent.RunningSince[slot.TaskName]
--- a/internal/coordination/controller/queue.go
+++ b/internal/coordination/controller/queue.go
@@ -78,8 +78,8 @@
 	return entries, allPlaced
 }
 
-// isPlaced reports whether no task of an entry is left to be placed, by the committed
-// version of its claim.
+// isPlaced reports whether the committed version of an entry's claim leaves no task to be placed.
+// It returns false while another version is being committed.
 func isPlaced(entry *placement.QueueEntry) bool {
 	return entry.Claim != nil && entry.Claim.Pending == nil && entry.PlaceableTasks() == 0
 }
@@ -183,7 +183,7 @@
 }
 
 // shardScore returns the score of a shard for a job, which rises with the shard's load. The
-// load is the CPUs in use, the CPUs queued, and the CPUs that this node has queued there
+// load is the CPUs in use, the CPUs queued, and the CPUs that this controller has queued there
 // since the shard last reported its load. The last part spreads a burst of jobs over the
 // shards.
 func (c *Controller) shardScore(shard *replica.Shard, spec *protocol.Submission, now time.Time) float64 {
--- a/internal/coordination/controller/replies.go
+++ b/internal/coordination/controller/replies.go
@@ -62,7 +62,7 @@
 // is sent once the watch has reached the cancellation: no task of the job is placed after that
 // revision, so this controller's view then has every machine that may run a task of the job,
 // and this controller can end the tasks when no other can. If the answer were sent at once, a
-// claim that its owner committed just before it was cut off could be missing from the views of
+// claim that its owner committed just before it was partitioned could be missing from the views of
 // all other controllers in an outage. If the watch does not reach the cancellation in time, the
 // user is asked to retry.
 func (c *Controller) replyStatus(jobID string, status int, within time.Duration, reply func(transport.Response)) {
@@ -176,7 +176,7 @@
 	switch {
 	case !status.known || status.version == old:
 		reply(unavailable(shortRetry))
-	case c.isUndecided(jobID): // happens at most once: the record of a blocked job is written once
+	case c.isUndecided(jobID): // repeated at most once, since the record of a blocked job is written only once
 		c.confirmStatus(jobID, time.Until(until), onNotFound, reply)
 	default:
 		c.replyStatus(jobID, http.StatusOK, time.Until(until), reply)
--- a/internal/coordination/controller/schedule.go
+++ b/internal/coordination/controller/schedule.go
@@ -19,7 +19,7 @@
 	demands    *passDemands
 	now        time.Time
 
-	largestFree    protocol.MachineResources     // upper bound of what any usable machine has free
+	largestFree    protocol.MachineResources     // upper bound of the free capacity of any usable machine
 	blocked        bool                          // an earlier entry waits for capacity
 	delaysArrays   bool                          // arrays are not placed in this pass
 	failedRequests map[placement.RequestKey]bool // requests for which this pass found no capacity
@@ -257,7 +257,7 @@
 	}
 	if isGang && entry.Claim != nil && len(entry.Claim.Record.Placements) > 0 {
 		placement.ReleaseAssignments(entry.Spec, assignments, capacities)
-		return false, false // the old attempt has to be gone first
+		return false, false // all placements of the gang's former attempt have to end first
 	}
 	if entry.Claim != nil {
 		c.recordCompletions(entry.Claim, next)
