--- a/internal/simtest/command.go
+++ b/internal/simtest/command.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// command is a line's fields without its time: a verb and its arguments.
+// command holds the fields of a script line after the time: a verb and its arguments.
 type command []string
 
-// arg returns the i-th field, the verb being the first; it is empty if there are fewer.
+// arg returns field i, or an empty string if the line has fewer fields. Field 0 is the verb.
 func (f command) arg(i int) string {
 	if i < len(f) {
 		return f[i]
@@ -18,16 +18,16 @@
 	return ""
 }
 
-// number returns the i-th field as a number, 0 if it is none.
+// number returns field i as a number, or 0 if the field is not a number.
 func (f command) number(i int) int {
 	n, _ := strconv.Atoi(f.arg(i))
 	return n
 }
 
-// isOn reports whether the i-th field switches something on.
+// isOn reports whether field i is "on".
 func (f command) isOn(i int) bool { return f.arg(i) == "on" }
 
-// scriptLines splits a script into its lines, without those that are empty or comments.
+// scriptLines splits a script into its lines and leaves out empty lines and comment lines.
 func scriptLines(script string) []string {
 	return slices.DeleteFunc(strings.Split(script, "\n"), func(line string) bool {
 		line, _, _ = strings.Cut(line, "#")
@@ -35,7 +35,8 @@
 	})
 }
 
-// parseRate reads "COUNT for TIME" after a verb.
+// parseRate parses the arguments "COUNT for TIME" of a verb: a number of requests a second and
+// for how long they are sent.
 func parseRate(verb string, args []string) (count int, last time.Duration, err error) {
 	if len(args) == 3 && args[1] == "for" {
 		if count, err = strconv.Atoi(args[0]); err == nil {
--- a/internal/simtest/verbs.go
+++ b/internal/simtest/verbs.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// verbHandler carries out a line whose first field is its verb.
+// verbHandler executes a line. Field 0 of f is the verb.
 type verbHandler func(c *cluster, f command) error
 
-// allVerbs lists what a script can say, each group in a file of its own.
+// allVerbs returns the handlers of all verbs that a script can use. Each group of verbs is
+// implemented in a file of its own.
 func allVerbs() map[string]verbHandler {
 	verbs := map[string]verbHandler{
 		"calm":   func(c *cluster, _ command) error { return c.checkQuiescence() },
@@ -22,8 +23,8 @@
 	return verbs
 }
 
-// do carries out one line. One that ends in "for 5s" also has what it begins
-// end by itself, so that a shrunk script keeps the two together.
+// do executes one line. If the line ends in a duration, such as "for 5s", its effect is undone
+// after that time. Shrinking a script thus removes the begin and the end of a fault together.
 func (c *cluster) do(f command) error {
 	if k := len(f) - 2; k > 0 && f[k] == "for" && f[0] != "polls" && f[0] != "stream" {
 		return c.doFor(f[:k], f[k+1])
@@ -34,10 +35,10 @@
 	return scriptErrorf("unknown step %q", f[0])
 }
 
-// opposites names what ends a thing that a line has begin.
+// opposites maps the word of a line that begins an effect to the word that ends it.
 var opposites = map[string]string{"kill": "start", "on": "off", "hang": "resume", "cut": "heal", "sick": "well", "slow": "well", "deaf": "hears", "mute": "speaks"}
 
-// doFor carries out a line and, after some time, its opposite.
+// doFor executes a line and, after the duration, its opposite.
 func (c *cluster) doFor(f command, duration string) error {
 	last, err := time.ParseDuration(duration)
 	if err != nil {
@@ -45,7 +46,7 @@
 	}
 	begin := slices.Clone(f)
 	if jobID, ok := strings.CutPrefix(begin[min(1, len(f)-1)], "@"); ok {
-		begin[1] = strings.TrimPrefix(c.world.HostOf(jobID), "vm-") // both are of the same machine
+		begin[1] = strings.TrimPrefix(c.world.HostOf(jobID), "vm-") // resolved once, so that both lines affect the same machine
 	}
 	end, err := oppositeOf(begin)
 	if err != nil {
@@ -54,7 +55,8 @@
 	if err := c.do(begin); err != nil {
 		return err
 	}
-	// After what the script does at that instant, and one end after the other.
+	// The offset puts the end after the lines of the script at the same instant, and makes
+	// the ends of different steps differ, so that their order is the same in every run.
 	c.endings++
 	last += time.Duration(c.endings) * 23 * time.Nanosecond
 	c.users.Go(func() {
@@ -67,8 +69,8 @@
 	return nil
 }
 
-// oppositeOf returns the line that ends what a line begins: its verb or its last word
-// says what that is.
+// oppositeOf returns the line that ends the effect of a line. The verb or the last word is
+// replaced by its opposite; a line with an opposite for neither is an error.
 func oppositeOf(begin command) (command, error) {
 	end := slices.Clone(begin)
 	for i, word := range begin {
--- a/internal/simtest/verbs_configuration.go
+++ b/internal/simtest/verbs_configuration.go
@@ -10,14 +10,15 @@
 	"madderslip/internal/protocol"
 )
 
-// configurationVerbs are about what controllers are told when they start, and about the
-// limits that the state service and the teams then have.
+// configurationVerbs are the verbs that change the settings of controllers that start later,
+// and the limits that the state service and the emulator's rules apply.
 func configurationVerbs() map[string]verbHandler {
 	return map[string]verbHandler{
 		"team":     (*cluster).reconfigure,
 		"allot":    (*cluster).reconfigure,
 		"announce": (*cluster).reconfigure,
-		// hold TEAM: from now on its limit is what controllers were told last
+		// hold TEAM: from now on the emulator's rules apply the team's limit as it was last
+		// configured, also if that is lower than an earlier limit
 		"hold": func(c *cluster, f command) error {
 			c.checkerMu.Lock()
 			team := c.teams[f.arg(1)]
@@ -25,13 +26,13 @@
 			c.world.SetTeam(team)
 			return nil
 		},
-		// lower: the state service's limits are those announced from now on
+		// lower: the state service applies the announced limits from now on
 		"lower": func(c *cluster, _ command) error { return c.lowerStateLimits() },
 	}
 }
 
-// reconfigure carries out "team", "allot" and "announce" for controllers that start from
-// now on. Those at 0s were carried out before any started.
+// reconfigure executes "team", "allot" and "announce" for controllers that start from now on.
+// It skips lines at 0s: configureBeforeStart has executed them before any controller started.
 func (c *cluster) reconfigure(f command) error {
 	if time.Since(c.began) > 0 {
 		return c.configure(f)
@@ -39,13 +40,13 @@
 	return nil
 }
 
-// configure changes what controllers are told that start from now on; those that run keep
-// theirs.
+// configure changes the settings of controllers that start from now on. Running controllers
+// keep their settings.
 func (c *cluster) configure(f command) error {
 	switch f[0] {
 	case "announce":
 		return c.announceStateLimits(f[1:])
-	case "allot": // allot on|off: team limits are allotted to shards, or kept in one record
+	case "allot": // allot on|off: team limits are allotted to shards, or use is counted in one record a team
 		c.mu.Lock()
 		c.withoutAllotments = f[1] == "off"
 		c.mu.Unlock()
@@ -54,7 +55,8 @@
 	return c.configureTeam(f[1], f[2:])
 }
 
-// configureTeam carries out "team NAME cpus=.. most=.. cards=.. mostcards=..".
+// configureTeam executes "team NAME cpus=.. most=.. cards=.. mostcards=..": the guarantee and
+// the limit of CPUs, and those of GPUs.
 func (c *cluster) configureTeam(name string, words []string) error {
 	team := protocol.Team{Name: name}
 	for _, word := range words {
@@ -71,14 +73,15 @@
 	c.teams[team.Name] = team
 	c.checkerMu.Unlock()
 	if time.Since(c.began) > 0 {
-		// Until all controllers have been told the higher limit may be used.
+		// Until all controllers have restarted with the new settings, the team may use up to
+		// the higher limit.
 		team.MaxCPUs, team.MaxGPUs = higherLimit(team.MaxCPUs, before.MaxCPUs), higherLimit(team.MaxGPUs, before.MaxGPUs)
 	}
 	c.world.SetTeam(team)
 	return nil
 }
 
-// higherLimit returns the higher of two limits; 0 is none.
+// higherLimit returns the higher of two limits; 0 means unlimited.
 func higherLimit(a, b float64) float64 {
 	if a == 0 || b == 0 {
 		return 0
@@ -86,8 +89,8 @@
 	return max(a, b)
 }
 
-// announceStateLimits carries out "announce VALUE-BYTES CHANGES RATE": the state service's
-// coming limits, for controllers that start from now on.
+// announceStateLimits executes "announce VALUE-BYTES CHANGES RATE": the settings of controllers
+// that start from now on announce these future limits of the state service.
 func (c *cluster) announceStateLimits(args []string) error {
 	var announced protocol.StateLimits
 	text := strings.Join(args, " ")
@@ -100,7 +103,7 @@
 	return nil
 }
 
-// lowerStateLimits has the state service lower its limits to those announced.
+// lowerStateLimits lowers the limits of the state service to the announced ones.
 func (c *cluster) lowerStateLimits() error {
 	c.mu.Lock()
 	announced := c.announced
--- a/internal/simtest/verbs_controllers.go
+++ b/internal/simtest/verbs_controllers.go
@@ -1,6 +1,6 @@
 package simtest
 
-// controllerVerbs are what happens to controllers as processes.
+// controllerVerbs are the verbs that affect the processes of controllers.
 func controllerVerbs() map[string]verbHandler {
 	return map[string]verbHandler{
 		// controllers COUNT: see controllerCount
@@ -10,14 +10,15 @@
 			return c.eachNamed(f, func(name string) error { c.kill(name); return nil })
 		},
 		"start": func(c *cluster, f command) error { return c.eachNamed(f, c.start) },
-		// freeze NODE|all on|off: its process stands still
+		// freeze NODE|all on|off: the controller's process is paused
 		"freeze": func(c *cluster, f command) error {
 			return c.eachNamed(f, func(name string) error {
 				c.world.SetFault("freeze "+name, f.isOn(2))
 				return nil
 			})
 		},
-		// older NODE|all on|off: it answers others as versions did that don't say what they took
+		// older NODE|all on|off: the controller returns no response body to its peers, as
+		// versions do that do not report whether they applied a message
 		"older": func(c *cluster, f command) error {
 			return c.eachNamed(f, func(name string) error {
 				c.mu.Lock()
@@ -29,7 +30,8 @@
 	}
 }
 
-// eachNamed does something for the controller that a line's first argument names, or all.
+// eachNamed calls do for the controller named by the first argument of a line, or for every
+// controller if the argument is "all".
 func (c *cluster) eachNamed(f command, do func(name string) error) error {
 	for _, name := range c.names {
 		if f.arg(1) == name || f.arg(1) == "all" {
--- a/internal/simtest/verbs_machines.go
+++ b/internal/simtest/verbs_machines.go
@@ -6,20 +6,21 @@
 	"madderslip/internal/emulator"
 )
 
-// machineVerbs are what happens to machines.
+// machineVerbs are the verbs that affect machines.
 func machineVerbs() map[string]verbHandler {
 	return map[string]verbHandler{
 		"machines": (*cluster).addMachines,
 		"vm":       (*cluster).setMachine,
 		"death":    (*cluster).killMachines,
 		"reboot":   (*cluster).rebootMachines,
-		// spare COUNT: what the cloud has left to rent
+		// spare COUNT: the number of machines that the cloud has left to rent
 		"spare": func(c *cluster, f command) error { c.world.SetSpare(f.number(1)); return nil },
 		"wave":  (*cluster).reclaimSpot,
 	}
 }
 
-// addMachines carries out "machines COUNT ZONE [TYPE [cheap]]".
+// addMachines executes "machines COUNT ZONE [TYPE [cheap]]": it adds booted machines of a type,
+// by default the emulator's first, and as spot machines with "cheap".
 func (c *cluster) addMachines(f command) error {
 	typ := f.arg(3)
 	if typ == "" {
@@ -29,9 +30,9 @@
 	return nil
 }
 
-// setMachine carries out
-// "vm HOST hang|resume|cut|heal|sick|slow|well|deaf|hears|mute|speaks|notice|take|die|reboot";
-// the host @JOB is the machine of a task of that job.
+// setMachine executes
+// "vm HOST hang|resume|cut|heal|sick|slow|well|deaf|hears|mute|speaks|notice|take|die|reboot".
+// HOST is a machine's number, or @JOB for a machine that has a task of that job.
 func (c *cluster) setMachine(f command) error {
 	if !emulator.IsMachineFault(f.arg(2)) {
 		return scriptErrorf("a machine does not %q", f.arg(2))
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// killMachines carries out "death PERCENT [ZONE]": so many of the machines die at once.
+// killMachines executes "death PERCENT [ZONE]": that share of the machines crashes at once.
 func (c *cluster) killMachines(f command) error {
 	hosts := c.world.Hosts(false)
 	if f.arg(2) != "" {
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// rebootMachines carries out "reboot PERCENT": so many of the machines begin again at once.
+// rebootMachines executes "reboot PERCENT": that share of the machines reboots at once.
 func (c *cluster) rebootMachines(f command) error {
 	for _, host := range firstPercent(c.world.Hosts(false), f.number(1)) {
 		c.world.SetMachineFault(host, "reboot")
@@ -64,10 +65,11 @@
 	return nil
 }
 
-// firstPercent returns the first so many hosts in a hundred, rounded up.
+// firstPercent returns the first percent of the hosts, rounded up to whole hosts.
 func firstPercent(hosts []string, percent int) []string { return hosts[:(len(hosts)*percent+99)/100] }
 
-// reclaimSpot carries out "wave notice|take": the cloud wants its spot machines back.
+// reclaimSpot executes "wave notice|take": the cloud reclaims all spot machines, after a
+// preemption notice or at once.
 func (c *cluster) reclaimSpot(f command) error {
 	for _, host := range c.world.Hosts(true) {
 		c.world.SetMachineFault(host, f.arg(1))
--- a/internal/simtest/verbs_network.go
+++ b/internal/simtest/verbs_network.go
@@ -7,22 +7,24 @@
 	"madderslip/internal/emulator"
 )
 
-// networkVerbs are faults of the state service, the cloud and the links.
+// networkVerbs are the verbs that begin and end faults of the state service, the cloud and the
+// network.
 func networkVerbs() map[string]verbHandler {
 	return map[string]verbHandler{
-		// outage on|off: the state service serves nobody
+		// outage on|off: the state service is down
 		"outage": func(c *cluster, f command) error { c.world.SetFault("outage", f.isOn(1)); return nil },
-		// refuse NODE on|off: the state service serves all but this controller
+		// refuse NODE on|off: the state service refuses this controller and serves the others
 		"refuse": func(c *cluster, f command) error { c.world.SetFault("refuse "+f.arg(1), f.isOn(2)); return nil },
-		// deafen NODE on|off: no worker reaches this controller
+		// deafen NODE on|off: this controller and the agents cannot reach each other
 		"deafen": func(c *cluster, f command) error { c.world.SetFault("deaf "+f.arg(1), f.isOn(2)); return nil },
-		// zone ZONE cut|heal
+		// zone ZONE cut|heal: the zone is cut off from everything outside it
 		"zone":    func(c *cluster, f command) error { c.world.SetFault("zone "+f.arg(1), f.arg(2) == "cut"); return nil },
 		"trouble": (*cluster).setFault,
 	}
 }
 
-// setFault carries out "trouble NAME [NODE] on|off".
+// setFault executes "trouble NAME [NODE] on|off". NAME is a fault that emulator.World.SetFault
+// supports, of the whole world or of one controller or zone.
 func (c *cluster) setFault(f command) error {
 	last := len(f) - 1
 	name, how := strings.Join(f[1:max(1, last)], " "), f[last]
--- a/internal/simtest/verbs_users.go
+++ b/internal/simtest/verbs_users.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// userVerbs are what users do.
+// userVerbs are the verbs that make user requests.
 func userVerbs() map[string]verbHandler {
 	return map[string]verbHandler{
 		"submit":  (*cluster).submit,
@@ -19,7 +19,7 @@
 	}
 }
 
-// submit carries out "submit NODE JOB SHAPE key=value ..." and waits for the answer.
+// submit executes "submit NODE JOB SHAPE key=value ..." and waits for the response.
 func (c *cluster) submit(f command) error {
 	job, want, err := parseJob(f[2:])
 	if err != nil {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// cancelJob carries out "abort NODE JOB" and waits for the answer.
+// cancelJob executes "abort NODE JOB" and waits for the response.
 func (c *cluster) cancelJob(f command) error {
 	if got := c.world.Cancel(f.arg(1), f.arg(2)); got != 200 {
 		return fmt.Errorf("answered %d", got)
@@ -39,9 +39,10 @@
 	return nil
 }
 
-// user carries out "user NODE submit|abort|poll JOB ...", which is not waited for and is
-// repeated as users do. Users begin one after the other: of two that asked the same node
-// at the same instant nobody could repeat who was first.
+// user executes "user NODE submit|abort|poll JOB ..." without waiting for the response. Users
+// repeat a submission or a cancellation until it is answered. Each call sleeps for 1 ns before
+// it returns: the order of two requests to the same node at the same instant would differ
+// between runs.
 func (c *cluster) user(node, what string, args []string) error {
 	defer time.Sleep(time.Nanosecond)
 	switch what {
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// cancelRunning carries out "calloff COUNT [hang TIME]": jobs that run are cancelled at
-// once, and up to eight machines of theirs hang so long.
+// cancelRunning executes "calloff COUNT [hang TIME]": users cancel that number of running jobs
+// within 200 ms, and up to eight machines of these jobs hang for TIME.
 func (c *cluster) cancelRunning(args []string) error {
 	count, hang, err := parseCallOff(args)
 	if err != nil {
@@ -82,6 +83,7 @@
 	return nil
 }
 
+// parseCallOff parses the arguments of "calloff". The duration is 0 if no machine is to hang.
 func parseCallOff(args []string) (count int, hang time.Duration, err error) {
 	hangs := len(args) == 3 && args[1] == "hang"
 	if hangs {
@@ -98,8 +100,8 @@
 	return count, hang, nil
 }
 
-// poll carries out "polls COUNT for TIME": users ask so often a second, of jobs known and
-// unknown, at all nodes by turns, each for an answer of its own.
+// poll executes "polls COUNT for TIME": users query COUNT times a second for the status of
+// existing and unknown jobs, at all nodes in turn. Each query runs in a goroutine of its own.
 func (c *cluster) poll(args []string) error {
 	count, last, err := parseRate("polls", args)
 	if err != nil {
@@ -108,7 +110,7 @@
 	end := time.Now().Add(last)
 	c.users.Go(func() {
 		for i := 0; time.Now().Before(end) && c.ctx.Err() == nil; i++ {
-			node, jobID := c.names[i%len(c.names)], fmt.Sprintf("wk-%d", i%40+1) // the latter of them mostly unknown
+			node, jobID := c.names[i%len(c.names)], fmt.Sprintf("wk-%d", i%40+1) // the higher IDs mostly do not exist
 			c.users.Go(func() { c.world.Query(node, jobID) })
 			time.Sleep(pause(count))
 		}
@@ -116,8 +118,8 @@
 	return nil
 }
 
-// streamJobs carries out "stream COUNT for TIME": users submit so many jobs of one task a
-// second, at all nodes by turns, and cancel every fourth.
+// streamJobs executes "stream COUNT for TIME": users submit COUNT jobs of one task a second, at
+// all nodes in turn, and cancel every fourth.
 func (c *cluster) streamJobs(args []string) error {
 	count, last, err := parseRate("stream", args)
 	if err != nil {
@@ -137,8 +139,8 @@
 	return nil
 }
 
-// cancelStreamed has the i-th job of a stream cancelled through another node: at once, as
-// it should begin, while it runs, or as it should end.
+// cancelStreamed cancels job i of a stream, every fourth one of these jobs at the same moment:
+// at once, at the expected start of its task, while the task runs, or at its expected end.
 func (c *cluster) cancelStreamed(i int, jobID string) {
 	node := c.names[(i/4)%len(c.names)]
 	end := time.Duration(1+i%5)*time.Second + 1100*time.Millisecond
@@ -150,6 +152,6 @@
 	})
 }
 
-// pause is the time between two of so many requests a second. The odd nanoseconds keep
-// them apart from the timers of the controllers.
+// pause returns the interval between requests at a rate of count a second. The extra 113 ns
+// keep requests from coinciding with the timers of the controllers.
 func pause(count int) time.Duration { return time.Second/time.Duration(count) + 113*time.Nanosecond }
