--- a/internal/simtest/cluster.go
+++ b/internal/simtest/cluster.go
@@ -15,30 +15,30 @@
 	"madderslip/internal/protocol"
 )
 
-// cluster is some controllers in an emulated world, played by one script.
+// cluster is a set of controllers in an emulated world that one script is played against.
 type cluster struct {
 	ctx   context.Context
 	seed  uint64
 	began time.Time
-	names []string // of all controllers, whether they run or not
+	names []string // of all controllers, also those that are not running
 	verbs map[string]verbHandler
 	world *emulator.World
 
-	users   sync.WaitGroup // what goes on beside the script: users, steps that end by themselves
-	endings int            // steps so far that end by themselves
+	users   sync.WaitGroup // goroutines beside the script: user requests, ends of timed steps, waits for Run
+	endings int            // number of steps with a duration ("for 5s") so far
 
 	quiescence quiescence
 
-	checkerMu sync.Mutex                        // taken under the world's lock, and guards the next two
-	checked   map[string]*controller.Controller // those that run, for checkPreemption
-	teams     map[string]protocol.Team          // as controllers that start are told
+	checkerMu sync.Mutex                        // guards the next two fields; is taken under the world's lock
+	checked   map[string]*controller.Controller // the running controllers, for checkPreemption
+	teams     map[string]protocol.Team          // the teams in the settings of controllers that start
 
-	mu                sync.Mutex // guards what follows
+	mu                sync.Mutex // guards the fields below
 	processes         map[string]*process
-	older             map[string]bool      // answer others as older versions do, without a reply
-	withoutAllotments bool                 // team limits are not allotted to shards
-	announced         protocol.StateLimits // the state service's coming limits, as controllers are told
-	failure           error                // the first thing that went wrong outside the rules
+	older             map[string]bool      // controllers that return no response body to peers, as older versions do
+	withoutAllotments bool                 // controllers that start do not allot team limits to shards
+	announced         protocol.StateLimits // of the state service, in the settings of controllers that start
+	failure           error                // the first failure other than a broken rule of the emulator
 }
 
 func newCluster(ctx context.Context, seed uint64, count int) *cluster {
@@ -68,7 +68,8 @@
 	return c
 }
 
-// fail records what went wrong outside the rules; the script ends at its present line.
+// fail records a failure other than a broken rule of the emulator. The script ends at the
+// line that is being executed.
 func (c *cluster) fail(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,28 +79,29 @@
 	c.world.Note("FAULT %v", err)
 }
 
-// firstFailure returns the first thing that went wrong outside the rules.
+// firstFailure returns the first failure that was passed to fail, or nil.
 func (c *cluster) firstFailure() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failure
 }
 
-// live lists the controllers that run, in order.
+// live lists the names of the running controllers, sorted.
 func (c *cluster) live() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Sorted(maps.Keys(c.processes))
 }
 
-// process returns a controller that runs, or nil.
+// process returns the process of a controller, or nil if the controller is not running.
 func (c *cluster) process(name string) *process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.processes[name]
 }
 
-// recount compares every live controller's indexes with a count from scratch.
+// recount compares the indexes of every running controller with indexes that are recomputed
+// from its view.
 func (c *cluster) recount() error {
 	for _, name := range c.live() {
 		if err := c.process(name).controller.Recount(); err != nil {
@@ -109,7 +111,8 @@
 	return nil
 }
 
-// recordSet is what the state service holds, without the prefix of all keys.
+// recordSet holds the records of the state service by key. The keys lack the prefix that all
+// keys share.
 type recordSet map[string]json.RawMessage
 
 func (c *cluster) records() recordSet {
@@ -120,19 +123,21 @@
 	return stored
 }
 
-// withoutPrefix cuts off the prefix of all keys.
+// withoutPrefix removes the prefix that all keys share.
 func withoutPrefix(key string) string {
 	_, key, _ = strings.Cut(key, "/")
 	return key
 }
 
-// peerLink carries a controller's messages to another.
+// peerLink carries the messages of one controller to another.
 type peerLink struct {
 	c        *cluster
 	from, to string
 }
 
-// Call delivers a message if the other controller runs and their links are up.
+// Call sends a message and decodes the response into out. It fails if the receiver is not
+// running or the network between the two controllers is down. A receiver of an older version
+// returns no response, and out stays as it is.
 func (l peerLink) Call(ctx context.Context, in, out any) error {
 	raw, err := json.Marshal(in)
 	if err != nil {
--- a/internal/simtest/doc.go
+++ b/internal/simtest/doc.go
@@ -1,14 +1,15 @@
-// Package simtest is the deterministic simulation test: it plays scripts of what happens
-// to a cluster, written by people (the kept traces) or generated from a seed, against the
-// emulator on a fake clock. The emulator checks the rules all along; once faults have ended
-// the player checks what must hold then. The same script and seed give the same events, so
-// that a failing one can be replayed, shrunk and kept.
+// Package simtest is the deterministic simulation test. It plays scripts of user requests and
+// faults against a cluster of real controllers in the emulator, on a fake clock. Scripts are
+// written by hand (the traces) or generated from a seed. The emulator checks the rules of the
+// protocol while a script runs; after all faults have ended, the player checks the invariants
+// of a quiescent cluster. The same script and seed yield the same events, so a failing script
+// can be replayed, shrunk and kept as a trace.
 //
-// The player (Play) is a cluster of controllers in an emulated world; the verbs of its
-// scripts stand by group in verbs_*.go, what "expect" asks for in expectations.go. What must
-// hold all along is checked in stale_ownership.go and preemption.go, what must hold once all
-// faults are over in quiescence.go and leaks.go. The generators draw scripts from a seed
-// with a scriptBuilder: what a seed gives may not change, since failures are known by it.
+// Play is the entry point. The verbs of scripts are implemented by group in verbs_*.go, and
+// the checks of the verb "expect" in expectations.go. Invariants that hold at all times are
+// checked in stale_ownership.go and preemption.go, those that hold after all faults have ended
+// in quiescence.go and leaks.go. The generators draw scripts from a seed with a scriptBuilder.
+// The script that a seed yields must not change, since failures are identified by their seed.
 //
-// It imports controllers and the emulator; only tests import it.
+// The package imports the controllers and the emulator; only tests import it.
 package simtest
--- a/internal/simtest/errors.go
+++ b/internal/simtest/errors.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// scriptError is a fault of the script itself: a line that cannot be read or carried out.
+// scriptError is an error in the script itself: a line that cannot be parsed or executed.
 type scriptError struct {
 	line   int // 0 until the player adds it
 	reason error
@@ -25,8 +25,9 @@
 	return &scriptError{reason: fmt.Errorf(format, args...)}
 }
 
-// checkError is a property of the cluster that does not hold. Its check's name is the kind
-// of the outcome, by which failures are counted and shrunk.
+// checkError is the failure of an invariant of the cluster. The name of the check is the kind
+// of the outcome: failures are counted by kind, and a shrunk script has to fail with the same
+// kind.
 type checkError struct {
 	check  string
 	reason error
@@ -40,8 +41,9 @@
 	return &checkError{check: check, reason: fmt.Errorf(format, args...)}
 }
 
-// kindOf names what kind of failure an error is. Expectations that are not met have no
-// check of their own: their kind is the text.
+// kindOf returns the kind of failure that an error stands for: "script", or the name of a
+// check. The error of an expectation that is not met names no check; its kind is its text up to
+// the first colon.
 func kindOf(err error) string {
 	var script *scriptError
 	var check *checkError
--- a/internal/simtest/job_line.go
+++ b/internal/simtest/job_line.go
@@ -8,14 +8,14 @@
 	"madderslip/internal/protocol"
 )
 
-// jobLine is a job as a script submits it.
+// jobLine is a job as a line of a script describes it.
 type jobLine struct {
 	job    *emulator.Job
-	answer int // the status that its submission should get
+	answer int // the expected HTTP status of the submission
 }
 
-// jobKeys are a job's key=value words: what each sets, given its value as text and as a
-// number.
+// jobKeys maps the keys of a job's key=value words to functions that set the value, which they
+// receive as text and as a number.
 var jobKeys = map[string]func(line *jobLine, text string, number float64){
 	"tasks": func(line *jobLine, _ string, n float64) { line.job.Spec.Tasks = int(n) },
 	"cpus":  func(line *jobLine, _ string, n float64) { line.job.Spec.CPUs = n },
@@ -23,7 +23,7 @@
 	"run": func(line *jobLine, _ string, n float64) {
 		line.job.Run, line.job.Spec.RunEstimateS = protocol.Seconds(n), n
 	},
-	// saves: a checkpoint every so many seconds
+	// saves: the interval between checkpoints in seconds; each takes 2 s
 	"saves": func(line *jobLine, _ string, n float64) {
 		line.job.Spec.CheckpointIntervalS, line.job.Spec.CheckpointS = n, 2
 	},
@@ -44,7 +44,8 @@
 
 var shapes = map[string]protocol.Shape{"array": protocol.ShapeArray, "gang": protocol.ShapeGang, "service": protocol.ShapeService}
 
-// parseJob reads JOB SHAPE key=value ... and the status that its submission should get.
+// parseJob parses "JOB SHAPE key=value ..." and returns the job and the expected HTTP status of
+// its submission, by default 201.
 func parseJob(args []string) (*emulator.Job, int, error) {
 	if len(args) < 2 || shapes[args[1]] == "" {
 		return nil, 0, scriptErrorf("no job in %v", args)
--- a/internal/simtest/outcome.go
+++ b/internal/simtest/outcome.go
@@ -7,15 +7,15 @@
 
 // Outcome is the result of playing a script.
 type Outcome struct {
-	Line   string   // at which it ended, if it did not reach the end
-	Err    error    // the expectation or the check after quiescence that failed
-	Broken []string // rules of the protocol that the emulator saw broken
-	Events []string // what happened, a line each
-	Left   []string // records of jobs that are not over, if the script failed
+	Line   string   // the line at which the script ended, if an error ended it
+	Err    error    // an error in the script, an expectation that was not met or a check that failed
+	Broken []string // violations of the protocol's rules that the emulator recorded
+	Events []string // one line for each event
+	Left   []string // if the script failed, the stored records that unfinishedRecords lists
 }
 
-// Kind names what went wrong in a word: the broken rule's name or that of the failed
-// check. It is empty if all was well.
+// Kind returns the kind of the failure: the name of the first broken rule, else the kind of Err
+// (see kindOf). It is empty if the script passed.
 func (o *Outcome) Kind() string {
 	if len(o.Broken) > 0 {
 		return beforeColon(o.Broken[0])
@@ -23,7 +23,7 @@
 	return kindOf(o.Err)
 }
 
-// String returns the outcome with all that happened, for a person to read.
+// String returns the error, the broken rules, all events and the unfinished records as text.
 func (o *Outcome) String() string {
 	var b strings.Builder
 	if o.Err != nil {
--- a/internal/simtest/play.go
+++ b/internal/simtest/play.go
@@ -12,12 +12,13 @@
 	"madderslip/internal/storage/records"
 )
 
-// Play runs a script: lines of a time, an actor and what it does or what must
-// be so by then; what follows a # is a comment. It is called in a test bubble,
-// whose clock is the script's.
+// Play runs a script. Each line has a time, counted from the start of the script, a verb and
+// its arguments; the rest of a line from # on is a comment. Play is called in a synctest
+// bubble, whose fake clock is the clock of the script.
 func Play(script string, seed uint64) *Outcome { return playObserved(script, seed, nil) }
 
-// playObserved plays a script while observe runs beside it.
+// playObserved plays a script and runs observe, if it is not nil, in a goroutine of its own
+// meanwhile.
 func playObserved(script string, seed uint64, observe func(*cluster)) *Outcome {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := newCluster(ctx, seed, controllerCount(script))
@@ -27,7 +28,7 @@
 		}
 		c.users.Wait()
 		cancel()
-		time.Sleep(time.Minute) // the bubble's goroutines see the end
+		time.Sleep(time.Minute) // lets the goroutines of the bubble return after the cancellation
 	}()
 	out := &Outcome{}
 	if out.Line, out.Err = c.configureBeforeStart(script); out.Err != nil {
@@ -50,8 +51,9 @@
 	return out
 }
 
-// configureBeforeStart carries out what controllers are told at 0s, since that holds from
-// the first moment on. It returns the line that failed.
+// configureBeforeStart executes the configuration lines at 0s before any controller starts,
+// so that the first start of a controller already uses them. On an error it returns the line
+// that failed.
 func (c *cluster) configureBeforeStart(script string) (line string, err error) {
 	for _, line := range scriptLines(script) {
 		f := command(strings.Fields(line))
@@ -64,8 +66,8 @@
 	return "", nil
 }
 
-// playLines carries out one line after the other, each at its time, until one fails; it
-// returns that one.
+// playLines executes the lines in the order of the script, each at its time, until one fails.
+// It returns the line that failed.
 func (c *cluster) playLines(script string) (failed string, err error) {
 	for i, line := range strings.Split(script, "\n") {
 		text, _, _ := strings.Cut(line, "#")
@@ -87,7 +89,8 @@
 	return "", nil
 }
 
-// playLine carries out one line and checks what must hold after every one.
+// playLine executes one line, and then checks the controllers' indexes and that no check that
+// runs in the background has failed.
 func (c *cluster) playLine(f command) error {
 	if err := c.do(f); err != nil {
 		return err
@@ -98,7 +101,8 @@
 	return c.firstFailure()
 }
 
-// withLine adds the line's number to a fault of the script.
+// withLine adds the number of the line to an error in the script itself; other errors are
+// returned as they are.
 func withLine(err error, line int) error {
 	var script *scriptError
 	if errors.As(err, &script) {
@@ -107,8 +111,9 @@
 	return err
 }
 
-// unfinishedRecords lists the records of jobs that are not over, without those of machines
-// and images.
+// unfinishedRecords lists the stored records, except those of machines and images and those
+// with a field "x". In the record of a job this field is the state of a job that has ended, or
+// that is blocked by its dependencies.
 func unfinishedRecords(stored recordSet) []string {
 	var left []string
 	for _, key := range slices.Sorted(maps.Keys(stored)) {
@@ -120,8 +125,8 @@
 	return left
 }
 
-// controllerCount reads how many controllers a script wants: its first line may
-// say "0s controllers 5".
+// controllerCount returns the number of controllers that a script asks for with a line such
+// as "0s controllers 5", or the default. Counts above 16 are ignored.
 func controllerCount(script string) int {
 	for _, line := range scriptLines(script) {
 		f := strings.Fields(line)
--- a/internal/simtest/process.go
+++ b/internal/simtest/process.go
@@ -17,14 +17,14 @@
 	"madderslip/internal/storage/kv"
 )
 
-// process is a controller that runs.
+// process is a running controller.
 type process struct {
 	controller *controller.Controller
 	stop       context.CancelFunc
 	ended      chan struct{} // closed when Run has returned
 }
 
-// start runs a controller, unless it runs already.
+// start starts a controller unless it is already running.
 func (c *cluster) start(name string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// settingsOf returns what a controller that starts now is told. c.mu is held by the caller.
+// settingsOf returns the settings of a controller that starts now. c.mu is held by the caller.
 func (c *cluster) settingsOf(name string) protocol.Settings {
 	s := settings(c.names, name)
 	c.checkerMu.Lock()
@@ -80,7 +80,8 @@
 	return s
 }
 
-// loggerOf returns a controller's log, which is shown if TRACE_LOG names it.
+// loggerOf returns the logger of a controller. It writes to stderr if the environment variable
+// TRACE_LOG is the controller's name, and discards everything otherwise.
 func loggerOf(name string) *slog.Logger {
 	if os.Getenv("TRACE_LOG") == name {
 		return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -88,18 +89,19 @@
 	return slog.New(slog.NewTextHandler(io.Discard, nil))
 }
 
-// randOf returns a controller's source of random numbers, the same at each of its starts.
+// randOf returns a controller's source of random numbers. It depends on the seed and the
+// controller's name alone, so each start of the controller draws the same numbers.
 func randOf(seed uint64, name string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// runEndsWithin is how long a controller may take to return from Run.
+// runEndsWithin is the time within which a stopped controller must return from Run.
 const runEndsWithin = 10 * time.Second
 
-// kill ends a controller. Its Run must return soon: an embedding program would
-// hang in its own shutdown otherwise.
+// kill stops a controller, if it is running. The script fails if the controller does not
+// return from Run within runEndsWithin: the shutdown of a program that embeds it would hang.
 func (c *cluster) kill(name string) {
 	c.mu.Lock()
 	p := c.processes[name]
--- a/internal/simtest/settings.go
+++ b/internal/simtest/settings.go
@@ -8,13 +8,13 @@
 	"madderslip/internal/protocol"
 )
 
-// usualControllers is how many controllers a cluster has, unless its script says otherwise.
+// usualControllers is the number of controllers of a cluster whose script does not set one.
 const usualControllers = 3
 
-// zones are those of every cluster.
+// zones are the names of the zones of every cluster.
 var zones = []string{"a", "b"}
 
-// controllerNames names so many controllers.
+// controllerNames returns the names of count controllers.
 func controllerNames(count int) []string {
 	names := make([]string, count)
 	for i := range names {
@@ -23,12 +23,12 @@
 	return names
 }
 
-// zoneOf returns the zone of a controller: they take turns.
+// zoneOf returns the zone of a controller. The controllers alternate between the zones.
 func zoneOf(names []string, name string) string {
 	return zones[slices.Index(names, name)%len(zones)]
 }
 
-// settings are what the platform hands to a controller.
+// settings returns the settings of a controller, as the embedding platform would pass them.
 func settings(names []string, name string) protocol.Settings {
 	s := protocol.Settings{
 		NodeName:  name,
@@ -63,7 +63,8 @@
 	return s
 }
 
-// gpuMachine is the type of machine with GPUs that a cluster has beside the emulator's own.
+// gpuMachine returns the GPU machine type that clusters have in addition to the emulator's
+// types.
 func gpuMachine() protocol.MachineType {
 	return protocol.MachineType{Name: "g2", CPUs: 16, GPUs: 2, MemoryGB: 64, ImageCacheGB: 50, ImagePullGBps: 1, Price: 6, SpotPrice: 2, BootS: 12, Zones: slices.Clone(zones)}
 }
--- a/internal/simtest/shrink.go
+++ b/internal/simtest/shrink.go
@@ -5,9 +5,10 @@
 	"strings"
 )
 
-// Shrink leaves lines out of a script for as long as it still fails in the same
-// way, first many at a time. It plays at most maxPlays scripts; fails plays one
-// and tells the kind of its failure.
+// Shrink removes lines from a script that are not needed for a failure of the same kind. It
+// first tries to remove half of the lines at a time, then ever fewer. It plays at most maxPlays
+// shortened scripts. The function fails plays a script and returns the kind of its failure,
+// empty if it passes; a script that passes is returned unchanged.
 func Shrink(script string, maxPlays int, fails func(script string) string) string {
 	lines := scriptLines(script)
 	kind := fails(strings.Join(lines, "\n"))
