--- a/internal/simtest/day.go
+++ b/internal/simtest/day.go
@@ -7,11 +7,11 @@
 	"pgregory.net/rapid"
 )
 
-// dayEnd is when no class and no team of a day may have starved.
+// dayEnd is the time in a day's script at which the check for starved classes and teams runs.
 const dayEnd = 200 * time.Second
 
-// GenerateDay draws some minutes of steady work on machines that suffice for it, with faults
-// apart from one another: what is checked is that no class and no team starves.
+// GenerateDay draws a script with some minutes of steady work, enough machines for that work,
+// and faults at intervals. The script checks that no class and no team starves.
 func GenerateDay() *rapid.Generator[string] {
 	return rapid.Custom(func(t *rapid.T) string {
 		b := &scriptBuilder{t: t, names: controllerNames(usualControllers)}
@@ -32,7 +32,8 @@
 	})
 }
 
-// dayJob submits one of the home team's: services, gangs and arrays, some broken.
+// dayJob submits a service, gang or array of the default team. Some of these jobs fail, and
+// users cancel some.
 func (b *scriptBuilder) dayJob(at time.Duration) {
 	job := b.pick("job", "service tasks=2 rank=critical", "service tasks=3 rank=critical", "gang tasks=2 cpus=4 run=10 saves=4 rank=high",
 		fmt.Sprintf("array tasks=%d run=4", b.number("tasks", 4, 16)), fmt.Sprintf("array tasks=%d run=8 cheap", b.number("tasks", 4, 16)))
@@ -45,7 +46,7 @@
 	}
 }
 
-// dayGuest submits best-effort work of another team: more than the day has room for.
+// dayGuest submits more best-effort work of another team than the machines have capacity for.
 func (b *scriptBuilder) dayGuest(at time.Duration) {
 	b.drawOne("guest's", []choice{
 		{1, func() {
@@ -58,6 +59,7 @@
 	})
 }
 
+// manyTinyJobs submits a sequence of small best-effort arrays of another team.
 func (b *scriptBuilder) manyTinyJobs(at time.Duration) {
 	for range b.number("tiny", 10, 30) {
 		b.plainJob(at, fmt.Sprintf("array tasks=%d run=1 cpus=0.25 class=tiny team=guest rank=idle", b.number("tasks", 1, 6)))
@@ -65,7 +67,7 @@
 	}
 }
 
-// dayFault draws one of the faults that a day has.
+// dayFault draws one fault.
 func (b *scriptBuilder) dayFault(at time.Duration) {
 	b.drawOne("trouble", []choice{
 		{1, func() { b.kill(b.node(), at) }},
--- a/internal/simtest/expectations.go
+++ b/internal/simtest/expectations.go
@@ -9,19 +9,20 @@
 	"strings"
 )
 
-// expectations are what "expect" can ask for by its first word. Anything else is a job.
+// expectations maps the first word after "expect" to its check. Any other first word is the
+// ID of a job, except in "expect team", which expect itself recognizes.
 var expectations = map[string]func(c *cluster, f command) error{
 	"busy":     (*cluster).expectBusy,
 	"happened": (*cluster).expectHappened,
 	"large":    (*cluster).expectLarge,
 	"oversize": (*cluster).expectOversize,
 	"returned": (*cluster).expectReturned,
-	// served PERCENT: at least so much of every class and team
+	// served PERCENT: of every class and team at least this share of the work was served
 	"served": func(c *cluster, f command) error { return c.checkStarvation(float64(f.number(1)) / 100) },
 	"vain":   (*cluster).expectWasted,
 }
 
-// expect checks what a line says must be so by then.
+// expect executes an "expect" line; f holds the fields after the verb.
 func (c *cluster) expect(f command) error {
 	if len(f) < 2 {
 		return scriptErrorf("expect what?")
@@ -38,7 +39,7 @@
 	return c.expectJob(f[0], f[1])
 }
 
-// expectRunning checks "JOB running COUNT": so many of its tasks run.
+// expectRunning checks "JOB running COUNT": exactly COUNT tasks of the job run.
 func (c *cluster) expectRunning(f command) error {
 	want, _ := strconv.Atoi(f[2])
 	if got := c.world.Running(f[0]); got != want {
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// expectBusy checks "busy LEAST": so many tasks run, of any job.
+// expectBusy checks "busy LEAST": at least LEAST tasks run, counted over all jobs.
 func (c *cluster) expectBusy(f command) error {
 	if got := c.world.Running(""); got < f.number(1) {
 		return fmt.Errorf("%d tasks run", got)
@@ -55,7 +56,8 @@
 	return nil
 }
 
-// expectTeam checks "team NAME LEAST MOST": the CPUs that it uses.
+// expectTeam checks "team NAME LEAST MOST": the CPUs that the team's tasks use are within these
+// bounds.
 func (c *cluster) expectTeam(f command) error {
 	var least, most float64
 	if _, err := fmt.Sscanf(f[2]+" "+f[3], "%g %g", &least, &most); err != nil {
@@ -67,7 +69,7 @@
 	return nil
 }
 
-// expectHappened checks "happened LEAST WORDS": so many events have these words.
+// expectHappened checks "happened LEAST WORDS": at least LEAST events contain these words.
 func (c *cluster) expectHappened(f command) error {
 	least, err := strconv.Atoi(f[1])
 	words := strings.Join(f[2:], " ")
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// expectReturned checks "returned COUNT": so many machines were returned so far.
+// expectReturned checks "returned COUNT": exactly COUNT machines have been returned.
 func (c *cluster) expectReturned(f command) error {
 	got := c.countEvents(func(event string) bool { return strings.HasSuffix(event, " returned") })
 	if got != f.number(1) {
@@ -100,8 +102,8 @@
 	return count
 }
 
-// expectOversize checks "oversize MOST": so often a transaction with the same first key was
-// refused for its size.
+// expectOversize checks "oversize MOST": at most MOST transactions with the same first key were
+// refused for their size.
 func (c *cluster) expectOversize(f command) error {
 	most, err := strconv.Atoi(f[1])
 	if err != nil {
@@ -116,7 +118,7 @@
 	return nil
 }
 
-// expectLarge checks "large LEAST": so many records are larger than the announced limit.
+// expectLarge checks "large LEAST": at least LEAST records are larger than the announced limit.
 func (c *cluster) expectLarge(f command) error {
 	least, err := strconv.Atoi(f[1])
 	if err != nil {
@@ -137,7 +139,8 @@
 	return nil
 }
 
-// expectWasted checks "vain MOST": so many starts after a confirmed cancellation.
+// expectWasted checks "vain MOST": at most MOST tasks started after the cancellation of their
+// job was confirmed.
 func (c *cluster) expectWasted(f command) error {
 	most, err := strconv.Atoi(f[1])
 	if err != nil {
@@ -149,8 +152,9 @@
 	return nil
 }
 
-// expectJob checks "JOB PHASE", or unknown: so say all live controllers that answer, and
-// at least one does. For "unanswered" none has to.
+// expectJob checks "JOB PHASE": every running controller that answers reports this phase, or
+// status 404 for the phase "unknown", and at least one answers. With the phase "unanswered" no
+// controller may answer; status 503 counts as no answer.
 func (c *cluster) expectJob(jobID, phase string) error {
 	answers := 0
 	for _, name := range c.live() {
--- a/internal/simtest/leaks.go
+++ b/internal/simtest/leaks.go
@@ -11,8 +11,9 @@
 	"madderslip/internal/storage/records"
 )
 
-// checkNothingLeft checks that nothing is left of jobs that are all over: no task, no
-// machine, no claim, no reserved use, and no record without an owner.
+// checkNothingLeft checks that the cluster holds nothing for jobs after all jobs have ended: no
+// running tasks, no rented machines, no records of claims, reservations, reserved team use or
+// unanswered provision requests, and no state in the controllers' memory.
 func (c *cluster) checkNothingLeft() error {
 	if count := c.world.Running(""); count > 0 {
 		return checkErrorf("leaked", "%d tasks run though every job is over", count)
@@ -34,8 +35,8 @@
 	return nil
 }
 
-// leakOf tells why a record should not be there once every job is over and every machine
-// returned, or nothing.
+// leakOf returns why a record must not exist after all jobs have ended and all machines have
+// been returned, or an empty string if it may exist.
 func leakOf(key string, value json.RawMessage) string {
 	switch {
 	case strings.HasPrefix(key, records.ClaimPrefix):
@@ -72,13 +73,14 @@
 	return ""
 }
 
+// leakOfTeamUsage is leakOf for a TeamUsage record.
 func leakOfTeamUsage(value json.RawMessage) string {
 	var usage records.TeamUsage
 	if err := json.Unmarshal(value, &usage); err != nil {
 		return err.Error()
 	}
 	for shard, use := range usage.ByShard {
-		// "*" alone stands for a limit that is allotted.
+		// While the limit is allotted, the record shows the whole limit as used under "*".
 		if use != (protocol.Resources{}) && shard != "*" {
 			return fmt.Sprintf("%v reserved in %s", use, shard)
 		}
--- a/internal/simtest/quiescence.go
+++ b/internal/simtest/quiescence.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	quiescenceSpare = 60              // machines the cloud has for what still waits
-	settledWithin   = 6 * time.Minute // everything accepted is over, or runs, by then
-	emptyWithin     = 6 * time.Minute // and after that nothing is left of it
+	quiescenceSpare = 60              // least number of machines that the cloud then has for unplaced tasks
+	settledWithin   = 6 * time.Minute // time until every accepted job has ended, or runs if it is a service
+	emptyWithin     = 6 * time.Minute // time after that until nothing of the jobs is left
 	checkInterval   = 5 * time.Second
-	// Once all faults are over a job about which no question is answered for so long
-	// is forgotten, however others fare.
+	// answeredWithin is the longest time after all faults have ended that may pass without an
+	// answered query about a job. Beyond it the job counts as forgotten, even if queries about
+	// other jobs are answered.
 	answeredWithin = 75 * time.Second
-	// And then no job waits for so long while a machine that fits has room and its team
-	// is under its limit.
+	// placedWithin is the longest time after all faults have ended for which a job may stay
+	// unplaced although suitable machines have capacity and its team is below its limit.
 	placedWithin = 90 * time.Second
 )
 
-// quiescence is what the checks keep from the end of all faults on.
+// quiescence is the state of the checks after all faults have ended.
 type quiescence struct {
-	since    time.Time
-	rounds   int                  // of questions since
-	answered map[string]time.Time // by job, when a question was last answered
+	since    time.Time            // when all faults ended
+	rounds   int                  // rounds of queries about all jobs since then
+	answered map[string]time.Time // by job ID, when a query was last answered
 }
 
-// checkQuiescence ends all faults and checks what must be so some time later: what was
-// accepted is final or runs, every controller says the same, and once all is over nothing
-// of it is left anywhere.
+// checkQuiescence ends all faults, starts all controllers and checks that the cluster settles.
+// Every accepted job must become final at every controller, or run if it is a service. After
+// the services and the failing jobs are cancelled, no state of any job may be left.
 func (c *cluster) checkQuiescence() error {
 	c.world.EndFaults(quiescenceSpare)
 	for _, name := range c.names {
@@ -40,7 +41,7 @@
 	}
 	c.quiescence.since = time.Now()
 	time.Sleep(checkInterval)
-	c.users.Wait() // no user insists for longer than a minute
+	c.users.Wait() // users repeat a request for at most a minute
 	if err := c.eventually(settledWithin, c.checkSettled); err != nil {
 		return err
 	}
@@ -50,7 +51,8 @@
 	return c.eventually(emptyWithin, c.checkNothingLeft)
 }
 
-// cancelEndless cancels what does not end by itself: services and broken jobs.
+// cancelEndless cancels the jobs that never end by themselves: services, and jobs whose tasks
+// always fail.
 func (c *cluster) cancelEndless() error {
 	for _, job := range c.world.Accepted() {
 		if !job.Fails && job.Shape != protocol.ShapeService {
@@ -63,13 +65,14 @@
 	return nil
 }
 
-// eventually repeats a check until it holds, and returns why it does not in time. What
-// must hold at every moment is checked each time too.
+// eventually repeats a check until it succeeds, and returns its last error if it does not
+// succeed within the time given. Each round also runs checkAlways. An error of checkAlways, a
+// failure recorded by fail or a broken rule ends the repetition at once.
 func (c *cluster) eventually(within time.Duration, check func() error) error {
 	deadline := time.Now().Add(within)
 	for {
 		if err := c.checkAlways(); err != nil {
-			return err // that does not mend itself
+			return err // waiting cannot make these invariants hold again
 		}
 		err := check()
 		if failure := c.firstFailure(); failure != nil {
@@ -82,13 +85,14 @@
 	}
 }
 
-// checkAlways checks what must hold at every moment after all faults. Every check runs,
-// also after one that failed, and the first that failed is returned.
+// checkAlways checks the invariants that hold at every moment after all faults have ended. All
+// checks run even if an earlier one fails, and the first error is returned.
 func (c *cluster) checkAlways() error {
 	return cmp.Or(c.checkOneShardEach(), c.recount(), c.checkAnswered(), c.checkNoneWaits())
 }
 
-// checkNoneWaits checks that no job waits beside room that it fits.
+// checkNoneWaits checks that no job stays unplaced for longer than placedWithin although there
+// is capacity for it.
 func (c *cluster) checkNoneWaits() error {
 	if jobs := c.world.UnplacedLongerThan(placedWithin); len(jobs) > 0 {
 		return checkErrorf("waits", "%s for %v, beside room", strings.Join(jobs, ", "), placedWithin)
@@ -96,7 +100,8 @@
 	return nil
 }
 
-// checkAnswered asks about every accepted job, at another controller each time.
+// checkAnswered queries the status of every accepted job, in each round at another controller.
+// It returns an error for a job without a successful query for longer than answeredWithin.
 func (c *cluster) checkAnswered() error {
 	q := &c.quiescence
 	q.rounds++
@@ -115,8 +120,8 @@
 	return nil
 }
 
-// checkOneShardEach checks that each machine is in one shard for life: with two, it has
-// two owners that both place work there.
+// checkOneShardEach checks that no machine is in two shards. The owners of both shards would
+// place tasks on the machine.
 func (c *cluster) checkOneShardEach() error {
 	shardOf := make(map[string]string)
 	var err error
@@ -129,8 +134,9 @@
 	return err
 }
 
-// checkSettled checks the jobs: each is final at every controller or, a service,
-// runs whole. A job that needs an endless one is neither, and may wait.
+// checkSettled checks that every accepted job is final at every controller, or has all of its
+// replicas running if it is a service. A job whose tasks always fail, and an array or gang that
+// depends on a job that never ends, may instead be final at no controller.
 func (c *cluster) checkSettled() error {
 	for _, job := range c.world.Accepted() {
 		final, err := c.finalAnswers(job.Ref)
@@ -152,7 +158,8 @@
 	return nil
 }
 
-// finalAnswers asks every controller about a job and counts those that call it final.
+// finalAnswers queries every controller for a job and counts those that report a final phase.
+// It returns an error if a controller does not answer.
 func (c *cluster) finalAnswers(jobID string) (count int, err error) {
 	for _, name := range c.names {
 		status, answer := c.world.Query(name, jobID)
