--- a/internal/simtest/command_test.go
+++ b/internal/simtest/command_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestMalformedScripts: a line that is not understood ends a script with the line and the
-// reason. Taken for a fault that nobody knows it would change nothing and prove all.
+// TestMalformedScripts: a malformed line ends its script with an error that names the line and
+// the reason. If an unknown fault were accepted, it would have no effect and the script would
+// pass without testing anything.
 func TestMalformedScripts(t *testing.T) {
 	for line, why := range map[string]string{
 		"1s trouble late write on":          `not "late write" "on"`,
--- a/internal/simtest/digest_test.go
+++ b/internal/simtest/digest_test.go
@@ -29,10 +29,11 @@
 )
 
 const (
-	digestSeeds  = 300 // of each generator
-	digestSample = 10  // seeds of each generator and traces in a plain run
+	digestSeeds  = 300 // seeds of each generator
+	digestSample = 10  // number of seeds of each generator, and of traces, in a run without flags
 	digestsFile  = "testdata/digests.txt"
-	// Schedules that do not give the same digest in every run, each with what is known.
+	// unrepeatableFile lists the scripts whose digest differs between runs, each with what is
+	// known about the cause.
 	unrepeatableFile = "testdata/unrepeatable.txt"
 	tracesDir        = "../coordination/controller/testdata"
 )
@@ -44,8 +45,8 @@
 	script func() string
 }
 
-// digest plays a script and returns a digest of all changes that the state service
-// carried out: keys, values, versions, order and instants.
+// digest plays a script and returns a digest of all changes that the state service has applied:
+// their keys, values, versions, order and times.
 func (e *entry) digest(t *testing.T) string {
 	script, sum := e.script(), sha256.New()
 	synctest.Test(t, func(*testing.T) {
@@ -56,8 +57,8 @@
 	return hex.EncodeToString(sum.Sum(nil)[:8])
 }
 
-// addChange adds a change to a digest. Keys and values go with their lengths, so that no
-// two lists of changes give the same bytes.
+// addChange adds a change to a digest. Keys and values are prefixed with their lengths, so that
+// different sequences of changes never yield the same bytes.
 func addChange(sum hash.Hash, at time.Duration, change emulator.Change) {
 	line := binary.BigEndian.AppendUint64(nil, uint64(at))
 	line = binary.BigEndian.AppendUint64(line, change.Version)
@@ -68,7 +69,8 @@
 	sum.Write(line)
 }
 
-// seedEntries lists the scripts of every generator, by seed.
+// seedEntries lists the scripts of the seeds of GenerateScript, GenerateDay and
+// GenerateDependencies.
 func seedEntries() []*entry {
 	var entries []*entry
 	for _, generator := range []struct {
@@ -83,7 +85,8 @@
 	return entries
 }
 
-// traceEntries lists the kept traces, played as the test of the traces does.
+// traceEntries lists the traces with the seed and the numbers of controllers that TestTraces
+// plays them with.
 func traceEntries(t *testing.T) []*entry {
 	files, err := filepath.Glob(tracesDir + "/*.trace")
 	if err != nil || len(files) == 0 {
@@ -106,7 +109,8 @@
 	return entries
 }
 
-// firstOf keeps the first digestSample entries of each kind.
+// firstOf returns the first digestSample entries of each kind, that is, of each generator and
+// of the traces.
 func firstOf(entries []*entry) []*entry {
 	seen := make(map[string]int)
 	return slices.DeleteFunc(entries, func(e *entry) bool {
@@ -116,7 +120,7 @@
 	})
 }
 
-// readEntries reads a file of lines "KIND NAME REST", by kind and name.
+// readEntries reads a file with lines "KIND NAME REST" and returns REST by "KIND NAME".
 func readEntries(t *testing.T, file string) map[string]string {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -133,11 +137,12 @@
 	return rests
 }
 
-// TestDigests compares what the state service carried out in scripts of every
-// generator and in the kept traces, to the bit, with what it did when the digests were
-// written. A change that should not alter any decision leaves all of them as they are.
-// A plain run plays a sample; -digest-compare FILE plays all, -digest-write FILE writes
-// the file anew. Schedules that do not repeat are listed in unrepeatable.txt.
+// TestDigests compares all changes that the state service applies in generated scripts and in
+// the traces with those at the time when the digests were written. A code change that is not
+// meant to alter a decision must leave all digests unchanged. Without flags the test plays a
+// sample of the scripts; -digest-compare FILE plays all of them, and -digest-write FILE plays
+// all of them and writes their digests. Scripts whose digest differs between runs are listed in
+// unrepeatable.txt and not played.
 func TestDigests(t *testing.T) {
 	unrepeatable := readEntries(t, unrepeatableFile)
 	entries := slices.DeleteFunc(append(seedEntries(), traceEntries(t)...), func(e *entry) bool {
@@ -173,7 +178,7 @@
 	}
 }
 
-// checkPlayed fails for a digest of a script that there is no more.
+// checkPlayed fails the test for each digest whose script no longer exists.
 func checkPlayed(t *testing.T, want map[string]string, entries []*entry) {
 	for name := range want {
 		if !slices.ContainsFunc(entries, func(e *entry) bool { return e.name == name }) {
@@ -182,6 +187,7 @@
 	}
 }
 
+// writeDigests writes the digests of the entries to a file, in the order of the entries.
 func writeDigests(t *testing.T, file string, entries []*entry, digests map[string]string) {
 	var lines bytes.Buffer
 	for _, e := range entries {
--- a/internal/simtest/script_test.go
+++ b/internal/simtest/script_test.go
@@ -9,7 +9,8 @@
 
 var script = flag.String("script", "", "file with a script to play")
 
-// TestScript plays the script of -script and prints all that happened.
+// TestScript plays the script in the file -script with the seed -from and prints the outcome
+// with all events.
 func TestScript(t *testing.T) {
 	if *script == "" {
 		t.Skip("no -script")
@@ -25,7 +26,7 @@
 	}
 }
 
-// TestShow prints the script of the seed -from.
+// TestShow prints the script that GenerateScript yields for the seed -from, if -script is "-".
 func TestShow(t *testing.T) {
 	if *script != "-" {
 		t.Skip("no -script -")
--- a/internal/simtest/seeds_test.go
+++ b/internal/simtest/seeds_test.go
@@ -19,18 +19,18 @@
 	plays = flag.Int("plays", 150, "plays that shrinking one script may take")
 )
 
-// TestSeeds plays scripts drawn from seeds. A failing one is shrunk; with
-// -found it is written down, ready to be kept among the traces.
+// TestSeeds plays scripts drawn from seeds. A script that fails is shrunk, and written to the
+// directory -found, if that is set, in the format of the traces.
 func TestSeeds(t *testing.T) { playSeeds(t, GenerateScript(), *seeds) }
 
-// TestDays plays days drawn from seeds, fewer of them since they are longer: no class
-// and no team may starve.
+// TestDays plays scripts of GenerateDay, in which no class and no team may starve. It plays
+// fewer scripts than TestSeeds because these scripts are longer.
 func TestDays(t *testing.T) { playSeeds(t, GenerateDay(), max(2, *seeds/6)) }
 
-// TestPipelines plays scripts with dependent jobs drawn from seeds.
+// TestPipelines plays scripts with jobs that depend on other jobs, drawn from seeds.
 func TestPipelines(t *testing.T) { playSeeds(t, GenerateDependencies(), *seeds) }
 
-// playSeeds plays the scripts of so many seeds, each as a test of its own.
+// playSeeds plays the scripts of count seeds, each in a subtest named after its seed.
 func playSeeds(t *testing.T, draw *rapid.Generator[string], count int) {
 	var mu sync.Mutex
 	kinds := make(map[string]int)
@@ -55,8 +55,8 @@
 	}
 }
 
-// reportShrunk fails the test with the shortest script found that still fails in the same
-// way, and writes it down if -found says where.
+// reportShrunk fails the test and logs the shrunk script, which fails with the same kind. It
+// also writes the script to the directory -found, if that is set.
 func reportShrunk(t *testing.T, script string, seed int) {
 	small := Shrink(script, *plays, func(s string) string { return play(t, s, uint64(seed)).Kind() })
 	out := play(t, small, uint64(seed))
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestSameSeedSameEvents: a failing seed that cannot be replayed is worth
-// little.
+// TestSameSeedSameEvents checks that two plays of the same script and seed yield the same
+// events. Otherwise a failing seed could not be replayed.
 func TestSameSeedSameEvents(t *testing.T) {
 	for seed := *from; seed < *from+max(2, *seeds/4); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
