--- a/internal/simtest/cluster.go
+++ b/internal/simtest/cluster.go
@@ -24,8 +24,8 @@
 	verbs map[string]verbHandler
 	world *emulator.World
 
-	users   sync.WaitGroup // goroutines beside the script: user requests, ends of timed steps, waits for Run
-	endings int            // number of steps with a duration ("for 5s") so far
+	users      sync.WaitGroup // goroutines beside the script: user requests, ends of timed steps, waits for Run
+	timedSteps int            // number of steps with a duration ("for 5s") so far
 
 	quiescence quiescence
 
@@ -50,7 +50,7 @@
 		began:      time.Now(),
 		names:      names,
 		verbs:      allVerbs(),
-		quiescence: quiescence{answered: make(map[string]time.Time)},
+		quiescence: quiescence{lastAnswered: make(map[string]time.Time)},
 		checked:    make(map[string]*controller.Controller),
 		teams:      maps.Clone(s.Teams),
 		processes:  make(map[string]*process),
--- a/internal/simtest/command.go
+++ b/internal/simtest/command.go
@@ -37,14 +37,14 @@
 
 // parseRate parses the arguments "COUNT for TIME" of a verb: a number of requests a second and
 // for how long they are sent.
-func parseRate(verb string, args []string) (count int, last time.Duration, err error) {
+func parseRate(verb string, args []string) (count int, duration time.Duration, err error) {
 	if len(args) == 3 && args[1] == "for" {
 		if count, err = strconv.Atoi(args[0]); err == nil {
-			last, err = time.ParseDuration(args[2])
+			duration, err = time.ParseDuration(args[2])
 		}
 	}
-	if err != nil || count < 1 || last <= 0 {
+	if err != nil || count < 1 || duration <= 0 {
 		return 0, 0, scriptErrorf("%s COUNT for TIME, not %q", verb, strings.Join(args, " "))
 	}
-	return count, last, nil
+	return count, duration, nil
 }
--- a/internal/simtest/digest_test.go
+++ b/internal/simtest/digest_test.go
@@ -109,9 +109,9 @@
 	return entries
 }
 
-// firstOf returns the first digestSample entries of each kind, that is, of each generator and
-// of the traces.
-func firstOf(entries []*entry) []*entry {
+// sampleEntries returns the first digestSample entries of each kind, that is, of each generator
+// and of the traces.
+func sampleEntries(entries []*entry) []*entry {
 	seen := make(map[string]int)
 	return slices.DeleteFunc(entries, func(e *entry) bool {
 		kind, _, _ := strings.Cut(e.name, " ")
@@ -120,21 +120,21 @@
 	})
 }
 
-// readEntries reads a file with lines "KIND NAME REST" and returns REST by "KIND NAME".
-func readEntries(t *testing.T, file string) map[string]string {
+// readValuesByName reads a file with lines "KIND NAME REST" and returns REST by "KIND NAME".
+func readValuesByName(t *testing.T, file string) map[string]string {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rests := make(map[string]string)
+	values := make(map[string]string)
 	for line := range strings.Lines(string(raw)) {
 		fields := strings.SplitN(strings.TrimSpace(line), " ", 3)
 		if strings.HasPrefix(line, "#") || len(fields) < 3 {
 			continue
 		}
-		rests[fields[0]+" "+fields[1]] = fields[2]
+		values[fields[0]+" "+fields[1]] = fields[2]
 	}
-	return rests
+	return values
 }
 
 // TestDigests compares all changes that the state service applies in generated scripts and in
@@ -144,18 +144,18 @@
 // all of them and writes their digests. Scripts whose digest differs between runs are listed in
 // unrepeatable.txt and not played.
 func TestDigests(t *testing.T) {
-	unrepeatable := readEntries(t, unrepeatableFile)
+	unrepeatable := readValuesByName(t, unrepeatableFile)
 	entries := slices.DeleteFunc(append(seedEntries(), traceEntries(t)...), func(e *entry) bool {
 		_, listed := unrepeatable[e.name]
 		return listed
 	})
 	var want map[string]string
 	if *digestWrite == "" {
-		want = readEntries(t, cmp.Or(*digestCompare, digestsFile))
+		want = readValuesByName(t, cmp.Or(*digestCompare, digestsFile))
 		checkPlayed(t, want, entries)
 	}
 	if *digestWrite == "" && *digestCompare == "" {
-		entries = firstOf(entries)
+		entries = sampleEntries(entries)
 	}
 	var mu sync.Mutex
 	got := make(map[string]string)
--- a/internal/simtest/expectations.go
+++ b/internal/simtest/expectations.go
@@ -19,7 +19,7 @@
 	"returned": (*cluster).expectReturned,
 	// served PERCENT: of every class and team at least this share of the work was served
 	"served": func(c *cluster, f command) error { return c.checkStarvation(float64(f.number(1)) / 100) },
-	"vain":   (*cluster).expectWasted,
+	"vain":   (*cluster).expectWastedStarts,
 }
 
 // expect executes an "expect" line; f holds the fields after the verb.
@@ -139,9 +139,9 @@
 	return nil
 }
 
-// expectWasted checks "vain MOST": at most MOST tasks started after the cancellation of their
-// job was confirmed.
-func (c *cluster) expectWasted(f command) error {
+// expectWastedStarts checks "vain MOST": at most MOST tasks started after the cancellation of
+// their job was confirmed.
+func (c *cluster) expectWastedStarts(f command) error {
 	most, err := strconv.Atoi(f[1])
 	if err != nil {
 		return scriptErrorf("expect vain MOST: %w", err)
--- a/internal/simtest/leaks.go
+++ b/internal/simtest/leaks.go
@@ -20,7 +20,7 @@
 	}
 	stored := c.records()
 	for _, key := range slices.Sorted(maps.Keys(stored)) {
-		if why := leakOf(key, stored[key]); why != "" {
+		if why := leakReason(key, stored[key]); why != "" {
 			return checkErrorf("leaked", "%s: %s", key, why)
 		}
 	}
@@ -35,16 +35,16 @@
 	return nil
 }
 
-// leakOf returns why a record must not exist after all jobs have ended and all machines have
-// been returned, or an empty string if it may exist.
-func leakOf(key string, value json.RawMessage) string {
+// leakReason returns why a record must not exist after all jobs have ended and all machines
+// have been returned, or an empty string if it may exist.
+func leakReason(key string, value json.RawMessage) string {
 	switch {
 	case strings.HasPrefix(key, records.ClaimPrefix):
 		return "a claim of a job that is over"
 	case strings.HasPrefix(key, records.GangReservationPrefix), strings.HasPrefix(key, records.GangHoldPrefix):
 		return "room held for nobody"
 	case strings.HasPrefix(key, records.TeamUsagePrefix):
-		return leakOfTeamUsage(value)
+		return teamUsageLeakReason(value)
 	case strings.HasPrefix(key, records.ReservationPrefix):
 		var reservations records.Reservations
 		if err := json.Unmarshal(value, &reservations); err != nil {
@@ -73,8 +73,8 @@
 	return ""
 }
 
-// leakOfTeamUsage is leakOf for a TeamUsage record.
-func leakOfTeamUsage(value json.RawMessage) string {
+// teamUsageLeakReason is leakReason for a TeamUsage record.
+func teamUsageLeakReason(value json.RawMessage) string {
 	var usage records.TeamUsage
 	if err := json.Unmarshal(value, &usage); err != nil {
 		return err.Error()
--- a/internal/simtest/outcome.go
+++ b/internal/simtest/outcome.go
@@ -7,11 +7,11 @@
 
 // Outcome is the result of playing a script.
 type Outcome struct {
-	Line   string   // the line at which the script ended, if an error ended it
-	Err    error    // an error in the script, an expectation that was not met or a check that failed
-	Broken []string // violations of the protocol's rules that the emulator recorded
-	Events []string // one line for each event
-	Left   []string // if the script failed, the stored records that unfinishedRecords lists
+	Line              string   // the line at which the script ended, if an error ended it
+	Err               error    // an error in the script, an expectation that was not met or a check that failed
+	Broken            []string // violations of the protocol's rules that the emulator recorded
+	Events            []string // one line for each event
+	UnfinishedRecords []string // if the script failed, the stored records that unfinishedRecords lists
 }
 
 // Kind returns the kind of the failure: the name of the first broken rule, else the kind of Err
@@ -33,6 +33,6 @@
 		fmt.Fprintf(&b, "rules broken: %v\n", o.Broken)
 	}
 	b.WriteString(strings.Join(o.Events, "\n"))
-	b.WriteString("\n" + strings.Join(o.Left, "\n"))
+	b.WriteString("\n" + strings.Join(o.UnfinishedRecords, "\n"))
 	return b.String()
 }
--- a/internal/simtest/play.go
+++ b/internal/simtest/play.go
@@ -46,7 +46,7 @@
 	out.Line, out.Err = c.playLines(script)
 	out.Broken, out.Events = c.world.Broken(), c.world.Events()
 	if stored := c.records(); out.Kind() != "" {
-		out.Left = unfinishedRecords(stored)
+		out.UnfinishedRecords = unfinishedRecords(stored)
 	}
 	return out
 }
@@ -115,14 +115,14 @@
 // with a field "x". In the record of a job this field is the state of a job that has ended, or
 // that is blocked by its dependencies.
 func unfinishedRecords(stored recordSet) []string {
-	var left []string
+	var unfinished []string
 	for _, key := range slices.Sorted(maps.Keys(stored)) {
-		isOver := strings.Contains(string(stored[key]), `"x":`)
-		if !strings.HasPrefix(key, records.MachinePrefix) && !strings.HasPrefix(key, records.ImagePrefix) && !isOver {
-			left = append(left, key+" "+string(stored[key]))
+		hasState := strings.Contains(string(stored[key]), `"x":`)
+		if !strings.HasPrefix(key, records.MachinePrefix) && !strings.HasPrefix(key, records.ImagePrefix) && !hasState {
+			unfinished = append(unfinished, key+" "+string(stored[key]))
 		}
 	}
-	return left
+	return unfinished
 }
 
 // controllerCount returns the number of controllers that a script asks for with a line such
--- a/internal/simtest/quiescence.go
+++ b/internal/simtest/quiescence.go
@@ -24,9 +24,9 @@
 
 // quiescence is the state of the checks after all faults have ended.
 type quiescence struct {
-	since    time.Time            // when all faults ended
-	rounds   int                  // rounds of queries about all jobs since then
-	answered map[string]time.Time // by job ID, when a query was last answered
+	faultsEndedAt time.Time            // when all faults ended
+	rounds        int                  // rounds of queries about all jobs since then
+	lastAnswered  map[string]time.Time // by job ID, when a query was last answered
 }
 
 // checkQuiescence ends all faults, starts all controllers and checks that the cluster settles.
@@ -39,7 +39,7 @@
 			return err
 		}
 	}
-	c.quiescence.since = time.Now()
+	c.quiescence.faultsEndedAt = time.Now()
 	time.Sleep(checkInterval)
 	c.users.Wait() // users repeat a request for at most a minute
 	if err := c.eventually(settledWithin, c.checkSettled); err != nil {
@@ -88,12 +88,12 @@
 // checkAlways checks the invariants that hold at every moment after all faults have ended. All
 // checks run even if an earlier one fails, and the first error is returned.
 func (c *cluster) checkAlways() error {
-	return cmp.Or(c.checkOneShardEach(), c.recount(), c.checkAnswered(), c.checkNoneWaits())
+	return cmp.Or(c.checkOneShardPerMachine(), c.recount(), c.checkAnswered(), c.checkNoneUnplaced())
 }
 
-// checkNoneWaits checks that no job stays unplaced for longer than placedWithin although there
-// is capacity for it.
-func (c *cluster) checkNoneWaits() error {
+// checkNoneUnplaced checks that no job stays unplaced for longer than placedWithin although
+// there is capacity for it.
+func (c *cluster) checkNoneUnplaced() error {
 	if jobs := c.world.UnplacedLongerThan(placedWithin); len(jobs) > 0 {
 		return checkErrorf("waits", "%s for %v, beside room", strings.Join(jobs, ", "), placedWithin)
 	}
@@ -107,22 +107,22 @@
 	q.rounds++
 	for i, job := range c.world.Accepted() {
 		if status, _ := c.world.Query(c.names[(q.rounds+i)%len(c.names)], job.Ref); status == 200 {
-			q.answered[job.Ref] = time.Now()
+			q.lastAnswered[job.Ref] = time.Now()
 		}
-		last := q.answered[job.Ref]
-		if last.Before(q.since) {
-			last = q.since
+		last := q.lastAnswered[job.Ref]
+		if last.Before(q.faultsEndedAt) {
+			last = q.faultsEndedAt
 		}
-		if silent := time.Since(last); silent > answeredWithin {
-			return checkErrorf("forgotten", "no question about %s was answered for %v after all faults", job.Ref, silent.Round(time.Second))
+		if unansweredFor := time.Since(last); unansweredFor > answeredWithin {
+			return checkErrorf("forgotten", "no question about %s was answered for %v after all faults", job.Ref, unansweredFor.Round(time.Second))
 		}
 	}
 	return nil
 }
 
-// checkOneShardEach checks that no machine is in two shards. The owners of both shards would
-// place tasks on the machine.
-func (c *cluster) checkOneShardEach() error {
+// checkOneShardPerMachine checks that no machine is in two shards. The owners of both shards
+// would place tasks on the machine.
+func (c *cluster) checkOneShardPerMachine() error {
 	shardOf := make(map[string]string)
 	var err error
 	c.records().eachProvisioned(func(key, host, shard string) {
--- a/internal/simtest/seeds_test.go
+++ b/internal/simtest/seeds_test.go
@@ -58,13 +58,13 @@
 // reportShrunk fails the test and logs the shrunk script, which fails with the same kind. It
 // also writes the script to the directory -found, if that is set.
 func reportShrunk(t *testing.T, script string, seed int) {
-	small := Shrink(script, *plays, func(s string) string { return play(t, s, uint64(seed)).Kind() })
-	out := play(t, small, uint64(seed))
-	t.Errorf("seed %d\n%s%s", seed, small, out)
+	shrunk := Shrink(script, *plays, func(s string) string { return play(t, s, uint64(seed)).Kind() })
+	out := play(t, shrunk, uint64(seed))
+	t.Errorf("seed %d\n%s%s", seed, shrunk, out)
 	if *found == "" {
 		return
 	}
-	text := fmt.Sprintf("# Seed %d, %s\n%s", seed, strings.Join(append(out.Broken, fmt.Sprint(out.Err)), "; "), small)
+	text := fmt.Sprintf("# Seed %d, %s\n%s", seed, strings.Join(append(out.Broken, fmt.Sprint(out.Err)), "; "), shrunk)
 	file := filepath.Join(*found, fmt.Sprintf("%s-%d.trace", out.Kind(), seed))
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		t.Error(err)
--- a/internal/simtest/shrink.go
+++ b/internal/simtest/shrink.go
@@ -7,11 +7,11 @@
 
 // Shrink removes lines from a script that are not needed for a failure of the same kind. It
 // first tries to remove half of the lines at a time, then ever fewer. It plays at most maxPlays
-// shortened scripts. The function fails plays a script and returns the kind of its failure,
-// empty if it passes; a script that passes is returned unchanged.
-func Shrink(script string, maxPlays int, fails func(script string) string) string {
+// shortened scripts. failureKind plays a script and returns the kind of its failure, empty if it
+// passes; a script that passes is returned unchanged.
+func Shrink(script string, maxPlays int, failureKind func(script string) string) string {
 	lines := scriptLines(script)
-	kind := fails(strings.Join(lines, "\n"))
+	kind := failureKind(strings.Join(lines, "\n"))
 	if kind == "" {
 		return script
 	}
@@ -21,7 +21,7 @@
 			end := min(at+size, len(lines))
 			rest := slices.Concat(lines[:at], lines[end:])
 			maxPlays--
-			if fails(strings.Join(rest, "\n")) == kind {
+			if failureKind(strings.Join(rest, "\n")) == kind {
 				lines, isShorter = rest, true
 				continue
 			}
--- a/internal/simtest/verbs.go
+++ b/internal/simtest/verbs.go
@@ -40,7 +40,7 @@
 
 // doFor executes a line and, after the duration, its opposite.
 func (c *cluster) doFor(f command, duration string) error {
-	last, err := time.ParseDuration(duration)
+	delay, err := time.ParseDuration(duration)
 	if err != nil {
 		return scriptErrorf("%w", err)
 	}
@@ -57,10 +57,10 @@
 	}
 	// The offset puts the end after the lines of the script at the same instant, and makes
 	// the ends of different steps differ, so that their order is the same in every run.
-	c.endings++
-	last += time.Duration(c.endings) * 23 * time.Nanosecond
+	c.timedSteps++
+	delay += time.Duration(c.timedSteps) * 23 * time.Nanosecond
 	c.users.Go(func() {
-		if time.Sleep(last); c.ctx.Err() == nil {
+		if time.Sleep(delay); c.ctx.Err() == nil {
 			if err := c.do(end); err != nil {
 				c.fail(err)
 			}
--- a/internal/simtest/verbs_network.go
+++ b/internal/simtest/verbs_network.go
@@ -27,11 +27,11 @@
 // supports, of the whole world or of one controller or zone.
 func (c *cluster) setFault(f command) error {
 	last := len(f) - 1
-	name, how := strings.Join(f[1:max(1, last)], " "), f[last]
+	name, state := strings.Join(f[1:max(1, last)], " "), f[last]
 	isKnown := emulator.IsFault(name, append(slices.Clone(c.names), "a", "b"))
-	if !isKnown || (how != "on" && how != "off") {
-		return scriptErrorf("trouble NAME [NODE] on|off, not %q %q", name, how)
+	if !isKnown || (state != "on" && state != "off") {
+		return scriptErrorf("trouble NAME [NODE] on|off, not %q %q", name, state)
 	}
-	c.world.SetFault(name, how == "on")
+	c.world.SetFault(name, state == "on")
 	return nil
 }
--- a/internal/simtest/verbs_users.go
+++ b/internal/simtest/verbs_users.go
@@ -103,16 +103,16 @@
 // poll executes "polls COUNT for TIME": users query COUNT times a second for the status of
 // existing and unknown jobs, at all nodes in turn. Each query runs in a goroutine of its own.
 func (c *cluster) poll(args []string) error {
-	count, last, err := parseRate("polls", args)
+	count, duration, err := parseRate("polls", args)
 	if err != nil {
 		return err
 	}
-	end := time.Now().Add(last)
+	end := time.Now().Add(duration)
 	c.users.Go(func() {
 		for i := 0; time.Now().Before(end) && c.ctx.Err() == nil; i++ {
 			node, jobID := c.names[i%len(c.names)], fmt.Sprintf("wk-%d", i%40+1) // the higher IDs mostly do not exist
 			c.users.Go(func() { c.world.Query(node, jobID) })
-			time.Sleep(pause(count))
+			time.Sleep(requestInterval(count))
 		}
 	})
 	return nil
@@ -121,11 +121,11 @@
 // streamJobs executes "stream COUNT for TIME": users submit COUNT jobs of one task a second, at
 // all nodes in turn, and cancel every fourth.
 func (c *cluster) streamJobs(args []string) error {
-	count, last, err := parseRate("stream", args)
+	count, duration, err := parseRate("stream", args)
 	if err != nil {
 		return err
 	}
-	end := time.Now().Add(last)
+	end := time.Now().Add(duration)
 	c.users.Go(func() {
 		for i := 0; time.Now().Before(end) && c.ctx.Err() == nil; i++ {
 			node, jobID := c.names[i%len(c.names)], fmt.Sprintf("wk-%d", 10_000+i)
@@ -133,7 +133,7 @@
 			if i%4 == 3 {
 				c.cancelStreamed(i, jobID)
 			}
-			time.Sleep(pause(count))
+			time.Sleep(requestInterval(count))
 		}
 	})
 	return nil
@@ -152,6 +152,8 @@
 	})
 }
 
-// pause returns the interval between requests at a rate of count a second. The extra 113 ns
-// keep requests from coinciding with the timers of the controllers.
-func pause(count int) time.Duration { return time.Second/time.Duration(count) + 113*time.Nanosecond }
+// requestInterval returns the interval between requests at a rate of count a second. The extra
+// 113 ns keep requests from coinciding with the timers of the controllers.
+func requestInterval(count int) time.Duration {
+	return time.Second/time.Duration(count) + 113*time.Nanosecond
+}
