--- a/internal/simtest/expectations.go
+++ b/internal/simtest/expectations.go
@@ -25,7 +25,7 @@
 // expect executes an "expect" line; f holds the fields after the verb.
 func (c *cluster) expect(f command) error {
 	if len(f) < 2 {
-		return scriptErrorf("expect what?")
+		return scriptErrorf("expect needs an expectation and its arguments")
 	}
 	if f[1] == "running" {
 		return c.expectRunning(f)
--- a/internal/simtest/leaks.go
+++ b/internal/simtest/leaks.go
@@ -25,11 +25,11 @@
 		}
 	}
 	if hosts := c.world.Hosts(false); len(hosts) > 0 {
-		return checkErrorf("leaked", "%v are rented and unused", hosts)
+		return checkErrorf("leaked", "%v are rented though every job is over", hosts)
 	}
 	for _, name := range c.names {
 		if left := c.process(name).controller.Residue(); len(left) > 0 {
-			return checkErrorf("leaked", "%s keeps %s", name, strings.Join(left, ", "))
+			return checkErrorf("leaked", "%s holds in memory: %s", name, strings.Join(left, ", "))
 		}
 	}
 	return nil
@@ -42,7 +42,7 @@
 	case strings.HasPrefix(key, records.ClaimPrefix):
 		return "a claim of a job that is over"
 	case strings.HasPrefix(key, records.GangReservationPrefix), strings.HasPrefix(key, records.GangHoldPrefix):
-		return "room held for nobody"
+		return "a gang reservation or hold of a job that is over"
 	case strings.HasPrefix(key, records.TeamUsagePrefix):
 		return teamUsageLeakReason(value)
 	case strings.HasPrefix(key, records.ReservationPrefix):
@@ -51,7 +51,7 @@
 			return err.Error()
 		}
 		if len(reservations.ByClaim)+len(reservations.Preempted) > 0 {
-			return "a booked guarantee of a job that is over"
+			return "a guarantee reserved for a job that is over"
 		}
 	case strings.HasPrefix(key, records.ProvisionPrefix):
 		var provision records.Provision
@@ -59,7 +59,7 @@
 			return err.Error()
 		}
 		if len(provision.Hosts) == 0 {
-			return "a hire without an answer"
+			return "an unanswered provision request"
 		}
 	case strings.HasPrefix(key, records.MachinePrefix):
 		var machine records.Machine
--- a/internal/simtest/quiescence.go
+++ b/internal/simtest/quiescence.go
@@ -95,7 +95,7 @@
 // there is capacity for it.
 func (c *cluster) checkNoneUnplaced() error {
 	if jobs := c.world.UnplacedLongerThan(placedWithin); len(jobs) > 0 {
-		return checkErrorf("waits", "%s for %v, beside room", strings.Join(jobs, ", "), placedWithin)
+		return checkErrorf("waits", "%s unplaced for %v although machines have capacity", strings.Join(jobs, ", "), placedWithin)
 	}
 	return nil
 }
@@ -114,7 +114,7 @@
 			last = q.faultsEndedAt
 		}
 		if unansweredFor := time.Since(last); unansweredFor > answeredWithin {
-			return checkErrorf("forgotten", "no question about %s was answered for %v after all faults", job.Ref, unansweredFor.Round(time.Second))
+			return checkErrorf("forgotten", "no query about %s was answered for %v after all faults had ended", job.Ref, unansweredFor.Round(time.Second))
 		}
 	}
 	return nil
@@ -127,7 +127,7 @@
 	var err error
 	c.records().eachProvisioned(func(key, host, shard string) {
 		if other := shardOf[host]; other != "" && other != shard && err == nil {
-			err = checkErrorf("two_shards", "%s is in %s and, by %s, in %s", host, other, key, shard)
+			err = checkErrorf("two_shards", "%s is in %s and, according to the record %s, in %s", host, other, key, shard)
 		}
 		shardOf[host] = shard
 	})
--- a/internal/simtest/seeds_test.go
+++ b/internal/simtest/seeds_test.go
@@ -13,10 +13,10 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 12, "scripts to play")
-	from  = flag.Int("from", 0, "the first one's seed")
-	found = flag.String("found", "", "directory for the scripts that failed, shrunk")
-	plays = flag.Int("plays", 150, "plays that shrinking one script may take")
+	seeds = flag.Int("seeds", 12, "number of scripts to play")
+	from  = flag.Int("from", 0, "seed of the first script")
+	found = flag.String("found", "", "directory for the shrunk scripts that failed")
+	plays = flag.Int("plays", 150, "limit of plays for shrinking one script")
 )
 
 // TestSeeds plays scripts drawn from seeds. A script that fails is shrunk, and written to the
