--- a/internal/simtest/day.go
+++ b/internal/simtest/day.go
@@ -14,7 +14,7 @@
 // and faults at intervals. The script checks that no class and no team starves.
 func GenerateDay() *rapid.Generator[string] {
 	return rapid.Custom(func(t *rapid.T) string {
-		b := &scriptBuilder{t: t, names: controllerNames(usualControllers)}
+		b := &scriptBuilder{t: t, names: controllerNames(defaultControllerCount)}
 		b.add(0, "machines %d a", b.number("in a", 4, 7))
 		b.add(0, "machines %d b", b.number("in b", 4, 7))
 		b.add(0, "spare 40")
--- a/internal/simtest/outage_bursts.go
+++ b/internal/simtest/outage_bursts.go
@@ -14,7 +14,7 @@
 }
 
 func outageBursts(t *rapid.T) *scriptBuilder {
-	b := &scriptBuilder{t: t, names: controllerNames(usualControllers)}
+	b := &scriptBuilder{t: t, names: controllerNames(defaultControllerCount)}
 	b.fleet()
 	for range b.number("storms", 1, 3) {
 		b.outageBurst(b.moment("storm", 7*time.Second, 50*time.Second))
--- a/internal/simtest/play.go
+++ b/internal/simtest/play.go
@@ -136,5 +136,5 @@
 			}
 		}
 	}
-	return usualControllers
+	return defaultControllerCount
 }
--- a/internal/simtest/settings.go
+++ b/internal/simtest/settings.go
@@ -8,8 +8,8 @@
 	"madderslip/internal/protocol"
 )
 
-// usualControllers is the number of controllers of a cluster whose script does not set one.
-const usualControllers = 3
+// defaultControllerCount is the number of controllers of a cluster whose script does not set one.
+const defaultControllerCount = 3
 
 // zones are the names of the zones of every cluster.
 var zones = []string{"a", "b"}
