--- a/internal/simtest/day.go
+++ b/internal/simtest/day.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// dayFault draws one fault.
+// dayFault draws one of the faults that a day may have.
 func (b *scriptBuilder) dayFault(at time.Duration) {
 	b.drawOne("trouble", []choice{
 		{1, func() { b.kill(b.node(), at) }},
--- a/internal/simtest/verbs_configuration.go
+++ b/internal/simtest/verbs_configuration.go
@@ -74,7 +74,7 @@
 	c.checkerMu.Unlock()
 	if time.Since(c.began) > 0 {
 		// Until all controllers have restarted with the new settings, the team may use up to
-		// the higher limit.
+		// the higher limit. The script ends that with "hold".
 		team.MaxCPUs, team.MaxGPUs = higherLimit(team.MaxCPUs, before.MaxCPUs), higherLimit(team.MaxGPUs, before.MaxGPUs)
 	}
 	c.world.SetTeam(team)
--- a/internal/simtest/verbs_users.go
+++ b/internal/simtest/verbs_users.go
@@ -139,8 +139,9 @@
 	return nil
 }
 
-// cancelStreamed cancels job i of a stream, every fourth one of these jobs at the same moment:
-// at once, at the expected start of its task, while the task runs, or at its expected end.
+// cancelStreamed cancels job i of a stream. The moment varies from one cancelled job to the next:
+// at once, at the expected start of the task, while it runs, or at its expected end. The
+// cancellations go to all nodes in turn.
 func (c *cluster) cancelStreamed(i int, jobID string) {
 	node := c.names[(i/4)%len(c.names)]
 	end := time.Duration(1+i%5)*time.Second + 1100*time.Millisecond
