--- a/internal/simtest/quiescence.go
+++ b/internal/simtest/quiescence.go
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// checkOneShardPerMachine checks that no machine is in two shards. The owners of both shards
-// would place tasks on the machine.
+// checkOneShardPerMachine checks that each machine stays in one shard for its lifetime. The
+// owners of two shards would both place tasks on the machine.
 func (c *cluster) checkOneShardPerMachine() error {
 	shardOf := make(map[string]string)
 	var err error
