--- a/internal/simtest/dependencies.go
+++ b/internal/simtest/dependencies.go
@@ -44,7 +44,7 @@
 		b.dependencyFault(jobs[0], soon)
 	}
 	for range b.number("questions", 1, 4) {
-		b.userAsks(soon()+b.moment("later", 0, 40*time.Second), b.node(), oneOf())
+		b.userPolls(soon()+b.moment("later", 0, 40*time.Second), b.node(), oneOf())
 	}
 }
 
--- a/internal/simtest/draw_jobs.go
+++ b/internal/simtest/draw_jobs.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// nextJobID returns the name of the next job.
+// nextJobID returns the ID of the next job.
 func (b *scriptBuilder) nextJobID() string {
 	b.jobs++
 	return fmt.Sprintf("wk-%d", b.jobs)
 }
 
-// userSubmits has a user submit a job to a node.
+// userSubmits adds a line in which a user submits a job to a node.
 func (b *scriptBuilder) userSubmits(at time.Duration, node, jobID, job string) {
 	b.add(at, "user %s submit %s %s", node, jobID, job)
 }
 
-// userCancels has a user cancel a job through a node.
+// userCancels adds a line in which a user cancels a job through a node.
 func (b *scriptBuilder) userCancels(at time.Duration, node, jobID string) {
 	b.add(at, "user %s abort %s", node, jobID)
 }
 
-// userAsks has a user ask a node for a job.
-func (b *scriptBuilder) userAsks(at time.Duration, node, jobID string) {
+// userPolls adds a line in which a user queries the status of a job from a node.
+func (b *scriptBuilder) userPolls(at time.Duration, node, jobID string) {
 	b.add(at, "user %s poll %s", node, jobID)
 }
 
-// plainJob submits a job with nothing special about it, or the one given, and
-// returns its id.
+// plainJob submits the given job, or a drawn service or array without options if job is
+// empty, and returns its ID.
 func (b *scriptBuilder) plainJob(at time.Duration, job string) string {
 	if job == "" {
 		job = b.pick("kind", fmt.Sprintf("service tasks=%d", b.number("replicas", 1, 6)), fmt.Sprintf("array tasks=%d run=%d", b.number("tasks", 2, 16), b.number("run", 3, 20)))
@@ -39,12 +39,13 @@
 	return jobID
 }
 
-// limitedArray is an array of the team whose limit is two tasks.
+// limitedArray draws an array of the team "tight", whose limit allows two tasks at a time.
 func (b *scriptBuilder) limitedArray(leastTasks, mostTasks, shortest, longest int) string {
 	return fmt.Sprintf("array tasks=%d run=%d team=tight", b.number("tasks", leastTasks, mostTasks), b.number("run", shortest, longest))
 }
 
-// anyJob submits a job of any kind, and may have it repeated or cancelled.
+// anyJob submits a job of a drawn shape, and in some cases repeats the submission or
+// cancels the job.
 func (b *scriptBuilder) anyJob(at time.Duration) {
 	jobID := b.nextJobID()
 	words, limited := b.shape([]string{jobID})
@@ -70,8 +71,8 @@
 	}
 }
 
-// shape draws a job's shape and what belongs to it. It reports whether the limit of the
-// job's team may keep it waiting.
+// shape draws a job's shape and the options that belong to it. It reports whether the limit
+// of the job's team may delay the job.
 func (b *scriptBuilder) shape(words []string) (_ []string, limited bool) {
 	switch b.pick("shape", "array", "array", "array", "gang", "service", "service") {
 	case "array":
@@ -87,7 +88,7 @@
 	team := b.pick("team", "", "", "", "team=guest rank=idle", "team=tight", "team=tight", "team=lent", "team=cards cards=1")
 	tasks, run := b.number("tasks", 1, 40), b.number("run", 1, 20)
 	if limited = team != "" && !strings.Contains(team, "guest"); limited {
-		tasks, run = b.number("few tasks", 1, 12), b.number("short", 1, 8) // or its limit alone keeps it from an end
+		tasks, run = b.number("few tasks", 1, 12), b.number("short", 1, 8) // larger arrays could not complete in time under the limit
 	}
 	words = append(words, strings.TrimSpace(fmt.Sprintf("array tasks=%d run=%d %s", tasks, run, team)))
 	words = b.maybeNumber(words, 25, "saves=%d", 2, 6)
@@ -96,7 +97,7 @@
 
 func (b *scriptBuilder) gang(words []string) (_ []string, limited bool) {
 	if limited = b.chance(25, "limited gang"); limited {
-		// As much as the whole limit, at times.
+		// Some of these gangs need the team's whole limit.
 		team := b.pick("team", "team=tight", "team=tight", "team=lent")
 		words = append(words, "gang", fmt.Sprintf("tasks=%d cpus=%d run=%d %s", b.number("tasks", 1, 2), b.number("cpus", 1, 2), b.number("short", 1, 8), team))
 	} else {
@@ -106,7 +107,7 @@
 	return b.maybe(words, 30, "samezone"), limited
 }
 
-// maybe adds a word to a job in so many of a hundred cases.
+// maybe appends a word to a job with a probability in percent.
 func (b *scriptBuilder) maybe(words []string, percent int, word string) []string {
 	if !b.chance(percent, word) {
 		return words
@@ -114,7 +115,7 @@
 	return append(words, word)
 }
 
-// maybeNumber adds a word with a number to a job in so many of a hundred cases.
+// maybeNumber appends a word with a drawn number to a job with a probability in percent.
 func (b *scriptBuilder) maybeNumber(words []string, percent int, format string, low, high int) []string {
 	if !b.chance(percent, format) {
 		return words
@@ -122,7 +123,8 @@
 	return append(words, fmt.Sprintf(format, b.number(format, low, high)))
 }
 
-// cancelAndKill has a job cancelled, at times by a node that ends as it answers.
+// cancelAndKill cancels a job, in some cases through a node that is killed while it
+// answers.
 func (b *scriptBuilder) cancelAndKill(jobID string, at time.Duration) {
 	node := b.node()
 	b.userCancels(at, node, jobID)
--- a/internal/simtest/fault_combinations.go
+++ b/internal/simtest/fault_combinations.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// faultCombination draws two faults that meet on purpose: the pairs by which most rules
-// were broken. See docs/design/fault-combinations.md.
+// faultCombination draws two faults that overlap on purpose: the pairs under which most
+// violations of the rules occurred. See docs/design/fault-combinations.md.
 func (b *scriptBuilder) faultCombination(at time.Duration) {
 	soon := b.soonAfter(at, 4*time.Second)
 	job := b.plainJob(at-b.moment("before", 3*time.Second, 7*time.Second), b.pick("kind", "service tasks=4", "service tasks=6 spread",
@@ -17,23 +17,23 @@
 	}
 	b.drawOne("meeting", []choice{
 		{2, func() { b.refusedThenOutage(at, job, node) }},
-		{2, func() { b.severed(at, job, node) }},
-		{2, func() { b.deafMachines(at, job, node) }},
+		{2, func() { b.severedController(at, job, node) }},
+		{2, func() { b.machinesCannotReceive(at, job, node) }},
 		{2, func() { b.lateWrites(at, job, node) }},
 		{1, func() { b.lateHeartbeats(at, job, node) }},
 		{1, func() { b.tasksEndFarApart(at) }},
 	})
 }
 
-// concurrentFault draws one more fault for the pairs that are named nowhere.
+// concurrentFault draws one more fault, for pairs that faultCombination does not list.
 func (b *scriptBuilder) concurrentFault(at time.Duration) {
 	b.drawOne("beside", []choice{
 		{1, func() { b.freezeOne(at, time.Second) }},
-		{1, func() { b.cutZone(at, time.Second, 15*time.Second) }},
+		{1, func() { b.partitionZone(at, time.Second, 15*time.Second) }},
 		{1, func() { b.reboot(at, 20, 100) }},
 		{1, func() { b.kill("all", at) }},
 		{1, func() { b.fault("slow", at) }},
-		{1, func() { b.limitDecidedByAll(at) }},
+		{1, func() { b.concurrentLimitedArrays(at) }},
 		{1, func() {
 			b.plainJob(at-2*time.Second, fmt.Sprintf("array tasks=%d run=%d", b.number("tasks", 8, 20), b.number("run", 10, 20)))
 			b.plainJob(at, b.pick("claims", "gang tasks=2 cpus=2 run=5 team=lent", "array tasks=3 cpus=4 run=4 team=lent"))
@@ -41,15 +41,17 @@
 	})
 }
 
-// limitDecidedByAll has all controllers decide at once at the edge of a limit.
-func (b *scriptBuilder) limitDecidedByAll(at time.Duration) {
+// concurrentLimitedArrays submits an array of a limited team to each controller at once, so
+// that all controllers decide on the last tasks of the limit at the same time.
+func (b *scriptBuilder) concurrentLimitedArrays(at time.Duration) {
 	for _, node := range b.names {
 		b.userSubmits(at, node, b.nextJobID(), b.limitedArray(1, 4, 1, 6))
 	}
 }
 
-// refusedThenOutage has one controller refused alone, jobs cancelled through others, and
-// then nobody served for longer than the bound on cancelled tasks.
+// refusedThenOutage makes the state service refuse one controller alone while jobs are
+// cancelled through drawn controllers. After that the state service is unavailable,
+// possibly for longer than the cancel deadline.
 func (b *scriptBuilder) refusedThenOutage(at time.Duration, job, refused string) {
 	window := b.moment("window", 300*time.Millisecond, 12*time.Second)
 	b.fault("refuse "+refused, at)
@@ -66,8 +68,9 @@
 	b.outage(at+window, 45*time.Second)
 }
 
-// severed has a controller lose the state service and its peers, not its workers and users.
-func (b *scriptBuilder) severed(at time.Duration, job, severed string) {
+// severedController disconnects a controller from the state service and its peers, but not
+// from its agents and users.
+func (b *scriptBuilder) severedController(at time.Duration, job, severed string) {
 	soon := b.soonAfter(at, 4*time.Second)
 	b.fault("severed "+severed, at)
 	b.userCancels(soon(), b.node(), job)
@@ -77,13 +80,14 @@
 		{1, func() { b.kill("all", soon()) }},
 		{1, func() { b.reboot(soon(), 20, 100) }},
 		{1, func() { b.freezeOne(soon(), time.Second) }},
-		{1, nothing},
+		{1, drawNothing},
 	})
 	b.plainJob(soon(), "array tasks=6 run=4 team=tight")
 }
 
-// deafMachines has machines whose heartbeats arrive, while nothing that is sent to them does.
-func (b *scriptBuilder) deafMachines(at time.Duration, job, node string) {
+// machinesCannotReceive makes machines lose everything that is sent to them, while their
+// heartbeats arrive.
+func (b *scriptBuilder) machinesCannotReceive(at time.Duration, job, node string) {
 	soon := b.soonAfter(at, 4*time.Second)
 	for range b.number("machines", 1, 2) {
 		b.machineFault(machineOf(job), "deaf", soon())
@@ -102,7 +106,8 @@
 	}
 }
 
-// lateWrites has what had no answer carried out after newer changes of the same controller.
+// lateWrites delays transactions that got no response, so that they are carried out after
+// newer changes of the same controller.
 func (b *scriptBuilder) lateWrites(at time.Duration, job, node string) {
 	soon := b.soonAfter(at, 4*time.Second)
 	b.fault("late writes", at)
@@ -117,12 +122,12 @@
 		{1, func() { b.machineFault(machineOf(job), "hang", soon()) }},
 		{1, func() { b.fault("refuse "+node, soon()) }},
 		{1, func() { b.fault("slow", soon()) }},
-		{1, nothing},
+		{1, drawNothing},
 	})
 }
 
-// lateHeartbeats has old heartbeats come after newer ones, of an earlier agent epoch or
-// incarnation too.
+// lateHeartbeats makes old heartbeats arrive after newer ones, among them heartbeats of an
+// earlier agent epoch or incarnation.
 func (b *scriptBuilder) lateHeartbeats(at time.Duration, job, node string) {
 	soon := b.soonAfter(at, 4*time.Second)
 	b.fault("late reports", at-b.moment("from", 0, 3*time.Second))
@@ -137,12 +142,14 @@
 	}
 }
 
-// hangBeyondLease has the machine of a task hang for about as long as its lease or longer.
+// hangBeyondLease makes the machine of one of a job's tasks hang for about as long as its
+// lease, or longer.
 func (b *scriptBuilder) hangBeyondLease(job string, at time.Duration) {
 	b.add(at, "vm %s hang for %s", machineOf(job), b.moment("beyond its lease", 10*time.Second, 20*time.Second))
 }
 
-// tasksEndFarApart has two tasks of a job end far apart, with changes of owners between.
+// tasksEndFarApart makes two tasks of a job end at widely different times, with changes of
+// shard owners in between.
 func (b *scriptBuilder) tasksEndFarApart(at time.Duration) {
 	soon := b.soonAfter(at, 4*time.Second)
 	job := b.plainJob(at-b.moment("before", 0, 3*time.Second), fmt.Sprintf("array tasks=2 run=%d", b.number("run", 3, 10)))
--- a/internal/simtest/outage_bursts.go
+++ b/internal/simtest/outage_bursts.go
@@ -23,7 +23,7 @@
 		b.anyJob(b.moment("job", 4*time.Second, 60*time.Second))
 	}
 	for range b.number("polls", 1, 5) {
-		b.userAsks(b.moment("poll", 5*time.Second, 90*time.Second), b.node(), fmt.Sprintf("wk-%d", b.number("ref", 1, 12)))
+		b.userPolls(b.moment("poll", 5*time.Second, 90*time.Second), b.node(), fmt.Sprintf("wk-%d", b.number("ref", 1, 12)))
 	}
 	return b
 }
--- a/internal/simtest/quick_restarts.go
+++ b/internal/simtest/quick_restarts.go
@@ -41,7 +41,7 @@
 		{1, func() { b.outage(before(), 9*time.Second) }},
 		{1, func() { b.fault("refuse "+b.node(), before()) }},
 		{1, func() { b.fault("lossy", before()) }},
-		{1, nothing},
+		{1, drawNothing},
 	})
 }
 
--- a/internal/simtest/quota_faults.go
+++ b/internal/simtest/quota_faults.go
@@ -76,10 +76,10 @@
 // mayRestartAll reports whether every controller can be restarted: where ends may be left
 // out, a controller would never be told of a change. It reserves the script for it.
 func (b *scriptBuilder) mayRestartAll() bool {
-	if len(b.noKills) > 0 || b.restartsAll {
+	if len(b.killFreeSpans) > 0 || b.needsAllRestarts {
 		return false
 	}
-	b.restartsAll = true
+	b.needsAllRestarts = true
 	return true
 }
 
@@ -91,9 +91,9 @@
 	for range 2 {
 		b.plainJob(at-b.moment("before", 0, 2*time.Second), fmt.Sprintf("array tasks=%d run=%d team=lent", b.number("tasks", 4, 16), b.number("run", 1, 5)))
 	}
-	b.restartEach(at, fmt.Sprintf("team lent cpus=8 most=%d", b.number("lowered", 4, 12)))
+	b.rollingRestart(at, fmt.Sprintf("team lent cpus=8 most=%d", b.number("lowered", 4, 12)))
 	b.add(at+19*time.Second, "hold lent")
-	b.restartEach(at+20*time.Second, fmt.Sprintf("team lent cpus=8 most=%d", b.number("raised", 14, 24)))
+	b.rollingRestart(at+20*time.Second, fmt.Sprintf("team lent cpus=8 most=%d", b.number("raised", 14, 24)))
 }
 
 // allotmentsOffAndOn restarts the controllers as versions that know no allotments, and back.
@@ -104,6 +104,6 @@
 	for i := range 4 {
 		b.plainJob(at+time.Duration(i)*4*time.Second, b.limitedArray(2, 8, 1, 5))
 	}
-	b.restartEach(at, "allot off")
-	b.restartEach(at+18*time.Second, "allot on")
+	b.rollingRestart(at, "allot off")
+	b.rollingRestart(at+18*time.Second, "allot on")
 }
--- a/internal/simtest/script_builder.go
+++ b/internal/simtest/script_builder.go
@@ -11,36 +11,37 @@
 	"pgregory.net/rapid"
 )
 
-// scriptBuilder draws a script from a seed. What a seed gives must stay the same to the
-// byte, since failures are known by their seeds: the order of draws, their labels and their
-// bounds are part of that.
+// scriptBuilder draws a script from a seed. A seed must give the same script, byte for
+// byte, in every version, because failures are identified by their seeds. The order of the
+// draws, their labels and their bounds therefore must not change.
 type scriptBuilder struct {
-	t           *rapid.T
-	steps       []step
-	jobs        int      // submitted so far; they are wk-1, wk-2 and so on
-	names       []string // of the controllers
-	noKills     []span   // no controller ends in these
-	restartsAll bool     // the script depends on the restart of every controller
+	t                *rapid.T
+	steps            []step
+	jobs             int      // number of jobs submitted so far, named wk-1, wk-2 and so on
+	names            []string // names of the controllers
+	killFreeSpans    []span   // lines that kill a controller within these are dropped
+	needsAllRestarts bool     // the script depends on the restart of every controller, so no kill may be dropped
 }
 
-// step is a line of a script.
+// step is one line of a script.
 type step struct {
 	at   time.Duration
 	text string
 }
 
-// span is a stretch of a script's time, without its ends.
+// span is an open interval of a script's time: its ends are not part of it.
 type span struct{ from, to time.Duration }
 
 func (s span) contains(at time.Duration) bool { return at > s.from && at < s.to }
 
-// choice is something that a generator may draw, as often as its weight says.
+// choice is an alternative that drawOne may draw, with a probability proportional to its
+// weight.
 type choice struct {
 	weight int
 	draw   func()
 }
 
-// drawOne draws one of the choices. Their order is part of what a seed gives.
+// drawOne draws one of the choices. Which one a seed draws depends on their order.
 func (b *scriptBuilder) drawOne(label string, choices []choice) {
 	total := 0
 	for _, c := range choices {
@@ -55,11 +56,12 @@
 	}
 }
 
-// nothing is the choice to draw nothing.
-func nothing() {}
+// drawNothing is the draw function of a choice that adds no line to the script.
+func drawNothing() {}
 
-// number draws evenly, a bit at a time: the library's own ranges prefer small
-// numbers, and with them all faults would come within the same milliseconds.
+// number draws a number from low to high with equal probabilities, one bit at a time. The
+// ranges of the library prefer small numbers and would place all faults within the same
+// milliseconds.
 func (b *scriptBuilder) number(label string, low, high int) int {
 	count := uint64(high - low + 1)
 	drawn := uint64(0)
@@ -72,17 +74,17 @@
 	return low + int(drawn%count)
 }
 
-// chance draws whether something that happens in so many of a hundred scripts does.
+// chance draws whether an event occurs whose probability is given in percent.
 func (b *scriptBuilder) chance(percent int, label string) bool {
 	return b.number(label, 1, 100) <= percent
 }
 
-// moment draws a time or a duration, down to the microsecond.
+// moment draws a time or a duration in whole microseconds.
 func (b *scriptBuilder) moment(label string, low, high time.Duration) time.Duration {
 	return time.Duration(b.number(label, int(low/time.Microsecond), int(high/time.Microsecond))) * time.Microsecond
 }
 
-// soonAfter returns a function that draws times up to so long after a given one.
+// soonAfter returns a function that draws times from at up to longest after it.
 func (b *scriptBuilder) soonAfter(at, longest time.Duration) func() time.Duration {
 	return func() time.Duration { return at + b.moment("soon", 0, longest) }
 }
@@ -95,22 +97,23 @@
 
 func (b *scriptBuilder) host() string { return fmt.Sprintf("%06d", b.number("host", 1, 9)) }
 
-// faultDuration draws how long a fault lasts: mostly some seconds, at times longer
-// than any lease or limit.
+// faultDuration draws how long a fault lasts: usually some seconds, sometimes longer than
+// any lease or limit.
 func (b *scriptBuilder) faultDuration() time.Duration {
 	longest := []time.Duration{3 * time.Second, 15 * time.Second, 15 * time.Second, 50 * time.Second}
 	return b.moment("lasts", 200*time.Millisecond, longest[b.number("how long", 0, 3)])
 }
 
-// add adds a line.
+// add adds a line to the script.
 func (b *scriptBuilder) add(at time.Duration, format string, args ...any) {
 	b.steps = append(b.steps, step{at, fmt.Sprintf(format, args...)})
 }
 
-// script writes the lines down in order, with the check of quiescence at their end.
+// script returns the lines in the order of their times, followed by "calm", which checks
+// the cluster after quiescence.
 func (b *scriptBuilder) script() string {
 	b.steps = slices.DeleteFunc(b.steps, func(s step) bool {
-		return strings.HasPrefix(s.text, "kill") && slices.ContainsFunc(b.noKills, func(in span) bool { return in.contains(s.at) })
+		return strings.HasPrefix(s.text, "kill") && slices.ContainsFunc(b.killFreeSpans, func(in span) bool { return in.contains(s.at) })
 	})
 	slices.SortStableFunc(b.steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
 	var text strings.Builder
--- a/internal/simtest/user_combinations.go
+++ b/internal/simtest/user_combinations.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// userCombination draws what users do at the worst moments, or what comes late, in a change
-// of leaders. See docs/design/fault-combinations.md.
+// userCombination draws user requests at critical times, or delayed messages, during a
+// change of leaders. See docs/design/fault-combinations.md.
 func (b *scriptBuilder) userCombination(at time.Duration) {
 	b.drawOne("users", []choice{
 		{2, func() { b.concurrentReads(at) }},
@@ -15,21 +15,20 @@
 		{1, func() { b.cancelledInHandover(at) }},
 		{1, func() { b.fastBoots(at) }},
 		{2, func() { b.heartbeatsForNextOwner(at) }},
-		{1, func() { b.muteMachines(at) }},
+		{1, func() { b.machinesCannotSend(at) }},
 		{1, func() { b.cancelledAtOnce(at) }},
-		{1, func() { b.oddRequests(at) }},
+		{1, func() { b.invalidRequests(at) }},
 		{1, func() { b.streamOfJobs(at) }},
 	})
 }
 
-// soonAndBefore returns functions that draw times up to 5 s after a given one and 2 to 6 s
-// before it.
+// soonAndBefore returns functions that draw times up to 5 s after at, and 2 to 6 s before.
 func (b *scriptBuilder) soonAndBefore(at time.Duration) (soon, before func() time.Duration) {
 	before = func() time.Duration { return at - b.moment("before", 2*time.Second, 6*time.Second) }
 	return b.soonAfter(at, 5*time.Second), before
 }
 
-// smallJobs submits jobs of one task shortly after one another, some of them cancelled.
+// smallJobs submits jobs of one task shortly after one another, and cancels some of them.
 func (b *scriptBuilder) smallJobs(at time.Duration) {
 	for range b.number("small", 3, 12) {
 		job := b.plainJob(at, fmt.Sprintf("array tasks=1 run=%d", b.number("run", 1, 4)))
@@ -40,7 +39,8 @@
 	}
 }
 
-// concurrentReads has users ask at all nodes as soon as something has changed.
+// concurrentReads makes users query all nodes as soon as a job is accepted, ends or is
+// cancelled.
 func (b *scriptBuilder) concurrentReads(at time.Duration) {
 	soon, _ := b.soonAndBefore(at)
 	b.fault("close looks", at-time.Second)
@@ -53,7 +53,8 @@
 	}
 }
 
-// unansweredWrites has writes carried out whose answers are lost, while all nodes are asked.
+// unansweredWrites loses the responses of transactions that are carried out, while users
+// query all nodes.
 func (b *scriptBuilder) unansweredWrites(at time.Duration) {
 	soon, before := b.soonAndBefore(at)
 	b.fault("unanswered writes", at)
@@ -64,8 +65,8 @@
 	b.leaderChange(soon())
 }
 
-// limitsWithLostCancellations has every team at its limit, with work that is cancelled
-// where nobody hears it.
+// limitsWithLostCancellations fills the limits of two teams with jobs, and cancels these
+// jobs while machines that run them cannot receive commands or cannot report.
 func (b *scriptBuilder) limitsWithLostCancellations(at time.Duration) {
 	soon, before := b.soonAndBefore(at)
 	for _, line := range []string{"array tasks=2 run=60 team=tight", "array tasks=4 cpus=4 run=60 team=lent"} {
@@ -78,7 +79,7 @@
 	b.leaderChange(soon())
 }
 
-// cancelledInHandover has jobs cancelled while a shard is taken over and handed back.
+// cancelledInHandover cancels jobs while a shard is taken over and handed back.
 func (b *scriptBuilder) cancelledInHandover(at time.Duration) {
 	_, before := b.soonAndBefore(at)
 	inHandover := func() time.Duration { return at + b.moment("in it", 2*time.Second, 14*time.Second) }
@@ -92,7 +93,8 @@
 	}
 }
 
-// fastBoots has new machines up at once, while the writes about them come late.
+// fastBoots makes new machines boot within a second, while transactions about them are
+// delayed or lose their responses.
 func (b *scriptBuilder) fastBoots(at time.Duration) {
 	soon, _ := b.soonAndBefore(at)
 	b.fault("fast boots", at-2*time.Second)
@@ -105,7 +107,8 @@
 	}
 }
 
-// heartbeatsForNextOwner has old heartbeats reach a shard's new owner first.
+// heartbeatsForNextOwner makes old heartbeats reach a shard's new owner before current
+// ones.
 func (b *scriptBuilder) heartbeatsForNextOwner(at time.Duration) {
 	soon, before := b.soonAndBefore(at)
 	b.fault("reports for next", at-3*time.Second)
@@ -121,8 +124,9 @@
 	b.leaderChange(soon() + b.moment("later", 2*time.Second, 15*time.Second))
 }
 
-// muteMachines has machines whose heartbeats reach nobody, while commands reach them.
-func (b *scriptBuilder) muteMachines(at time.Duration) {
+// machinesCannotSend makes the heartbeats of machines reach no controller, while commands
+// reach the machines.
+func (b *scriptBuilder) machinesCannotSend(at time.Duration) {
 	soon, before := b.soonAndBefore(at)
 	job := b.plainJob(before(), b.pick("kind", "service tasks=4", "array tasks=3 run=30", "array tasks=2 run=40 team=tight", "gang tasks=2 cpus=4 run=30 saves=4"))
 	b.machineFault(machineOf(job), "mute", soon())
@@ -135,7 +139,7 @@
 	}
 }
 
-// cancelledAtOnce has several jobs that run cancelled at once.
+// cancelledAtOnce cancels several running jobs at once.
 func (b *scriptBuilder) cancelledAtOnce(at time.Duration) {
 	soon, before := b.soonAndBefore(at)
 	for range b.number("jobs", 2, 4) {
@@ -148,15 +152,17 @@
 	}
 }
 
-// oddRequests has users repeat submissions, cancel what is done and send what cannot run.
-func (b *scriptBuilder) oddRequests(at time.Duration) {
+// invalidRequests makes users repeat submissions, cancel jobs that are done and submit jobs
+// that cannot run.
+func (b *scriptBuilder) invalidRequests(at time.Duration) {
 	soon, _ := b.soonAndBefore(at)
 	b.fault("odd requests", at)
 	b.smallJobs(at)
 	b.fault(b.pick("with", "slow", "lossy", "unanswered writes", "refuse "+b.node()), soon())
 }
 
-// streamOfJobs has jobs of one task come all the time, some cancelled at their end.
+// streamOfJobs submits jobs of one task at a steady rate, and cancels some of them when
+// they end.
 func (b *scriptBuilder) streamOfJobs(at time.Duration) {
 	soon, _ := b.soonAndBefore(at)
 	b.add(at, "stream 4 for %s", b.moment("stream", 5*time.Second, 25*time.Second))
--- a/internal/simtest/zone_faults.go
+++ b/internal/simtest/zone_faults.go
@@ -43,7 +43,7 @@
 func (b *scriptBuilder) zoneCutOff(at time.Duration) {
 	soon := b.soonAfter(at, 4*time.Second)
 	job := b.plainJob(at-b.moment("before", 2*time.Second, 6*time.Second), "")
-	b.cutZone(soon(), time.Second, 45*time.Second)
+	b.partitionZone(soon(), time.Second, 45*time.Second)
 	if b.chance(40, "outage") {
 		b.outage(soon(), 14*time.Second)
 	}
@@ -83,7 +83,7 @@
 
 func (b *scriptBuilder) cutAndAllEnd(at time.Duration) {
 	soon := b.soonAfter(at, 4*time.Second)
-	b.cutZone(soon(), time.Second, 45*time.Second)
+	b.partitionZone(soon(), time.Second, 45*time.Second)
 	b.kill("all", soon())
 	if b.chance(50, "twice") {
 		b.kill("all", soon()+b.moment("later", 8*time.Second, 15*time.Second))
