--- a/internal/simtest/close_events.go
+++ b/internal/simtest/close_events.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// closeEvents draws events that are known to be hard together, close to one another
-// and in any order.
+// closeEvents draws events that are known to be hard to handle together, close to one
+// another and in any order.
 func (b *scriptBuilder) closeEvents(at time.Duration) {
 	b.drawOne("knot", []choice{
 		{1, func() { b.cancelHungInOutage(at) }},
@@ -16,8 +16,8 @@
 	})
 }
 
-// cancelHungInOutage draws hang, cancellation and outage, with all controllers ended at
-// times.
+// cancelHungInOutage makes a machine hang, cancels its job and adds an outage of the state
+// service, in some cases with the end of all controllers.
 func (b *scriptBuilder) cancelHungInOutage(at time.Duration) {
 	soon := b.soonAfter(at, 4*time.Second)
 	job := b.plainJob(at-b.moment("before", 3*time.Second, 7*time.Second), "")
@@ -31,8 +31,8 @@
 	b.kill("all", soon()+b.moment("later", 0, 10*time.Second))
 }
 
-// limitWithLosses has a limited team's arrays wait in several shards, with commits of
-// unknown outcome and takeovers between.
+// limitWithLosses queues arrays of a limited team in several shards, with commits of
+// unknown outcome and takeovers meanwhile.
 func (b *scriptBuilder) limitWithLosses(at time.Duration) {
 	soon := b.soonAfter(at, 4*time.Second)
 	for range b.number("arrays", 2, 3) {
@@ -51,7 +51,8 @@
 	b.machineFault(b.host(), "hang", soon())
 }
 
-// gangLosesMachines has two machines of one gang lost, or about to be.
+// gangLosesMachines makes two machines of one gang hang or become unreachable, or has the
+// cloud take them away.
 func (b *scriptBuilder) gangLosesMachines(at time.Duration) {
 	soon := b.soonAfter(at, 4*time.Second)
 	job := b.plainJob(at-b.moment("before", 0, 3*time.Second), fmt.Sprintf("gang tasks=%d cpus=4 run=%d saves=3", b.number("tasks", 2, 5), b.number("run", 5, 20)))
@@ -60,7 +61,7 @@
 	}
 }
 
-// lateCommands has commands held back on their way. They arrive after the work was placed
+// lateCommands delays commands in transit. They arrive after the tasks were placed
 // elsewhere, or after their sender has ended and started again.
 func (b *scriptBuilder) lateCommands(at time.Duration) {
 	job := b.plainJob(at, "")
--- a/internal/simtest/dependencies.go
+++ b/internal/simtest/dependencies.go
@@ -9,7 +9,8 @@
 )
 
 // GenerateDependencies draws a script as GenerateScript does and adds graphs of dependent
-// jobs to it, with faults of their own: what GenerateScript draws from a seed stays as it is.
+// jobs with faults of their own. It is a generator of its own so that the scripts that
+// GenerateScript draws from each seed stay the same.
 func GenerateDependencies() *rapid.Generator[string] {
 	return rapid.Custom(func(t *rapid.T) string {
 		b := outageBursts(t)
@@ -27,8 +28,8 @@
 	})
 }
 
-// dependencyGraph draws a graph of jobs, and what users ask and cancel and which faults are
-// on meanwhile.
+// dependencyGraph draws a graph of dependent jobs, together with queries, cancellations and
+// faults while the jobs run.
 func (b *scriptBuilder) dependencyGraph(at time.Duration) {
 	jobs := b.dependentJobs(at)
 	soon := b.soonAfter(at, 25*time.Second)
@@ -48,15 +49,16 @@
 	}
 }
 
-// dependentJobs submits a graph of jobs by stages: each needs some of those before it, the
-// last ones have a deadline and come when the others are over, at times.
+// dependentJobs submits a graph of jobs in stages. Each job after the first stage depends
+// on jobs of earlier stages. The jobs of the last stage have a deadline, and in some cases
+// are submitted when the other jobs are done.
 func (b *scriptBuilder) dependentJobs(at time.Duration) []string {
 	var jobs []string
 	stages := b.number("stages", 2, 5)
 	for stage := range stages {
-		before := jobs
+		earlier := jobs
 		for range b.number("wide", 1, 3) {
-			jobs = append(jobs, b.dependentJob(at, before, stage == stages-1))
+			jobs = append(jobs, b.dependentJob(at, earlier, stage == stages-1))
 		}
 		at += b.moment("next", 0, 1500*time.Millisecond)
 		if stage == stages-2 && b.chance(15, "late") {
@@ -66,8 +68,9 @@
 	return jobs
 }
 
-// dependentJob submits a job that needs some of those before it.
-func (b *scriptBuilder) dependentJob(at time.Duration, before []string, isLast bool) string {
+// dependentJob submits a job that depends on the last of the earlier jobs and on some of
+// the others.
+func (b *scriptBuilder) dependentJob(at time.Duration, earlier []string, isLast bool) string {
 	jobID := b.nextJobID()
 	words := []string{b.pick("kind",
 		fmt.Sprintf("array tasks=%d run=%d", b.number("tasks", 1, 12), b.number("run", 1, 8)),
@@ -76,9 +79,9 @@
 	if isLast {
 		words = append(words, fmt.Sprintf("rank=high due=%d", b.number("due", 20, 90)))
 	}
-	if len(before) > 0 {
-		needs := []string{before[len(before)-1]}
-		for _, need := range before[:len(before)-1] {
+	if len(earlier) > 0 {
+		needs := []string{earlier[len(earlier)-1]}
+		for _, need := range earlier[:len(earlier)-1] {
 			if b.chance(30, "needs") {
 				needs = append(needs, need)
 			}
@@ -89,7 +92,8 @@
 	return jobID
 }
 
-// dependencyFault draws a fault of those that hurt a graph, or the machine of its first job.
+// dependencyFault draws a fault that affects a graph, or a fault of the machine of its
+// first job.
 func (b *scriptBuilder) dependencyFault(firstJob string, soon func() time.Duration) {
 	byName := func() { b.fault(b.pick("which", "unanswered writes", "late writes", "slow"), soon()) }
 	b.drawOne("hurt", []choice{
--- a/internal/simtest/outage_bursts.go
+++ b/internal/simtest/outage_bursts.go
@@ -8,7 +8,7 @@
 )
 
 // GenerateScript draws a script: jobs of every shape on a few machines, with faults that
-// come in bursts, since single ones are covered by the kept traces.
+// come in bursts, since single faults are covered by the kept traces.
 func GenerateScript() *rapid.Generator[string] {
 	return rapid.Custom(func(t *rapid.T) string { return outageBursts(t).script() })
 }
@@ -28,7 +28,7 @@
 	return b
 }
 
-// fleet draws controllers and machines.
+// fleet draws how many controllers and machines the cluster has.
 func (b *scriptBuilder) fleet() {
 	if b.chance(15, "many controllers") {
 		b.names = controllerNames(b.number("controllers", 4, 7))
@@ -77,7 +77,7 @@
 	}
 }
 
-// singleFault draws one fault, the telling ones more often.
+// singleFault draws one fault; faults that find more failures have higher weights.
 func (b *scriptBuilder) singleFault(at time.Duration) {
 	b.drawOne("trouble", []choice{
 		{2, func() { b.kill(b.node(), at) }},
@@ -110,17 +110,18 @@
 	})
 }
 
-// bootFault draws machines that boot more slowly than usual, not at all, or at once.
+// bootFault draws a fault under which new machines boot slowly, never, or at once.
 func (b *scriptBuilder) bootFault(at time.Duration) {
 	b.fault(b.pick("boots", "slow", "slow", "no", "fast")+" boots", at)
 }
 
-// pollBurst has users ask very often.
+// pollBurst makes users query jobs 50 to 400 times a second.
 func (b *scriptBuilder) pollBurst(at, longest time.Duration) {
 	b.add(at, "polls %d for %s", b.number("polls", 50, 400), b.moment("storm", time.Second, longest))
 }
 
-// answerFault draws a fault of what users and controllers are told, and when.
+// answerFault draws a fault of the responses or heartbeats that controllers receive, or of
+// what users request and when.
 func (b *scriptBuilder) answerFault(at time.Duration) {
 	b.fault(b.pick("which", "unanswered writes", "reports for next", "close looks", "cancel at end", "odd requests"), at)
 }
--- a/internal/simtest/preemption.go
+++ b/internal/simtest/preemption.go
@@ -12,10 +12,11 @@
 	"madderslip/internal/storage/records"
 )
 
-// checkPreemption tells what is wrong with a task's stop, or nothing: no task may be
-// stopped for a team that has its guarantee. What of the team's other jobs runs, and what
-// is reserved for the claim that the task is stopped for, must fit the guarantee together.
-// The emulator calls it under the world's lock.
+// checkPreemption checks that a stopped task is not preempted for a team that already has
+// its guarantee: the use of the team's other jobs and the resources reserved for the claim
+// for which the task is stopped must fit into the guarantee together. It returns a
+// description of the violation, or an empty string if there is none. The emulator calls it
+// with the world's lock held.
 func (c *cluster) checkPreemption(task, host string, use map[string]protocol.Resources) string {
 	claimant, teams := c.claimantOf(task, host)
 	if claimant == "" {
@@ -38,15 +39,15 @@
 			{teams[team].GuaranteedGPUs, claimed.GPUs, use[team].GPUs, own.GPUs},
 		} {
 			if g.isExceeded() {
-				return fmt.Sprintf("%s is stopped for %s of %s, which has %v of %v and books %v", task, claimant, team, g.used, g.guarantee, g.claimed)
+				return fmt.Sprintf("%s is preempted for %s of team %s, which uses %v of its guarantee of %v and reserves %v", task, claimant, team, g.used, g.guarantee, g.claimed)
 			}
 		}
 	}
 	return ""
 }
 
-// claimantOf returns the key of the claim that a task is stopped for, if it is preempted,
-// and the teams as they are configured.
+// claimantOf returns the key of the claim for which a task is preempted, empty if the task
+// is not preempted, and the teams as they are configured.
 func (c *cluster) claimantOf(task, host string) (claimant string, teams map[string]protocol.Team) {
 	jobID, number, _ := protocol.ParseTaskName(task)
 	c.checkerMu.Lock()
@@ -57,12 +58,13 @@
 	return claimant, maps.Clone(c.teams)
 }
 
-// guaranteeUse is how much of a team's guarantee, of CPUs or of GPUs, is taken.
+// guaranteeUse is how a claim and the running tasks of its team use the team's guarantee of
+// one resource, CPUs or GPUs.
 type guaranteeUse struct {
 	guarantee float64
 	claimed   float64 // reserved for the claim
 	used      float64 // by the team's running tasks
-	own       float64 // of that by the claim's own
+	own       float64 // part of used that is used by the claim's own tasks
 }
 
 // isExceeded reports whether the claim takes the team beyond its guarantee.
--- a/internal/simtest/quick_restarts.go
+++ b/internal/simtest/quick_restarts.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// quickRestarts draws processes and machines that end and are back within a moment,
-// before anybody notices, again and again.
+// quickRestarts draws repeated restarts of processes and machines that are too quick for
+// the failures to be detected.
 func (b *scriptBuilder) quickRestarts(at time.Duration) {
 	soon := b.soonAfter(at, 3*time.Second)
 	job := b.plainJob(at-b.moment("before", 0, 5*time.Second), "")
@@ -11,20 +11,20 @@
 		b.plainJob(soon(), b.limitedArray(3, 9, 1, 6))
 	}
 	b.drawOne("at once", []choice{
-		{1, func() { b.restartAgainAndAgain(at) }},
+		{1, func() { b.restartRepeatedly(at) }},
 		{1, func() { b.restartAllThrice(at) }},
-		{1, func() { b.restartTwoByTurns(at) }},
+		{1, func() { b.restartTwoAlternately(at) }},
 		{2, func() { b.rebootMachineOf(job, soon) }},
 		{1, func() { b.rebootFleet(soon) }},
 	})
 }
 
-// aMoment draws how long something is away that is back before anybody notices.
+// aMoment draws a downtime that ends before the failure is detected.
 func (b *scriptBuilder) aMoment(longest time.Duration) time.Duration {
 	return b.moment("a moment", 20*time.Millisecond, longest)
 }
 
-func (b *scriptBuilder) restartAgainAndAgain(at time.Duration) {
+func (b *scriptBuilder) restartRepeatedly(at time.Duration) {
 	node := b.pick("who", b.node(), "n0", "all")
 	for range b.number("ends", 2, 10) {
 		b.killFor(at, node, b.aMoment(600*time.Millisecond))
@@ -45,14 +45,16 @@
 	})
 }
 
-// restartTwoByTurns ends two controllers by turns, each while the other acquires.
-func (b *scriptBuilder) restartTwoByTurns(at time.Duration) {
+// restartTwoAlternately restarts two controllers alternately, each while the other one
+// acquires shards.
+func (b *scriptBuilder) restartTwoAlternately(at time.Duration) {
 	for i := range b.number("turns", 3, 8) {
 		b.killFor(at+time.Duration(i)*b.moment("turn", 400*time.Millisecond, 2*time.Second), b.names[i%2], b.aMoment(time.Second))
 	}
 }
 
-// rebootMachineOf has the machine of a task back at once, its owner too at times.
+// rebootMachineOf reboots the machine of one of a job's tasks, in some cases with the
+// restart of a controller, a cancellation or a hang of the machine.
 func (b *scriptBuilder) rebootMachineOf(job string, soon func() time.Duration) {
 	for range b.number("times", 1, 3) {
 		b.add(soon(), "vm %s reboot", machineOf(job))
--- a/internal/simtest/quota_faults.go
+++ b/internal/simtest/quota_faults.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// quotaFaults draws what is hard about teams' limits and guarantees: many decide at once,
-// about little, while faults are on at those who hold it.
+// quotaFaults draws situations that are hard for teams' limits and guarantees: many
+// controllers decide at once on the little that is left, while controllers that hold parts
+// of it have faults.
 func (b *scriptBuilder) quotaFaults(at time.Duration) {
 	b.drawOne("quota", []choice{
 		{2, func() { b.lastTasksOfLimit(at) }},
@@ -17,7 +18,7 @@
 	})
 }
 
-// quotaHolderFaults draws faults of those who hold a part of a limit.
+// quotaHolderFaults draws faults of controllers that hold a part of a limit.
 func (b *scriptBuilder) quotaHolderFaults(at time.Duration) {
 	soon := b.soonAfter(at, 5*time.Second)
 	for range b.number("hurts", 1, 2) {
@@ -34,7 +35,7 @@
 	}
 }
 
-// lastTasksOfLimit has all controllers decide in the same moment on the last tasks of a
+// lastTasksOfLimit makes all controllers decide at the same moment on the last tasks of a
 // limit.
 func (b *scriptBuilder) lastTasksOfLimit(at time.Duration) {
 	team := b.pick("team", "tight", "tight", "lent")
@@ -44,7 +45,8 @@
 	b.quotaHolderFaults(at)
 }
 
-// gangsNeedWholeLimit has two gangs need the whole limit that arrays hold in every shard.
+// gangsNeedWholeLimit submits two gangs that each need the whole limit while arrays use
+// parts of it in every shard.
 func (b *scriptBuilder) gangsNeedWholeLimit(at time.Duration) {
 	soon := b.soonAfter(at, 5*time.Second)
 	for range 3 {
@@ -56,7 +58,8 @@
 	b.quotaHolderFaults(at)
 }
 
-// claimedGuarantee has a team claim its guarantee from one that has filled the machines.
+// claimedGuarantee makes a team claim its guarantee from a team that has filled the
+// machines.
 func (b *scriptBuilder) claimedGuarantee(at time.Duration) {
 	for range b.number("lenders", 2, 4) {
 		b.plainJob(at-b.moment("before", 3*time.Second, 6*time.Second), fmt.Sprintf("array tasks=%d run=%d", b.number("tasks", 8, 24), b.number("run", 10, 25)))
@@ -73,8 +76,9 @@
 	}
 }
 
-// mayRestartAll reports whether every controller can be restarted: where ends may be left
-// out, a controller would never be told of a change. It reserves the script for it.
+// mayRestartAll reports whether the script may depend on the restart of every controller,
+// and if so reserves the script for that. It may not if kills can be dropped: a controller
+// that is not restarted would not receive a changed configuration.
 func (b *scriptBuilder) mayRestartAll() bool {
 	if len(b.killFreeSpans) > 0 || b.needsAllRestarts {
 		return false
@@ -83,7 +87,7 @@
 	return true
 }
 
-// changedLimit has a limit lowered and raised again, in a restart one by one.
+// changedLimit lowers a limit and raises it again, each time with a rolling restart.
 func (b *scriptBuilder) changedLimit(at time.Duration) {
 	if !b.mayRestartAll() {
 		return
@@ -96,7 +100,8 @@
 	b.rollingRestart(at+20*time.Second, fmt.Sprintf("team lent cpus=8 most=%d", b.number("raised", 14, 24)))
 }
 
-// allotmentsOffAndOn restarts the controllers as versions that know no allotments, and back.
+// allotmentsOffAndOn restarts the controllers as versions without allotments, and later as
+// versions with allotments.
 func (b *scriptBuilder) allotmentsOffAndOn(at time.Duration) {
 	if !b.mayRestartAll() {
 		return
--- a/internal/simtest/starvation.go
+++ b/internal/simtest/starvation.go
@@ -8,31 +8,32 @@
 	"time"
 )
 
-// What is so after quiescence does not show starvation: a class may wait all day and run
-// at its end.
+// The checks after quiescence do not detect starvation: a class may wait for the whole
+// script and run at its end.
 
 const (
-	// acceptedBefore is how long ago a job must have been accepted to be done by now.
-	acceptedBefore = 60 * time.Second
-	// beginWithin is how long a class's largest jobs may wait for their beginning.
-	beginWithin = 4 * time.Minute
+	// minJobAge is the time since its acceptance from which a job counts as one that should
+	// be done.
+	minJobAge = 60 * time.Second
+	// maxStartDelay is how long a class's largest jobs may wait until they start.
+	maxStartDelay = 4 * time.Minute
 )
 
-// checkStarvation checks that at least a part of every class and team was served, of a
-// class's largest jobs too, and that these have begun in time.
-func (c *cluster) checkStarvation(least float64) error {
-	served := c.world.Served(acceptedBefore)
+// checkStarvation checks that at least the given share of the work of every class, every
+// team and each class's largest jobs was served, and that the largest jobs started in time.
+func (c *cluster) checkStarvation(minShare float64) error {
+	served := c.world.Served(minJobAge)
 	var starved []string
 	for _, name := range slices.Sorted(maps.Keys(served)) {
-		if s := served[name]; s.Share() < least {
+		if s := served[name]; s.Share() < minShare {
 			starved = append(starved, fmt.Sprintf("%s was served %.2f of %.0f", name, s.Share(), s.Possible))
 		}
 	}
 	if len(starved) > 0 {
 		return checkErrorf("starved", "%s", strings.Join(starved, ", "))
 	}
-	if late := c.world.LargestNotStarted(beginWithin); len(late) > 0 {
-		return checkErrorf("starved", "%s, of the largest of their class, did not begin within %v", strings.Join(late, ", "), beginWithin)
+	if notStarted := c.world.LargestNotStarted(maxStartDelay); len(notStarted) > 0 {
+		return checkErrorf("starved", "%s, of the largest of their class, did not start within %v", strings.Join(notStarted, ", "), maxStartDelay)
 	}
 	return nil
 }
--- a/internal/simtest/zone_faults.go
+++ b/internal/simtest/zone_faults.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// processAndZoneFaults draws events of whole processes and zones that are hard together.
+// processAndZoneFaults draws combinations of events of whole processes and zones that are
+// hard to handle together.
 func (b *scriptBuilder) processAndZoneFaults(at time.Duration) {
 	b.drawOne("tangle", []choice{
 		{2, func() { b.frozenOwner(at) }},
-		{2, func() { b.zoneCutOff(at) }},
-		{1, func() { b.machinesDie(at) }},
-		{1, func() { b.returnedMachinesDie(at) }},
-		{1, func() { b.cutAndAllEnd(at) }},
+		{2, func() { b.zonePartition(at) }},
+		{1, func() { b.machinesCrash(at) }},
+		{1, func() { b.returningMachinesCrash(at) }},
+		{1, func() { b.partitionAndKillAll(at) }},
 		{1, func() { b.frozenSuccessor(at) }},
 	})
 }
 
-// freezeAny has one of the controllers, or all, stand still.
+// freezeAny pauses one controller, or all of them.
 func (b *scriptBuilder) freezeAny(at time.Duration) {
 	b.freeze(at, b.pick("who", b.node(), b.node(), b.node(), "all"), b.moment("still", 500*time.Millisecond, 25*time.Second))
 }
 
-// frozenOwner has a shard taken over, and a job of it cancelled, while its owner stands
-// still.
+// frozenOwner pauses controllers, for long enough in some cases that their shards are taken
+// over, and cancels a job meanwhile.
 func (b *scriptBuilder) frozenOwner(at time.Duration) {
 	soon := b.soonAfter(at, 4*time.Second)
 	job := b.plainJob(at-b.moment("before", 0, 4*time.Second), "")
@@ -39,8 +40,8 @@
 	}
 }
 
-// zoneCutOff has a zone cut off for up to several leases.
-func (b *scriptBuilder) zoneCutOff(at time.Duration) {
+// zonePartition partitions a zone for up to several agent leases.
+func (b *scriptBuilder) zonePartition(at time.Duration) {
 	soon := b.soonAfter(at, 4*time.Second)
 	job := b.plainJob(at-b.moment("before", 2*time.Second, 6*time.Second), "")
 	b.partitionZone(soon(), time.Second, 45*time.Second)
@@ -58,8 +59,9 @@
 	}
 }
 
-// machinesDie has many machines die at once, at times without others to rent.
-func (b *scriptBuilder) machinesDie(at time.Duration) {
+// machinesCrash makes many machines crash at once, in some cases while the cloud has no
+// others to provision.
+func (b *scriptBuilder) machinesCrash(at time.Duration) {
 	soon := b.soonAfter(at, 4*time.Second)
 	b.add(soon(), "death %d", b.number("percent", 10, 70))
 	if b.chance(50, "stingy") {
@@ -70,8 +72,8 @@
 	}
 }
 
-// returnedMachinesDie has machines die while they are being returned, or fenced.
-func (b *scriptBuilder) returnedMachinesDie(at time.Duration) {
+// returningMachinesCrash makes machines crash while they are being returned or fenced.
+func (b *scriptBuilder) returningMachinesCrash(at time.Duration) {
 	soon := b.soonAfter(at, 4*time.Second)
 	b.add(soon(), "wave notice")
 	b.machineFault(b.host(), "hang", soon())
@@ -81,7 +83,7 @@
 	}
 }
 
-func (b *scriptBuilder) cutAndAllEnd(at time.Duration) {
+func (b *scriptBuilder) partitionAndKillAll(at time.Duration) {
 	soon := b.soonAfter(at, 4*time.Second)
 	b.partitionZone(soon(), time.Second, 45*time.Second)
 	b.kill("all", soon())
@@ -90,8 +92,8 @@
 	}
 }
 
-// frozenSuccessor has a controller come back for its shard while its successor stands
-// still.
+// frozenSuccessor restarts a controller, which takes its shard back, while possible
+// successors are paused.
 func (b *scriptBuilder) frozenSuccessor(at time.Duration) {
 	b.killFor(at, b.names[0], b.moment("away", 5*time.Second, 8*time.Second))
 	for _, successor := range b.names[1:3] {
