--- a/internal/simtest/fault_combinations.go
+++ b/internal/simtest/fault_combinations.go
@@ -17,7 +17,7 @@
 	}
 	b.drawOne("meeting", []choice{
 		{2, func() { b.refusedThenOutage(at, job, node) }},
-		{2, func() { b.severedController(at, job, node) }},
+		{2, func() { b.severed(at, job, node) }},
 		{2, func() { b.machinesCannotReceive(at, job, node) }},
 		{2, func() { b.lateWrites(at, job, node) }},
 		{1, func() { b.lateHeartbeats(at, job, node) }},
@@ -68,9 +68,9 @@
 	b.outage(at+window, 45*time.Second)
 }
 
-// severedController disconnects a controller from the state service and its peers, but not
-// from its agents and users.
-func (b *scriptBuilder) severedController(at time.Duration, job, severed string) {
+// severed disconnects a controller from the state service and its peers, but not from its
+// agents and users.
+func (b *scriptBuilder) severed(at time.Duration, job, severed string) {
 	soon := b.soonAfter(at, 4*time.Second)
 	b.fault("severed "+severed, at)
 	b.userCancels(soon(), b.node(), job)
--- a/internal/simtest/measure_test.go
+++ b/internal/simtest/measure_test.go
@@ -15,19 +15,19 @@
 
 var measure = flag.Int("measure", 0, "print the tables of docs/measurements/quota.md, from so many seeds (minutes)")
 
-// sample is what each team's tasks take at a moment.
+// sample is the use of each team at one time.
 type sample struct {
 	at    time.Duration
 	teams map[string]protocol.Resources
 }
 
-// measurement is what one play was watched for.
+// measurement holds the samples of one play and the last counts of the state service.
 type measurement struct {
 	samples []sample
-	counts  emulator.Counts // of the state service, the last
+	counts  emulator.Counts // of the state service, at the last sample
 }
 
-// measured plays a script and samples what teams use until the cluster ends. It fails the
+// measured plays a script and samples the use of teams until the cluster ends. It fails the
 // test if the script fails.
 func measured(t *testing.T, what, script string, seed uint64) *measurement {
 	m := &measurement{}
@@ -39,7 +39,7 @@
 	return m
 }
 
-// sample samples every 100 ms, a little apart from other timers.
+// sample samples every 100 ms, at times slightly apart from those of other timers.
 func (m *measurement) sample(c *cluster) {
 	for time.Sleep(100*time.Millisecond + 17*time.Nanosecond); c.ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
 		m.samples = append(m.samples, sample{time.Since(c.began), c.world.TeamUse()})
@@ -47,8 +47,8 @@
 	}
 }
 
-// meanUse is the mean use of the team "busy" while work waits: until the last 200 tasks
-// are left.
+// meanUse returns the mean CPU use of the team "busy" while its tasks queue: until the last
+// 200 tasks are left.
 func (m *measurement) meanUse() float64 {
 	from := slices.IndexFunc(m.samples, func(s sample) bool { return s.teams["busy"].CPUs > 0 })
 	if from < 0 {
@@ -68,11 +68,11 @@
 	return sum / float64(count)
 }
 
-// measuredFault is a fault that measurements are repeated under.
+// measuredFault is a fault under which the measurements are repeated.
 type measuredFault struct{ name, lines string }
 
-// controllerCounts are the numbers of controllers that a measurement is made with; one
-// alone has no faults of a controller.
+// controllerCounts returns the numbers of controllers to measure with. A single controller
+// is measured only without faults, because the faults need other controllers.
 func (f measuredFault) controllerCounts() []int {
 	if f.name == "calm" {
 		return []int{1, 3, 5, 7}
@@ -85,8 +85,9 @@
 	limitArrayTasks = 40
 )
 
-// limitScript has 42 arrays of 40 tasks of 2 CPUs and 3 s come at once, from users spread
-// over the controllers, of a team with a limit of so many CPUs, or none.
+// limitScript submits 42 arrays of 40 tasks of 2 CPUs and 3 s, 20 ms apart, from users
+// spread over the controllers. Their team has a limit of the given number of CPUs, or none
+// if it is 0.
 func limitScript(controllers, machines, limit int, fault string) string {
 	team := "team busy cpus=0"
 	if limit > 0 {
@@ -102,8 +103,8 @@
 	return b.String()
 }
 
-// TestMeasureLimits prints how well a limit of 400 CPUs is used on 800, beside a
-// fleet of 400 without one.
+// TestMeasureLimits prints how well a limit of 400 CPUs is used on machines with 800,
+// compared with machines with 400 CPUs and no limit.
 func TestMeasureLimits(t *testing.T) {
 	if *measure == 0 {
 		t.Skip("no -measure")
@@ -119,7 +120,7 @@
 	}
 }
 
-// printLimitUse prints what -measure seeds of a script give on average.
+// printLimitUse prints the averages over the plays of a script with -measure seeds.
 func printLimitUse(t *testing.T, fault measuredFault, controllers int, name, script string) {
 	mean, refused, changes := 0.0, 0, 0
 	for seed := range *measure {
@@ -135,8 +136,8 @@
 // guaranteeClaimedAt is when the measured team claims its guarantee.
 const guaranteeClaimedAt = 30 * time.Second
 
-// guaranteeScript has a team with a guarantee of 40 CPUs claim it on 400 that another one
-// has filled.
+// guaranteeScript makes a team claim its guarantee of 40 CPUs on machines with 400 that
+// another team has filled.
 func guaranteeScript(controllers int, job, fault string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "0s controllers %d\n0s team due cpus=40\n0s team lend cpus=80\n0s machines 50 a\n", controllers)
@@ -149,14 +150,14 @@
 	return sortedLines(append(strings.Split(b.String(), "\n"), strings.Split(fault, "\n")...)) + "\n70s expect busy 0\n"
 }
 
-// guaranteeResult is how a claimed guarantee was met.
+// guaranteeResult is how soon a claimed guarantee was met, and the CPU use of both teams.
 type guaranteeResult struct {
-	metAfter    []float64 // seconds, one a seed; 40 stands for not met
-	most        float64   // CPUs of the claimant
-	lenderLeast float64   // CPUs of the lender
+	metAfter    []float64 // seconds, one per seed; 40 if the guarantee was not met
+	most        float64   // highest CPU use of the claiming team
+	lenderLeast float64   // lowest CPU use of the other team, from 1 s before the claim
 }
 
-// add adds one play, until the end of its run.
+// add adds the samples of one play up to 60 s.
 func (r *guaranteeResult) add(m *measurement) {
 	metAfter := 40.0
 	for _, s := range m.samples {
@@ -174,8 +175,8 @@
 	r.metAfter = append(r.metAfter, metAfter)
 }
 
-// TestMeasureGuarantees prints how soon a team has its guarantee of 40 CPUs on a fleet
-// of 400 that another has filled, and what it and the lender hold then.
+// TestMeasureGuarantees prints how soon a team gets its guarantee of 40 CPUs on machines
+// with 400 that another team has filled, and how much both teams use from then on.
 func TestMeasureGuarantees(t *testing.T) {
 	if *measure == 0 {
 		t.Skip("no -measure")
--- a/internal/simtest/scenarios_test.go
+++ b/internal/simtest/scenarios_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// TestPipelineDeepAndWide: a job fifty deep and two hundred side by side need one, and a
-// last one all of those. Cancelled at the root while the state service takes 21 changes a
-// second, all are told cancelled within seconds and nobody waits for a write for that.
+// TestPipelineDeepAndWide has a chain of fifty jobs and two hundred jobs side by side
+// depend on one root, and a last job on all two hundred. The root is cancelled while the
+// state service accepts 21 changes a second. All dependents must be reported as cancelled
+// within seconds, without waiting for a write.
 func TestPipelineDeepAndWide(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("0s announce 2048 4 21\n0s machines 6 a\n5s lower\n8s submit n0 wk-0 array tasks=4 run=200\n")
@@ -35,10 +36,11 @@
 	}
 }
 
-// TestHundredsCancelledUnderOldLeaders: as in refused-then-down.trace with more jobs than
-// are repeated in one message or asked for in one pass, and two leaders of three refused.
-// Many are on their machines when the outage begins. All are gone within the bound, and
-// no machine for it.
+// TestHundredsCancelledUnderOldLeaders plays the failure of refused-then-down.trace with
+// more cancelled jobs than fit into one message of repeated cancellations or one pass of
+// probes, and with two of three leaders refused by the state service. Many of the jobs
+// still run when the outage begins. All must be stopped within the cancel deadline without
+// returning a machine.
 func TestHundredsCancelledUnderOldLeaders(t *testing.T) {
 	const jobs = 240
 	var b strings.Builder
@@ -51,12 +53,12 @@
 		fmt.Fprintf(&b, "40s trouble alone %[1]s on\n40s refuse %[1]s on\n", leader)
 	}
 	for i := range jobs {
-		if i%3 != 1 { // those with the third image are on n1's machines, the most of them
+		if i%3 != 1 { // most of the jobs with img-1 are on n1's machines, so they are not cancelled
 			fmt.Fprintf(&b, "%v user n1 abort wk-%d\n", 40100*time.Millisecond+time.Duration(i)*5*time.Millisecond, i)
 		}
 	}
-	// Before either lease has ended, so that n1 can take neither shard.
-	b.WriteString("42200ms outage on\n42200ms trouble cloud on\n42250ms expect busy 150\n42250ms expect returned 1\n73s expect returned 1\n" + // which was idle
+	// The outage begins before the lease of n0 or n2 expires, so that n1 can take over neither shard.
+	b.WriteString("42200ms outage on\n42200ms trouble cloud on\n42250ms expect busy 150\n42250ms expect returned 1\n73s expect returned 1\n" + // the returned machine was idle
 		"90s trouble cloud off\n90s outage off\n95s calm\n")
 	if out := play(t, b.String(), 1); out.Kind() != "" {
 		t.Errorf("%q: %v, broken %v", out.Line, out.Err, out.Broken)
--- a/internal/simtest/starvation_test.go
+++ b/internal/simtest/starvation_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestStarvingIsNoticed: a class that cannot run all day is named, by class and by team.
+// TestStarvingIsNoticed checks that a class that cannot run all day is reported as starved:
+// by class, by team and among its largest jobs.
 func TestStarvingIsNoticed(t *testing.T) {
 	out := play(t, `
 		0s    machines 2 a
@@ -22,14 +23,14 @@
 	}
 }
 
-// TestLargestBeginInTime: of a class whose others run, the largest jobs that have not
-// begun within four minutes are named.
+// TestLargestBeginInTime checks that the largest jobs of a class are reported if they have
+// not started within four minutes, although the class's other jobs run.
 func TestLargestBeginInTime(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		tasks int
 		at    string
-		want  string // in the error, if there is one
+		want  string // part of the error, empty if there is none
 	}{
 		{"waiting for less than four minutes", 6, "240s", ""},
 		{"waiting for more than four minutes", 6, "250s", "wk-1"},
--- a/internal/simtest/sweeps_test.go
+++ b/internal/simtest/sweeps_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// sweep has one event of a script come at every moment of a stretch.
+// sweep is a script that is played repeatedly, with the time of one event varied over an
+// interval in steps.
 type sweep struct {
 	from, to, step time.Duration
-	script         string // %s is the moment
+	script         string // %s is the varied time
 }
 
 var sweeps = map[string]sweep{
@@ -51,14 +52,15 @@
 		90s     calm`},
 }
 
-// TestRulesHoldWheneverAnEventComes has one event of a script come at every moment of a
-// stretch: between any two writes of a fence, before and after its call.
+// TestRulesHoldWheneverAnEventComes plays each script with one event at every time of an
+// interval in steps: between any two writes of a fence, and before and after its call to
+// the cloud.
 func TestRulesHoldWheneverAnEventComes(t *testing.T) {
 	for name, s := range sweeps {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for at := s.from; at < s.to; at += s.step {
-				// The moment that moves may come before or after its neighbours.
+				// The varied time may be before or after the times of the neighbouring lines.
 				script := sortedLines(strings.Split(fmt.Sprintf(s.script, at), "\n"))
 				if out := play(t, script, 1); out.Kind() != "" {
 					t.Errorf("at %v: %s", at, out)
