--- a/internal/simtest/measure_test.go
+++ b/internal/simtest/measure_test.go
@@ -27,9 +27,9 @@
 	counts  emulator.Counts // of the state service, at the last sample
 }
 
-// measured plays a script and samples the use of teams until the cluster ends. It fails the
+// playSampled plays a script and samples the use of teams until the cluster ends. It fails the
 // test if the script fails.
-func measured(t *testing.T, what, script string, seed uint64) *measurement {
+func playSampled(t *testing.T, what, script string, seed uint64) *measurement {
 	m := &measurement{}
 	synctest.Test(t, func(*testing.T) {
 		if out := playObserved(script, seed, m.sample); out.Kind() != "" {
@@ -124,7 +124,7 @@
 func printLimitUse(t *testing.T, fault measuredFault, controllers int, name, script string) {
 	mean, refused, changes := 0.0, 0, 0
 	for seed := range *measure {
-		m := measured(t, fmt.Sprint(fault.name, controllers, name), script, uint64(seed+1))
+		m := playSampled(t, fmt.Sprint(fault.name, controllers, name), script, uint64(seed+1))
 		mean += m.meanUse() / float64(*measure)
 		refused += m.counts.Refused
 		changes += m.counts.Changes
@@ -153,8 +153,8 @@
 // guaranteeResult is how soon a claimed guarantee was met, and the CPU use of both teams.
 type guaranteeResult struct {
 	metAfter    []float64 // seconds, one per seed; 40 if the guarantee was not met
-	most        float64   // highest CPU use of the claiming team
-	lenderLeast float64   // lowest CPU use of the other team, from 1 s before the claim
+	claimantMax float64   // highest CPU use of the claiming team
+	lenderMin   float64   // lowest CPU use of the other team, from 1 s before the claim
 }
 
 // add adds the samples of one play up to 60 s.
@@ -167,9 +167,9 @@
 		if s.teams["due"].CPUs >= 40 {
 			metAfter = min(metAfter, s.at.Seconds()-guaranteeClaimedAt.Seconds())
 		}
-		r.most = max(r.most, s.teams["due"].CPUs)
+		r.claimantMax = max(r.claimantMax, s.teams["due"].CPUs)
 		if s.at > guaranteeClaimedAt-time.Second {
-			r.lenderLeast = min(r.lenderLeast, s.teams["lend"].CPUs)
+			r.lenderMin = min(r.lenderMin, s.teams["lend"].CPUs)
 		}
 	}
 	r.metAfter = append(r.metAfter, metAfter)
@@ -187,14 +187,14 @@
 	} {
 		for _, job := range jobs {
 			for _, controllers := range fault.controllerCounts() {
-				result := &guaranteeResult{lenderLeast: 400}
+				result := &guaranteeResult{lenderMin: 400}
 				for seed := range *measure {
 					script := guaranteeScript(controllers, job.line, fault.lines)
-					result.add(measured(t, fmt.Sprint(fault.name, controllers, job.name), script, uint64(seed+1)))
+					result.add(playSampled(t, fmt.Sprint(fault.name, controllers, job.name), script, uint64(seed+1)))
 				}
 				met := slices.Sorted(slices.Values(result.metAfter))
 				fmt.Printf("%-18s %-8s %d controllers  met after %.1f s (median), %.1f s (p95); at most %3.0f of 40; lender at least %3.0f\n", fault.name, job.name, controllers,
-					met[len(met)/2], met[min(len(met)-1, len(met)*95/100)], result.most, result.lenderLeast)
+					met[len(met)/2], met[min(len(met)-1, len(met)*95/100)], result.claimantMax, result.lenderMin)
 			}
 		}
 	}
