--- a/internal/simtest/measure_test.go
+++ b/internal/simtest/measure_test.go
@@ -27,8 +27,8 @@
 	counts  emulator.Counts // of the state service, at the last sample
 }
 
-// playSampled plays a script and samples the use of teams until the cluster ends. It fails the
-// test if the script fails.
+// playSampled plays a script and samples the use of teams until the cluster ends. It fails
+// the test if the script fails.
 func playSampled(t *testing.T, what, script string, seed uint64) *measurement {
 	m := &measurement{}
 	synctest.Test(t, func(*testing.T) {
