--- a/internal/simtest/close_events.go
+++ b/internal/simtest/close_events.go
@@ -69,7 +69,7 @@
 		b.add(at+b.moment("about", 0, 1500*time.Millisecond), "vm %s cut for %s", b.host(), b.moment("held", 300*time.Millisecond, 11*time.Second))
 	}
 	if b.chance(60, "its sender ends") {
-		b.killFor(at+b.moment("then", 0, 2*time.Second), b.pick("who", "all", b.names[0], b.names[1]), b.moment("away", 300*time.Millisecond, 3*time.Second))
+		b.killFor(at+b.moment("then", 0, 2*time.Second), b.pick("who", "all", b.controllers[0], b.controllers[1]), b.moment("away", 300*time.Millisecond, 3*time.Second))
 	}
 	if b.chance(40, "aborted") {
 		b.userCancels(at+b.moment("soon", 0, 4*time.Second), b.node(), job)
--- a/internal/simtest/day.go
+++ b/internal/simtest/day.go
@@ -14,7 +14,7 @@
 // apart from one another: what is checked is that no class and no team starves.
 func GenerateDay() *rapid.Generator[string] {
 	return rapid.Custom(func(t *rapid.T) string {
-		b := &scriptBuilder{t: t, names: controllerNames(usualControllers)}
+		b := &scriptBuilder{t: t, controllers: controllerNames(usualControllers)}
 		b.add(0, "machines %d a", b.number("in a", 4, 7))
 		b.add(0, "machines %d b", b.number("in b", 4, 7))
 		b.add(0, "spare 40")
@@ -69,7 +69,7 @@
 func (b *scriptBuilder) dayFault(at time.Duration) {
 	b.drawOne("trouble", []choice{
 		{1, func() { b.kill(b.node(), at) }},
-		{1, func() { b.killFor(at, "all", b.aMoment(3*time.Second)) }},
+		{1, func() { b.killFor(at, "all", b.shortDowntime(3*time.Second)) }},
 		{1, func() { b.freezeOne(at, time.Second) }},
 		{1, func() { b.add(at, "vm %s hang for %s", b.host(), b.moment("hung", time.Second, 30*time.Second)) }},
 		{1, func() { b.add(at, "vm %s sick for %s", b.host(), b.moment("sick", 10*time.Second, 60*time.Second)) }},
--- a/internal/simtest/draw_faults.go
+++ b/internal/simtest/draw_faults.go
@@ -24,7 +24,7 @@
 // down for up to 25 s.
 func (b *scriptBuilder) kill(node string, at time.Duration) {
 	longest := 8 * time.Second
-	if node == b.names[2] {
+	if node == b.controllers[2] {
 		longest = 25 * time.Second
 	}
 	if b.chance(40, "back at once") {
@@ -84,7 +84,7 @@
 // rollingRestart changes the controllers' configuration and restarts them one by one.
 func (b *scriptBuilder) rollingRestart(at time.Duration, configuration string) {
 	b.add(at, "%s", configuration)
-	for i, node := range b.names {
+	for i, node := range b.controllers {
 		b.killFor(at+time.Second+time.Duration(i)*b.moment("next", 500*time.Millisecond, 2*time.Second), node, b.moment("away", 300*time.Millisecond, 1500*time.Millisecond))
 	}
 }
--- a/internal/simtest/fault_combinations.go
+++ b/internal/simtest/fault_combinations.go
@@ -44,7 +44,7 @@
 // concurrentLimitedArrays submits an array of a limited team to each controller at once, so
 // that all controllers decide on the last tasks of the limit at the same time.
 func (b *scriptBuilder) concurrentLimitedArrays(at time.Duration) {
-	for _, node := range b.names {
+	for _, node := range b.controllers {
 		b.userSubmits(at, node, b.nextJobID(), b.limitedArray(1, 4, 1, 6))
 	}
 }
--- a/internal/simtest/outage_bursts.go
+++ b/internal/simtest/outage_bursts.go
@@ -14,7 +14,7 @@
 }
 
 func outageBursts(t *rapid.T) *scriptBuilder {
-	b := &scriptBuilder{t: t, names: controllerNames(usualControllers)}
+	b := &scriptBuilder{t: t, controllers: controllerNames(usualControllers)}
 	b.fleet()
 	for range b.number("storms", 1, 3) {
 		b.outageBurst(b.moment("storm", 7*time.Second, 50*time.Second))
@@ -31,8 +31,8 @@
 // fleet draws how many controllers and machines the cluster has.
 func (b *scriptBuilder) fleet() {
 	if b.chance(15, "many controllers") {
-		b.names = controllerNames(b.number("controllers", 4, 7))
-		b.add(0, "controllers %d", len(b.names))
+		b.controllers = controllerNames(b.number("controllers", 4, 7))
+		b.add(0, "controllers %d", len(b.controllers))
 	}
 	if b.chance(4, "many machines") {
 		b.add(0, "machines %d %s", b.number("many", 40, 150), b.pick("zone", "a", "b"))
--- a/internal/simtest/quick_restarts.go
+++ b/internal/simtest/quick_restarts.go
@@ -19,22 +19,22 @@
 	})
 }
 
-// aMoment draws a downtime that ends before the failure is detected.
-func (b *scriptBuilder) aMoment(longest time.Duration) time.Duration {
+// shortDowntime draws a downtime that ends before the failure is detected.
+func (b *scriptBuilder) shortDowntime(longest time.Duration) time.Duration {
 	return b.moment("a moment", 20*time.Millisecond, longest)
 }
 
 func (b *scriptBuilder) restartRepeatedly(at time.Duration) {
 	node := b.pick("who", b.node(), "n0", "all")
 	for range b.number("ends", 2, 10) {
-		b.killFor(at, node, b.aMoment(600*time.Millisecond))
+		b.killFor(at, node, b.shortDowntime(600*time.Millisecond))
 		at += b.moment("next", 300*time.Millisecond, 1500*time.Millisecond)
 	}
 }
 
 func (b *scriptBuilder) restartAllThrice(at time.Duration) {
 	for i := range 3 {
-		b.killFor(at+time.Duration(i)*700*time.Millisecond, "all", b.aMoment(200*time.Millisecond))
+		b.killFor(at+time.Duration(i)*700*time.Millisecond, "all", b.shortDowntime(200*time.Millisecond))
 	}
 	before := func() time.Duration { return at - b.moment("from", 0, 2*time.Second) }
 	b.drawOne("meanwhile", []choice{
@@ -49,7 +49,7 @@
 // acquires shards.
 func (b *scriptBuilder) restartTwoAlternately(at time.Duration) {
 	for i := range b.number("turns", 3, 8) {
-		b.killFor(at+time.Duration(i)*b.moment("turn", 400*time.Millisecond, 2*time.Second), b.names[i%2], b.aMoment(time.Second))
+		b.killFor(at+time.Duration(i)*b.moment("turn", 400*time.Millisecond, 2*time.Second), b.controllers[i%2], b.shortDowntime(time.Second))
 	}
 }
 
@@ -60,7 +60,7 @@
 		b.add(soon(), "vm %s reboot", machineOf(job))
 	}
 	if b.chance(40, "its owner") {
-		b.killFor(soon(), b.node(), b.aMoment(time.Second))
+		b.killFor(soon(), b.node(), b.shortDowntime(time.Second))
 	}
 	if b.chance(40, "aborted") {
 		b.userCancels(soon(), b.node(), job)
@@ -73,6 +73,6 @@
 func (b *scriptBuilder) rebootFleet(soon func() time.Duration) {
 	b.reboot(soon(), 20, 100)
 	if b.chance(50, "all end") {
-		b.killFor(soon(), "all", b.aMoment(time.Second))
+		b.killFor(soon(), "all", b.shortDowntime(time.Second))
 	}
 }
--- a/internal/simtest/quota_faults.go
+++ b/internal/simtest/quota_faults.go
@@ -39,7 +39,7 @@
 // limit.
 func (b *scriptBuilder) lastTasksOfLimit(at time.Duration) {
 	team := b.pick("team", "tight", "tight", "lent")
-	for _, node := range b.names {
+	for _, node := range b.controllers {
 		b.userSubmits(at, node, b.nextJobID(), fmt.Sprintf("array tasks=%d run=%d team=%s", b.number("tasks", 1, 6), b.number("run", 1, 6), team))
 	}
 	b.quotaHolderFaults(at)
--- a/internal/simtest/script_builder.go
+++ b/internal/simtest/script_builder.go
@@ -18,7 +18,7 @@
 	t                *rapid.T
 	steps            []step
 	jobs             int      // number of jobs submitted so far, named wk-1, wk-2 and so on
-	names            []string // names of the controllers
+	controllers      []string // names of the controllers
 	killFreeSpans    []span   // lines that kill a controller within these are dropped
 	needsAllRestarts bool     // the script depends on the restart of every controller, so no kill may be dropped
 }
@@ -93,7 +93,9 @@
 	return from[b.number(label, 0, len(from)-1)]
 }
 
-func (b *scriptBuilder) node() string { return b.names[b.number("node", 0, len(b.names)-1)] }
+func (b *scriptBuilder) node() string {
+	return b.controllers[b.number("node", 0, len(b.controllers)-1)]
+}
 
 func (b *scriptBuilder) host() string { return fmt.Sprintf("%06d", b.number("host", 1, 9)) }
 
--- a/internal/simtest/user_combinations.go
+++ b/internal/simtest/user_combinations.go
@@ -84,7 +84,7 @@
 	_, before := b.soonAndBefore(at)
 	inHandover := func() time.Duration { return at + b.moment("in it", 2*time.Second, 14*time.Second) }
 	jobs := []string{b.plainJob(before(), ""), b.plainJob(before(), "gang tasks=2 cpus=4 run=40"), b.plainJob(before(), "service tasks=4")}
-	b.killFor(at, b.names[0], b.moment("away", 5*time.Second, 9*time.Second))
+	b.killFor(at, b.controllers[0], b.moment("away", 5*time.Second, 9*time.Second))
 	for _, job := range jobs {
 		b.userCancels(inHandover(), b.node(), job)
 	}
--- a/internal/simtest/zone_faults.go
+++ b/internal/simtest/zone_faults.go
@@ -95,8 +95,8 @@
 // frozenSuccessor restarts a controller, which takes its shard back, while possible
 // successors are paused.
 func (b *scriptBuilder) frozenSuccessor(at time.Duration) {
-	b.killFor(at, b.names[0], b.moment("away", 5*time.Second, 8*time.Second))
-	for _, successor := range b.names[1:3] {
+	b.killFor(at, b.controllers[0], b.moment("away", 5*time.Second, 8*time.Second))
+	for _, successor := range b.controllers[1:3] {
 		b.freeze(at+b.moment("then", 6*time.Second, 16*time.Second), successor, b.moment("still", time.Second, 12*time.Second))
 	}
 }
