--- a/internal/simtest/quota_faults.go
+++ b/internal/simtest/quota_faults.go
@@ -76,9 +76,10 @@
 	}
 }
 
-// mayRestartAll reports whether the script may depend on the restart of every controller,
-// and if so reserves the script for that. It may not if kills can be dropped: a controller
-// that is not restarted would not receive a changed configuration.
+// mayRestartAll reports whether a change may depend on the restart of every controller, and
+// if so reserves the script for that change. It may not if another change has reserved the
+// script, or if kills can be dropped: a controller that is not restarted would not receive
+// the changed configuration.
 func (b *scriptBuilder) mayRestartAll() bool {
 	if len(b.killFreeSpans) > 0 || b.needsAllRestarts {
 		return false
