--- a/internal/simtest/quota_faults.go
+++ b/internal/simtest/quota_faults.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// quotaFaults draws what is hard about teams' limits and guarantees: many decide at once,
-// about little, while faults are on at those who hold it.
+// quotaFaults draws situations that are hard for teams' limits and guarantees: many
+// controllers decide at once on the little that is left, while controllers that hold parts
+// of it have faults.
 func (b *scriptBuilder) quotaFaults(at time.Duration) {
 	b.drawOne("quota", []choice{
 		{2, func() { b.lastTasksOfLimit(at) }},
@@ -17,7 +18,7 @@
 	})
 }
 
-// quotaHolderFaults draws faults of those who hold a part of a limit.
+// quotaHolderFaults draws faults of controllers that hold a part of a limit.
 func (b *scriptBuilder) quotaHolderFaults(at time.Duration) {
 	soon := b.soonAfter(at, 5*time.Second)
 	for range b.number("hurts", 1, 2) {
@@ -34,17 +35,18 @@
 	}
 }
 
-// lastTasksOfLimit has all controllers decide in the same moment on the last tasks of a
+// lastTasksOfLimit makes all controllers decide at the same moment on the last tasks of a
 // limit.
 func (b *scriptBuilder) lastTasksOfLimit(at time.Duration) {
 	team := b.pick("team", "tight", "tight", "lent")
-	for _, node := range b.names {
+	for _, node := range b.controllers {
 		b.userSubmits(at, node, b.nextJobID(), fmt.Sprintf("array tasks=%d run=%d team=%s", b.number("tasks", 1, 6), b.number("run", 1, 6), team))
 	}
 	b.quotaHolderFaults(at)
 }
 
-// gangsNeedWholeLimit has two gangs need the whole limit that arrays hold in every shard.
+// gangsNeedWholeLimit submits two gangs that each need the whole limit while arrays use
+// parts of it in every shard.
 func (b *scriptBuilder) gangsNeedWholeLimit(at time.Duration) {
 	soon := b.soonAfter(at, 5*time.Second)
 	for range 3 {
@@ -56,7 +58,8 @@
 	b.quotaHolderFaults(at)
 }
 
-// claimedGuarantee has a team claim its guarantee from one that has filled the machines.
+// claimedGuarantee makes a team claim its guarantee from a team that has filled the
+// machines.
 func (b *scriptBuilder) claimedGuarantee(at time.Duration) {
 	for range b.number("lenders", 2, 4) {
 		b.plainJob(at-b.moment("before", 3*time.Second, 6*time.Second), fmt.Sprintf("array tasks=%d run=%d", b.number("tasks", 8, 24), b.number("run", 10, 25)))
@@ -73,17 +76,19 @@
 	}
 }
 
-// mayRestartAll reports whether every controller can be restarted: where ends may be left
-// out, a controller would never be told of a change. It reserves the script for it.
+// mayRestartAll reports whether a change may depend on the restart of every controller, and
+// if so reserves the script for that change. It may not if another change has reserved the
+// script, or if kills can be dropped: a controller that is not restarted would not receive
+// the changed configuration.
 func (b *scriptBuilder) mayRestartAll() bool {
-	if len(b.noKills) > 0 || b.restartsAll {
+	if len(b.killFreeSpans) > 0 || b.needsAllRestarts {
 		return false
 	}
-	b.restartsAll = true
+	b.needsAllRestarts = true
 	return true
 }
 
-// changedLimit has a limit lowered and raised again, in a restart one by one.
+// changedLimit lowers a limit and raises it again, each time with a rolling restart.
 func (b *scriptBuilder) changedLimit(at time.Duration) {
 	if !b.mayRestartAll() {
 		return
@@ -91,12 +96,13 @@
 	for range 2 {
 		b.plainJob(at-b.moment("before", 0, 2*time.Second), fmt.Sprintf("array tasks=%d run=%d team=lent", b.number("tasks", 4, 16), b.number("run", 1, 5)))
 	}
-	b.restartEach(at, fmt.Sprintf("team lent cpus=8 most=%d", b.number("lowered", 4, 12)))
+	b.rollingRestart(at, fmt.Sprintf("team lent cpus=8 most=%d", b.number("lowered", 4, 12)))
 	b.add(at+19*time.Second, "hold lent")
-	b.restartEach(at+20*time.Second, fmt.Sprintf("team lent cpus=8 most=%d", b.number("raised", 14, 24)))
+	b.rollingRestart(at+20*time.Second, fmt.Sprintf("team lent cpus=8 most=%d", b.number("raised", 14, 24)))
 }
 
-// allotmentsOffAndOn restarts the controllers as versions that know no allotments, and back.
+// allotmentsOffAndOn restarts the controllers as versions without allotments, and later as
+// versions with allotments.
 func (b *scriptBuilder) allotmentsOffAndOn(at time.Duration) {
 	if !b.mayRestartAll() {
 		return
@@ -104,6 +110,6 @@
 	for i := range 4 {
 		b.plainJob(at+time.Duration(i)*4*time.Second, b.limitedArray(2, 8, 1, 5))
 	}
-	b.restartEach(at, "allot off")
-	b.restartEach(at+18*time.Second, "allot on")
+	b.rollingRestart(at, "allot off")
+	b.rollingRestart(at+18*time.Second, "allot on")
 }
