--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -70,9 +70,9 @@
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return c, &ConfigError{file, unknown[0].String(), "is not known"}
 	}
-	if fault := c.check(); fault != nil {
-		fault.File = file
-		return c, fault
+	if configErr := c.check(); configErr != nil {
+		configErr.File = file
+		return c, configErr
 	}
 	return c, nil
 }
@@ -127,8 +127,8 @@
 		default:
 			return &ConfigError{Key: key + ".kind", Reason: fmt.Sprintf("must be crash, slow or reboot, has %q", fault.Kind)}
 		}
-		timely := fault.AtS >= 0 && fault.AtS <= c.MeasureS && fault.ForS >= 0
-		if !timely || !(fault.Part >= 0 && fault.Part <= 1) {
+		timesInRange := fault.AtS >= 0 && fault.AtS <= c.MeasureS && fault.ForS >= 0
+		if !timesInRange || !(fault.Part >= 0 && fault.Part <= 1) {
 			return &ConfigError{Key: key, Reason: "has a time or part out of range"}
 		}
 	}
--- a/internal/loadtest/config_test.go
+++ b/internal/loadtest/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const good = `seed = 1
+const validConfig = `seed = 1
 program = "target/madderslip"
 controllers = 3
 workers = 100
@@ -44,7 +44,7 @@
 		c, err := Load(file)
 		return c, file, err
 	}
-	c, _, err := load(good)
+	c, _, err := load(validConfig)
 	if err != nil || c.Workers != 100 || len(c.Faults) != 1 || c.Load.ArrayTasks != 20 {
 		t.Fatalf("%+v, %v", c, err)
 	}
@@ -58,7 +58,7 @@
 		{"lease_s = 27.0", "lease_s = 6.0", "lease_s: must be between"},
 		{"[load]", "[load", "syntax: "},
 	} {
-		_, file, err := load(strings.Replace(good, f[0], f[1], 1))
+		_, file, err := load(strings.Replace(validConfig, f[0], f[1], 1))
 		var ce *ConfigError
 		if !errors.As(err, &ce) || !strings.HasPrefix(err.Error(), file+": "+f[2]) {
 			t.Errorf("%s: %v", f[1], err)
--- a/internal/loadtest/counters.go
+++ b/internal/loadtest/counters.go
@@ -25,8 +25,8 @@
 // send heartbeats, so these go out.
 type traffic struct{ requests, inBytes, outBytes int64 }
 
-// trafficOf reads the counters of an interface.
-func trafficOf(t *emulator.Traffic) traffic {
+// readTraffic reads the counters of an interface.
+func readTraffic(t *emulator.Traffic) traffic {
 	return traffic{t.Requests.Load(), t.In.Load(), t.Out.Load()}
 }
 
@@ -35,8 +35,8 @@
 	return traffic{t.requests - earlier.requests, t.inBytes - earlier.inBytes, t.outBytes - earlier.outBytes}
 }
 
-// count reads all counters.
-func (m *measurement) count() counters {
+// readCounters reads all counters.
+func (m *measurement) readCounters() counters {
 	state := m.world.State.Counts()
 	now := counters{
 		at:         time.Now(),
@@ -45,9 +45,9 @@
 		accepted:   m.accepted.Load(),
 		changes:    state.Changes,
 		refused:    state.Refused,
-		state:      trafficOf(&m.loopback.State),
-		heartbeats: trafficOf(&m.loopback.Heartbeats),
-		commands:   trafficOf(&m.loopback.Commands),
+		state:      readTraffic(&m.loopback.State),
+		heartbeats: readTraffic(&m.loopback.Heartbeats),
+		commands:   readTraffic(&m.loopback.Commands),
 	}
 	for _, c := range m.controllers {
 		now.processes = append(now.processes, c.usage())
@@ -55,11 +55,11 @@
 	return now
 }
 
-// minReached is the part of what was asked for that counts as reached.
-const minReached = 0.95
+// minReachedShare is the part of what was asked for that counts as reached.
+const minReachedShare = 0.95
 
-// result is what lies between two counts.
-func (m *measurement) result(from, to counters) *Result {
+// resultBetween is what lies between two counts.
+func (m *measurement) resultBetween(from, to counters) *Result {
 	seconds := to.at.Sub(from.at).Seconds()
 	workers := float64(m.cfg.Workers)
 	perSecond := func(count int64) float64 { return round(float64(count) / seconds) }
@@ -91,14 +91,14 @@
 	if starts > 0 {
 		result.ChangesPerStart = round(float64(changes) / float64(starts))
 	}
-	result.addProcesses(from.processes, to.processes, seconds)
-	m.addUrgent(result)
+	result.addProcessUsage(from.processes, to.processes, seconds)
+	m.addUrgentWaits(result)
 	result.addNotReached()
 	return result
 }
 
-// addProcesses adds what each controller used in so many seconds, and holds at their end.
-func (r *Result) addProcesses(from, to []usage, seconds float64) {
+// addProcessUsage adds what each controller used in so many seconds, and holds at their end.
+func (r *Result) addProcessUsage(from, to []usage, seconds float64) {
 	for i := range to {
 		r.CPU = append(r.CPU, round((to[i].CPU-from[i].CPU).Seconds()/seconds))
 		r.RSSMB = append(r.RSSMB, round(float64(to[i].RSS)/(1<<20)))
@@ -106,8 +106,8 @@
 	}
 }
 
-// addUrgent adds how long urgent jobs waited, those of the warm-up included.
-func (m *measurement) addUrgent(r *Result) {
+// addUrgentWaits adds how long urgent jobs waited, those of the warm-up included.
+func (m *measurement) addUrgentWaits(r *Result) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	quantile := func(percent float64) float64 { return float64(m.urgentWaits.ValueAtQuantile(percent)) / 1000 }
@@ -118,10 +118,10 @@
 
 // addNotReached names what falls short of the configuration.
 func (r *Result) addNotReached() {
-	if r.Starts < minReached*r.Wanted {
+	if r.Starts < minReachedShare*r.Wanted {
 		r.NotReached = append(r.NotReached, fmt.Sprintf("%.0f of %.0f starts a second", r.Starts, r.Wanted))
 	}
-	if float64(r.UpWorkers) < minReached*float64(r.Workers) {
+	if float64(r.UpWorkers) < minReachedShare*float64(r.Workers) {
 		r.NotReached = append(r.NotReached, fmt.Sprintf("%d of %d workers are served", r.UpWorkers, r.Workers))
 	}
 }
--- a/internal/loadtest/fault.go
+++ b/internal/loadtest/fault.go
@@ -25,20 +25,20 @@
 			m.world.SetMachineFault(host, "reboot")
 		}
 	case faultCrash:
-		m.crash(ctx, fault)
+		m.crashController(ctx, fault)
 	}
 }
 
-// crash kills a controller at random and starts it again some time later.
-func (m *measurement) crash(ctx context.Context, fault Fault) {
+// crashController kills a controller at random and starts it again some time later.
+func (m *measurement) crashController(ctx context.Context, fault Fault) {
 	m.mu.Lock()
-	victim := m.controllers[m.random.IntN(len(m.controllers))]
+	target := m.controllers[m.random.IntN(len(m.controllers))]
 	m.mu.Unlock()
-	victim.kill()
+	target.kill()
 	if !pause(ctx, protocol.Seconds(fault.ForS)) {
 		return
 	}
-	if err := victim.start(ctx, m.cfg.Program); err != nil {
-		fmt.Fprintln(os.Stderr, "restart of", victim.name+":", err)
+	if err := target.start(ctx, m.cfg.Program); err != nil {
+		fmt.Fprintln(os.Stderr, "restart of", target.name+":", err)
 	}
 }
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -83,7 +83,7 @@
 
 func (m *measurement) newJob(class string, shape protocol.Shape, priorityClass string, tasks int) *emulator.Job {
 	return &emulator.Job{Spec: protocol.Submission{
-		JobID:         fmt.Sprintf("wk-%06d", m.lastJobID.Add(1)),
+		JobID:         fmt.Sprintf("wk-%06d", m.lastJobNumber.Add(1)),
 		Class:         class,
 		Team:          team,
 		Shape:         shape,
--- a/internal/loadtest/measurement.go
+++ b/internal/loadtest/measurement.go
@@ -17,15 +17,15 @@
 
 // Periods of a measurement.
 const (
-	readyPollInterval = 200 * time.Millisecond
-	warmUpReport      = 5 * time.Second  // between lines of progress
-	measureReport     = 10 * time.Second // between lines of progress
-	forgetInterval    = 10 * time.Second
+	readyPollInterval       = 200 * time.Millisecond
+	warmUpProgressInterval  = 5 * time.Second  // between lines of progress
+	measureProgressInterval = 10 * time.Second // between lines of progress
+	dropInterval            = 10 * time.Second
 )
 
 // The workers are added in batches: a start of all at once would measure itself.
 const (
-	workerBatch      = 100
+	workerBatchSize  = 100
 	workerBatchPause = 20 * time.Millisecond
 )
 
@@ -46,7 +46,7 @@
 	controllers []*controller
 	background  sync.WaitGroup
 
-	lastJobID           atomic.Int64
+	lastJobNumber       atomic.Int64
 	starts              atomic.Int64 // tasks
 	submitted, accepted atomic.Int64 // jobs
 
@@ -150,31 +150,31 @@
 			pause(ctx, readyPollInterval)
 		}
 	}
-	for left := m.cfg.Workers; left > 0 && ctx.Err() == nil; left -= workerBatch {
-		zone := zones[left/workerBatch%len(zones)]
-		m.world.AddMachinesOfType(min(left, workerBatch), machineTypeName, zone, false)
+	for remaining := m.cfg.Workers; remaining > 0 && ctx.Err() == nil; remaining -= workerBatchSize {
+		zone := zones[remaining/workerBatchSize%len(zones)]
+		m.world.AddMachinesOfType(min(remaining, workerBatchSize), machineTypeName, zone, false)
 		pause(ctx, workerBatchPause)
 	}
 	m.startLoad(ctx)
-	m.background.Go(func() { m.forgetFinished(ctx) })
-	return m.reportUntil(ctx, deadline, "warming up", warmUpReport)
+	m.background.Go(func() { m.dropFinishedJobs(ctx) })
+	return m.writeProgressUntil(ctx, deadline, "warming up", warmUpProgressInterval)
 }
 
 // measure counts over the measured time, with the faults in it.
 func (m *measurement) measure(ctx context.Context) (*Result, error) {
-	before := m.count()
+	before := m.readCounters()
 	for _, fault := range m.cfg.Faults {
 		m.background.Go(func() { m.runFault(ctx, fault) })
 	}
 	end := time.Now().Add(protocol.Seconds(m.cfg.MeasureS))
-	if err := m.reportUntil(ctx, end, "measuring", measureReport); err != nil {
+	if err := m.writeProgressUntil(ctx, end, "measuring", measureProgressInterval); err != nil {
 		return nil, err
 	}
-	return m.result(before, m.count()), nil
+	return m.resultBetween(before, m.readCounters()), nil
 }
 
-// reportUntil writes a line of progress now and then until a time, or the context, ends.
-func (m *measurement) reportUntil(ctx context.Context, end time.Time, phase string, interval time.Duration) error {
+// writeProgressUntil writes a line of progress now and then until a time, or the context, ends.
+func (m *measurement) writeProgressUntil(ctx context.Context, end time.Time, phase string, interval time.Duration) error {
 	for time.Now().Before(end) && ctx.Err() == nil {
 		fmt.Fprintf(m.progress, "%s: %d tasks begun, %d running, %d changes of state, %d of %d jobs accepted\n",
 			phase, m.starts.Load(), m.world.RunningTasks(), m.world.State.Counts().Changes, m.accepted.Load(), m.submitted.Load())
@@ -194,9 +194,9 @@
 	}
 }
 
-// forgetFinished keeps the world's memory bounded.
-func (m *measurement) forgetFinished(ctx context.Context) {
-	for pause(ctx, forgetInterval) {
+// dropFinishedJobs keeps the world's memory bounded.
+func (m *measurement) dropFinishedJobs(ctx context.Context) {
+	for pause(ctx, dropInterval) {
 		m.world.DropFinishedJobs()
 	}
 }
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -20,9 +20,9 @@
 	publicAddr, peerAddr string
 	settingsFile         string
 
-	mu   sync.Mutex    // guards all below: one goroutine measures, another kills
-	cmd  *exec.Cmd     // nil while no process runs
-	used time.Duration // processor time of earlier processes
+	mu         sync.Mutex    // guards all below: one goroutine measures, another kills
+	cmd        *exec.Cmd     // nil while no process runs
+	earlierCPU time.Duration // processor time of earlier processes
 }
 
 // zones are where controllers and workers stand, by turns.
@@ -30,7 +30,7 @@
 
 // newControllers gives each controller a name, a zone and two free addresses.
 func newControllers(count int) ([]*controller, error) {
-	var all []*controller
+	var controllers []*controller
 	for i := range count {
 		c := &controller{name: fmt.Sprintf("n%d", i), zone: zones[i%len(zones)]}
 		for _, addr := range []*string{&c.publicAddr, &c.peerAddr} {
@@ -40,9 +40,9 @@
 			}
 			*addr = free
 		}
-		all = append(all, c)
+		controllers = append(controllers, c)
 	}
-	return all, nil
+	return controllers, nil
 }
 
 // freeAddress returns an address of this machine that was free just now.
@@ -83,7 +83,7 @@
 	if c.cmd == nil {
 		return
 	}
-	c.used = c.usageLocked().CPU
+	c.earlierCPU = c.usageLocked().CPU
 	if c.cmd.Process != nil { // nil if it could not be started
 		_ = c.cmd.Process.Kill()
 		_ = c.cmd.Wait()
@@ -119,7 +119,7 @@
 
 // usageLocked is usage with c.mu held by the caller.
 func (c *controller) usageLocked() usage {
-	total := usage{CPU: c.used}
+	total := usage{CPU: c.earlierCPU}
 	if c.cmd == nil || c.cmd.Process == nil {
 		return total
 	}
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -48,22 +48,22 @@
 }{
 	{"workers", func(r *Result) string { return strconv.Itoa(r.Workers) }},
 	{"controllers", func(r *Result) string { return strconv.Itoa(r.Controllers) }},
-	{"wanted", func(r *Result) string { return number(r.Wanted) }},
-	{"starts", func(r *Result) string { return number(r.Starts) }},
+	{"wanted", func(r *Result) string { return formatNumber(r.Wanted) }},
+	{"starts", func(r *Result) string { return formatNumber(r.Starts) }},
 	{"running", func(r *Result) string { return strconv.Itoa(r.Running) }},
-	{"changes", func(r *Result) string { return number(r.Changes) }},
-	{"changes_per_start", func(r *Result) string { return number(r.ChangesPerStart) }},
-	{"state_requests", func(r *Result) string { return number(r.Requests) }},
-	{"state_in_kb", func(r *Result) string { return number(r.StateInKB) }},
-	{"state_out_kb", func(r *Result) string { return number(r.StateOutKB) }},
-	{"worker_out_kb", func(r *Result) string { return number(r.WorkerOutKB) }},
-	{"worker_in_kb", func(r *Result) string { return number(r.WorkerInKB) }},
-	{"cpu_sum", func(r *Result) string { return number(sumOf(r.CPU)) }},
-	{"cpu_max", func(r *Result) string { return number(maxOf(r.CPU)) }},
-	{"rss_max_mb", func(r *Result) string { return number(maxOf(r.RSSMB)) }},
+	{"changes", func(r *Result) string { return formatNumber(r.Changes) }},
+	{"changes_per_start", func(r *Result) string { return formatNumber(r.ChangesPerStart) }},
+	{"state_requests", func(r *Result) string { return formatNumber(r.Requests) }},
+	{"state_in_kb", func(r *Result) string { return formatNumber(r.StateInKB) }},
+	{"state_out_kb", func(r *Result) string { return formatNumber(r.StateOutKB) }},
+	{"worker_out_kb", func(r *Result) string { return formatNumber(r.WorkerOutKB) }},
+	{"worker_in_kb", func(r *Result) string { return formatNumber(r.WorkerInKB) }},
+	{"cpu_sum", func(r *Result) string { return formatNumber(sumOf(r.CPU)) }},
+	{"cpu_max", func(r *Result) string { return formatNumber(maxOf(r.CPU)) }},
+	{"rss_max_mb", func(r *Result) string { return formatNumber(maxOf(r.RSSMB)) }},
 	{"sockets_max", func(r *Result) string { return strconv.Itoa(maxOf(r.Sockets)) }},
-	{"urgent_p50", func(r *Result) string { return number(r.UrgentP50) }},
-	{"urgent_p95", func(r *Result) string { return number(r.UrgentP95) }},
+	{"urgent_p50", func(r *Result) string { return formatNumber(r.UrgentP50) }},
+	{"urgent_p95", func(r *Result) string { return formatNumber(r.UrgentP95) }},
 }
 
 // WriteCSV writes results, a line each, for a table or a plot.
@@ -89,8 +89,8 @@
 	return writer.Error()
 }
 
-// number writes a figure with six significant digits.
-func number(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
+// formatNumber writes a figure with six significant digits.
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 
 // sumOf adds figures up; none are 0.
 func sumOf(figures []float64) float64 {
@@ -103,9 +103,9 @@
 
 // maxOf is the largest figure, and no less than 0.
 func maxOf[T int | float64](figures []T) T {
-	var most T
+	var largest T
 	for _, figure := range figures {
-		most = max(most, figure)
+		largest = max(largest, figure)
 	}
-	return most
+	return largest
 }
--- a/internal/loadtest/result_test.go
+++ b/internal/loadtest/result_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-const measurements = "../../docs/measurements/scale"
+const resultsDir = "../../docs/measurements/scale"
 
 // Results that were measured earlier are read and written again to the byte, so that they
 // can be compared with later ones.
 func TestEarlierResultsAreWrittenAlike(t *testing.T) {
-	files, err := filepath.Glob(filepath.Join(measurements, "*.json"))
+	files, err := filepath.Glob(filepath.Join(resultsDir, "*.json"))
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
@@ -30,11 +30,11 @@
 }
 
 func TestCSVOfEarlierResults(t *testing.T) {
-	table, err := os.ReadFile(filepath.Join(measurements, "results.csv"))
+	table, err := os.ReadFile(filepath.Join(resultsDir, "results.csv"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, result := readResult(t, filepath.Join(measurements, "500.json"))
+	_, result := readResult(t, filepath.Join(resultsDir, "500.json"))
 	var got bytes.Buffer
 	if err := WriteCSV(&got, []*Result{result}); err != nil {
 		t.Fatal(err)
--- a/internal/loadtest/settings.go
+++ b/internal/loadtest/settings.go
@@ -32,20 +32,20 @@
 }
 
 // writeSettings writes the controller's settings file into a directory.
-func (c *controller) writeSettings(dir string, cfg *Config, all []*controller, loopback *emulator.Loopback) error {
+func (c *controller) writeSettings(dir string, cfg *Config, controllers []*controller, loopback *emulator.Loopback) error {
 	c.settingsFile = filepath.Join(dir, c.name+".toml")
-	return os.WriteFile(c.settingsFile, []byte(c.settings(cfg, all, loopback)), 0o600)
+	return os.WriteFile(c.settingsFile, []byte(c.settingsText(cfg, controllers, loopback)), 0o600)
 }
 
-// settings is the text of the controller's settings file.
-func (c *controller) settings(cfg *Config, all []*controller, loopback *emulator.Loopback) string {
+// settingsText is the text of the controller's settings file.
+func (c *controller) settingsText(cfg *Config, controllers []*controller, loopback *emulator.Loopback) string {
 	var text strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
 	line("node = %q", c.name)
 	line("area = %q", c.zone)
 	line("public_addr = %q", c.publicAddr)
 	line("peer_bind = %q", c.peerAddr)
-	for _, other := range all {
+	for _, other := range controllers {
 		if other != c {
 			line("[[others]]")
 			line("node = %q", other.name)
@@ -57,7 +57,7 @@
 	line("cloud = %q", loopback.CloudAddr)
 	line("state = %q", loopback.StateAddr)
 	line("[cluster]")
-	line("nodes = %d", len(all))
+	line("nodes = %d", len(controllers))
 	line(`zones = ["a", "b"]`)
 	line("clock_error_ms = 25.0")
 	line("[[cluster.teams]]")
--- a/internal/loadtest/settings_test.go
+++ b/internal/loadtest/settings_test.go
@@ -13,7 +13,7 @@
 // A controller accepts the settings that a measurement writes for it.
 func TestControllerSettingsAreAccepted(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.toml")
-	if err := os.WriteFile(file, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cfg, err := Load(file)
--- a/internal/loadtest/site.go
+++ b/internal/loadtest/site.go
@@ -26,17 +26,17 @@
 
 // scaleSite multiplies a site's counts and rates in place.
 func scaleSite(site map[string]any, factors SiteFactors) {
-	for _, capacity := range tables(site["capacity"]) {
+	for _, capacity := range asTables(site["capacity"]) {
 		scaleFields(capacity, factors.Counts, "count", "spot")
 	}
-	for _, machines := range tables(site["machines"]) {
+	for _, machines := range asTables(site["machines"]) {
 		scaleFields(machines, factors.Counts, "count")
 	}
-	for _, jobs := range tables(site["jobs"]) {
+	for _, jobs := range asTables(site["jobs"]) {
 		scaleFields(jobs, factors.Counts, "initial")
 		scaleArrivals(jobs, factors.Counts)
 	}
-	for _, pipeline := range tables(site["pipelines"]) {
+	for _, pipeline := range asTables(site["pipelines"]) {
 		scaleArrivals(pipeline, factors.Counts)
 	}
 	if state, ok := site["state"].(map[string]any); ok {
@@ -51,8 +51,8 @@
 	}
 }
 
-// tables returns a value as an array of tables; anything else is none.
-func tables(value any) []map[string]any {
+// asTables returns a value as an array of tables; anything else is none.
+func asTables(value any) []map[string]any {
 	list, _ := value.([]map[string]any)
 	return list
 }
--- a/internal/loadtest/site_test.go
+++ b/internal/loadtest/site_test.go
@@ -27,14 +27,14 @@
 		t.Fatal(err)
 	}
 	scaleSite(site, SiteFactors{Counts: 1.5, StateRates: 4})
-	capacity, job := tables(site["capacity"])[0], tables(site["jobs"])[0]
+	capacity, job := asTables(site["capacity"])[0], asTables(site["jobs"])[0]
 	arrivals := job["arrivals"].(map[string]any)
 	state := site["state"].(map[string]any)
-	if capacity["count"] != int64(8) || capacity["spot"] != int64(5) || tables(site["machines"])[0]["count"] != int64(3) || job["initial"] != int64(11) ||
+	if capacity["count"] != int64(8) || capacity["spot"] != int64(5) || asTables(site["machines"])[0]["count"] != int64(3) || job["initial"] != int64(11) ||
 		arrivals["rate"] != 0.75 || arrivals["swing"] != 0.5 || state["rps"] != 480.0 || state["write_rps"] != 120.0 || state["value_kb"] != 8.0 || site["duration_s"] != 300.0 {
 		t.Errorf("%v", site)
 	}
-	if p := tables(site["pipelines"])[0]["arrivals"].(map[string]any); p["rate"] != 0.375 {
+	if p := asTables(site["pipelines"])[0]["arrivals"].(map[string]any); p["rate"] != 0.375 {
 		t.Errorf("%v", p)
 	}
 }
