--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -6,12 +6,12 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Config is one measurement, as its file has it. Times are seconds.
+// Config describes one measurement and is read from a file. Times are in seconds.
 type Config struct {
-	Seed        uint64  `toml:"seed"`        // of the emulated world and of the faults
-	Program     string  `toml:"program"`     // path of the controller's program
-	Controllers int     `toml:"controllers"` // processes
-	Workers     int     `toml:"workers"`     // emulated ones
+	Seed        uint64  `toml:"seed"`        // of the emulated world and of the choice of controllers that crash
+	Program     string  `toml:"program"`     // path of the controller's executable
+	Controllers int     `toml:"controllers"` // number of controller processes
+	Workers     int     `toml:"workers"`     // number of emulated workers
 	WarmupS     float64 `toml:"warmup_s"`
 	MeasureS    float64 `toml:"measure_s"`
 	ReportS     float64 `toml:"report_s"` // heartbeat interval of the workers
@@ -22,40 +22,42 @@
 	Faults []Fault     `toml:"trouble"`
 }
 
-// LoadConfig is the work that users submit.
+// LoadConfig describes the jobs that emulated users submit: arrays, and urgent services of
+// one replica.
 type LoadConfig struct {
-	StartsPerS     float64 `toml:"starts_per_s"`   // of array tasks, in jobs of ArrayTasks
-	ArrayTasks     int     `toml:"array_tasks"`    // tasks of a job
-	RunS           float64 `toml:"run_s"`          // of a task
-	UrgentPerS     float64 `toml:"urgent_per_s"`   // services of one replica, cancelled after RunS
-	TasksPerWorker int     `toml:"tasks_on_each"`  // that fit a worker
-	MaxInFlight    int     `toml:"most_in_flight"` // submissions without an answer
+	StartsPerS     float64 `toml:"starts_per_s"`   // array tasks per second, in jobs of ArrayTasks tasks each
+	ArrayTasks     int     `toml:"array_tasks"`    // tasks of an array
+	RunS           float64 `toml:"run_s"`          // run time of an array's task, and of an urgent service until it is cancelled
+	UrgentPerS     float64 `toml:"urgent_per_s"`   // urgent services per second
+	TasksPerWorker int     `toml:"tasks_on_each"`  // number of tasks that fit on a worker
+	MaxInFlight    int     `toml:"most_in_flight"` // maximum number of jobs that await an answer or, if urgent, their cancellation
 }
 
-// StateConfig is what the emulated state service takes.
+// StateConfig holds the limits of the emulated state service.
 type StateConfig struct {
-	RPS      float64 `toml:"rps"`       // requests a second
-	WriteRPS float64 `toml:"write_rps"` // writes a second
-	ValueKB  float64 `toml:"value_kb"`  // of a record, 1024 bytes
-	TxnOps   int     `toml:"txn_ops"`   // changes of a transaction
+	RPS      float64 `toml:"rps"`       // requests per second
+	WriteRPS float64 `toml:"write_rps"` // writes per second
+	ValueKB  float64 `toml:"value_kb"`  // maximum size of a record, in units of 1024 bytes
+	TxnOps   int     `toml:"txn_ops"`   // maximum number of changes in a transaction
 }
 
-// Kinds of a Fault.
+// Kinds of faults.
 const (
 	faultCrash  = "crash"  // a controller is killed and started again after ForS
-	faultSlow   = "slow"   // the state service answers late for ForS
-	faultReboot = "reboot" // a part of the workers reboots
+	faultSlow   = "slow"   // during ForS, calls to the state service are delayed
+	faultReboot = "reboot" // the machines of a part of the workers reboot
 )
 
-// Fault is something that goes wrong some time after the warm-up.
+// Fault is a fault that is injected during the measured time.
 type Fault struct {
-	AtS  float64 `toml:"at_s"` // from the warm-up's end
+	AtS  float64 `toml:"at_s"` // start, counted from the end of the warm-up
 	Kind string  `toml:"kind"`
-	ForS float64 `toml:"for_s"`
-	Part float64 `toml:"part"` // of the workers, from 0 to 1
+	ForS float64 `toml:"for_s"` // duration of the fault; not used for reboots
+	Part float64 `toml:"part"`  // share of the workers that reboot, from 0 to 1
 }
 
-// ConfigError names the file, the key and what is wrong with it.
+// ConfigError reports what is wrong with a key of a configuration file. The key is "syntax"
+// if the file cannot be read or decoded.
 type ConfigError struct{ File, Key, Reason string }
 
 func (e *ConfigError) Error() string { return e.File + ": " + e.Key + ": " + e.Reason }
@@ -77,14 +79,14 @@
 	return c, nil
 }
 
-// Bounds that keep a measurement within one machine.
+// Bounds within which a measurement can run on one machine.
 const (
 	maxControllers = 16
 	maxWorkers     = 15_000
 	maxPeriodS     = 600.0
 )
 
-// check returns the first fault, without the file's name.
+// check returns the first error in the configuration, or nil. The error's File is not set.
 func (c *Config) check() *ConfigError {
 	bounds := []struct {
 		key       string
--- a/internal/loadtest/config_test.go
+++ b/internal/loadtest/config_test.go
@@ -34,7 +34,8 @@
 for_s = 3.0
 `
 
-// A faulty configuration is refused in one line that names file, key and reason.
+// TestConfig checks that a valid configuration is accepted, and that an invalid one is
+// refused with an error that names the file, the key and the reason.
 func TestConfig(t *testing.T) {
 	load := func(text string) (Config, string, error) {
 		file := filepath.Join(t.TempDir(), "c.toml")
@@ -46,7 +47,7 @@
 	}
 	c, _, err := load(validConfig)
 	if err != nil || c.Workers != 100 || len(c.Faults) != 1 || c.Load.ArrayTasks != 20 {
-		t.Fatalf("%+v, %v", c, err)
+		t.Fatalf("a valid configuration is read as %+v, error %v", c, err)
 	}
 	for _, f := range [][3]string{
 		{"workers = 100", "workers = 0", "workers: must be between"},
@@ -61,7 +62,7 @@
 		_, file, err := load(strings.Replace(validConfig, f[0], f[1], 1))
 		var ce *ConfigError
 		if !errors.As(err, &ce) || !strings.HasPrefix(err.Error(), file+": "+f[2]) {
-			t.Errorf("%s: %v", f[1], err)
+			t.Errorf("%q: got error %v", f[1], err)
 		}
 	}
 }
--- a/internal/loadtest/settings.go
+++ b/internal/loadtest/settings.go
@@ -11,16 +11,16 @@
 	"madderslip/internal/protocol"
 )
 
-// Settings that all measurements have in common.
+// Settings that are the same in all measurements.
 const (
-	team             = "open" // without guarantees and limits
+	team             = "open" // the only team, without guarantees and limits
 	gangStartTimeout = 50 * time.Second
 	gangPeerTimeout  = 8 * time.Second
 	cancelDeadline   = 47 * time.Second
 	cloudListLag     = 3 * time.Second
 )
 
-// workerSettings are the periods and leases that the emulated workers keep.
+// workerSettings returns the intervals and timeouts that the emulated workers observe.
 func workerSettings(cfg *Config) protocol.WorkerSettings {
 	return protocol.WorkerSettings{
 		HeartbeatInterval: protocol.Seconds(cfg.ReportS),
@@ -31,13 +31,14 @@
 	}
 }
 
-// writeSettings writes the controller's settings file into a directory.
+// writeSettings writes the controller's settings file into a directory and sets
+// settingsFile to its path.
 func (c *controller) writeSettings(dir string, cfg *Config, controllers []*controller, loopback *emulator.Loopback) error {
 	c.settingsFile = filepath.Join(dir, c.name+".toml")
 	return os.WriteFile(c.settingsFile, []byte(c.settingsText(cfg, controllers, loopback)), 0o600)
 }
 
-// settingsText is the text of the controller's settings file.
+// settingsText returns the content of the controller's settings file.
 func (c *controller) settingsText(cfg *Config, controllers []*controller, loopback *emulator.Loopback) string {
 	var text strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
--- a/internal/loadtest/settings_test.go
+++ b/internal/loadtest/settings_test.go
@@ -10,7 +10,8 @@
 	"madderslip/internal/protocol"
 )
 
-// A controller accepts the settings that a measurement writes for it.
+// TestControllerSettingsAreAccepted checks that the settings that a measurement writes for a
+// controller are valid and are read with the expected values.
 func TestControllerSettingsAreAccepted(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.toml")
 	if err := os.WriteFile(file, []byte(validConfig), 0o600); err != nil {
@@ -33,6 +34,6 @@
 		t.Fatal(err)
 	}
 	if len(s.Peers) != 2 || s.NodeCount != 3 || s.Workers != workerSettings(&cfg) || s.CloudLimits.ListLag != cloudListLag || s.Objectives[0].Within != 1400*time.Millisecond {
-		t.Errorf("%+v", s)
+		t.Errorf("the settings are read as %+v", s)
 	}
 }
--- a/internal/loadtest/site.go
+++ b/internal/loadtest/site.go
@@ -7,14 +7,15 @@
 	"github.com/BurntSushi/toml"
 )
 
-// SiteFactors are what the counts and rates of a site file are multiplied by; 1 leaves them.
+// SiteFactors are the factors by which ScaleSiteFile multiplies the counts and rates of a
+// site file; a factor of 1 leaves them unchanged.
 type SiteFactors struct {
-	Counts     float64 // of capacity, machines, jobs at the start and arrivals
-	StateRates float64 // of the state service's requests and writes a second
+	Counts     float64 // for capacity, machines, initial jobs and arrival rates
+	StateRates float64 // for the state service's requests and writes per second
 }
 
-// ScaleSiteFile writes a copy of the site file in to the file out, with its counts and
-// rates multiplied. The simulated figures of docs/CAPACITY.md come from such copies.
+// ScaleSiteFile reads the site file in, multiplies its counts and rates, and writes the
+// result to the file out. The simulated figures of docs/CAPACITY.md come from such copies.
 func ScaleSiteFile(in, out string, factors SiteFactors) error {
 	var site map[string]any
 	if _, err := toml.DecodeFile(in, &site); err != nil {
@@ -44,20 +45,21 @@
 	}
 }
 
-// scaleArrivals multiplies the rate of a table's arrivals, if it has any.
+// scaleArrivals multiplies the arrival rate of a table that has arrivals.
 func scaleArrivals(table map[string]any, factor float64) {
 	if arrivals, ok := table["arrivals"].(map[string]any); ok {
 		scaleFields(arrivals, factor, "rate")
 	}
 }
 
-// asTables returns a value as an array of tables; anything else is none.
+// asTables returns a value as an array of tables, or nil if it is of another type.
 func asTables(value any) []map[string]any {
 	list, _ := value.([]map[string]any)
 	return list
 }
 
-// scaleFields multiplies the fields that are there; whole numbers stay whole.
+// scaleFields multiplies those of the given fields that the table has. Integers stay
+// integers: the products are rounded.
 func scaleFields(table map[string]any, factor float64, keys ...string) {
 	for _, key := range keys {
 		switch value := table[key].(type) {
