--- a/internal/loadtest/counters.go
+++ b/internal/loadtest/counters.go
@@ -8,21 +8,21 @@
 	"madderslip/internal/emulator"
 )
 
-// counters are all that is counted, as it stood at one time.
+// counters holds the values of all counters at one time.
 type counters struct {
 	at               time.Time
 	starts           int64 // tasks
 	submitted        int64 // jobs
 	accepted         int64 // jobs
-	changes, refused int   // transactions of the state service
+	changes, refused int   // of the state service: changes made, and transactions refused by a compare
 	state            traffic
 	heartbeats       traffic
 	commands         traffic
 	processes        []usage // by controller
 }
 
-// traffic is what went over an interface: in to the emulated side, out from it. Workers
-// send heartbeats, so these go out.
+// traffic counts the requests of one interface, the bytes that the emulated side received
+// and the bytes that it sent. Workers are emulated, so that their heartbeats count as sent.
 type traffic struct{ requests, inBytes, outBytes int64 }
 
 // readTraffic reads the counters of an interface.
@@ -30,7 +30,7 @@
 	return traffic{t.Requests.Load(), t.In.Load(), t.Out.Load()}
 }
 
-// since is what was added since an earlier time.
+// since returns what was added since an earlier time.
 func (t traffic) since(earlier traffic) traffic {
 	return traffic{t.requests - earlier.requests, t.inBytes - earlier.inBytes, t.outBytes - earlier.outBytes}
 }
@@ -55,10 +55,11 @@
 	return now
 }
 
-// minReachedShare is the part of what was asked for that counts as reached.
+// minReachedShare is the share of a configured amount from which the amount counts as
+// reached.
 const minReachedShare = 0.95
 
-// resultBetween is what lies between two counts.
+// resultBetween computes the result for the time between two readings of the counters.
 func (m *measurement) resultBetween(from, to counters) *Result {
 	seconds := to.at.Sub(from.at).Seconds()
 	workers := float64(m.cfg.Workers)
@@ -97,7 +98,8 @@
 	return result
 }
 
-// addProcessUsage adds what each controller used in so many seconds, and holds at their end.
+// addProcessUsage adds the processor time that each controller used per second, and its
+// memory and open files at the end.
 func (r *Result) addProcessUsage(from, to []usage, seconds float64) {
 	for i := range to {
 		r.CPU = append(r.CPU, round((to[i].CPU-from[i].CPU).Seconds()/seconds))
@@ -106,7 +108,7 @@
 	}
 }
 
-// addUrgentWaits adds how long urgent jobs waited, those of the warm-up included.
+// addUrgentWaits adds the numbers and waits of urgent jobs, those of the warm-up included.
 func (m *measurement) addUrgentWaits(r *Result) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -116,7 +118,7 @@
 	r.UrgentMax = float64(m.urgentWaits.Max()) / 1000
 }
 
-// addNotReached names what falls short of the configuration.
+// addNotReached adds a line for each amount that falls short of the configuration.
 func (r *Result) addNotReached() {
 	if r.Starts < minReachedShare*r.Wanted {
 		r.NotReached = append(r.NotReached, fmt.Sprintf("%.0f of %.0f starts a second", r.Starts, r.Wanted))
--- a/internal/loadtest/fault.go
+++ b/internal/loadtest/fault.go
@@ -8,7 +8,8 @@
 	"madderslip/internal/protocol"
 )
 
-// runFault waits for a fault's time, has it happen, and ends it.
+// runFault waits until a fault is due and injects it. After ForS it starts the crashed
+// controller again or ends the delays of the state service.
 func (m *measurement) runFault(ctx context.Context, fault Fault) {
 	if !pause(ctx, protocol.Seconds(fault.AtS)) {
 		return
@@ -29,7 +30,7 @@
 	}
 }
 
-// crashController kills a controller at random and starts it again some time later.
+// crashController kills a controller chosen at random and starts it again after ForS.
 func (m *measurement) crashController(ctx context.Context, fault Fault) {
 	m.mu.Lock()
 	target := m.controllers[m.random.IntN(len(m.controllers))]
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -16,8 +16,8 @@
 	urgentClass = "urgent"
 )
 
-// startLoad has users submit arrays and urgent services, each evenly in time, until the
-// context ends.
+// startLoad starts goroutines that submit arrays and urgent services as users, each at a
+// constant rate, until the context ends.
 func (m *measurement) startLoad(ctx context.Context) {
 	inFlight := make(chan struct{}, m.cfg.Load.MaxInFlight)
 	submitEvery := func(rate float64, newJob func() *emulator.Job, urgent bool) {
@@ -34,8 +34,9 @@
 	m.background.Go(func() { submitEvery(load.UrgentPerS, m.newUrgentService, true) })
 }
 
-// submit has a user submit a job, or drops it when too many are in flight: then the
-// machine does not keep up, which Result.Submitted tells.
+// submit starts a goroutine that submits a job as a user. If MaxInFlight jobs are already in
+// flight, the machine does not keep up with the load: the job is dropped and not counted in
+// Result.Submitted.
 func (m *measurement) submit(ctx context.Context, inFlight chan struct{}, job *emulator.Job, urgent bool) {
 	select {
 	case inFlight <- struct{}{}:
@@ -48,8 +49,8 @@
 	})
 }
 
-// runUser submits a job to the controllers by turns, and cancels an urgent one after its
-// run time.
+// runUser submits a job as a user, with a different controller as the first to be asked for
+// each job in turn. It cancels an accepted urgent job after RunS.
 func (m *measurement) runUser(ctx context.Context, job *emulator.Job, urgent bool) {
 	m.submitted.Add(1)
 	node := m.controllers[int(m.submitted.Load())%len(m.controllers)].name
@@ -68,7 +69,7 @@
 	}
 }
 
-// newArray is an array whose tasks end by themselves.
+// newArray returns an array whose tasks end by themselves after RunS.
 func (m *measurement) newArray() *emulator.Job {
 	job := m.newJob(arrayClass, protocol.ShapeArray, "normal", m.cfg.Load.ArrayTasks)
 	job.Run = protocol.Seconds(m.cfg.Load.RunS)
@@ -76,7 +77,8 @@
 	return job
 }
 
-// newUrgentService is a service of one replica that goes before all arrays.
+// newUrgentService returns a service of one replica whose priority is above that of all
+// arrays. It runs until it is cancelled.
 func (m *measurement) newUrgentService() *emulator.Job {
 	return m.newJob(urgentClass, protocol.ShapeService, "critical", 1)
 }
--- a/internal/loadtest/measurement.go
+++ b/internal/loadtest/measurement.go
@@ -15,31 +15,32 @@
 	"madderslip/internal/protocol"
 )
 
-// Periods of a measurement.
+// Intervals within a measurement.
 const (
 	readyPollInterval       = 200 * time.Millisecond
 	warmUpProgressInterval  = 5 * time.Second  // between lines of progress
 	measureProgressInterval = 10 * time.Second // between lines of progress
-	dropInterval            = 10 * time.Second
+	dropInterval            = 10 * time.Second // between drops of finished jobs
 )
 
-// The workers are added in batches: a start of all at once would measure itself.
+// Workers are added in batches: starting all of them at once would be a load of its own and
+// would distort the measurement.
 const (
 	workerBatchSize  = 100
 	workerBatchPause = 20 * time.Millisecond
 )
 
-// machineTypeName is the one kind of machine.
+// machineTypeName is the name of the only machine type.
 const machineTypeName = "m"
 
-// maxUrgentWaitMs is the longest wait that the histogram tells apart.
+// maxUrgentWaitMs is the longest wait, in milliseconds, that the histogram is sized to record.
 const maxUrgentWaitMs = 600_000
 
-// measurement is one configuration being measured. The goroutines that it starts end with
-// the context of Measure, which waits for them.
+// measurement is the state of one measurement. The goroutines that it starts end with the
+// context of Measure, which waits for them.
 type measurement struct {
 	cfg         *Config
-	dir         string // of the controllers' files
+	dir         string // of the controllers' settings and logs
 	progress    io.Writer
 	world       *emulator.World
 	loopback    *emulator.Loopback
@@ -50,14 +51,16 @@
 	starts              atomic.Int64 // tasks
 	submitted, accepted atomic.Int64 // jobs
 
-	mu          sync.Mutex              // guards all below; taken under the world's lock, never around it
-	random      *rand.Rand              // chooses what crashes
-	urgentWaits *hdrhistogram.Histogram // milliseconds from the acceptance to the start
-	urgentJobs  map[string]bool         // by id: whether it has started
+	mu          sync.Mutex              // guards the fields below; the world's lock is never acquired while mu is held, only before
+	random      *rand.Rand              // chooses the controllers that crash
+	urgentWaits *hdrhistogram.Histogram // of urgent jobs, milliseconds from acceptance to start
+	urgentJobs  map[string]bool         // by job ID: whether the job has started
 }
 
-// Measure runs one measurement, and ends early with the context's error. Lines of
-// progress go to progress, settings and logs of the controllers to dir.
+// Measure runs one measurement. If the context ends, it returns early with the context's
+// error or, while the controllers start, with that of a controller that is not ready. Lines
+// of progress are written to progress, the controllers' settings and logs to the directory
+// dir.
 func Measure(ctx context.Context, cfg *Config, dir string, progress io.Writer) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	m := &measurement{
@@ -80,7 +83,7 @@
 	return m.measure(ctx)
 }
 
-// open makes the emulated world and starts the controllers.
+// open creates the emulated world and starts the controllers.
 func (m *measurement) open(ctx context.Context) error {
 	m.world = m.newWorld(ctx)
 	var err error
@@ -103,7 +106,7 @@
 	return nil
 }
 
-// newWorld makes the emulated state service, cloud and workers.
+// newWorld creates the emulated state service and cloud. There are no workers yet.
 func (m *measurement) newWorld(ctx context.Context) *emulator.World {
 	teams := map[string]protocol.Team{team: {Name: team}}
 	world := emulator.NewWorld(ctx, m.cfg.Seed, workerSettings(m.cfg), teams)
@@ -129,7 +132,8 @@
 	return world
 }
 
-// close ends the controllers and the world's addresses, as far as they were opened.
+// close kills the controllers and closes the world's listeners, as far as open has started
+// them.
 func (m *measurement) close() {
 	for _, c := range m.controllers {
 		c.kill()
@@ -139,7 +143,8 @@
 	}
 }
 
-// warmUp waits until the controllers are ready, adds the workers, and starts the load.
+// warmUp waits until the controllers are ready, adds the workers, starts the load, and waits
+// until the warm-up time is over.
 func (m *measurement) warmUp(ctx context.Context) error {
 	deadline := time.Now().Add(protocol.Seconds(m.cfg.WarmupS))
 	for _, c := range m.controllers {
@@ -160,7 +165,7 @@
 	return m.writeProgressUntil(ctx, deadline, "warming up", warmUpProgressInterval)
 }
 
-// measure counts over the measured time, with the faults in it.
+// measure injects the faults and returns the result for the measured time.
 func (m *measurement) measure(ctx context.Context) (*Result, error) {
 	before := m.readCounters()
 	for _, fault := range m.cfg.Faults {
@@ -173,7 +178,8 @@
 	return m.resultBetween(before, m.readCounters()), nil
 }
 
-// writeProgressUntil writes a line of progress now and then until a time, or the context, ends.
+// writeProgressUntil writes a line of progress once per interval until the time end. It
+// returns early with the context's error if the context ends.
 func (m *measurement) writeProgressUntil(ctx context.Context, end time.Time, phase string, interval time.Duration) error {
 	for time.Now().Before(end) && ctx.Err() == nil {
 		fmt.Fprintf(m.progress, "%s: %d tasks begun, %d running, %d changes of state, %d of %d jobs accepted\n",
@@ -183,7 +189,8 @@
 	return ctx.Err()
 }
 
-// recordStart is called for each task that starts, under the world's lock.
+// recordStart counts a started task and records the wait of an urgent job. The world calls
+// it for each task that starts, with the world's lock held.
 func (m *measurement) recordStart(jobID string, sinceAccepted time.Duration) {
 	m.starts.Add(1)
 	m.mu.Lock()
@@ -194,14 +201,15 @@
 	}
 }
 
-// dropFinishedJobs keeps the world's memory bounded.
+// dropFinishedJobs drops finished jobs periodically to bound the world's memory.
 func (m *measurement) dropFinishedJobs(ctx context.Context) {
 	for pause(ctx, dropInterval) {
 		m.world.DropFinishedJobs()
 	}
 }
 
-// pause waits, and reports whether the context still holds.
+// pause waits for the duration d. It reports whether d has passed: if the context ends
+// first, pause returns false at once.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -14,21 +14,23 @@
 	"time"
 )
 
-// controller is a controller's process: killed and started again it stays the same one.
+// controller runs one controller. It stays the same when the process is killed and started
+// again.
 type controller struct {
 	name, zone           string
 	publicAddr, peerAddr string
 	settingsFile         string
 
-	mu         sync.Mutex    // guards all below: one goroutine measures, another kills
+	mu         sync.Mutex    // guards the fields below: usage may be read while another goroutine kills the process
 	cmd        *exec.Cmd     // nil while no process runs
 	earlierCPU time.Duration // processor time of earlier processes
 }
 
-// zones are where controllers and workers stand, by turns.
+// zones are the zones among which the controllers and the workers are distributed.
 var zones = []string{"a", "b"}
 
-// newControllers gives each controller a name, a zone and two free addresses.
+// newControllers returns controllers that have a name, a zone and two free addresses each
+// and are not started yet.
 func newControllers(count int) ([]*controller, error) {
 	var controllers []*controller
 	for i := range count {
@@ -45,7 +47,7 @@
 	return controllers, nil
 }
 
-// freeAddress returns an address of this machine that was free just now.
+// freeAddress returns a loopback address whose port was free at the time of the call.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -55,12 +57,13 @@
 	return listener.Addr().String(), nil
 }
 
-// logFile stands beside the settings file.
+// logFile returns the path of the controller's log, which is in the same directory as the
+// settings file.
 func (c *controller) logFile() string {
 	return strings.TrimSuffix(c.settingsFile, filepath.Ext(c.settingsFile)) + ".log"
 }
 
-// start runs the controller's process until the context ends or kill is called.
+// start starts the controller's process, which runs until the context ends or kill is called.
 func (c *controller) start(ctx context.Context, program string) error {
 	log, err := os.OpenFile(c.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -76,7 +79,7 @@
 	return cmd.Start()
 }
 
-// kill ends the process, if one runs, without a signal that it could answer.
+// kill ends the process, if one runs, with a signal that the process cannot handle.
 func (c *controller) kill() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +94,7 @@
 	c.cmd = nil
 }
 
-// isReady reports whether the controller answers its health check.
+// isReady reports whether the controller's health check succeeds.
 func (c *controller) isReady() bool {
 	client := http.Client{Timeout: time.Second}
 	response, err := client.Get("http://" + c.publicAddr + "/ready")
@@ -102,15 +105,15 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// usage is what a controller has used and holds.
+// usage is the use of resources by a controller.
 type usage struct {
 	CPU     time.Duration // of all its processes
 	RSS     int64         // resident memory, bytes
-	Sockets int           // open files
+	Sockets int           // open file descriptors
 }
 
-// usage reads what the controller has used and holds; of a process that is gone, what
-// the earlier ones used.
+// usage reads the controller's use of resources. While no process runs, only the processor
+// time of the earlier processes is set.
 func (c *controller) usage() usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,7 +141,7 @@
 // clockTick is the unit of processor time in /proc, on every Linux that Go runs on.
 const clockTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat, counted behind the program's name.
+// Indexes of fields of /proc/PID/stat, where 0 is the field after the program's name.
 const (
 	statUserTime   = 11 // clock ticks
 	statSystemTime = 12 // clock ticks
@@ -147,7 +150,7 @@
 
 // parseStat reads processor time and resident memory, in bytes, from /proc/PID/stat.
 func parseStat(stat string) (cpu time.Duration, rss int64) {
-	// The program's name may hold spaces.
+	// The program's name is in parentheses and may contain spaces.
 	fields := strings.Fields(stat[strings.LastIndexByte(stat, ')')+1:])
 	if len(fields) <= statRSS {
 		return 0, 0
