--- a/internal/loadtest/batch.go
+++ b/internal/loadtest/batch.go
@@ -8,9 +8,10 @@
 	"path/filepath"
 )
 
-// MeasureFiles measures the configurations one after the other. Each result goes to the
-// directory outDir as JSON under its configuration's name, and all of them to results.csv
-// there once the last has ended. It stops at the first error.
+// MeasureFiles runs the measurements of configuration files one after the other. It writes
+// each result to the directory outDir as JSON, in a file named after its configuration, and
+// all results to results.csv there once the last measurement has ended. It stops at the
+// first error.
 func MeasureFiles(ctx context.Context, files []string, outDir string, progress io.Writer) error {
 	var results []*Result
 	for _, file := range files {
@@ -26,8 +27,9 @@
 	return writeFile(filepath.Join(outDir, "results.csv"), func(w io.Writer) error { return WriteCSV(w, results) })
 }
 
-// measureFile measures one configuration and names what it asked for and did not get. The
-// controllers' settings and logs stay in a temporary directory.
+// measureFile runs the measurement of one configuration file and prints the configured
+// amounts that were not reached. The controllers' settings and logs are kept in a temporary
+// directory.
 func measureFile(ctx context.Context, file string, progress io.Writer) (*Result, error) {
 	cfg, err := Load(file)
 	if err != nil {
@@ -48,7 +50,7 @@
 	return result, nil
 }
 
-// writeFile creates a file and has write fill it.
+// writeFile creates a file and calls write to write its content.
 func writeFile(file string, write func(io.Writer) error) error {
 	f, err := os.Create(file)
 	if err != nil {
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -7,41 +7,42 @@
 	"strconv"
 )
 
-// Result is what a measurement came to, over its measured time. It is written by the names
-// of its fields, in their order: a renamed one makes results before and after differ.
+// Result is the result of a measurement over its measured time. WriteJSON writes the fields
+// under their Go names and in their order: renaming or moving a field makes later results
+// differ from earlier ones.
 type Result struct {
 	Workers, Controllers int
 	Seconds              float64   // measured time
-	UpWorkers            int       // that a controller serves, when the measurement ends
-	Running              int       // tasks at its end
-	Starts               float64   // tasks that started, a second
-	Wanted               float64   // the configured starts, a second
-	Changes, Requests    float64   // of the state service, a second
-	ChangesPerStart      float64   // of the state service, for each task
-	StateInKB            float64   // a second, to the state service
-	StateOutKB           float64   // a second, from it
-	Refused              float64   // transactions refused by a comparison, a second
-	WorkerOutKB          float64   // a second and worker, its heartbeats
-	WorkerInKB           float64   // a second and worker, responses and direct commands
-	Reports, Commands    float64   // heartbeats and direct commands, a second
-	CPU                  []float64 // cores, by controller
-	RSSMB                []float64 // resident memory, by controller
-	Sockets              []int     // open files, by controller
-	UrgentP50, UrgentP95 float64   // seconds from the acceptance to the start
-	UrgentMax            float64   // seconds, likewise
-	Urgent, UrgentBegun  int       // urgent jobs, and those of them that started
-	Submitted, Accepted  int64     // jobs
-	NotReached           []string  // what the configuration asked for and the machine did not give
+	UpWorkers            int       // workers that have received a fencing token, at the end of the measurement
+	Running              int       // running tasks at the end of the measurement
+	Starts               float64   // started tasks per second
+	Wanted               float64   // configured starts per second
+	Changes, Requests    float64   // of the state service, per second
+	ChangesPerStart      float64   // changes of the state service per started task
+	StateInKB            float64   // received by the state service per second, in units of 1024 bytes, as all KB
+	StateOutKB           float64   // sent by the state service per second
+	Refused              float64   // transactions refused by a compare, per second
+	WorkerOutKB          float64   // sent per second and worker: heartbeats, and responses to direct commands
+	WorkerInKB           float64   // received per second and worker: responses to heartbeats, and direct commands
+	Reports, Commands    float64   // heartbeats and direct commands, per second
+	CPU                  []float64 // used processor cores, by controller
+	RSSMB                []float64 // resident memory at the end in units of 2^20 bytes, by controller
+	Sockets              []int     // open file descriptors at the end, by controller
+	UrgentP50, UrgentP95 float64   // quantiles of the seconds from an urgent job's acceptance to its start
+	UrgentMax            float64   // longest time from an urgent job's acceptance to its start, seconds
+	Urgent, UrgentBegun  int       // number of urgent jobs, and of those that started; warm-up included
+	Submitted, Accepted  int64     // number of jobs
+	NotReached           []string  // configured amounts that were not reached, a line each
 }
 
-// WriteJSON writes a result.
+// WriteJSON writes the result as indented JSON.
 func (r *Result) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(r)
 }
 
-// columns are those of results.csv.
+// columns are the columns of results.csv.
 var columns = []struct {
 	name string
 	text func(r *Result) string
@@ -66,7 +67,7 @@
 	{"urgent_p95", func(r *Result) string { return formatNumber(r.UrgentP95) }},
 }
 
-// WriteCSV writes results, a line each, for a table or a plot.
+// WriteCSV writes a header and one line per result, for a table or a plot.
 func WriteCSV(w io.Writer, results []*Result) error {
 	writer := csv.NewWriter(w)
 	header := make([]string, 0, len(columns))
@@ -89,10 +90,10 @@
 	return writer.Error()
 }
 
-// formatNumber writes a figure with six significant digits.
+// formatNumber formats a number with up to six significant digits.
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 
-// sumOf adds figures up; none are 0.
+// sumOf returns the sum of the figures, or 0 if there are none.
 func sumOf(figures []float64) float64 {
 	sum := 0.0
 	for _, figure := range figures {
@@ -101,7 +102,7 @@
 	return sum
 }
 
-// maxOf is the largest figure, and no less than 0.
+// maxOf returns the largest figure, but at least 0.
 func maxOf[T int | float64](figures []T) T {
 	var largest T
 	for _, figure := range figures {
--- a/internal/loadtest/result_test.go
+++ b/internal/loadtest/result_test.go
@@ -11,8 +11,8 @@
 
 const resultsDir = "../../docs/measurements/scale"
 
-// Results that were measured earlier are read and written again to the byte, so that they
-// can be compared with later ones.
+// TestEarlierResultsAreWrittenAlike checks that results of earlier measurements, once read,
+// are written byte for byte as before: otherwise they cannot be compared with later ones.
 func TestEarlierResultsAreWrittenAlike(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(resultsDir, "*.json"))
 	if err != nil || len(files) == 0 {
@@ -23,12 +23,14 @@
 			want, result := readResult(t, file)
 			var got bytes.Buffer
 			if err := result.WriteJSON(&got); err != nil || got.String() != string(want) {
-				t.Errorf("%v, written again\n%s", err, got.String())
+				t.Errorf("error %v, written again as\n%s", err, got.String())
 			}
 		})
 	}
 }
 
+// TestCSVOfEarlierResults checks that the result of an earlier measurement is written with
+// the same header and line as in the results.csv of that time.
 func TestCSVOfEarlierResults(t *testing.T) {
 	table, err := os.ReadFile(filepath.Join(resultsDir, "results.csv"))
 	if err != nil {
@@ -45,6 +47,7 @@
 	}
 }
 
+// readResult returns a result file's content and the result that it holds.
 func readResult(t *testing.T, file string) ([]byte, *Result) {
 	t.Helper()
 	raw, err := os.ReadFile(file)
