--- a/internal/loadtest/config_test.go
+++ b/internal/loadtest/config_test.go
@@ -47,7 +47,7 @@
 	}
 	c, _, err := load(validConfig)
 	if err != nil || c.Workers != 100 || len(c.Faults) != 1 || c.Load.ArrayTasks != 20 {
-		t.Fatalf("a valid configuration is read as %+v, error %v", c, err)
+		t.Fatalf("%+v, %v", c, err)
 	}
 	for _, f := range [][3]string{
 		{"workers = 100", "workers = 0", "workers: must be between"},
@@ -62,7 +62,7 @@
 		_, file, err := load(strings.Replace(validConfig, f[0], f[1], 1))
 		var ce *ConfigError
 		if !errors.As(err, &ce) || !strings.HasPrefix(err.Error(), file+": "+f[2]) {
-			t.Errorf("%q: got error %v", f[1], err)
+			t.Errorf("%s: %v", f[1], err)
 		}
 	}
 }
--- a/internal/loadtest/counters.go
+++ b/internal/loadtest/counters.go
@@ -59,8 +59,8 @@
 // reached.
 const minReachedShare = 0.95
 
-// resultBetween computes the result for the time between two readings of the counters.
-func (m *measurement) resultBetween(from, to counters) *Result {
+// result computes the result for the time between two readings of the counters.
+func (m *measurement) result(from, to counters) *Result {
 	seconds := to.at.Sub(from.at).Seconds()
 	workers := float64(m.cfg.Workers)
 	perSecond := func(count int64) float64 { return round(float64(count) / seconds) }
--- a/internal/loadtest/measurement.go
+++ b/internal/loadtest/measurement.go
@@ -175,7 +175,7 @@
 	if err := m.writeProgressUntil(ctx, end, "measuring", measureProgressInterval); err != nil {
 		return nil, err
 	}
-	return m.resultBetween(before, m.readCounters()), nil
+	return m.result(before, m.readCounters()), nil
 }
 
 // writeProgressUntil writes a line of progress once per interval until the time end. It
--- a/internal/loadtest/settings_test.go
+++ b/internal/loadtest/settings_test.go
@@ -34,6 +34,6 @@
 		t.Fatal(err)
 	}
 	if len(s.Peers) != 2 || s.NodeCount != 3 || s.Workers != workerSettings(&cfg) || s.CloudLimits.ListLag != cloudListLag || s.Objectives[0].Within != 1400*time.Millisecond {
-		t.Errorf("the settings are read as %+v", s)
+		t.Errorf("%+v", s)
 	}
 }
--- a/internal/loadtest/site_test.go
+++ b/internal/loadtest/site_test.go
@@ -34,9 +34,9 @@
 	state := site["state"].(map[string]any)
 	if capacity["count"] != int64(8) || capacity["spot"] != int64(5) || asTables(site["machines"])[0]["count"] != int64(3) || job["initial"] != int64(11) ||
 		arrivals["rate"] != 0.75 || arrivals["swing"] != 0.5 || state["rps"] != 480.0 || state["write_rps"] != 120.0 || state["value_kb"] != 8.0 || site["duration_s"] != 300.0 {
-		t.Errorf("scaled to %v", site)
+		t.Errorf("%v", site)
 	}
 	if p := asTables(site["pipelines"])[0]["arrivals"].(map[string]any); p["rate"] != 0.375 {
-		t.Errorf("arrivals of the pipeline scaled to %v", p)
+		t.Errorf("%v", p)
 	}
 }
