--- a/internal/loadtest/counters.go
+++ b/internal/loadtest/counters.go
@@ -8,35 +8,35 @@
 	"madderslip/internal/emulator"
 )
 
-// counters are all that is counted, as it stood at one time.
+// counters holds the values of all counters at one time.
 type counters struct {
 	at               time.Time
 	starts           int64 // tasks
 	submitted        int64 // jobs
 	accepted         int64 // jobs
-	changes, refused int   // transactions of the state service
+	changes, refused int   // of the state service: changes made, and transactions refused by a compare
 	state            traffic
 	heartbeats       traffic
 	commands         traffic
 	processes        []usage // by controller
 }
 
-// traffic is what went over an interface: in to the emulated side, out from it. Workers
-// send heartbeats, so these go out.
+// traffic counts the requests of one interface, the bytes that the emulated side received
+// and the bytes that it sent. Workers are emulated, so that their heartbeats count as sent.
 type traffic struct{ requests, inBytes, outBytes int64 }
 
-// trafficOf reads the counters of an interface.
-func trafficOf(t *emulator.Traffic) traffic {
+// readTraffic reads the counters of an interface.
+func readTraffic(t *emulator.Traffic) traffic {
 	return traffic{t.Requests.Load(), t.In.Load(), t.Out.Load()}
 }
 
-// since is what was added since an earlier time.
+// since returns what was added since an earlier time.
 func (t traffic) since(earlier traffic) traffic {
 	return traffic{t.requests - earlier.requests, t.inBytes - earlier.inBytes, t.outBytes - earlier.outBytes}
 }
 
-// count reads all counters.
-func (m *measurement) count() counters {
+// readCounters reads all counters.
+func (m *measurement) readCounters() counters {
 	state := m.world.State.Counts()
 	now := counters{
 		at:         time.Now(),
@@ -45,9 +45,9 @@
 		accepted:   m.accepted.Load(),
 		changes:    state.Changes,
 		refused:    state.Refused,
-		state:      trafficOf(&m.loopback.State),
-		heartbeats: trafficOf(&m.loopback.Heartbeats),
-		commands:   trafficOf(&m.loopback.Commands),
+		state:      readTraffic(&m.loopback.State),
+		heartbeats: readTraffic(&m.loopback.Heartbeats),
+		commands:   readTraffic(&m.loopback.Commands),
 	}
 	for _, c := range m.controllers {
 		now.processes = append(now.processes, c.usage())
@@ -55,10 +55,11 @@
 	return now
 }
 
-// minReached is the part of what was asked for that counts as reached.
-const minReached = 0.95
+// minReachedShare is the share of a configured amount from which the amount counts as
+// reached.
+const minReachedShare = 0.95
 
-// result is what lies between two counts.
+// result computes the result for the time between two readings of the counters.
 func (m *measurement) result(from, to counters) *Result {
 	seconds := to.at.Sub(from.at).Seconds()
 	workers := float64(m.cfg.Workers)
@@ -91,14 +92,15 @@
 	if starts > 0 {
 		result.ChangesPerStart = round(float64(changes) / float64(starts))
 	}
-	result.addProcesses(from.processes, to.processes, seconds)
-	m.addUrgent(result)
+	result.addProcessUsage(from.processes, to.processes, seconds)
+	m.addUrgentWaits(result)
 	result.addNotReached()
 	return result
 }
 
-// addProcesses adds what each controller used in so many seconds, and holds at their end.
-func (r *Result) addProcesses(from, to []usage, seconds float64) {
+// addProcessUsage adds the processor time that each controller used per second, and its
+// memory and open files at the end.
+func (r *Result) addProcessUsage(from, to []usage, seconds float64) {
 	for i := range to {
 		r.CPU = append(r.CPU, round((to[i].CPU-from[i].CPU).Seconds()/seconds))
 		r.RSSMB = append(r.RSSMB, round(float64(to[i].RSS)/(1<<20)))
@@ -106,8 +108,8 @@
 	}
 }
 
-// addUrgent adds how long urgent jobs waited, those of the warm-up included.
-func (m *measurement) addUrgent(r *Result) {
+// addUrgentWaits adds the numbers and waits of urgent jobs, those of the warm-up included.
+func (m *measurement) addUrgentWaits(r *Result) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	quantile := func(percent float64) float64 { return float64(m.urgentWaits.ValueAtQuantile(percent)) / 1000 }
@@ -116,12 +118,12 @@
 	r.UrgentMax = float64(m.urgentWaits.Max()) / 1000
 }
 
-// addNotReached names what falls short of the configuration.
+// addNotReached adds a line for each amount that falls short of the configuration.
 func (r *Result) addNotReached() {
-	if r.Starts < minReached*r.Wanted {
+	if r.Starts < minReachedShare*r.Wanted {
 		r.NotReached = append(r.NotReached, fmt.Sprintf("%.0f of %.0f starts a second", r.Starts, r.Wanted))
 	}
-	if float64(r.UpWorkers) < minReached*float64(r.Workers) {
+	if float64(r.UpWorkers) < minReachedShare*float64(r.Workers) {
 		r.NotReached = append(r.NotReached, fmt.Sprintf("%d of %d workers are served", r.UpWorkers, r.Workers))
 	}
 }
--- a/internal/loadtest/settings.go
+++ b/internal/loadtest/settings.go
@@ -11,16 +11,16 @@
 	"madderslip/internal/protocol"
 )
 
-// Settings that all measurements have in common.
+// Settings that are the same in all measurements.
 const (
-	team             = "open" // without guarantees and limits
+	team             = "open" // the only team, without guarantees and limits
 	gangStartTimeout = 50 * time.Second
 	gangPeerTimeout  = 8 * time.Second
 	cancelDeadline   = 47 * time.Second
 	cloudListLag     = 3 * time.Second
 )
 
-// workerSettings are the periods and leases that the emulated workers keep.
+// workerSettings returns the intervals and timeouts that the emulated workers observe.
 func workerSettings(cfg *Config) protocol.WorkerSettings {
 	return protocol.WorkerSettings{
 		HeartbeatInterval: protocol.Seconds(cfg.ReportS),
@@ -31,21 +31,22 @@
 	}
 }
 
-// writeSettings writes the controller's settings file into a directory.
-func (c *controller) writeSettings(dir string, cfg *Config, all []*controller, loopback *emulator.Loopback) error {
+// writeSettings writes the controller's settings file into a directory and sets
+// settingsFile to its path.
+func (c *controller) writeSettings(dir string, cfg *Config, controllers []*controller, loopback *emulator.Loopback) error {
 	c.settingsFile = filepath.Join(dir, c.name+".toml")
-	return os.WriteFile(c.settingsFile, []byte(c.settings(cfg, all, loopback)), 0o600)
+	return os.WriteFile(c.settingsFile, []byte(c.settingsText(cfg, controllers, loopback)), 0o600)
 }
 
-// settings is the text of the controller's settings file.
-func (c *controller) settings(cfg *Config, all []*controller, loopback *emulator.Loopback) string {
+// settingsText returns the content of the controller's settings file.
+func (c *controller) settingsText(cfg *Config, controllers []*controller, loopback *emulator.Loopback) string {
 	var text strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&text, format+"\n", args...) }
 	line("node = %q", c.name)
 	line("area = %q", c.zone)
 	line("public_addr = %q", c.publicAddr)
 	line("peer_bind = %q", c.peerAddr)
-	for _, other := range all {
+	for _, other := range controllers {
 		if other != c {
 			line("[[others]]")
 			line("node = %q", other.name)
@@ -57,7 +58,7 @@
 	line("cloud = %q", loopback.CloudAddr)
 	line("state = %q", loopback.StateAddr)
 	line("[cluster]")
-	line("nodes = %d", len(all))
+	line("nodes = %d", len(controllers))
 	line(`zones = ["a", "b"]`)
 	line("clock_error_ms = 25.0")
 	line("[[cluster.teams]]")
--- a/internal/loadtest/settings_test.go
+++ b/internal/loadtest/settings_test.go
@@ -10,10 +10,11 @@
 	"madderslip/internal/protocol"
 )
 
-// A controller accepts the settings that a measurement writes for it.
+// TestControllerSettingsAreAccepted checks that the settings that a measurement writes for a
+// controller are valid and are read with the expected values.
 func TestControllerSettingsAreAccepted(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "c.toml")
-	if err := os.WriteFile(file, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cfg, err := Load(file)
