--- a/internal/coordination/controller/accept.go
+++ b/internal/coordination/controller/accept.go
@@ -19,7 +19,7 @@
 func (c *Controller) acceptJob(spec *protocol.Submission, reply func(transport.Response)) {
 	now := time.Now()
 	if backlog := c.backlog(kv.PriorityUser, now); backlog.Unavailable || backlog.ShouldShed(submitTimeout) {
-		reply(c.retryLater(kv.PriorityUser, now)) // refused at once, since it would time out in the queue
+		reply(c.retryLater(kv.PriorityUser, now)) // the submission is refused at once, since its transaction would time out in the queue
 		return
 	}
 	shards := c.chooseShards(spec, now)
--- a/internal/coordination/controller/adoption.go
+++ b/internal/coordination/controller/adoption.go
@@ -13,8 +13,8 @@
 // unrecordedHost is a machine that exists but has no record.
 type unrecordedHost struct {
 	firstSeen time.Time
-	recording bool   // its record in shard is being committed
-	shard     string // empty unless recording
+	recording bool   // a record that assigns the machine to the shard below is being committed
+	shard     string // the shard that the record assigns the machine to; empty: no record is being committed
 	kind      replica.MachineKind
 }
 
@@ -67,7 +67,7 @@
 	ops := []kv.Op{{Key: key, Value: record}}
 	compares, ops = c.excludeAnswers(kind, compares, ops)
 	if len(ops) > c.settings.RecordLimits().MaxTxnOps {
-		c.dropUnrecorded(hosts) // they are added again, and the transaction is small enough once fewer requests are unanswered
+		c.dropUnrecorded(hosts) // the machines are added again later; once fewer provision requests are unanswered, the transaction is small enough
 		return
 	}
 	c.commit(kv.PriorityLease, compares, ops, adoptionCommitTimeout, func(err error) {
--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -56,7 +56,7 @@
 		machine.Detector.Reachability.RecordNewEpoch(now)
 	}
 	if c.silenceOf(machine, now) > c.policy.SuspectAfter {
-		machine.Agent.ContactRestoredAt = now // heartbeats may arrive a moment later than answers to probes
+		machine.Agent.ContactRestoredAt = now // contact may be restored by a probe before heartbeats arrive: their absence counts against the machine only from now on
 	}
 	machine.Agent.Heartbeat, machine.Agent.LastContact = heartbeat, now
 	c.recordTaskStatuses(machine, heartbeat, now)
@@ -128,7 +128,7 @@
 	return before == nil || after == nil || before.Phase != after.Phase || before.Attempt != after.Attempt
 }
 
-// handleHeartbeat answers an agent's heartbeat.
+// handleHeartbeat decodes an agent's heartbeat and answers it as respondToHeartbeat decides.
 func (c *Controller) handleHeartbeat(body []byte, reply func(transport.Response)) {
 	heartbeat, err := protocol.ParseHeartbeat(body)
 	if err != nil {
--- a/internal/coordination/controller/bench_test.go
+++ b/internal/coordination/controller/bench_test.go
@@ -37,7 +37,7 @@
 		})
 		b.Run(fmt.Sprintf("claim/%d", machines), func(b *testing.B) {
 			controller := newFleet(b, machines)
-			key := records.ClaimKey("wk-1000", 1) // of a shard of another controller
+			key := records.ClaimKey("wk-1000", 1) // the claim belongs to a shard of another controller
 			raw, _ := protocol.Encode(controller.view.Claims[key].Record)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
@@ -62,7 +62,7 @@
 		b.Run(fmt.Sprintf("pass/%d", machines), func(b *testing.B) {
 			controller := newFleet(b, machines)
 			shard := controller.view.Shards["n0"]
-			for i := range 50 { // arrays for which there is no capacity
+			for i := range 50 { // the queue holds 50 arrays for which there is no capacity
 				jobID := fmt.Sprint("wk-", 900_000+i)
 				job := arrayJob(jobID, 2+float64(i)/100)
 				job.Spec.ImageGB = 0
--- a/internal/coordination/controller/besteffort.go
+++ b/internal/coordination/controller/besteffort.go
@@ -27,7 +27,7 @@
 			result.InUse += claim.Spec.CPUs * float64(claim.OccupyingCount())
 		}
 	}
-	result.WarmReserve *= c.policy.WarmShare // after the sum: a sum of rounded products would depend on the order of the claims
+	result.WarmReserve *= c.policy.WarmShare // the share multiplies the finished sum: a sum of rounded products would depend on the order of the claims
 	return result
 }
 
--- a/internal/coordination/controller/cancellations.go
+++ b/internal/coordination/controller/cancellations.go
@@ -51,7 +51,7 @@
 }
 
 // enforceCancellations fences, returns or probes the machines that may still run tasks of
-// cancelled jobs, each once that is due.
+// cancelled jobs, each step once it is due.
 func (c *Controller) enforceCancellations(now time.Time) {
 	pass := cancellationPass{now: now, probes: make(map[*replica.Machine]bool)}
 	pass.mayAct = c.pauses.Stable(now, peerContactTime) && now.Sub(c.startedAt) > peerContactTime
@@ -73,8 +73,8 @@
 	}
 }
 
-// enforceOnSlot fences the machine of one placement of a cancelled job, or adds the machine to
-// the pass's returns or probes, if that is due.
+// enforceOnSlot checks the machine of one placement of a cancelled job. It fences the machine
+// or adds the machine to the pass's returns or probes, if one of these steps is due.
 func (c *Controller) enforceOnSlot(pass *cancellationPass, job *replica.Job, slot *replica.Slot) {
 	machine := slot.Host.Machine
 	if machine == nil || machine.Lifecycle.Gone {
@@ -105,8 +105,8 @@
 	return !machine.ShowsToken(c.view.Shards[machine.Record.Shard]) || machine.HasUnconfirmedStart(slot.TaskName, slot.Attempt)
 }
 
-// enforceCancellation fences a machine if that is due, and reports whether the machine must be
-// returned without waiting any longer for a record.
+// enforceCancellation fences a machine if a fence is due, and reports whether the machine must
+// be returned without waiting any longer for a record.
 func (c *Controller) enforceCancellation(job *replica.Job, machine *replica.Machine, now time.Time) bool {
 	limit, shard := c.settings.Workers.CancelDeadline, c.view.Shards[machine.Record.Shard]
 	cancelled := health.CancelledTask{Age: now.Sub(job.FinalAt), TokenShown: machine.ShowsToken(shard), OwnedFor: now.Sub(shard.OwnedSince),
--- a/internal/coordination/controller/capacities.go
+++ b/internal/coordination/controller/capacities.go
@@ -101,7 +101,6 @@
 	return c.silenceOf(machine, now) < c.policy.SuspectAfter && !machine.Detector.Reachability.CannotReceive() && !c.cannotReport(machine, now)
 }
 
-// capacitiesByHost returns an index of capacities by host.
 func capacitiesByHost(capacities []*placement.Capacity) map[string]*placement.Capacity {
 	byHost := make(map[string]*placement.Capacity, len(capacities))
 	for _, capacity := range capacities {
@@ -144,8 +143,8 @@
 // detailMachine determines a machine's releases and victims, and sorts both.
 func (c *Controller) detailMachine(machine *replica.Machine, now time.Time) {
 	machine.Capacity.DetailsStale = false
-	machine.Capacity.Releases, machine.Capacity.Victims = machine.Capacity.Releases[:0], nil // a pass may still use the old victims
-	for _, slot := range machine.Use.Slots {                                                 // both lists are sorted below
+	machine.Capacity.Releases, machine.Capacity.Victims = machine.Capacity.Releases[:0], nil // the slice of victims is not reused, since a pass may still use the old one
+	for _, slot := range machine.Use.Slots {                                                 // the order of the map does not matter, since releases and victims are sorted below
 		if slot.Claim.Spec == nil || slot.Exited(machine) {
 			continue
 		}
@@ -161,7 +160,7 @@
 		if order := a.At.Compare(b.At); order != 0 {
 			return order
 		}
-		return strings.Compare(a.Spec.JobID, b.Spec.JobID) // tasks of one job release the same resources
+		return strings.Compare(a.Spec.JobID, b.Spec.JobID) // two releases of one job need no order, since their resources are the same
 	})
 }
 
@@ -184,7 +183,7 @@
 		}
 		machine.Capacity.Releases = append(machine.Capacity.Releases, replica.Release{At: at, Spec: claim.Spec})
 	}
-	isOfGang := claim.Spec.Shape == protocol.ShapeGang && claim.Spec.Tasks > 1 // stopping one task would end them all
+	isOfGang := claim.Spec.Shape == protocol.ShapeGang && claim.Spec.Tasks > 1 // stopping one task of a gang would end all of them
 	isReported := machine.Agent.Tasks[slot.TaskName] != nil                    // a task that its agent does not report cannot be stopped yet
 	if evicted || isOfGang || !isReported {
 		return
--- a/internal/coordination/controller/claims.go
+++ b/internal/coordination/controller/claims.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// conflictPause is the time after a failed commit of a claim before the next one.
+	// conflictPause is the time between a failed commit of a claim and the next attempt.
 	conflictPause = 150 * time.Millisecond
 	// dropRetryPause is the time after a failed removal of a claim before the next attempt.
 	dropRetryPause = 200 * time.Millisecond
@@ -268,7 +268,7 @@
 	change.compares = append(compares, change.compares...)
 	done := &records.Job{State: protocol.JobDone, Tasks: job.Record.Spec.Tasks}
 	if len(next.Placements) > 0 || job.Chunks > 1 {
-		done.Spec = job.Record.Spec // needed until the last placement is cleared
+		done.Spec = job.Record.Spec // the job's description is needed until its last placement is cleared
 	}
 	claimOp := kv.Op{Key: claim.Key}
 	if len(next.Placements) > 0 {
--- a/internal/coordination/controller/cloud.go
+++ b/internal/coordination/controller/cloud.go
@@ -24,7 +24,6 @@
 	returningUnrecorded bool // a call to return machines whose return is not recorded is in progress
 }
 
-// newProvisioner returns an empty provisioner.
 func newProvisioner() provisioner {
 	return provisioner{unrecorded: make(map[string]unrecordedHost), refusedUntil: make(map[string]time.Time)}
 }
--- a/internal/coordination/controller/commit.go
+++ b/internal/coordination/controller/commit.go
@@ -40,9 +40,10 @@
 	c.store.Submit(txn)
 }
 
-// refreshAfter reads keys of a failed transaction again before done runs. A transaction
-// without a deadline reserves resources, so its caller must not continue before the outcome
-// is known.
+// refreshAfter reads keys of a failed transaction again before done runs. After a
+// transaction without a deadline each read is repeated until the outcome is known (see
+// refreshKeys): such a transaction reserves resources, and a caller that continued earlier
+// could leave them out of the usage.
 func (c *Controller) refreshAfter(txn *kv.Txn, result kv.Result, keys []string, done func(error, uint64)) {
 	c.refreshCount++
 	go c.refreshKeys(c.refreshCount, keys, result.Revision, txn.Deadline.IsZero(), func(read bool) {
@@ -87,8 +88,8 @@
 // team's start of unknown outcome could be missing from the team's usage.
 //
 // Reads after transactions that were sent together begin at the same instant and compete for
-// the same requests. They start a nanosecond apart, so that they compete in the order of their
-// numbers.
+// the same requests. The reads start a nanosecond apart, so that they compete in the order of
+// the refreshes' numbers.
 func (c *Controller) refreshKeys(number int, keys []string, revision uint64, mustRead bool, done func(read bool)) {
 	c.mu.Lock()
 	processCtx := c.ctx
--- a/internal/coordination/controller/consolidation.go
+++ b/internal/coordination/controller/consolidation.go
@@ -14,8 +14,8 @@
 
 const (
 	consolidationInterval = 10 * time.Second
-	consolidationRetry    = 2 * time.Second  // after finding no machine worth draining
-	consolidationDelay    = 15 * time.Second // after acquiring a shard
+	consolidationRetry    = 2 * time.Second  // time before a shard is searched again after no machine was found worth draining
+	consolidationDelay    = 15 * time.Second // time after a shard is acquired before its machines are drained
 	drainTimeout          = 25 * time.Second
 	// minWastedShare is the minimum share of a machine's price that has to be wasted for the
 	// machine to be drained.
--- a/internal/coordination/controller/controller.go
+++ b/internal/coordination/controller/controller.go
@@ -62,13 +62,12 @@
 // membership holds this process's lease and what the other controllers report in messages,
 // by the sender's name.
 type membership struct {
-	lease            kv.LeaseID             // of this process; 0: none
-	lastContact      map[string]time.Time   // when the last message of each arrived
-	stateReachableAt map[string]time.Time   // when each last reported that it reaches the state service
-	backlogs         map[string]peerBacklog // changes queued at each, as it last reported
+	lease            kv.LeaseID             // lease of this process; 0: none
+	lastContact      map[string]time.Time   // by controller: when its last message arrived
+	stateReachableAt map[string]time.Time   // by controller: when it last reported that it reaches the state service
+	backlogs         map[string]peerBacklog // by controller: the number of changes queued there, as it last reported
 }
 
-// newMembership returns an empty membership.
 func newMembership() membership {
 	return membership{
 		lastContact:      make(map[string]time.Time),
@@ -79,11 +78,10 @@
 
 // shardLoads holds the load of each shard, by which the shards of a new job are chosen.
 type shardLoads struct {
-	reported    map[string]replica.ReportedLoad // by shard
-	queuedSince map[string]float64              // by shard: CPUs that this controller queued there since the shard's last report
+	reported    map[string]replica.ReportedLoad // by shard: the load that its owner reported last, or that this controller computed as owner
+	queuedSince map[string]float64              // by shard: CPUs of the jobs that this controller queued at the shard since its load was last reported
 }
 
-// newShardLoads returns empty loads.
 func newShardLoads() shardLoads {
 	return shardLoads{reported: make(map[string]replica.ReportedLoad), queuedSince: make(map[string]float64)}
 }
@@ -201,7 +199,7 @@
 	return ctx.Err() == nil
 }
 
-// pause waits for a time and reports whether the context has not ended meanwhile.
+// pause waits for the duration d. It returns false if the context ends first, else true.
 func pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/coordination/controller/dependencies.go
+++ b/internal/coordination/controller/dependencies.go
@@ -25,20 +25,20 @@
 const dependencyVersion = 1
 
 const (
-	releaseDelay        = 300 * time.Millisecond // after a job has become ready
-	releaseStagger      = 500 * time.Millisecond // between one controller's turn and the next's
-	cancelRecordDelay   = 3 * time.Second        // after a job was cancelled with a dependency
-	cancelRecordStagger = 5 * time.Second        // between one controller's turn and the next's
+	releaseDelay        = 300 * time.Millisecond // time between a job becoming ready and its release by the first controller in turn
+	releaseStagger      = 500 * time.Millisecond // time between the turns of two controllers to release a job
+	cancelRecordDelay   = 3 * time.Second        // time between the cancellation of a job with its dependency and the first controller's turn to record it
+	cancelRecordStagger = 5 * time.Second        // time between the turns of two controllers to record a cancellation
 	cancelRecordTimeout = 10 * time.Second
-	maxReleasing        = 24              // record changes in progress at which no further job is released
-	maxCancelRecords    = 4               // cancellations being recorded at a time
+	maxReleasing        = 24              // no further job is released while this many record changes are in progress
+	maxCancelRecords    = 4               // at most this many cancellations are being recorded at a time
 	urgencyInterval     = 2 * time.Second // between two updates of the raised jobs while the graph does not change
 )
 
 // dependencies is a controller's own state about jobs that depend on others.
 type dependencies struct {
 	updating           map[string]bool         // blocked jobs whose record is being changed
-	recordingCancelled int                     // how many of those changes record a cancellation
+	recordingCancelled int                     // how many of the record changes in updating record a cancellation
 	reading            bool                    // a goroutine is reading the records of dependencies
 	raisedJobs         map[string]*replica.Job // jobs that inherit urgency from their dependents
 	propagatedChanges  uint64                  // the graph's change counter when urgency was last propagated
@@ -49,7 +49,8 @@
 	return dependencies{updating: make(map[string]bool), raisedJobs: make(map[string]*replica.Job)}
 }
 
-// blockedStatus returns a blocked job's cached status; that of any other job is not known.
+// blockedStatus returns a blocked job's cached status; for any other job, the result says
+// that the job is not known.
 func (c *Controller) blockedStatus(jobID string) cachedStatus {
 	blocked, isBlocked := c.view.Dependencies.Lookup(jobID)
 	if !isBlocked {
@@ -63,7 +64,8 @@
 }
 
 // isUndecided reports whether a job is blocked and may have been cancelled with a dependency
-// whose cancellation this controller has not read yet. The job's own record does not show that.
+// whose cancellation this controller has not read yet. The job's own record does not show the
+// cancellation of a dependency.
 func (c *Controller) isUndecided(jobID string) bool {
 	graph := c.view.Dependencies
 	_, isBlocked := graph.Lookup(jobID)
@@ -71,7 +73,8 @@
 }
 
 // allSupportDependencies reports whether every live controller supports blocked jobs. A
-// controller that does not would start a job with dependencies as soon as it accepts the job.
+// controller without this support would start a job with dependencies as soon as it accepts
+// the job.
 func (c *Controller) allSupportDependencies() bool {
 	for _, node := range c.view.Nodes {
 		if node.DependencyVersion < dependencyVersion {
@@ -119,8 +122,8 @@
 	return missing
 }
 
-// maxProvedJobs bounds the dependencies whose existence one transaction checks. It fits the
-// lowest limits with which the state service can be used.
+// maxProvedJobs bounds the dependencies whose existence one transaction checks. The bound
+// fits the lowest limits with which the state service can be used.
 const maxProvedJobs = 12
 
 // proveDependencies checks with the state service whether dependencies whose records are not
@@ -148,8 +151,8 @@
 }
 
 // releaseDependents releases the jobs whose last unfinished dependency was a job whose end this
-// controller has just committed. It does not wait for its turn, since no other controller has
-// read that record yet.
+// controller has just committed. The release does not wait for this controller's turn (see
+// dependencyTurn), since no other controller has read the record of that end yet.
 func (c *Controller) releaseDependents(jobID string, now time.Time) {
 	for _, resolved := range c.view.Dependencies.ReadyJobs() {
 		if resolved.LastDependency == jobID {
@@ -159,8 +162,9 @@
 }
 
 // reconcileDependencies commits the records of blocked jobs that are ready or cancelled. Each
-// controller waits for its turn, which keeps several from attempting the same change at once;
-// the compare of the job's version lets only one succeed.
+// controller waits for its turn (see dependencyTurn), which keeps several controllers from
+// attempting the same change at once; the condition on the job's version lets only one of
+// them succeed.
 func (c *Controller) reconcileDependencies(now time.Time) {
 	if c.view.Dependencies.Len() == 0 || c.isStateDown(now) {
 		return
@@ -179,8 +183,9 @@
 	c.readDependencies()
 }
 
-// dependencyTurn returns how many live controllers have their turn before this one, as a factor
-// for the stagger times.
+// dependencyTurn returns the number of live controllers that precede this one by name. A
+// controller releases a ready job, or records a cancelled one, later than the first controller
+// by releaseStagger or cancelRecordStagger times this number.
 func (c *Controller) dependencyTurn() time.Duration {
 	turn := time.Duration(0)
 	for _, name := range c.view.LiveNodes() {
@@ -226,7 +231,7 @@
 			c.broadcastJob(key)
 		} else if errors.Is(err, kv.ErrCompareFailed) && initial.claim != nil {
 			if cached, isBlocked := c.view.Dependencies.Lookup(blocked.ID); isBlocked && cached.Revision == blocked.Revision {
-				c.commitRelease(blocked, record, initialClaim{}) // only the claim failed
+				c.commitRelease(blocked, record, initialClaim{}) // the job's record is unchanged, so only a condition of the claim failed
 				return
 			}
 		}
@@ -234,8 +239,8 @@
 	})
 }
 
-// recordCancelled records that a job is cancelled because a dependency is. Status queries are
-// answered accordingly before that.
+// recordCancelled commits that a job is cancelled because one of its dependencies is
+// cancelled. Status queries are answered with the cancellation even before that commit.
 func (c *Controller) recordCancelled(blocked dag.Job, since time.Time) {
 	if c.dependencies.updating[blocked.ID] || c.dependencies.recordingCancelled >= maxCancelRecords {
 		return
--- a/internal/coordination/controller/failuredetection.go
+++ b/internal/coordination/controller/failuredetection.go
@@ -62,8 +62,8 @@
 }
 
 // isPartitioned reports whether a zone seemed partitioned within the last agent lease. After a
-// partition its agents need a while to reconnect; without the delay their machines would be
-// fenced then, because their silence includes the whole partition.
+// partition the zone's agents need a while to reconnect; without the delay their machines
+// would be fenced then, because their silence includes the whole partition.
 func (c *Controller) isPartitioned(zone string, now time.Time) bool {
 	at, seen := c.partitionSeenAt[zone]
 	return seen && now.Sub(at) < c.settings.Workers.LeaseDuration
@@ -76,8 +76,8 @@
 }
 
 // stateDownAfter is the time without any executed call after which the state service counts as
-// down, so that requests of users fail at once rather than in the end. It is longer than the
-// time between two renewals of a lease.
+// down, so that requests of users fail at once rather than at their deadlines. It is longer
+// than the time between two renewals of a lease.
 const stateDownAfter = 2500 * time.Millisecond
 
 // isStateDown reports whether the state service has executed no call of this controller for
--- a/internal/coordination/controller/gangs.go
+++ b/internal/coordination/controller/gangs.go
@@ -270,7 +270,7 @@
 	placements := c.assignHeld(job.Spec(), reservation)
 	claim := c.view.ClaimOf(job, 0)
 	if placements == nil || (claim != nil && claim.Pending != nil) {
-		return // this node's own claim of the job is pending: a second one would replace it in the indexes
+		return // a claim of the job by this node may be pending: a second claim would replace that claim in the indexes
 	}
 	next := &records.Claim{TaskCount: job.Spec().Tasks}
 	if claim == nil {
@@ -304,7 +304,9 @@
 }
 
 // isGangHeldByLimit reports whether the limit of its team keeps a gang from starting across
-// shards now. If the limit is allotted, it sets the gang's need as the leader's demand.
+// shards now. If the limit is allotted, isGangHeldByLimit sets the resources that the gang
+// needs as the demand of the holder quota.CrossShard, from whose allotment the leader
+// places gangs across shards.
 func (c *Controller) isGangHeldByLimit(job *replica.Job, now time.Time) bool {
 	spec := job.Spec()
 	if !c.isLimited(spec) || c.holderAllowance(quota.CrossShard, spec) >= spec.Tasks {
--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -135,10 +135,10 @@
 type guaranteeReservation struct {
 	shard   string
 	team    string
-	version uint64 // the record's revision; 0 while it is being committed
+	version uint64 // revision of the reservation's record; 0 while the record is being committed
 	until   time.Time
 	planned []plannedEviction
-	tasks   int // tasks of the job that need the guarantee
+	tasks   int // number of the job's tasks that need the guarantee to start
 }
 
 // plannedEviction is an eviction to be executed once its reservation is recorded.
--- a/internal/coordination/controller/helpers_test.go
+++ b/internal/coordination/controller/helpers_test.go
@@ -62,7 +62,7 @@
 // lateReadingStore keeps the last transaction. It answers failedReads reads with an error, and
 // later ones with an item.
 type lateReadingStore struct {
-	StateStore  // nil: no other method is called
+	StateStore  // nil, since the tests call no other method
 	txn         *kv.Txn
 	failedReads int
 	item        kv.Item
--- a/internal/coordination/controller/images.go
+++ b/internal/coordination/controller/images.go
@@ -15,7 +15,7 @@
 // record for each machine would take more of the state service's request budget than all
 // placements together.
 const (
-	imageRecordInterval = 5 * time.Second // between the writes of two parts of a shard
+	imageRecordInterval = 5 * time.Second // time between the writes of the image records of two parts of a shard
 	imageCommitTimeout  = 5 * time.Second
 )
 
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -159,7 +159,7 @@
 // from starting.
 type passDemands struct {
 	byTeam  map[string]*quota.Demand
-	counted map[string]int  // by team: entries that were considered for its demand
+	counted map[string]int  // by team: number of entries that were considered for the team's demand
 	started map[string]bool // teams of which tasks were placed
 }
 
@@ -344,9 +344,9 @@
 	return usage
 }
 
-// reconcileTeamUse corrects the use of this node's shards in the teams' usage records. It is
-// wrong if tasks were placed before there was a limit, or ended while the record was being
-// written.
+// reconcileTeamUse corrects the use of this node's shards in the teams' usage records. A
+// recorded use is wrong if tasks were placed before there was a limit, or ended while the
+// record was being written.
 func (c *Controller) reconcileTeamUse() {
 	for _, team := range slices.Sorted(maps.Keys(c.view.Teams)) {
 		usage := c.view.Teams[team]
@@ -356,7 +356,7 @@
 		for _, name := range c.view.ShardNames() {
 			if c.hasWrongUse(team, usage, c.view.Shards[name]) {
 				c.correctUse(team, usage, c.view.Shards[name])
-				break // the record is being written now
+				break // the team's usage record is being written now, and one write changes one shard's use
 			}
 		}
 	}
--- a/internal/coordination/controller/limits_test.go
+++ b/internal/coordination/controller/limits_test.go
@@ -27,7 +27,7 @@
 	}
 	controller.view.Revision = 5
 	controller.view.ApplyJob("wk-1", &records.Job{Spec: spec("wk-1"), ChunkSize: 2}, 3)
-	controller.view.ApplyClaim(records.ClaimKey("wk-1", 0), oneOfTwoTasks(), 5) // its second task is placed at revision 8
+	controller.view.ApplyClaim(records.ClaimKey("wk-1", 0), oneOfTwoTasks(), 5) // the second task of wk-1 is placed at revision 8, which the view has not received
 	controller.view.Team("t").Record, controller.view.Team("t").Version = records.TeamUsage{ByShard: map[string]protocol.Resources{"n0": {CPUs: 4}}}, 8
 	claim := &replica.Claim{Key: records.ClaimKey("wk-2", 0), JobID: "wk-2", Spec: spec("wk-2")}
 	if _, _, _, ok := controller.reserveTeamUse("n0", claim, oneOfTwoTasks()); ok {
@@ -38,7 +38,7 @@
 		t.Fatal("a controller without allotments was permitted to start a task")
 	}
 	controller.view.Team("t").Record.ByShard = map[string]protocol.Resources{"n0": {CPUs: 4}}
-	controller.view.Revision = 8 // the view is complete up to the record, and the claim still has one task
+	controller.view.Revision = 8 // the view is complete up to revision 8, that of the usage record, and the claim of wk-1 still has one placed task
 	if _, ops, _, ok := controller.reserveTeamUse("n0", claim, oneOfTwoTasks()); !ok || ops[0].Value.(*records.TeamUsage).ByShard["n0"].CPUs != 4 {
 		t.Fatalf("the claims use 2 of 4 CPUs, and a start of 2 more gave %v", ops)
 	}
--- a/internal/coordination/controller/membership.go
+++ b/internal/coordination/controller/membership.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	loadPollInterval   = 50 * time.Millisecond  // until the view is loaded
-	leaseRetryPause    = 300 * time.Millisecond // after a failed lease grant
-	registerRetryPause = 200 * time.Millisecond // after a failed registration
+	loadPollInterval   = 50 * time.Millisecond  // time between two checks whether the view is loaded
+	leaseRetryPause    = 300 * time.Millisecond // time between a failed lease grant and the next attempt
+	registerRetryPause = 200 * time.Millisecond // time between a failed registration and the next attempt
 	nodeCommitTimeout  = 2 * time.Second
 	renewalsPerLease   = 3
 )
--- a/internal/coordination/controller/peers.go
+++ b/internal/coordination/controller/peers.go
@@ -28,7 +28,8 @@
 	// maxRepeatedCancellations bounds the cancellations that are repeated in one message.
 	maxRepeatedCancellations = 100
 	// notifiedTTL is how long a controller counts as notified of a cancellation after it has
-	// confirmed the cancellation. It may restart later and lose its cache.
+	// confirmed the cancellation. The time is bounded because the controller may restart
+	// after the confirmation and lose its cache.
 	notifiedTTL = 10 * time.Second
 )
 
--- a/internal/coordination/controller/preemption.go
+++ b/internal/coordination/controller/preemption.go
@@ -31,7 +31,6 @@
 	releasing     bool                             // a commit that releases reservations is in progress
 }
 
-// newPreemptions returns an empty state.
 func newPreemptions() preemptions {
 	return preemptions{plans: make(map[string]*preemptionPlan), reservations: make(map[string]*guaranteeReservation)}
 }
@@ -53,7 +52,8 @@
 	}
 }
 
-// reservePreempted reserves the capacity of a shard's machines that preemption plans contain.
+// reservePreempted reserves, on each machine of a shard that a preemption plan names, the
+// preempted capacity for the plan's job.
 func (c *Controller) reservePreempted(shard *replica.Shard, capacities []*placement.Capacity, now time.Time) {
 	jobIDs := slices.Sorted(maps.Keys(c.preemptions.plans))
 	isOfShard := func(jobID string) bool { return c.preemptions.plans[jobID].shard == shard.Name }
@@ -71,9 +71,9 @@
 }
 
 // preemptFor preempts tasks for an entry without capacity: those of lower priority, or those
-// of other teams that borrow the guarantee of the entry's team. The latter takes two passes:
-// the first commits a reservation on the guarantee, a later one executes it. It reports
-// whether it has preempted any task.
+// of other teams that borrow the guarantee of the entry's team. Preempting tasks that borrow
+// a guarantee takes two passes: the first commits a reservation on the guarantee, a later
+// pass executes the reservation. preemptFor reports whether it has preempted any task.
 func (c *Controller) preemptFor(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, now time.Time) bool {
 	if c.preemptions.plans[entry.Job.ID] != nil || !c.mayPreemptHere(shard, entry, now) {
 		return false
@@ -211,7 +211,6 @@
 	controller *Controller
 }
 
-// preemptionPolicyFor returns the policy for a queue entry.
 func (c *Controller) preemptionPolicyFor(entry *placement.QueueEntry) *preemptionPolicy {
 	policy := &preemptionPolicy{spec: entry.Spec, entitled: c.entitledTasks(entry), controller: c, statuses: make(map[string]quota.GuaranteeStatus)}
 	policy.Reset()
--- a/internal/coordination/controller/probes.go
+++ b/internal/coordination/controller/probes.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// reconcileMachine probes or fences a machine if that is due.
+// reconcileMachine probes or fences a machine if a probe or a fence is due.
 func (c *Controller) reconcileMachine(shard *replica.Shard, machine *replica.Machine, now time.Time) {
 	silence := c.silenceOf(machine, now)
 	if machine.Agent.Heartbeat == nil {
@@ -70,8 +70,9 @@
 	}
 }
 
-// reconcileWithoutHeartbeat probes or fences, if that is due, a machine of which this process has
-// no heartbeat yet. The machine may be booting, or its agent may call another controller.
+// reconcileWithoutHeartbeat probes or fences a machine of which this process has no heartbeat
+// yet, if a probe or a fence is due. The machine may be booting, or its agent may call another
+// controller.
 func (c *Controller) reconcileWithoutHeartbeat(shard *replica.Shard, machine *replica.Machine, silence time.Duration, now time.Time) {
 	if machine.ListedAddress != "" && silence > c.policy.SuspectAfter && !machine.Detector.Probing {
 		c.probeMachine(machine)
@@ -117,7 +118,7 @@
 		return false
 	}
 	if c.isSelfIsolated(shard, now) && silence < selfIsolatedFenceFactor*limit {
-		return false // the shard is transferred to another controller instead, see shouldGiveAway
+		return false // the machine is not fenced yet: the shard is transferred to another controller instead, see shouldGiveAway
 	}
 	return !c.isStateDown(now) // in an outage no return can be recorded, and contact may be restored before the outage ends
 }
@@ -129,7 +130,7 @@
 		limit = c.policy.FenceReplicasAfter
 	}
 	if !machine.Agent.PreemptionNoticeAt.IsZero() {
-		limit = c.policy.SuspectAfter // a spot instance whose preemption was announced
+		limit = c.policy.SuspectAfter // the machine is a spot instance whose preemption was announced
 	}
 	return c.fenceDelay(machine, limit, now)
 }
--- a/internal/coordination/controller/provisions.go
+++ b/internal/coordination/controller/provisions.go
@@ -21,9 +21,9 @@
 	// call.
 	maxMachinesPerRequest  = 50
 	provisionCallTimeout   = 5 * time.Second
-	provisionRetryPause    = time.Second // after a call, until the next one for the same request
+	provisionRetryPause    = time.Second // time between a call to the cloud and the next call for the same request
 	provisionCommitTimeout = 5 * time.Second
-	provisionedTimeout     = 10 * time.Second // of the commits that record a request's machines or drop it
+	provisionedTimeout     = 10 * time.Second // bounds the commits that record a request's machines or delete the request's record
 	groupDropTimeout       = 5 * time.Second
 )
 
@@ -70,7 +70,7 @@
 	}
 	provision.Busy = true
 	request, ctx := provision.Record.ProvisionRequest, c.ctx
-	reservation := c.cloudLimiter.Reserve() // made before the goroutine starts, to keep simultaneous requests in order
+	reservation := c.cloudLimiter.Reserve() // the rate limiter's reservation is made before the goroutine starts, to keep simultaneous requests in order
 	go func() {
 		answer, status, err := c.callProvision(ctx, request, reservation)
 		c.mu.Lock()
@@ -90,7 +90,10 @@
 	return answer, status, err
 }
 
-// handleProvisionAnswer handles the cloud's answer to a provision request.
+// handleProvisionAnswer commits the machines that the cloud provided for a request. If the
+// cloud refused the request, its record is deleted and requests for the same kind of
+// machine are suspended. After any other result, such as a failed call, the request is sent
+// again after provisionRetryPause.
 func (c *Controller) handleProvisionAnswer(provision *replica.Provision, answer protocol.HostList, status int, err error) {
 	provision.RetryAt = time.Now().Add(provisionRetryPause)
 	switch {
@@ -170,7 +173,7 @@
 			continue
 		}
 		key := records.ProvisionPrefix + name
-		delete(c.view.Groups, name) // restored if the commit fails or the record is applied again
+		delete(c.view.Groups, name) // the group is restored if the commit fails or its record is applied again
 		c.commit(kv.PriorityBackground, []kv.Compare{{Key: key, Version: group.Version}}, []kv.Op{{Key: key}}, groupDropTimeout, func(err error) {
 			if err != nil && c.view.Versions[key] == group.Version {
 				c.view.Groups[name] = group
--- a/internal/coordination/controller/queue.go
+++ b/internal/coordination/controller/queue.go
@@ -21,9 +21,9 @@
 // not queued, since all of its own shards may be full or unowned.
 const claimAnywhereAfter = 4 * time.Second
 
-// queue returns a shard's queue, ordered by priority and then by acceptance. Within a
-// priority, work within its team's guarantee comes first, then arrays that start ahead of
-// their turn.
+// queue returns a shard's queue, ordered by priority and then by the time of acceptance.
+// Within a priority, work within its team's guarantee comes first, then arrays that start
+// ahead of their turn.
 func (c *Controller) queue(shard *replica.Shard, now time.Time) []*placement.QueueEntry {
 	var entries []*placement.QueueEntry
 	for jobID, job := range c.view.Unplaced {
@@ -37,7 +37,7 @@
 		}
 		var allPlaced bool
 		if entries, allPlaced = c.appendEntries(entries, shard, job, onProbation, now); allPlaced {
-			delete(c.view.Unplaced, jobID) // a change of one of its claims adds it again
+			delete(c.view.Unplaced, jobID) // a change of one of the job's claims adds the job again
 		}
 	}
 	slices.SortFunc(entries, func(a, b *placement.QueueEntry) int {
@@ -98,7 +98,8 @@
 	return !claim.Halted() || len(claim.Record.Placements) == 0
 }
 
-// compareJobs orders jobs by priority, the highest first, then by acceptance and ID.
+// compareJobs orders jobs by priority, the highest first, then by the time of acceptance
+// and by ID.
 func compareJobs(a, b *replica.Job) int {
 	if order := cmp.Compare(b.Spec().Priority(), a.Spec().Priority()); order != 0 {
 		return order
@@ -155,10 +156,10 @@
 
 // The parts of a shard's score. A fully used shard with nothing queued scores 1.
 const (
-	unknownLoadScore = 0.5  // neither preferred nor avoided
-	imageBonus       = 1    // for free capacity on a machine that holds the image
-	ownShardBonus    = 0.05 // for a shard of this node
-	noOwnerPenalty   = 10   // for a shard without a live owner
+	unknownLoadScore = 0.5  // score of a shard whose load is unknown: the shard is neither preferred nor avoided
+	imageBonus       = 1    // subtracted for free capacity on a machine that holds the image
+	ownShardBonus    = 0.05 // subtracted for a shard that this node owns
+	noOwnerPenalty   = 10   // added for a shard without a live owner
 )
 
 // maxReportedLoadAge is the age at which a shard's reported load no longer counts.
--- a/internal/coordination/controller/reconcile.go
+++ b/internal/coordination/controller/reconcile.go
@@ -35,7 +35,7 @@
 // claimReconciliation is the result of comparing a claim with the heartbeats of its machines.
 type claimReconciliation struct {
 	next    *records.Claim // the claim without the placements that have ended
-	changed bool           // next differs from the committed version
+	changed bool           // the record in the field next differs from the claim's committed version
 	urgent  bool           // next is committed without a delay to collect further completions
 	recheck bool           // the claim must be checked again after recheckDelay
 }
@@ -58,7 +58,7 @@
 		if c.finishJob(shard, job, claim, result.next) {
 			return
 		}
-		result.urgent, result.recheck = true, true // the job's other chunks wait for this one
+		result.urgent, result.recheck = true, true // the job's other chunks can finish the job only once the completion of this chunk is recorded
 	}
 	if job.Record.IsFinal() && len(result.next.Placements) == 0 {
 		c.dropClaim(shard, claim)
@@ -187,8 +187,9 @@
 }
 
 // classifyPlacement determines a placement's outcome. A placement ends only on proof: either
-// the agent's own status under the current fencing token, with no start of an uncompleted
-// attempt unconfirmed, or the cloud's confirmation that the machine is returned. A machine's
+// the agent's own status under the current fencing token, or the cloud's confirmation that
+// the machine is returned. If the attempt has not completed, the agent's status is proof
+// only once no earlier start command of the attempt can still be executed. A machine's
 // silence is never proof.
 func (c *Controller) classifyPlacement(shard *replica.Shard, job *replica.Job, claim *replica.Claim, placement *records.Placement, now time.Time) outcome {
 	machine := c.view.Machines[placement.Host]
--- a/internal/coordination/controller/replies.go
+++ b/internal/coordination/controller/replies.go
@@ -16,7 +16,7 @@
 // cachedStatus is a job's status as derived from the cache.
 type cachedStatus struct {
 	answer  protocol.JobStatus
-	version uint64 // of the record that it is derived from; 0: there is none
+	version uint64 // version of the record that the status is derived from; 0: there is no record
 	final   bool   // the job is over, so the status never changes
 	known   bool   // the job was accepted
 }
@@ -55,7 +55,7 @@
 type pendingReply struct {
 	revision uint64
 	deadline time.Time
-	send     func(reached bool) // reached is false if the deadline came first
+	send     func(reached bool) // reached is false if the deadline passed before the watch reached the revision
 }
 
 // replyStatus answers with the cached status of a known job. The answer that a job is cancelled
@@ -153,7 +153,7 @@
 }
 
 // refuseConfirmation returns the response to a status query that the state service can't
-// confirm within the given time, and reports whether that is so.
+// confirm within the given time, and reports whether the query has to be refused.
 func (c *Controller) refuseConfirmation(within time.Duration, now time.Time) (refusal transport.Response, isRefused bool) {
 	switch {
 	case !c.view.Loaded:
@@ -176,7 +176,7 @@
 	switch {
 	case !status.known || status.version == old:
 		reply(unavailable(shortRetry))
-	case c.isUndecided(jobID): // repeated at most once, since the record of a blocked job is written only once
+	case c.isUndecided(jobID): // the confirmation is repeated at most once, since the record of a blocked job is written only once
 		c.confirmStatus(jobID, time.Until(until), onNotFound, reply)
 	default:
 		c.replyStatus(jobID, http.StatusOK, time.Until(until), reply)
--- a/internal/coordination/controller/returns.go
+++ b/internal/coordination/controller/returns.go
@@ -23,8 +23,8 @@
 	// the outage, and return a machine that is in contact again.
 	returnCommitTimeout = 4 * time.Second
 	goneCommitTimeout   = 20 * time.Second
-	goneRetryPause      = 5 * time.Second // until the commit that a machine is gone is repeated
-	returnRetryPause    = time.Second     // after a call that failed
+	goneRetryPause      = 5 * time.Second // time after which the commit that a machine is gone is repeated
+	returnRetryPause    = time.Second     // time between a failed call to return a machine and the next call
 	// returnedPause is how long after a successful return call nothing more is done about a
 	// machine, so that the commit that the machine is gone can complete.
 	returnedPause = 25 * time.Second
--- a/internal/coordination/controller/scaleout.go
+++ b/internal/coordination/controller/scaleout.go
@@ -194,7 +194,7 @@
 		if spec.Shape == protocol.ShapeService {
 			replicas += placedTasks(job)
 			if service == nil || spec.JobID < service.JobID {
-				service = spec // any service will do, but it must be the same one in every pass
+				service = spec // the warm reserve is sized in tasks of one service; any service can stand for all, but must be the same one in every pass, whatever the order of the map
 			}
 		}
 		if spec.Shape == protocol.ShapeArray {
--- a/internal/coordination/controller/schedule.go
+++ b/internal/coordination/controller/schedule.go
@@ -77,7 +77,7 @@
 	waited := entry.WaitedUnplaced(pass.now)
 	entry.OverdueForGPUMachine = isArray && entry.Spec.GPUs == 0 && waited > gpuMachineWait
 	if pass.mustYield(entry) && !pass.largestFree.Fits(entry.Spec) {
-		return // no machine has capacity for even one of its tasks
+		return // no machine has capacity for even one task of the entry
 	}
 	if !c.admitsBestEffort(pass, entry, waited) {
 		return
@@ -89,7 +89,7 @@
 	}
 	if c.preemptions.plans[entry.Job.ID] == nil && !entry.OnProbation && c.preemptForImage(pass.shard, entry, pass.capacities, pass.now) {
 		pass.updateAfterEviction()
-		return // the entry's tasks start there once the preempted tasks have ended
+		return // the entry's tasks start on the preempted capacity once the preempted tasks have ended
 	}
 	placed, lacksCapacity := c.placeEntry(pass.shard, entry, pass.capacities, pass.now)
 	if placed {
@@ -109,7 +109,8 @@
 }
 
 // admitsBestEffort reports whether the capacity for best-effort work lets an entry start any
-// tasks, and sets how many. It admits every entry that is not best effort.
+// tasks, and sets how many tasks of a best-effort entry may start. It admits every entry
+// that is not best effort.
 func (c *Controller) admitsBestEffort(pass *schedulingPass, entry *placement.QueueEntry, waited time.Duration) bool {
 	if entry.BestEffort = placement.IsBestEffort(entry.Spec); !entry.BestEffort {
 		return true
@@ -195,7 +196,7 @@
 	case !nearest.IsZero():
 		return nearest
 	case entry.Spec.Shape == protocol.ShapeService:
-		return now // every second without a replica counts
+		return now // a service has to start at once, since every second without a replica counts
 	}
 	return now.Add(missedObjectiveWait)
 }
@@ -241,7 +242,7 @@
 func (c *Controller) placeEntry(shard *replica.Shard, entry *placement.QueueEntry, capacities []*placement.Capacity, now time.Time) (placed, lacksCapacity bool) {
 	zones := c.zoneConstraint(entry)
 	if !c.hasMachineFor(entry, capacities, &zones, now) {
-		return false, true // checked before nextVersion copies the claim: copies cost most while many entries wait
+		return false, true // this check comes before nextVersion copies the claim, because copies cost most while many entries wait
 	}
 	next := nextVersion(shard, entry)
 	need := entry.PlaceableTasks()
@@ -316,20 +317,20 @@
 	// serviceDeferral is how long an unclaimed service waits for a shard that can start all
 	// of its tasks.
 	serviceDeferral = time.Second
-	// spreadDeferral is the same for a service that must spread over zones. It includes
-	// claimAnywhereAfter, so that shards at which the service is not queued can try as well.
+	// spreadDeferral is how long an unclaimed service that must spread over zones waits for
+	// a shard that can start all of its tasks. The time includes claimAnywhereAfter, so that
+	// shards at which the service is not queued can try as well.
 	spreadDeferral = claimAnywhereAfter + 2*time.Second
 	// arrayDeferral is how long an unclaimed chunk of an array waits for a shard that can
 	// start at least half of its tasks.
 	arrayDeferral = 2 * time.Second
 )
 
-// defersToOtherShards reports whether a shard that could start some tasks of an unclaimed
-// chunk leaves the chunk to other shards for now. A service should not start only in part
-// while another shard may have capacity for all of its tasks. A service that must spread over
-// zones waits until every shard has tried, since this shard may have no machine in a second
-// zone. A chunk of an array is queued at several shards, and another one may start more of
-// its tasks.
+// defersToOtherShards reports whether to leave an unclaimed chunk, of which this shard could
+// start some tasks, to other shards for now. A service should not start only in part while
+// another shard may have capacity for all of its tasks. A service that must spread over zones
+// waits until every shard has tried, since this shard may have no machine in a second zone. A
+// chunk of an array is queued at several shards, and another one may start more of its tasks.
 func defersToOtherShards(entry *placement.QueueEntry, startable int, now time.Time) bool {
 	if entry.Claim != nil {
 		return false
--- a/internal/coordination/controller/shards.go
+++ b/internal/coordination/controller/shards.go
@@ -16,13 +16,13 @@
 	shardCommitTimeout = 3 * time.Second
 	// tokenRaiseInterval is the minimum time between two renewals of a shard's fencing token.
 	tokenRaiseInterval = 3 * time.Second
-	// unownedGraceLeases is the time, in node leases since its own registration, for which a
-	// node leaves a shard that never had an owner to the shard's home node.
+	// unownedGraceLeases is how long a node waits, in node leases from its registration,
+	// before it acquires a shard that never had an owner and whose home node is not live.
 	unownedGraceLeases = 2
 	// minOwnership is the minimum time for which a shard is owned before it is handed back.
 	minOwnership = 2 * time.Second
 	// homeTakeoverGrace is the time after a home node's registration for which other nodes
-	// leave its ownerless shard to it.
+	// do not take over the home shard of that node while the shard has no live owner.
 	homeTakeoverGrace = 2 * time.Second
 	// noHandbackTime is the time for which a shard that was given away is not handed back to its
 	// home node, since that node's network links appear to be faulty.
@@ -286,10 +286,11 @@
 	return best
 }
 
-// shouldGiveAway reports whether to make another controller the owner of a shard: one is live, and
-// nearly all of the shard's machines are silent, apparently because of a fault in this
-// controller's own network links. A new owner that reaches the machines keeps their leases alive.
-// The timeout is the policy's SuspectAfter; that of isSelfIsolated is maxHeartbeatGap.
+// shouldGiveAway reports whether to make another controller the owner of a shard: another
+// controller is live, and nearly all of the shard's machines are silent, apparently because of a
+// fault in this controller's own network links. A new owner that reaches the machines keeps their
+// leases alive. The timeout is the policy's SuspectAfter; that of isSelfIsolated is
+// maxHeartbeatGap.
 func (c *Controller) shouldGiveAway(shard *replica.Shard, now time.Time) bool {
 	if shard.Name == c.settings.NodeName && now.Sub(shard.OwnedSince) < arrivalFenceDelays*c.policy.FenceAfter {
 		return false // agents may still be switching to this node
--- a/internal/coordination/controller/watch.go
+++ b/internal/coordination/controller/watch.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// watchPause is the time between two watches. Each uses a request of the budget, and
-	// controllers send one another urgent changes directly.
+	// watchPause is the time between two watches. Each watch uses a request of the budget,
+	// and controllers send one another urgent changes directly.
 	watchPause      = 90 * time.Millisecond
 	watchTimeout    = 10 * time.Second // how long a watch waits for changes
 	watchRetryPause = 300 * time.Millisecond
--- a/internal/coordination/controller/workloop.go
+++ b/internal/coordination/controller/workloop.go
@@ -132,7 +132,7 @@
 	go func() {
 		for _, jobID := range jobIDs {
 			if err := c.readOrphanJob(ctx, jobID); err != nil {
-				break // the other reads would fail as well
+				break // this read from the state service failed, so the reads of the remaining jobs would fail as well
 			}
 		}
 		c.mu.Lock()
--- a/internal/coordination/replica/capacity.go
+++ b/internal/coordination/replica/capacity.go
@@ -7,10 +7,11 @@
 	"madderslip/internal/protocol"
 )
 
-// CapacityCache caches the free capacity of a machine, the expected releases of more, and the
-// tasks that may be preempted. It is marked stale when the machine's record or tasks change.
+// CapacityCache caches the free capacity of a machine, the expected releases of further
+// capacity, and the tasks that may be preempted. The cache is marked stale when the machine's
+// record or tasks change.
 type CapacityCache struct {
-	Free  protocol.MachineResources // valid unless Stale is set
+	Free  protocol.MachineResources // the machine's free resources; valid unless Stale is set
 	Stale bool
 	// Releases is sorted by time, and Victims so that those to be preempted first come first.
 	// Both are valid unless DetailsStale is set.
@@ -65,8 +66,8 @@
 	}
 	for name, status := range machine.Agent.Tasks {
 		if status.Phase != protocol.TaskExited && machine.Use.Slots[name] == nil {
-			machine.allocate(v.SpecOfTask(name)) // a task without a placement, which will be stopped
-			machine.Capacity.Stale = true        // its size becomes unknown when its job is dropped from the view
+			machine.allocate(v.SpecOfTask(name)) // the task has no placement here and will be stopped
+			machine.Capacity.Stale = true        // the task's size becomes unknown when its job is dropped from the view
 		}
 	}
 	return machine.Capacity.Free
--- a/internal/coordination/replica/claim.go
+++ b/internal/coordination/replica/claim.go
@@ -19,13 +19,13 @@
 	Chunk            int
 	Record           *records.Claim // nil while the first version is being committed
 	Version          uint64
-	Pending          *records.Claim       // the version being committed; nil: none
+	Pending          *records.Claim       // the version of the record that is being committed; nil: none
 	Spec             *protocol.Submission // the job's description; nil until the job is read
 	Evictions        map[int]time.Time    // by task to be stopped: when its eviction began
-	RetryAt          time.Time            // after a failure: earliest next commit, or next read of an orphan's job
+	RetryAt          time.Time            // after a failure: earliest next commit of the claim or, for an orphan, earliest next read of its job
 	PreemptedFor     map[SlotKey]string   // by task preempted for another team's guarantee: the key of that team's claim
 	HaltedAttempt    uint64               // the attempt of a gang that is being ended; 0: none
-	CheckAt          time.Time            // earliest next reconciliation
+	CheckAt          time.Time            // earliest next reconciliation of the claim
 	CompletionSeenAt time.Time            // when the first completion that is not recorded yet was observed
 	UnplacedSince    time.Time            // when a pass over the queue first found no task of the claim placed
 
--- a/internal/coordination/replica/commandqueue.go
+++ b/internal/coordination/replica/commandqueue.go
@@ -9,10 +9,10 @@
 
 // CommandQueue holds the commands for a machine, which are sent in one call at a time.
 type CommandQueue struct {
-	Pending     []protocol.Command   // not sent yet
-	Sending     bool                 // a call is in progress
+	Pending     []protocol.Command   // commands that are not sent yet
+	Sending     bool                 // a call that sends commands to the machine is in progress
 	InFlight    []protocol.Command   // the commands of the call in progress
-	Unknown     []UnknownStart       // starts of unknown outcome
+	Unknown     []UnknownStart       // sent starts of which it is unknown whether the agent executed them
 	StartSentAt map[string]time.Time // by task: when a start was last sent
 	StopSentAt  map[string]time.Time // by task: when a stop was last sent
 }
--- a/internal/coordination/replica/gangs.go
+++ b/internal/coordination/replica/gangs.go
@@ -26,7 +26,7 @@
 	Record  records.GangHold
 	Version uint64         // 0: there is no record
 	Writing bool           // a change of the record is in progress
-	Pending map[string]int // tasks by host in the version being committed
+	Pending map[string]int // by host: number of tasks in the version of the hold that is being committed
 }
 
 // GangReservation returns a job's reservation, and creates an empty one if there is none.
--- a/internal/coordination/replica/images.go
+++ b/internal/coordination/replica/images.go
@@ -14,10 +14,10 @@
 
 // Estimated sizes, in bytes, of the parts of an encoded image record.
 const (
-	imageRecordBytes = 64 // the record itself
+	imageRecordBytes = 64 // a record without images and hosts
 	imageNameBytes   = 30 // an image's entry, without its name
 	imageHostBytes   = 6  // a host's entry, without its name
-	imageIndexBytes  = 4  // one image of a host
+	imageIndexBytes  = 4  // one image in a host's entry
 )
 
 // imagePart returns the number of the part to which a host belongs.
--- a/internal/coordination/replica/index.go
+++ b/internal/coordination/replica/index.go
@@ -20,10 +20,10 @@
 // Tally is the share of a claim in the sums of its team's use.
 type Tally struct {
 	Key       TeamShard
-	Use       quota.Resources // of the placements for which the team is charged
-	Counted   bool            // the claim is in the sums
+	Use       quota.Resources // resources of the placements for which the team is charged
+	Counted   bool            // the claim is included in the sums of its team's use
 	Permanent bool            // the tasks do not end by themselves: replicas of services
-	Committed quota.Resources // of the placements that stay whether or not a commit in progress succeeds
+	Committed quota.Resources // resources of the placements that stay whether or not a commit in progress succeeds
 }
 
 // Reindex updates the indexes for a claim. It is called after every change of the claim's
--- a/internal/coordination/replica/job.go
+++ b/internal/coordination/replica/job.go
@@ -16,14 +16,14 @@
 	Chunks        int
 	ChunkSize     int                    // tasks in a chunk
 	Claims        map[int]*Claim         // by chunk
-	SeenAt        time.Time              // when this controller added it to the view
-	FinalAt       time.Time              // when its cancellation was accepted, or else when this controller first read it as final
-	NotifiedAt    map[string]time.Time   // by other controller: when it last confirmed the job's cancellation
-	Evidence      quarantine.JobEvidence // of failures, and of successes after them
+	SeenAt        time.Time              // when this controller added the job to the view
+	FinalAt       time.Time              // when the job's cancellation was accepted, or else when this controller first read the job as final
+	NotifiedAt    map[string]time.Time   // by controller: when that controller last confirmed the job's cancellation
+	Evidence      quarantine.JobEvidence // evidence of failures of the job's tasks, and of successes after these failures
 	NotBefore     time.Time              // earliest next start, after an agent rejected one because the job was unknown to it
 	DeferredUntil map[int]time.Time      // by chunk: earliest next claim, while another shard is expected to claim the chunk
-	Inherited     Inheritance            // from the jobs that depend on it
-	claimKeys     []string               // of its claims, by chunk; built by the first call of ClaimKey
+	Inherited     Inheritance            // priority and deadline that the job inherits from the jobs that depend on it
+	claimKeys     []string               // by chunk: keys of the job's claims; built by the first call of ClaimKey
 }
 
 // Inheritance is the priority and the deadline that an open job inherits from the jobs that
--- a/internal/coordination/replica/machine.go
+++ b/internal/coordination/replica/machine.go
@@ -17,9 +17,9 @@
 	ListedAddress string // the address in the cloud's list of machines
 	Record        records.Machine
 	Version       uint64
-	AdoptedAt     time.Time // when this process added it to the view, or later acquired its shard
+	AdoptedAt     time.Time // when this process added the machine to the view, or later acquired its shard
 	Use           *HostUse
-	Images        []records.CachedImage // in its cache, as far as known; most recently used last
+	Images        []records.CachedImage // images in the machine's cache, as far as known; most recently used last
 
 	Agent      AgentState
 	Commands   CommandQueue
@@ -31,12 +31,12 @@
 
 // AgentState is what a machine's agent last reported.
 type AgentState struct {
-	Heartbeat          *protocol.Heartbeat             // the newest, by epoch and sequence; nil: none yet
-	Tasks              map[string]*protocol.TaskStatus // by name, as the newest heartbeat lists them
+	Heartbeat          *protocol.Heartbeat             // the newest heartbeat by agent epoch and sequence; nil: none yet
+	Tasks              map[string]*protocol.TaskStatus // by task name: the statuses that the newest heartbeat lists
 	LastContact        time.Time                       // when the newest heartbeat or answer to a direct call arrived
 	LastHeartbeat      time.Time                       // when a heartbeat last arrived that is not the answer to a direct call
-	ContactRestoredAt  time.Time                       // when contact was last restored after a silence
-	RunningSince       map[string]time.Time            // by task: when it was first reported as running
+	ContactRestoredAt  time.Time                       // when contact with the machine was last restored after a silence
+	RunningSince       map[string]time.Time            // by task: when the task was first reported as running
 	PreemptionNoticeAt time.Time                       // when the agent of a spot instance first reported a preemption notice; zero: none
 	// MinToken is set when the machine has restarted: only a heartbeat that shows a higher
 	// fencing token is certainly of the machine's present incarnation. 0: no restart observed.
@@ -57,7 +57,7 @@
 	Evidence       quarantine.MachineEvidence
 	Active         bool      // the machine is quarantined
 	ChangedAt      time.Time // when Active last changed
-	RejectingUntil time.Time // until then nothing is placed there, since the agent rejected a start for lack of capacity
+	RejectingUntil time.Time // no task is placed on the machine until this time, since the agent rejected a start for lack of capacity
 }
 
 // Lifecycle is the state of a machine between boot and return.
@@ -65,9 +65,9 @@
 	Overdue       bool      // the machine did not boot in the expected time
 	IdleSince     time.Time // when the machine became idle; zero: it is in use
 	DrainingSince time.Time // when the drain of the machine began; zero: it is not being drained
-	Returning     bool      // a commit of its return is in progress
-	ReturnRetryAt time.Time // earliest next attempt to return it or to record that it is gone
-	Gone          bool      // the cloud has confirmed its return, which may not be recorded yet
+	Returning     bool      // a commit of the machine's return is in progress
+	ReturnRetryAt time.Time // earliest next attempt to return the machine or to record that it is gone
+	Gone          bool      // the cloud has confirmed the machine's return, which may not be recorded yet
 }
 
 // Age returns how long ago a machine was provisioned.
@@ -144,8 +144,9 @@
 		MessagePositionOf(m.Agent.Heartbeat).Valid(m.Agent.MinToken)
 }
 
-// RunsNothingPlaced reports whether the agent reports each task that is placed on the machine
-// as exited or not at all.
+// RunsNothingPlaced reports whether, by the last report of the agent, none of the tasks that
+// are placed on the machine runs there: each placed task has exited or is missing from the
+// report.
 func (m *Machine) RunsNothingPlaced() bool {
 	for name := range m.Use.Slots {
 		if status := m.Agent.Tasks[name]; status != nil && status.Phase != protocol.TaskExited {
--- a/internal/coordination/replica/nodes.go
+++ b/internal/coordination/replica/nodes.go
@@ -11,7 +11,7 @@
 // NodeInfo is a live controller, as its own record describes it.
 type NodeInfo struct {
 	Version           uint64
-	Since             time.Time // when this process first read the record
+	Since             time.Time // when this process first read the controller's record
 	QuotaVersion      int       // version of the quota protocol that the controller supports
 	DependencyVersion int       // version of job dependencies that the controller supports
 	TeamsHash         uint64    // hash of the team limits in the controller's settings
--- a/internal/coordination/replica/provisions.go
+++ b/internal/coordination/replica/provisions.go
@@ -11,8 +11,8 @@
 	Name          string
 	Record        records.Provision
 	Version       uint64    // 0: the request is not recorded yet
-	Busy          bool      // a call or a commit for it is in progress
-	RetryAt       time.Time // earliest next attempt
+	Busy          bool      // a call or a commit for the request is in progress
+	RetryAt       time.Time // earliest next call or commit for the request
 	AnsweredHosts []string  // the machines in the cloud's answer, while the view is not complete up to Version
 }
 
--- a/internal/coordination/replica/recount.go
+++ b/internal/coordination/replica/recount.go
@@ -15,9 +15,9 @@
 
 // recount is the expected content of the indexes, computed from the claims alone.
 type recount struct {
-	placed    map[string]map[string]*Claim // by host and task name
+	placed    map[string]map[string]*Claim // by host and task name: the claim that places the task there
 	use       map[TeamShard]quota.Resources
-	committed map[string]quota.Resources // by team
+	committed map[string]quota.Resources // by team: use that remains whether or not commits in progress succeed
 	shards    map[*Claim]string          // the shard of each claim; empty: placed across shards
 }
 
--- a/internal/coordination/replica/shard.go
+++ b/internal/coordination/replica/shard.go
@@ -12,11 +12,11 @@
 // keeps beside the shard's record.
 type Shard struct {
 	Name    string
-	Record  *records.Shard // nil: never owned
+	Record  *records.Shard // nil: the shard never had an owner
 	Version uint64
 	Ownership
 
-	Machines []*Machine          // those in use, sorted by host
+	Machines []*Machine          // the shard's machines in use, sorted by host
 	Kinds    map[MachineKind]int // number of Machines by kind
 	Claims   map[*Claim]struct{} // claims that place tasks on the shard's machines alone
 	Dirty    map[*Claim]struct{} // claims to be reconciled
@@ -34,14 +34,14 @@
 // Ownership is the state of a shard's ownership, as far as this process observes it or
 // changes it.
 type Ownership struct {
-	// FencingToken is the revision at which this process acquired the shard; 0: it does
-	// not own it.
+	// FencingToken is the revision at which this process acquired the shard; 0: this
+	// process does not own the shard.
 	FencingToken   uint64
 	OwnedSince     time.Time
 	Writing        bool // a change of the shard's record is in progress
 	NeedsNewToken  bool // a new token is needed, to invalidate messages or commands sent under the present one
 	TokenRaisedAt  time.Time
-	OwnerlessSince time.Time // since when this process observes that the owner's lease has expired; zero: it has not
+	OwnerlessSince time.Time // since when this process observes that the owner's lease has expired; zero: the lease has not expired
 	// NewOwner is a controller that reported its ownership of the shard before the shard's
 	// record arrived here, and NewOwnerToken is its fencing token. Empty: none.
 	NewOwner      string
@@ -52,7 +52,7 @@
 type ImageRecording struct {
 	RecordingImages  bool
 	ImagesRecordedAt time.Time
-	ImagePart        int // the part that was recorded or compared last
+	ImagePart        int // number of the part of the shard's machines whose image record was last committed or found unchanged
 }
 
 // Consolidation is the progress of draining machines of a shard to return them.
--- a/internal/coordination/replica/slot.go
+++ b/internal/coordination/replica/slot.go
@@ -36,7 +36,7 @@
 type HostUse struct {
 	Name    string
 	Machine *Machine         // nil until the machine's record is read
-	Slots   map[string]*Slot // by task name
+	Slots   map[string]*Slot // by task name: the slots of the tasks on the host
 }
 
 // HostUse returns the use of a host, and creates it if there is none yet.
--- a/internal/coordination/replica/view.go
+++ b/internal/coordination/replica/view.go
@@ -34,7 +34,7 @@
 	Dependencies     *dag.Graph          // blocked jobs and what they depend on
 	Teams            map[string]*TeamUsage
 	Quota            *quota.Manager
-	Provisions       map[string]*Provision              // by name: those whose answer is not recorded yet
+	Provisions       map[string]*Provision              // by name: provision requests whose answer is not recorded yet
 	Groups           map[string]MachineGroup            // by the provision's name
 	GangReservations map[string]*GangReservation        // by job ID
 	ImageRecords     map[string]*records.ImageLocations // by key
@@ -42,12 +42,12 @@
 	MachineTypes map[string]*protocol.MachineType
 
 	// Indexes derived from the above.
-	Hosts              map[string]*HostUse // those that have a machine record or that a claim names
+	Hosts              map[string]*HostUse // by host: the use of each host that has a machine record or that a claim names
 	CrossShardClaims   map[*Claim]struct{} // claims that are placed across shards
 	UseByShard         map[TeamShard]quota.Resources
 	UseByTeam          map[string]quota.Resources // summed over all shards and cross-shard claims
-	ServiceUse         map[string]quota.Resources // by team: of services, whose tasks do not end by themselves
-	CommittedUse       map[string]quota.Resources // by team: of placements that stay whether or not commits in progress succeed
+	ServiceUse         map[string]quota.Resources // by team: use of services, whose tasks do not end by themselves
+	CommittedUse       map[string]quota.Resources // by team: use of placements that stay whether or not commits in progress succeed
 	CancelledJobs      map[string]*Job            // cancelled jobs that are in Jobs
 	EarlyCancellations map[string]*Job            // cancelled jobs whose cancellation was applied ahead of the watch
 	Unplaced           map[string]*Job            // jobs that may have an unplaced task
@@ -63,8 +63,8 @@
 	observer Observer
 }
 
-// New returns an empty view. configured are the teams of the settings; if allotments is
-// false, no team limit is divided among shards.
+// New returns an empty view for the teams of the settings, which the parameter configured
+// holds. If allotments is false, no team limit is divided among shards.
 func New(configured map[string]protocol.Team, allotments bool, log *slog.Logger, observer Observer) *View {
 	view := &View{
 		log:                log,
