--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -32,8 +32,8 @@
 
 // recordRestart records the answer to a direct call that proves that a machine has restarted.
 // Messages of the earlier incarnation may still arrive and look newer than those of the present
-// one: such a message could show a task as exited that runs again. So a higher fencing token is
-// requested, and until the machine shows that token its further messages are ignored.
+// incarnation: such a message could show a task as exited that runs again. So a higher fencing
+// token is requested, and the machine's further messages are ignored until it shows that token.
 func (c *Controller) recordRestart(shard *replica.Shard, machine *replica.Machine, heartbeat *protocol.Heartbeat) {
 	c.log.Info("agent restarted", "host", machine.Host, "sequence", heartbeat.Sequence, "last_sequence", machine.Agent.Heartbeat.Sequence, "agent_epoch", heartbeat.AgentEpoch)
 	machine.Agent.MinToken = max(machine.Agent.MinToken, machine.Agent.Heartbeat.FencingToken, shard.FencingToken)
--- a/internal/coordination/controller/gangs.go
+++ b/internal/coordination/controller/gangs.go
@@ -323,9 +323,9 @@
 	return true
 }
 
-// gangCompares returns the conditions under which a gang is placed: this node leads, the
-// reservation, the job and the holds of the shards are as they were, and the shards have
-// the same owners.
+// gangCompares returns the conditions under which a gang is placed: this node leads, and the
+// records of the reservation, of the job, of the shards and of their holds still have the
+// versions that this controller has read. So the shards still have the same owners.
 func (c *Controller) gangCompares(job *replica.Job, reservation *replica.GangReservation, shards map[string]bool) []kv.Compare {
 	compares := []kv.Compare{
 		{Key: records.LeaderKey, Version: c.leadership.version},
--- a/internal/coordination/controller/leases.go
+++ b/internal/coordination/controller/leases.go
@@ -13,8 +13,8 @@
 
 // extendLease returns the answer that extends the lease of an agent whose shard this controller
 // does not own, with the shard's recorded token and without commands, and reports whether the
-// lease may be extended. It may not for an agent that shows a task of a cancelled job, because
-// this controller cannot stop the task otherwise than by letting the lease expire.
+// lease may be extended. The lease of an agent that shows a task of a cancelled job may not be
+// extended, because this controller can stop the task only by letting the lease expire.
 func (c *Controller) extendLease(shard *replica.Shard, heartbeat *protocol.Heartbeat, now time.Time) (transport.Response, bool) {
 	contact := failover.LastContact{State: c.store.LastSuccess(), Owner: c.membership.lastContact[shard.Record.Owner]}
 	if heartbeat.FencingToken > shard.Version || !failover.MayExtendLease(contact, now, c.policy.NodeLease) {
--- a/internal/coordination/controller/provisions.go
+++ b/internal/coordination/controller/provisions.go
@@ -48,8 +48,9 @@
 }
 
 // retryProvisions repeats recorded requests that have no answer, including those of an
-// earlier leader. This is safe because the cloud does not provide machines twice under the
-// same name. It also records answers that could not be recorded when they arrived.
+// earlier leader. Repeating a request is safe because the cloud does not provide machines
+// twice under the same name. Answers that could not be recorded when they arrived are
+// recorded as well.
 func (c *Controller) retryProvisions(now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(c.view.Provisions)) {
 		switch provision := c.view.Provisions[name]; {
--- a/internal/coordination/controller/users.go
+++ b/internal/coordination/controller/users.go
@@ -10,7 +10,7 @@
 )
 
 // Users time out after 5 s for submissions and 2 s for status queries. Responses are sent
-// before that.
+// before the user's time-out.
 const (
 	submitTimeout = 4 * time.Second
 	queryTimeout  = 1700 * time.Millisecond
--- a/internal/coordination/replica/index.go
+++ b/internal/coordination/replica/index.go
@@ -99,7 +99,7 @@
 		}
 		delete(claim.Slots, key)
 		delete(claim.PreemptedFor, key)
-		// Another attempt to claim the same chunk may have added its own slot there.
+		// The host's slot of the task may be that of another attempt to claim the same chunk.
 		if slot.Host.Slots[slot.TaskName] == slot {
 			delete(slot.Host.Slots, slot.TaskName)
 		}
--- a/internal/coordination/replica/view_claims.go
+++ b/internal/coordination/replica/view_claims.go
@@ -126,7 +126,7 @@
 	delete(v.Claims, claim.Key)
 	v.Reindex(claim)
 	if set := v.OrphanClaims[claim.JobID]; set != nil {
-		// An empty set left here would cause its job to be read again in every pass.
+		// An empty set left in OrphanClaims would cause the job to be read again in every pass.
 		if delete(set, claim.Key); len(set) == 0 {
 			delete(v.OrphanClaims, claim.JobID)
 		}
