--- a/internal/coordination/placement/besteffort.go
+++ b/internal/coordination/placement/besteffort.go
@@ -8,10 +8,10 @@
 // BestEffortCapacity describes the capacity of a shard, in CPUs, during one pass over the
 // shard's queue.
 type BestEffortCapacity struct {
-	Total       float64 // of the machines in use
-	Free        float64 // unused, on usable machines
+	Total       float64 // CPUs of the machines in use
+	Free        float64 // unused CPUs of usable machines
 	WarmReserve float64 // part of Free that is kept for services that are about to start
-	InUse       float64 // used by best-effort tasks
+	InUse       float64 // CPUs that best-effort tasks use
 	Contended   bool    // other work waits for capacity
 }
 
--- a/internal/coordination/placement/capacity.go
+++ b/internal/coordination/placement/capacity.go
@@ -22,16 +22,16 @@
 	BootsAt              time.Time // expected end of the boot; zero: no boot is expected to end
 	Free                 protocol.MachineResources
 	Type                 *protocol.MachineType
-	Machine              *replica.Machine // nil: not provisioned yet
+	Machine              *replica.Machine // nil if the machine is not provisioned yet
 	IncomingImage        string           // image that the machine fetches for a task placed in this pass
 	Reservation          Reservation
 	// Releases and Victims are set only if Detailed is true.
 	Detailed  bool
 	Releases  []replica.Release
 	Victims   []replica.Victim
-	AvoidedBy map[string]bool // jobs whose tasks failed recently on the machine
+	AvoidedBy map[string]bool // IDs of jobs whose tasks failed recently on the machine
 	// KeptForGPUJobs keeps an idle machine with GPUs from all arrays without GPUs,
-	// KeptFromBestEffort only from the best-effort ones among these arrays.
+	// KeptFromBestEffort only from the best-effort arrays without GPUs.
 	KeptForGPUJobs     bool
 	KeptFromBestEffort bool
 }
@@ -41,7 +41,7 @@
 type Reservation struct {
 	JobID string // empty: the machine is not reserved
 	From  time.Time
-	Spare protocol.MachineResources // free capacity beside the reserved job from From on
+	Spare protocol.MachineResources // capacity that is free from From on while the reserved job runs
 }
 
 // HasImage reports whether the machine holds an image, or fetches it for a task placed in
@@ -50,7 +50,7 @@
 	return c.IncomingImage == image || (c.Machine != nil && c.Machine.HasImage(image))
 }
 
-// Fits reports whether a task of a job fits into the free capacity.
+// Fits reports whether the machine has enough free capacity for one task of a job.
 func (c *Capacity) Fits(spec *protocol.Submission) bool { return c.Free.Fits(spec) }
 
 // Accepts reports whether new tasks of a job may start on the machine, regardless of its free
@@ -85,7 +85,8 @@
 	return allowsType && allowsZone && (!spot || spec.AllowSpot)
 }
 
-// FitsEmpty reports whether a task fits an empty machine of a type.
+// FitsEmpty reports whether a machine of a type, with no other task, has enough capacity for
+// one task of a job.
 func FitsEmpty(spec *protocol.Submission, machineType *protocol.MachineType) bool {
 	return protocol.ResourcesOf(machineType).Fits(spec)
 }
--- a/internal/coordination/placement/gpumachines.go
+++ b/internal/coordination/placement/gpumachines.go
@@ -9,9 +9,9 @@
 
 // KeepGPUMachines keeps idle machines with GPUs for jobs that need GPUs, since preempting an
 // array's tasks for such a job loses their work. It keeps fromArrays machines from all arrays
-// without GPUs and fromBestEffort machines from the best-effort ones among them. More
-// machines are kept from best-effort arrays, whose run time is not bounded: a gang that
-// preempts them waits for their checkpoints and then for the fetch of its image.
+// without GPUs and fromBestEffort machines from best-effort arrays without GPUs. More machines
+// are kept from best-effort arrays, whose run time is not bounded: a gang that preempts them
+// waits for their checkpoints and then for the fetch of its image.
 func KeepGPUMachines(capacities []*Capacity, fromArrays, fromBestEffort int) {
 	for _, capacity := range capacities {
 		if !capacity.isIdleGPUMachine() {
@@ -23,9 +23,9 @@
 	}
 }
 
-// ReleaseGPUMachine stops keeping one of these machines for the rest of the pass, for an
-// array that has waited too long. It reports whether a kept machine has capacity for the
-// array.
+// ReleaseGPUMachine makes one machine that KeepGPUMachines keeps available for the rest of the
+// pass, for an array that has waited too long. It reports whether a kept machine has capacity
+// for the array.
 func ReleaseGPUMachine(spec *protocol.Submission, jobID string, capacities []*Capacity, zones *ZoneConstraint) bool {
 	for _, capacity := range capacities {
 		kept := capacity.KeptForGPUJobs || capacity.KeptFromBestEffort
--- a/internal/coordination/placement/placement_test.go
+++ b/internal/coordination/placement/placement_test.go
@@ -31,8 +31,9 @@
 	return capacities
 }
 
-// A gang's reservation covers the machines of all its tasks, in one zone if the gang requires
-// that. With only one machine reserved, arrays take the others and the gang never starts.
+// A gang's reservation covers the machines of all its tasks, and all of these machines are in
+// one zone if the gang requires one zone. If only one machine were reserved, arrays would take
+// the other machines and the gang would never start.
 func TestReservationCoversWholeGang(t *testing.T) {
 	now := time.Now()
 	machineType := &protocol.MachineType{Name: "m8", CPUs: 8, MemoryGB: 32}
@@ -51,8 +52,8 @@
 		hosts = append(hosts, r.Host)
 	}
 	slices.Sort(hosts)
-	// Zone b has a free machine, one that is free in 9 s and one that is free in 10 s. In zone
-	// a the third machine is free in 30 s.
+	// Zone b has a free machine, a machine that is free in 9 s and a machine that is free in
+	// 10 s. In zone a the third machine is free in 30 s.
 	if !slices.Equal(hosts, []string{"vm-1", "vm-3", "vm-5"}) || !start.Equal(now.Add(10*time.Second)) {
 		t.Fatalf("reserved %v, start after %v", hosts, start.Sub(now))
 	}
--- a/internal/coordination/placement/preempt.go
+++ b/internal/coordination/placement/preempt.go
@@ -21,8 +21,8 @@
 	RecordPreemption(victims []replica.Victim)
 }
 
-// Eviction is a machine and the tasks to be stopped there to make capacity for one more
-// task. Without victims the machine has that capacity already.
+// Eviction is a machine and its victims: the tasks to be preempted there to make capacity for
+// one more task. Victims is empty if the machine has enough free capacity already.
 type Eviction struct {
 	Capacity *Capacity
 	Victims  []replica.Victim
@@ -86,10 +86,10 @@
 	return best
 }
 
-// selectForGang selects a machine for the next task of a gang: free capacity on a machine
-// that holds the image; else the cheapest preemption, if its machine holds the image or no
-// machine has free capacity; else any free capacity. The index is -1 if there is none of
-// these.
+// selectForGang selects a machine for the next task of a gang: free capacity on a machine that
+// holds the image; else the cheapest preemption, if its machine holds the image or no machine
+// has free capacity; else any free capacity. The index is -1 if neither free capacity nor a
+// preemption is possible.
 func selectForGang(entry *QueueEntry, trial *preemptionTrial, policy PreemptionPolicy, now time.Time) (index int, victims []replica.Victim) {
 	spec, jobID := entry.Spec, entry.Job.ID
 	index = Select(spec, jobID, trial.capacities, &trial.zones, 0, now)
@@ -140,7 +140,7 @@
 	return t.capacities[index]
 }
 
-// WithoutVictims returns a copy of victims without the removed ones.
+// WithoutVictims returns a copy of victims without the tasks listed in removed.
 func WithoutVictims(victims, removed []replica.Victim) []replica.Victim {
 	return slices.DeleteFunc(slices.Clone(victims), func(victim replica.Victim) bool {
 		return slices.ContainsFunc(removed, func(other replica.Victim) bool {
--- a/internal/coordination/placement/queue.go
+++ b/internal/coordination/placement/queue.go
@@ -12,18 +12,18 @@
 // chunk with unplaced tasks.
 type QueueEntry struct {
 	Job                  *replica.Job
-	Claim                *replica.Claim // nil: unclaimed
+	Claim                *replica.Claim // nil if the chunk is unclaimed
 	Chunk                int
 	Spec                 *protocol.Submission
 	WithinGuarantee      bool // the entry is within the guarantee of its team
 	OnProbation          bool // the job fails wherever it runs, so that one of its tasks is started at a time
 	StartsAhead          bool // one task of the entry starts ahead of its turn
 	BestEffort           bool // the entry uses the capacity that other work leaves
-	MaxBestEffortTasks   int  // tasks that may start now, if BestEffort is set
-	OverdueForGPUMachine bool // an array that has waited so long that it may use a machine kept for GPU jobs
+	MaxBestEffortTasks   int  // number of tasks that may start now, if BestEffort is set
+	OverdueForGPUMachine bool // the entry is an array that has waited so long that it may use a machine kept for GPU jobs
 }
 
-// TaskRange returns the entry's first task and their number.
+// TaskRange returns the index of the entry's first task and the number of its tasks.
 func (e *QueueEntry) TaskRange() (first, count int) {
 	if e.Claim != nil && e.Claim.Record != nil {
 		return e.Claim.Record.FirstTask, e.Claim.Record.TaskCount
@@ -106,8 +106,8 @@
 	return now.Sub(e.Claim.UnplacedSince)
 }
 
-// IsBestEffort reports whether a job is an array of the lowest priority: services and gangs
-// start whole or are missed.
+// IsBestEffort reports whether a job is an array of the lowest priority. Services and gangs
+// are never best-effort, since all of their tasks are needed.
 func IsBestEffort(spec *protocol.Submission) bool {
 	return spec.Priority() == 0 && spec.Shape == protocol.ShapeArray
 }
--- a/internal/coordination/placement/reserve.go
+++ b/internal/coordination/placement/reserve.go
@@ -16,8 +16,8 @@
 // futureSlot is capacity for one task that a machine has from freeAt on.
 type futureSlot struct {
 	capacity *Capacity
-	freeAt   time.Time // when the capacity is free
-	readyAt  time.Time // when the image is fetched as well
+	freeAt   time.Time // when the capacity becomes free
+	readyAt  time.Time // when the capacity is free and the machine has fetched the job's image
 }
 
 // Reserve reserves the machines on which the given number of a job's tasks can start together
@@ -90,15 +90,15 @@
 }
 
 // isReservable reports whether a machine may be reserved for a job. A machine where the job
-// has recently failed may not be: the job cannot start there for a while, and its reservation
-// would keep all other jobs from the machine meanwhile.
+// has recently failed must not be reserved: the job cannot start there for a while, and its
+// reservation would keep all other jobs from the machine meanwhile.
 func isReservable(spec *protocol.Submission, jobID string, capacity *Capacity, zones *ZoneConstraint) bool {
 	return Allowed(spec, capacity.TypeName, capacity.Zone, capacity.Spot) && zones.Permits(capacity.Zone) &&
 		capacity.Reservation.JobID == "" && FitsEmpty(spec, capacity.Type) && !capacity.AvoidedBy[jobID]
 }
 
-// ReserveFor reserves capacity for the given number of a job's tasks from a time on. The
-// capacity that is then free beside these tasks may be used by tasks of any run time.
+// ReserveFor reserves capacity for the given number of a job's tasks from a time on. From then
+// on, tasks of other jobs may use the rest of the free capacity regardless of their run time.
 func (c *Capacity) ReserveFor(spec *protocol.Submission, jobID string, tasks int, from time.Time) {
 	spare := c.Free.Minus(spec, tasks)
 	for _, release := range c.Releases {
--- a/internal/coordination/placement/score.go
+++ b/internal/coordination/placement/score.go
@@ -43,8 +43,8 @@
 type score struct {
 	gpuMisuse    int     // cost of a machine with free GPUs, which are left to jobs that need GPUs; 0 for these jobs
 	missingImage int     // 1 on a machine without the image
-	preference   int     // services: their tasks in the zone; other jobs that allow spot instances: 1 on demand
-	packing      float64 // with the image: the fullest machine first; without: the most free CPUs first
+	preference   int     // for a service: number of its tasks in the machine's zone; for other jobs that allow spot instances: 1 on an on-demand machine
+	packing      float64 // prefers the fullest of the machines with the image, and the machine with the most free CPUs of those without
 }
 
 // compare orders scores, the better score first.
@@ -101,10 +101,11 @@
 // Assignment is a task and the machine chosen for it.
 type Assignment struct {
 	Task  int
-	Index int // of the machine, in the capacities from which it was chosen
+	Index int // index of the machine in the list of capacities
 }
 
-// ReleaseAssignments undoes assignments of a job's tasks.
+// ReleaseAssignments returns the resources of assigned tasks to the free capacity of their
+// machines, and clears the incoming images of these machines.
 func ReleaseAssignments(spec *protocol.Submission, assignments []Assignment, capacities []*Capacity) {
 	for _, assignment := range assignments {
 		capacities[assignment.Index].Release(spec)
--- a/internal/coordination/placement/zones.go
+++ b/internal/coordination/placement/zones.go
@@ -13,7 +13,7 @@
 	// Only is the only permitted zone; empty: Only restricts nothing.
 	Only        string
 	tasksByZone map[string]int
-	maxPerZone  int // 0: no limit
+	maxPerZone  int // largest number of the job's tasks in one zone; 0: no limit
 }
 
 // NewZoneConstraint returns the constraint of a job with tasks in zones, one entry for
@@ -42,7 +42,7 @@
 	return (z.Only == "" || z.Only == zone) && (z.maxPerZone == 0 || z.tasksByZone[zone] < z.maxPerZone)
 }
 
-// clone returns an independent copy.
+// clone returns a copy of the constraint that can be changed without changing the original.
 func (z *ZoneConstraint) clone() ZoneConstraint {
 	return ZoneConstraint{Only: z.Only, tasksByZone: maps.Clone(z.tasksByZone), maxPerZone: z.maxPerZone}
 }
--- a/internal/coordination/provisioning/bootstats.go
+++ b/internal/coordination/provisioning/bootstats.go
@@ -18,12 +18,12 @@
 // are dropped: they do not represent the current state of the cloud, and an unreliable kind
 // has to be tried again.
 type kindStats struct {
-	durations   *hdrhistogram.WindowedHistogram // in milliseconds
+	durations   *hdrhistogram.WindowedHistogram // boot times in milliseconds
 	windowStart time.Time
-	booted      [windows]int // machines that booted, by window, the current window first
-	failed      [windows]int // machines that became overdue, in the same order
+	booted      [windows]int // number of machines that booted, by window; index 0 is the current window
+	failed      [windows]int // number of machines that became overdue, by window; index 0 is the current window
 	merged      *hdrhistogram.Histogram
-	outdated    bool // merged differs from durations
+	outdated    bool // durations has changed since merged was computed
 }
 
 const (
@@ -38,15 +38,15 @@
 	minSamples = 5
 	// A boot takes up to one and a half times the nominal time of the machine type; a few
 	// boots never end.
-	overdueFactor = 1.5 // of the nominal time
-	expiryFactor  = 4.0 // of the nominal time
-	// observedFactor multiplies the overduePercentile of the observed boot times, which gives
-	// a lower bound of the overdue age.
+	overdueFactor = 1.5 // smallest overdue age, as a multiple of the nominal boot time
+	expiryFactor  = 4.0 // smallest expiry age, as a multiple of the nominal boot time
+	// observedFactor multiplies the overduePercentile of the observed boot times, and the
+	// product is a lower bound of the overdue age.
 	observedFactor     = 1.3
 	overduePercentile  = 90
 	expectedPercentile = 50
-	// expiryOverdueFactor multiplies the overdue age, which gives a lower bound of the expiry
-	// age.
+	// expiryOverdueFactor multiplies the overdue age, and the product is a lower bound of the
+	// expiry age.
 	expiryOverdueFactor = 2
 	// maxUnreliability bounds the price factor, so that an unreliable kind is tried again if
 	// no other kind is available.
@@ -91,7 +91,7 @@
 	return s.merged
 }
 
-// RecordBoot records that a machine booted, and how long it took.
+// RecordBoot records that a machine booted, and how long the boot took.
 func (b *BootStats) RecordBoot(kind MachineKind, took time.Duration, now time.Time) {
 	s := b.statsOf(kind, now)
 	// RecordValue fails only outside the histogram's range, to which the value is clamped.
@@ -141,8 +141,9 @@
 }
 
 // Unreliability returns the factor, from 1 to 4, by which the price of a kind is multiplied
-// when kinds are compared: the number of booted and overdue machines for each that booted. It
-// is 1 until enough machines were observed, and 1 again once the failures are dropped.
+// when kinds are compared: the number of booted and overdue machines divided by the number of
+// booted machines. The factor is 1 until enough machines were observed, and 1 again once the
+// failures are dropped.
 func (b *BootStats) Unreliability(kind MachineKind, now time.Time) float64 {
 	s := b.statsOf(kind, now)
 	booted, failed := s.booted[0]+s.booted[1], s.failed[0]+s.failed[1]
@@ -152,7 +153,7 @@
 	return min(maxUnreliability, float64(booted+failed)/max(1, float64(booted)))
 }
 
-// UnreliableKinds returns the kinds whose price factor is above 1.25, with the factor.
+// UnreliableKinds returns the kinds whose price factor is above 1.25, each with its factor.
 func (b *BootStats) UnreliableKinds(now time.Time) map[MachineKind]float64 {
 	out := make(map[MachineKind]float64)
 	for kind := range b.kinds {
--- a/internal/coordination/provisioning/budget.go
+++ b/internal/coordination/provisioning/budget.go
@@ -32,8 +32,8 @@
 	supply, total := 0.0, 0.0
 	for _, capacity := range p.Supply {
 		total += capacity.Type.CPUs
-		// Machines with GPUs do not count: arrays would fill them, and jobs that need the
-		// GPUs would find no capacity there.
+		// Machines with GPUs do not count as supply for arrays: arrays would fill these
+		// machines, and jobs that need GPUs would find no machine with free capacity.
 		if capacity.Type.GPUs == 0 {
 			supply += max(0, capacity.Free.CPUs)
 		}
@@ -45,7 +45,8 @@
 	return placement.SplitArrayDemand(need, bestEffortNeed, supply, warm, p.bestEffortLimit(total, policy))
 }
 
-// neededCPUs returns how many CPUs complete arrays within their drain times.
+// neededCPUs returns the number of CPUs with which all tasks of the arrays end within the
+// drain times of the arrays.
 func (p *Planner) neededCPUs(arrays []Demand, policy BudgetPolicy) float64 {
 	need := 0.0
 	for _, demand := range arrays {
--- a/internal/coordination/provisioning/demand.go
+++ b/internal/coordination/provisioning/demand.go
@@ -17,7 +17,7 @@
 	Runtime     time.Duration // expected run time of one task
 	SubmittedAt time.Time     // when the job was accepted
 	Zone        string        // zone of a warm reserve; empty: any zone that Spec permits
-	Shard       string        // shard of the claim or chosen for a gang, whose machines alone may run the tasks; empty: any
+	Shard       string        // only shard whose machines may run the tasks: the shard of the claim, or the shard chosen for a gang; empty: any shard
 	TakenZones  []string      // zones of the job's placed tasks, one entry for each task
 }
 
@@ -28,8 +28,8 @@
 	})
 }
 
-// SplitBestEffort divides the demands of arrays into normal and best-effort ones, both in
-// their given order.
+// SplitBestEffort divides the demands of arrays into normal and best-effort demands. Both
+// results keep the given order.
 func SplitBestEffort(arrays []Demand) (normal, bestEffort []Demand) {
 	for _, demand := range arrays {
 		if placement.IsBestEffort(demand.Spec) {
--- a/internal/coordination/provisioning/planner.go
+++ b/internal/coordination/provisioning/planner.go
@@ -20,7 +20,7 @@
 // Market describes the machines that can be provisioned, and what affects their cost.
 type Market struct {
 	Types          map[string]*protocol.MachineType
-	RefusedUntil   map[string]time.Time // by OfferKey: the cloud refused the kind, which is not requested before
+	RefusedUntil   map[string]time.Time // by OfferKey: time before which a kind that the cloud refused is not requested again
 	MachinesByZone map[string]int
 	// IsPartitioned reports whether machines provisioned in a zone would be unreachable.
 	IsPartitioned func(zone string) bool
@@ -30,7 +30,7 @@
 }
 
 // Planner allocates demands from existing and expected capacity, and selects the machines to
-// provision for the rest.
+// provision for the tasks that this capacity cannot run.
 type Planner struct {
 	Market Market
 	// Supply is the capacity of all machines, expected ones included. Fill allocates demands
@@ -38,13 +38,14 @@
 	Supply []*placement.Capacity
 }
 
-// Fill allocates a demand from the supply and returns the machines to provision for the rest.
-// It adds no further machine once those added for this demand have budgetCPUs CPUs.
+// Fill allocates a demand from the supply and returns the machines to provision for the tasks
+// that the supply cannot run. No further machine is added once the machines added for this
+// demand have budgetCPUs CPUs in total.
 func (p *Planner) Fill(demand Demand, budgetCPUs float64) []Offer {
 	var offers []Offer
 	usedCPUs := 0.0
 	zones := placement.NewZoneConstraint(demand.Spec, demand.TakenZones)
-	next := 0 // a machine that cannot run one task of the demand cannot run a later one either
+	next := 0 // index in Supply; a machine without capacity for one task of the demand has none for a later task either
 	for filled := 0; filled < demand.Count; filled++ {
 		for next < len(p.Supply) && !serves(p.Supply[next], demand, &zones) {
 			next++
@@ -79,10 +80,10 @@
 
 // IsUnservable reports whether no existing or expected machine could ever run a task of an
 // array: no machine is of a permitted kind and shard, or replicas of services, which do not
-// end, leave too little capacity on the machines that are. ArrayBudget counts capacity of all
-// shards and kinds together. An array that only part of this capacity can serve (an array
-// with GPUs, or with its chunk in a shard that has lost its machines) would therefore wait
-// forever while the budget is 0.
+// end, leave too little capacity on the machines of a permitted kind and shard. ArrayBudget
+// counts capacity of all shards and kinds together. An array that only part of this capacity
+// can serve (an array with GPUs, or with its chunk in a shard that has lost its machines)
+// would therefore wait forever while the budget is 0.
 func (p *Planner) IsUnservable(demand Demand) bool {
 	zones := placement.NewZoneConstraint(demand.Spec, demand.TakenZones)
 	return !slices.ContainsFunc(p.Supply, func(capacity *placement.Capacity) bool {
@@ -105,7 +106,7 @@
 }
 
 // bestOffer returns the available offer that runs the given number of a demand's tasks at the
-// lowest cost, and reports whether there is one.
+// lowest cost, and reports whether there is such an offer.
 func (p *Planner) bestOffer(demand Demand, tasks int, zones *placement.ZoneConstraint) (best Offer, found bool) {
 	bestCost := math.Inf(1)
 	for _, name := range slices.Sorted(maps.Keys(p.Market.Types)) {
