--- a/internal/coordination/admission/backlog.go
+++ b/internal/coordination/admission/backlog.go
@@ -25,7 +25,8 @@
 	// minRetryAfter is the shortest retry time, and the unit to which retry times are
 	// rounded.
 	minRetryAfter = time.Second
-	// unavailableRetryAfter is the shortest retry time while the service is unavailable.
+	// unavailableRetryAfter is the shortest retry time while the service executes no
+	// operations.
 	unavailableRetryAfter = 2 * time.Second
 	// maxRetryAfter is the longest retry time. Clients retry for a minute in all, so 20 s
 	// leaves every client several attempts.
--- a/internal/coordination/admission/sockets.go
+++ b/internal/coordination/admission/sockets.go
@@ -4,7 +4,7 @@
 type SocketBudget struct {
 	Public      int // connections of users and workers together
 	Users       int // open public connections above which a new connection of a user is refused
-	KeepAlive   int // open public connections above which each is closed after its response
+	KeepAlive   int // open public connections above which a connection is closed after its response
 	WorkerCalls int // outgoing calls to workers
 	State       int // connections to the state service and the cloud
 	Peers       int // connections to and from other controllers, and sockets that the process itself needs
@@ -17,7 +17,7 @@
 	socketsPerPeer     = 4
 	minWorkerCalls     = 16
 	maxWorkerCalls     = 300
-	workerCallsDivisor = 4 // a quarter of the limit
+	workerCallsDivisor = 4 // WorkerCalls is a quarter of the socket limit, within its bounds
 	minPublic          = 8
 	minUsers           = 4
 	minKeepAlive       = 2
--- a/internal/coordination/admission/throttle.go
+++ b/internal/coordination/admission/throttle.go
@@ -7,8 +7,8 @@
 type Throttle struct {
 	MaxShare  float64       // largest share of time that passes take, above 0 and up to 1
 	MinPause  time.Duration // shortest pause between two passes if the next pass is urgent
-	IdlePause time.Duration // shortest pause otherwise
-	MaxPause  time.Duration // longest pause after a pass that took up to a third of MaxPause
+	IdlePause time.Duration // shortest pause between two passes if the next pass is not urgent
+	MaxPause  time.Duration // longest pause between two passes, unless three times the last pass's duration is longer
 }
 
 const (
@@ -19,9 +19,9 @@
 	maxPausePasses = 3
 )
 
-// Pause returns the pause after a pass of the duration took. While nothing urgent waits (no
-// client expects an answer within about a second), the share is half of MaxShare, so that
-// one pass processes more changes.
+// Pause returns the pause after a pass that ran for took. While nothing urgent waits (no
+// client expects an answer within about a second), the pause is computed with half of
+// MaxShare. The passes are then rarer, and each of them processes more changes.
 func (t Throttle) Pause(took time.Duration, urgent bool) time.Duration {
 	share, shortest := t.MaxShare, t.MinPause
 	if !urgent {
--- a/internal/coordination/dag/graph.go
+++ b/internal/coordination/dag/graph.go
@@ -23,17 +23,17 @@
 // Job is a job that is blocked on its dependencies, as its record describes it.
 type Job struct {
 	ID           string
-	Dependencies []string // job IDs
+	Dependencies []string // IDs of the jobs on which the job depends
 	Spec         *protocol.Submission
-	AcceptedAt   time.Time // the deadline is relative to this time
-	Revision     uint64    // of the job's record
+	AcceptedAt   time.Time // when the job was accepted; the job's deadline counts from this time
+	Revision     uint64    // revision of the job's record
 }
 
 // Graph holds the blocked jobs and their dependencies. It is not safe for concurrent use.
 type Graph struct {
 	lookup     func(jobID string) State
-	blocked    map[string]*blockedJob            // by job ID
-	dependents map[string]map[string]*blockedJob // by ID of the dependency, then ID of the dependent
+	blocked    map[string]*blockedJob            // blocked jobs by job ID
+	dependents map[string]map[string]*blockedJob // blocked jobs by ID of their dependency, then by their own ID
 	unknown    map[string]struct{}               // dependencies of which no record has been read
 	changes    uint64
 	urgency    map[string]Urgency // cache, by job ID; cleared with every change
@@ -83,7 +83,8 @@
 	return job != nil && job.isReady()
 }
 
-// isReady reports whether all dependencies are done and none is cancelled.
+// isReady reports whether all of the job's dependencies are done and no direct or indirect
+// dependency is cancelled.
 func (b *blockedJob) isReady() bool { return len(b.unfinished) == 0 && !b.cancelled }
 
 // Resolve returns those dependencies of a new job that are neither done nor cancelled, and
@@ -148,9 +149,10 @@
 	}
 }
 
-// ObserveState applies the recorded state of a job that is not or no longer blocked. The job
-// is removed from the graph, and dependents become ready or cancelled if this state decides
-// it.
+// ObserveState applies the recorded state of a job whose record does not have the blocked
+// state. The job is removed from the graph. If the job is done, each dependent without other
+// unfinished dependencies becomes ready. If the job is cancelled, its direct and indirect
+// dependents become cancelled.
 func (g *Graph) ObserveState(jobID string, state State, now time.Time) {
 	g.remove(jobID)
 	if state != Unknown {
@@ -192,8 +194,8 @@
 	}
 }
 
-// remove removes a job that is no longer blocked. The job's dependents stay registered as
-// such.
+// remove removes a job that is no longer blocked. The jobs that depend on the removed job stay
+// registered as its dependents.
 func (g *Graph) remove(jobID string) {
 	job := g.blocked[jobID]
 	if job == nil {
--- a/internal/coordination/dag/graph_test.go
+++ b/internal/coordination/dag/graph_test.go
@@ -17,7 +17,7 @@
 // records holds the states of the jobs that are not blocked.
 type records map[string]State
 
-// newGraph returns an empty graph over the records.
+// newGraph returns an empty graph that looks up the states of jobs in the records.
 func (r records) newGraph() *Graph { return NewGraph(func(jobID string) State { return r[jobID] }) }
 
 // observe sets a job's recorded state and passes the state to the graph.
@@ -63,7 +63,7 @@
 	if g.ReadyJobs()[0].LastDependency != "root" {
 		t.Errorf("the last dependency is %q", g.ReadyJobs()[0].LastDependency)
 	}
-	r.observe(g, "left", Unfinished) // the job is released
+	r.observe(g, "left", Unfinished) // job "left" is released
 	r.observe(g, "right", Unfinished)
 	r.observe(g, "right", Done)
 	if got := jobIDs(g.ReadyJobs()); got != "" {
--- a/internal/coordination/dag/urgency_test.go
+++ b/internal/coordination/dag/urgency_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// A job that inherits a deadline must not use spot machines until it has been queued for
-// spotAvoidance, and may use them afterwards.
+// A queued job that inherits a deadline must not be placed on spot machines until the job has
+// been queued for spotAvoidance, and may be placed on spot machines afterwards.
 func TestUrgentJobAvoidsSpotAtFirst(t *testing.T) {
 	spec := &protocol.Submission{PriorityClass: "high", AllowSpot: true}
 	urgency := Urgency{Priority: 1, FinishBy: noon}
--- a/internal/coordination/failover/lease_extension.go
+++ b/internal/coordination/failover/lease_extension.go
@@ -22,8 +22,8 @@
 
 // ColdStart describes a controller that has not read its records since its process started.
 type ColdStart struct {
-	Uptime         time.Duration // since the process started
-	HadContact     bool          // contact with the state service, cloud or another controller since the start
+	Uptime         time.Duration // time since the process started
+	HadContact     bool          // the process has had contact with the state service, the cloud or another controller since its start
 	HasRemotePeers bool          // controllers are configured in other zones
 }
 
@@ -42,11 +42,11 @@
 // controller started behind a partition, so that no other controller can reach these workers.
 //
 // Such a controller has no record of cancelled jobs, and a stop command may have been lost
-// with its former process. Leases are therefore extended only up to the uptime from which a
-// task that was cancelled when the former process ended could outlive cancelLimit:
-// cancelLimit less one lease and restartTime. Leases are not extended in an outage of the
-// state service alone, in which the cancellation may have reached no other controller
-// either.
+// with its former process. Leases are therefore extended only while the uptime is less than
+// cancelLimit minus one lease and restartTime. With a later extension, a task whose job was
+// cancelled when the former process ended could run for longer than cancelLimit after the
+// cancellation. Leases are not extended in an outage of the state service alone, in which the
+// cancellation may have reached no other controller either.
 func MayExtendLeaseAfterColdStart(start ColdStart, cancelLimit, lease time.Duration) bool {
 	partitioned := start.HasRemotePeers && !start.HadContact
 	return partitioned && start.Uptime > startupSettleTime && start.Uptime < cancelLimit-lease-restartTime
--- a/internal/coordination/failover/lease_extension_test.go
+++ b/internal/coordination/failover/lease_extension_test.go
@@ -7,14 +7,15 @@
 
 const sec = time.Second
 
-// A controller extends the leases of another owner's workers only without contact with both
-// the state service and the owner: any other controller would keep a worker from its owner. A
-// controller that has not read its records extends leases only while no cancelled task can
-// outlive its limit.
+// A controller extends the leases of another owner's workers only if it has contact with
+// neither the state service nor the owner. With contact to either of them, the extension could
+// keep a worker away from an owner that the worker can reach. A controller that has not read
+// its records extends leases only while no cancelled task can run for longer than the limit
+// after its cancellation.
 func TestOnlyIsolatedControllerExtendsOthersLeases(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for name, c := range map[string]struct {
-		state, owner time.Duration // since the last contact
+		state, owner time.Duration // time since the last contact with the state service and with the owner
 		want         bool
 	}{
 		"no contact with state service and owner": {9 * sec, 9 * sec, true},
--- a/internal/coordination/failover/takeover.go
+++ b/internal/coordination/failover/takeover.go
@@ -9,7 +9,7 @@
 // Candidate is a live controller that may take over a shard.
 type Candidate struct {
 	Node     string
-	Machines int // in the shards that the controller owns already
+	Machines int // number of machines in the shards that the controller owns already
 }
 
 // takeoverInterval is the time between the attempts of two successive candidates. It is
@@ -23,12 +23,12 @@
 // seconds later, which costs two new fencing tokens and two redirects for every worker.
 const StartupGrace = 1500 * time.Millisecond
 
-// TakeoverDelay returns how long the controller self waits before it takes over a shard
-// whose owner's lease has expired. The candidate with the fewest machines attempts the
-// takeover first; each further candidate attempts it if those before it did not. Candidates
-// with equally many machines are ordered by node name, so that all controllers agree on the
-// order. The order prevents one controller from acquiring the shards of several failed ones.
-// For a controller that is not among the candidates the delay is 0.
+// TakeoverDelay returns how long the controller self waits before it takes over a shard whose
+// owner's lease has expired. The candidate with the fewest machines attempts the takeover
+// first. Each further candidate attempts the takeover if no earlier candidate has taken over
+// the shard. Candidates with equally many machines are ordered by node name, so that all
+// controllers agree on the order. The order prevents one controller from acquiring the shards
+// of several failed ones. For a controller that is not among the candidates the delay is 0.
 func TakeoverDelay(self string, candidates []Candidate) time.Duration {
 	order := slices.Clone(candidates)
 	slices.SortFunc(order, func(a, b Candidate) int {
