--- a/internal/coordination/health/cancelled_tasks.go
+++ b/internal/coordination/health/cancelled_tasks.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// CancelledTask is what the owner of a machine's shard has observed of a task there whose
-// job is cancelled and which may still run.
+// CancelledTask describes a task whose job is cancelled and which may still run, as observed
+// by the owner of the shard of the task's machine.
 //
 // The limit that its methods take is the longest time that a task may run after the
 // cancellation was confirmed to the user.
 type CancelledTask struct {
-	Age        time.Duration // since the cancellation was confirmed to the user
+	Age        time.Duration // time since the cancellation was confirmed to the user
 	Silent     bool          // the machine is silent while others are not, and did not answer a probe
-	TokenShown bool          // the machine has shown the owner's fencing token
-	OwnedFor   time.Duration // since the owner began to act for the machine
+	TokenShown bool          // the machine has sent the owner a message with the owner's fencing token
+	OwnedFor   time.Duration // time since the owner began to act for the machine
 }
 
-// escalationAge returns the age of a cancellation from which the limit leaves no time for
-// further waiting.
+// escalationAge returns the age of a cancellation from which a machine is fenced or returned
+// without waiting any longer for the task to stop, so that the task ends before the age
+// reaches limit.
 func escalationAge(limit time.Duration) time.Duration { return limit * 7 / 10 }
 
 // stopGrace returns the age of a cancellation up to which a machine in contact is given time
@@ -23,11 +24,11 @@
 func stopGrace(limit time.Duration) time.Duration { return limit * 2 / 5 }
 
 // outageRecordDeadline returns the age of a cancellation from which a machine is returned
-// without a record while the state service accepts no records.
+// before the return is recorded, while the state service accepts no records.
 func outageRecordDeadline(limit time.Duration) time.Duration { return limit / 2 }
 
-// slowRecordDeadline returns the age of a cancellation from which a machine is returned
-// without a record while the state service accepts records, but slowly.
+// slowRecordDeadline returns the age of a cancellation from which a machine is returned before
+// the return is recorded, while the state service accepts records, but slowly.
 func slowRecordDeadline(limit time.Duration) time.Duration { return limit * 3 / 4 }
 
 // contactTimeouts is the number of heartbeat timeouts within which a machine has to come
--- a/internal/coordination/health/cancelled_tasks_test.go
+++ b/internal/coordination/health/cancelled_tasks_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// A machine that has not been in contact with a new owner is given two heartbeat timeouts to
-// stop the task. Every machine is fenced, without a record if need be, early enough to keep
-// the limit.
+// A machine that has not been in contact with the new owner of its shard is given two
+// heartbeat timeouts to stop a cancelled task. Every machine is fenced early enough that no
+// cancelled task runs for longer than the limit, even if the return of the machine cannot be
+// recorded.
 func TestCancelledTaskIsFencedWithinLimit(t *testing.T) {
 	const limit, timeout = 47 * sec, 6500 * time.Millisecond
 	for name, c := range map[string]struct {
--- a/internal/coordination/health/incarnation.go
+++ b/internal/coordination/health/incarnation.go
@@ -31,9 +31,10 @@
 	return heartbeat.AgentEpoch < newest.AgentEpoch || heartbeat.FencingToken < newest.FencingToken || heartbeat.Sequence+maxReordering < newest.Sequence
 }
 
-// HasRestarted reports whether a machine's answer to a direct call proves that the machine
-// has restarted. newest is the newest message that had been processed when the call was
-// sent: within the same incarnation the answer would supersede it and show no lower token.
+// HasRestarted reports whether a machine's answer to a direct call proves that the machine has
+// restarted. newest is the newest message that had been processed when the call was sent:
+// within the same incarnation the answer would supersede that message and have no lower
+// fencing token.
 func HasRestarted(newest, answer MessagePosition) bool {
 	return !answer.Supersedes(newest) || answer.FencingToken < newest.FencingToken
 }
--- a/internal/coordination/health/incarnation_test.go
+++ b/internal/coordination/health/incarnation_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Messages are ordered within one incarnation. A heartbeat at a lower position is a sign of a
-// restart, and only an answer to a direct call proves one, since a late heartbeat of the
-// former incarnation looks the same.
+// Messages are ordered within one incarnation. A heartbeat at a lower position indicates a
+// restart of the machine. Only an answer to a direct call proves the restart, since a late
+// heartbeat of the former incarnation can have a lower position too.
 func TestOnlyDirectAnswerProvesRestart(t *testing.T) {
 	newest := MessagePosition{AgentEpoch: 1, Sequence: 88, FencingToken: 41}
 	for name, c := range map[string]struct {
--- a/internal/coordination/health/misplaced_tasks.go
+++ b/internal/coordination/health/misplaced_tasks.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// ForeignCancelledTask is what a controller that may not act for a machine's shard has observed of
-// a task there whose job is cancelled. The owner of the shard may not have received the
-// cancellation: if the state service refuses the owner's requests alone, the owner reads no
-// records, and in an outage after that no other controller can take over its shard.
+// ForeignCancelledTask describes a task whose job is cancelled, as observed by a controller
+// that may not act for the shard of the task's machine. The owner of the shard may not have
+// received the cancellation: if the state service refuses the owner's requests alone, the
+// owner reads no records, and in an outage after that no other controller can take over its
+// shard.
 //
 // The limit that its methods take is the longest time that a task may run after the
 // cancellation was confirmed to the user.
 type ForeignCancelledTask struct {
-	Age           time.Duration // since the cancellation was confirmed to the user
+	Age           time.Duration // time since the cancellation was confirmed to the user
 	OwnerNotified bool          // the owner has confirmed this controller's notice, or reads records itself
-	SinceProbe    time.Duration // since this controller last probed the machine
-	Finding       Finding       // what the messages of the machine have shown since the cancellation
+	SinceProbe    time.Duration // time since this controller last probed the machine
+	Finding       Finding       // state of the task according to the messages of the machine since the cancellation
 	Unanswered    bool          // a probe has failed since the cancellation, and no message has arrived after it
 }
 
-// Finding is what the messages of a machine show of a cancelled task.
+// Finding is the state of a cancelled task on a machine, according to the messages of the
+// machine.
 type Finding int
 
 // The findings of a cancelled task.
@@ -45,8 +47,8 @@
 func endedProbeInterval(limit time.Duration) time.Duration { return limit / 5 }
 
 // ShouldProbe reports whether to probe the machine; the caller stops the task if the answer
-// shows that it runs. A stop is safe at any time: a cancelled task stays cancelled, and its
-// name is not used again.
+// shows that the task runs. A stop is safe at any time: a cancelled task stays cancelled, and
+// its name is not used again.
 func (t ForeignCancelledTask) ShouldProbe(limit time.Duration) bool {
 	delay, interval := ownerGrace(limit), probeInterval
 	if !t.OwnerNotified {
--- a/internal/coordination/health/misplaced_tasks_test.go
+++ b/internal/coordination/health/misplaced_tasks_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// A controller that may not act for a machine first leaves the machine's cancelled tasks to
-// an owner that has been notified. It then probes repeatedly, since a stop command may be
-// lost or followed by another start, and has the machine returned only as the last resort.
+// A controller that may not act for a machine first leaves the machine's cancelled tasks to an
+// owner that has been notified. The controller then probes the machine repeatedly, since a
+// stop command may be lost or followed by another start, and has the machine returned only as
+// the last resort.
 func TestForeignCancelledTaskIsProbedThenReturned(t *testing.T) {
 	const limit = 47 * sec
 	for name, c := range map[string]struct {
--- a/internal/coordination/health/partition.go
+++ b/internal/coordination/health/partition.go
@@ -5,13 +5,13 @@
 // MachineSilence is how long one machine of a zone has been silent.
 type MachineSilence struct {
 	Zone   string
-	Silent time.Duration // since its last heartbeat or answer to a probe
+	Silent time.Duration // time since the machine's last heartbeat or answer to a probe
 }
 
 // PeerStatus is the state of another controller, as the calling controller observes it.
 type PeerStatus struct {
 	Zone string
-	Live bool // its lease is valid, or it sent a message within the length of a lease
+	Live bool // the controller's lease is valid, or the controller sent a message within the length of a lease
 }
 
 const (
@@ -90,8 +90,9 @@
 }
 
 // FenceDelay returns how long a machine may be silent before it is fenced: usual, or
-// partitionDelay if that is longer and the machine's zone is partitioned. Behind a partition the
-// machine's tasks most likely continue to run; partitionDelay bounds the time that they get.
+// partitionDelay if that is longer and the machine's zone is partitioned. Behind a partition
+// the machine's tasks most likely continue to run; partitionDelay bounds how long they run
+// before the machine is fenced.
 func FenceDelay(usual, partitionDelay time.Duration, partitioned bool) time.Duration {
 	if partitioned {
 		return max(usual, partitionDelay)
--- a/internal/coordination/health/partition_test.go
+++ b/internal/coordination/health/partition_test.go
@@ -25,9 +25,9 @@
 	return all
 }
 
-// A zone counts as partitioned only if nothing else explains the silence of its machines.
-// This prevents the machines of a partitioned zone from being fenced too early, and those
-// of a zone with another failure from being fenced too late.
+// A zone counts as partitioned only if nothing else explains the silence of its machines. This
+// prevents the machines of a partitioned zone from being fenced too early, and the machines of
+// a zone with another failure from being fenced too late.
 func TestZoneIsPartitionedOnlyIfNothingElseExplainsSilence(t *testing.T) {
 	noneLive, allLive := []PeerStatus{{"b", false}, {"a", true}}, []PeerStatus{{"b", true}, {"a", true}}
 	for name, c := range map[string]struct {
--- a/internal/coordination/health/pausedetector.go
+++ b/internal/coordination/health/pausedetector.go
@@ -38,7 +38,7 @@
 func (d *PauseDetector) ResumedAt() time.Time { return d.resumed }
 
 // Stable reports whether the process has run for longer than interval since it last resumed,
-// so that a message has arrived from every peer that sends one each interval.
+// so that a message has arrived from every peer that sends a message in each interval.
 func (d *PauseDetector) Stable(now time.Time, interval time.Duration) bool {
 	return now.Sub(d.resumed) > interval
 }
--- a/internal/coordination/health/reachability.go
+++ b/internal/coordination/health/reachability.go
@@ -34,8 +34,9 @@
 func (r *Reachability) LikelyCannotReceive() bool { return r.repeatedFailure }
 
 // CannotReceive reports whether the machine sends heartbeats but does not receive: its lease
-// has expired, and since then a direct call has failed and none was answered. The result is
-// inferred from missing answers, so it does not prove that the machine's tasks have ended.
+// has expired, and since then a direct call has failed and no direct call was answered. The
+// result is inferred from missing answers, so it does not prove that the machine's tasks have
+// ended.
 func (r *Reachability) CannotReceive() bool {
 	return r.lastNewEpoch.After(r.lastAnswer) && r.lastFailure.After(r.lastNewEpoch)
 }
@@ -44,19 +45,20 @@
 // machine.
 const reachabilityProbeInterval = 2 * time.Second
 
-// ShouldProbe reports whether to call the machine only to find out whether it receives: a
-// call failed or its lease expired since the last answer, a message of the machine arrived
-// after the failed call, and reachabilityProbeInterval has passed. lastContact is when the
-// last message of the machine arrived.
+// ShouldProbe reports whether to call the machine only to find out whether the machine
+// receives calls. This holds if a call failed or the machine's lease expired since its last
+// answer, a message of the machine arrived after the last failed call, and
+// reachabilityProbeInterval has passed since that call. lastContact is when the last message
+// of the machine arrived.
 func (r *Reachability) ShouldProbe(now, lastContact time.Time) bool {
 	inDoubt := r.lastFailure.After(r.lastAnswer) || r.lastNewEpoch.After(r.lastAnswer)
 	return inDoubt && lastContact.After(r.lastFailure) && now.Sub(r.lastFailure) >= reachabilityProbeInterval
 }
 
 // CannotReport reports whether a machine's heartbeats do not arrive, though it may answer
-// direct calls: none has arrived for half a lease, counted from actingSince if the owner
-// has received heartbeats only since then. Only answers to heartbeats renew the machine's
-// lease, so a task that starts there is lost when the lease expires.
+// direct calls: no heartbeat has arrived for half a lease, counted from actingSince if the
+// owner has received heartbeats only since then. Only answers to heartbeats renew the
+// machine's lease, so a task that starts there is lost when the lease expires.
 func CannotReport(lastHeartbeat, actingSince, now time.Time, lease time.Duration) bool {
 	if actingSince.After(lastHeartbeat) {
 		lastHeartbeat = actingSince
--- a/internal/coordination/health/reachability_test.go
+++ b/internal/coordination/health/reachability_test.go
@@ -59,13 +59,13 @@
 
 // A machine that answers direct calls while its heartbeats do not arrive loses its tasks with
 // each lease. It counts as unable to report after half a lease without a heartbeat, and as
-// unreachable after two more leases. The time counts only while its owner could receive
-// heartbeats: not before a takeover or during a pause of the process.
+// unreachable after two more leases. Only time in which the machine's owner could receive
+// heartbeats counts: not the time before a takeover or during a pause of the process.
 func TestMachineWithoutHeartbeatsBecomesUnreachable(t *testing.T) {
 	const lease = 12 * time.Second
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
-		lastHeartbeat, actingSince time.Duration // ago
+		lastHeartbeat, actingSince time.Duration // time before the check
 		cannotReport, unreachable  bool
 	}{
 		{5 * time.Second, time.Hour, false, false},
--- a/internal/coordination/quarantine/attribution_test.go
+++ b/internal/coordination/quarantine/attribution_test.go
@@ -19,7 +19,7 @@
 	return &scenario{now: time.Unix(1000, 0), jobs: make(map[string]*JobEvidence), machines: make(map[string]*MachineEvidence)}
 }
 
-// job returns the evidence of a job.
+// job returns a job's evidence, which is empty on first use.
 func (s *scenario) job(jobID string) *JobEvidence {
 	if s.jobs[jobID] == nil {
 		s.jobs[jobID] = &JobEvidence{}
@@ -27,7 +27,7 @@
 	return s.jobs[jobID]
 }
 
-// machine returns the evidence of a machine.
+// machine returns a machine's evidence, which is empty on first use.
 func (s *scenario) machine(host string) *MachineEvidence {
 	if s.machines[host] == nil {
 		s.machines[host] = &MachineEvidence{}
@@ -70,8 +70,8 @@
 		want  string
 	}{
 		"a broken array fails on every machine": {func(s *scenario) { s.fails("broken", "a", "b", "c", "d") }, "[] broken"},
-		// Two broken jobs that each failed on few machines must not quarantine a healthy
-		// machine on which both fail.
+		// A healthy machine on which two broken jobs fail must not be quarantined, although
+		// each of the jobs has failed on few machines only.
 		"two broken jobs fail on one machine": {func(s *scenario) { s.fails("broken", "a"); s.fails("wrong", "a") }, "[]"},
 		"three broken jobs fail on one machine, then on two others": {func(s *scenario) {
 			for _, jobID := range []string{"broken", "wrong", "bad"} {
--- a/internal/coordination/quarantine/job.go
+++ b/internal/coordination/quarantine/job.go
@@ -38,9 +38,9 @@
 // JobEvidence holds the recent failures and successes of one job. The zero value is a job
 // that never failed.
 type JobEvidence struct {
-	failedOn       map[string]time.Time // last failure, by host
-	longestFailure time.Duration        // longest run of a task that failed
-	succeededAt    time.Time            // last success after a failure
+	failedOn       map[string]time.Time // time of the job's last failure, by host
+	longestFailure time.Duration        // longest run time of a task that failed
+	succeededAt    time.Time            // time of the job's last success after a failure
 	retryBackoff   *backoff.ExponentialBackOff
 	retryAt        time.Time
 }
@@ -57,7 +57,7 @@
 	j.failedOn[host], j.longestFailure = now, max(j.longestFailure, runTime)
 	sameAttempt := now.Before(j.retryAt)
 	if j.healthy(now) || sameAttempt {
-		return // a healthy job continues, since the machine is at fault; an attempt counts once
+		return // a healthy job does not back off, since the machine is at fault; further failures of the same attempt do not lengthen the pause
 	}
 	if j.retryBackoff == nil {
 		j.retryBackoff = newRetryBackoff()
--- a/internal/coordination/quarantine/job_test.go
+++ b/internal/coordination/quarantine/job_test.go
@@ -14,7 +14,7 @@
 	var pauses []time.Duration
 	for i := range 9 {
 		j.RecordFailure(fmt.Sprint("m", i), sec, 0.5, now)
-		j.RecordFailure(fmt.Sprint("n", i), sec, 0.5, now) // of the same attempt
+		j.RecordFailure(fmt.Sprint("n", i), sec, 0.5, now) // a failure of the same attempt
 		if !j.InBackoff(now) || j.InBackoff(j.retryAt) {
 			t.Fatal("the next attempt is not delayed until exactly retryAt")
 		}
--- a/internal/coordination/quarantine/machine.go
+++ b/internal/coordination/quarantine/machine.go
@@ -13,8 +13,8 @@
 	// elsewhere, of a healthy job that has failed there in several attempts, and of a job with
 	// the verdict Unknown.
 	weightHealthy, weightRepeated, weightUnknown = 2, 3, 1
-	// quarantineWeight is the weight from which a machine is quarantined. Two jobs with the
-	// verdict Unknown do not reach it, since both may be broken.
+	// quarantineWeight is the weight from which a machine is quarantined. The failures of two
+	// jobs with the verdict Unknown stay below this weight, since both jobs may be broken.
 	quarantineWeight = 3
 )
 
@@ -61,7 +61,8 @@
 	return ok && now.Sub(f.lastFailure) < avoidDuration
 }
 
-// AvoidedBy returns the IDs of the jobs that should be placed elsewhere, sorted.
+// AvoidedBy returns the IDs of the jobs whose tasks should be placed on other machines,
+// sorted.
 func (m *MachineEvidence) AvoidedBy(now time.Time) []string {
 	var jobIDs []string
 	if len(m.failures) == 0 {
