--- a/internal/coordination/quota/allotments.go
+++ b/internal/coordination/quota/allotments.go
@@ -9,13 +9,13 @@
 	"madderslip/internal/storage/records"
 )
 
-// CrossShard is the holder of the allotment for work that is placed across shards. The part
-// of the limit that is not allotted to any shard yet also belongs to it. The leader decides
-// for this holder.
+// CrossShard is the holder of the allotment for work that is placed across shards. The part of
+// the limit that is not allotted to any shard yet also belongs to CrossShard. The leader
+// decides for this holder.
 const CrossShard = "*"
 
-// isAllotted reports whether the limit is divided into allotments or is about to be. Starts
-// are not counted in the team's TeamUsage record then.
+// isAllotted reports whether the limit is divided into allotments or is about to be. Starts of
+// a team whose limit is allotted are not counted in the team's TeamUsage record.
 func (t *teamState) isAllotted() bool {
 	return t.limitVersion != 0 && t.limit.Generation > 0 && !t.limit.Closed
 }
@@ -64,9 +64,9 @@
 }
 
 // LimitCompares returns the conditions of every change of a limited team's claims: that the
-// limit's record still has the version cached here. A change of the limit therefore makes
-// all starts fail that are being committed, and from the revision of its record on no start
-// exceeds the limit.
+// limit's record still has the version cached here. A change of the limit therefore makes all
+// starts fail that are being committed. From the revision of the changed limit record on, no
+// start exceeds the limit.
 func (m *Manager) LimitCompares(name string) []kv.Compare {
 	team := m.teams[name]
 	if team == nil || (team.limitVersion == 0 && team.configured.IsZero()) {
@@ -75,9 +75,9 @@
 	return []kv.Compare{{Key: records.TeamLimitPrefix + name, Version: team.limitVersion}}
 }
 
-// grants returns the amount that each holder may use: its base, plus the amounts transferred
-// to it, less the amounts transferred from it. No holder may use anything while the limit is
-// not divided or is being closed.
+// grants returns the amount that each holder may use: the holder's part of the division, plus
+// the amounts transferred to the holder, less the amounts transferred from the holder. No
+// holder may use anything while the limit is not divided or is being closed.
 func (t *teamState) grants() map[string]Resources {
 	if t.grantCache != nil {
 		return t.grantCache
@@ -104,8 +104,8 @@
 	return t.grantCache
 }
 
-// Grant returns the total that a holder may use, its current use included. It is zero if the
-// limit is not allotted.
+// Grant returns the total that a holder may use, the holder's current use included. The result
+// is zero if the limit is not allotted.
 func (m *Manager) Grant(name, holder string) Resources {
 	if team := m.teams[name]; team != nil && team.isAllotted() {
 		return team.grants()[holder]
@@ -113,8 +113,8 @@
 	return Resources{}
 }
 
-// Free returns the amount that a holder may use beyond its current use. It is infinite for
-// resources without a limit, and for all resources of a team whose limit is not allotted.
+// Free returns the amount that a holder may use beyond its current use. The result is infinite
+// for resources without a limit, and for all resources of a team whose limit is not allotted.
 // Amounts whose transfer is being committed count as transferred.
 func (m *Manager) Free(name, holder string) Resources {
 	free := Resources{CPUs: math.Inf(1), GPUs: math.Inf(1)}
--- a/internal/coordination/quota/demands.go
+++ b/internal/coordination/quota/demands.go
@@ -16,12 +16,12 @@
 // allotments of holders without demand. Without this, new capacity for the job would be used
 // by other jobs while the allotment is being transferred. Other queued work is not demand.
 type Demand struct {
-	Head         Resources     // needed to start the first job: for one task, or for all tasks of a gang
-	PerTask      Resources     // one task of the first job
-	Total        Resources     // of all tasks that could be started
-	Priority     int           // of the first job
-	AcceptedAtMs int64         // of the first job, Unix milliseconds
-	JobID        string        // of the first job
+	Head         Resources     // resources needed to start the first job: for one task, or for all tasks of a gang
+	PerTask      Resources     // resources of one task of the first job
+	Total        Resources     // resources of all tasks that could be started
+	Priority     int           // priority of the first job
+	AcceptedAtMs int64         // time at which the first job was accepted, in Unix milliseconds
+	JobID        string        // ID of the first job
 	AllOrNothing bool          // the first job is a gang
 	Anticipated  bool          // there is no capacity for the first job yet
 	Waited       time.Duration // how long the first job has waited for the allotment
@@ -33,10 +33,10 @@
 // transferred to the oldest job of the cluster, it would be unused during each transfer.
 const StarvationThreshold = 3 * time.Second
 
-// demandTTL is how long after its last report a demand is still served.
+// demandTTL is how long a demand is still served after the last report of the demand.
 const demandTTL = 3 * time.Second
 
-// compare orders demands as they are served: those with capacity before anticipated ones,
+// compare orders demands as they are served: demands with capacity before anticipated demands,
 // then by priority, time of acceptance and job ID. All controllers compute the same order, so
 // if each of two gangs has half of the limit, the second in order transfers its half.
 func (d *Demand) compare(other *Demand) int {
@@ -89,8 +89,8 @@
 }
 
 // SetDemand sets the demand of a holder that this controller decides for; nil removes it.
-// started is true if tasks of the team have started there since the last call. The waiting
-// time of a first job that is not a gang then starts again.
+// started is true if tasks of the team have started at the holder since the last call. If so,
+// the waiting time of the first job starts again, unless the job is a gang.
 func (m *Manager) SetDemand(name, holder string, demand *Demand, started bool, now time.Time) {
 	team := m.team(name)
 	if demand == nil {
@@ -122,9 +122,9 @@
 	return messages
 }
 
-// ObserveDemands replaces all demands that another controller has reported by its current
-// ones. Demands are advisory: a missing, outdated or wrong demand makes a transfer late or
-// useless, but never lets a task start beyond the limit.
+// ObserveDemands replaces all demands that another controller has reported by the current
+// demands of that controller. Demands are advisory: a missing, outdated or wrong demand makes
+// a transfer late or useless, but never lets a task start beyond the limit.
 func (m *Manager) ObserveDemands(from string, messages []protocol.Demand, now time.Time) {
 	for _, team := range m.teams {
 		maps.DeleteFunc(team.demands, func(_ string, demand *holderDemand) bool { return demand.reportedBy == from })
--- a/internal/coordination/quota/guarantee.go
+++ b/internal/coordination/quota/guarantee.go
@@ -8,10 +8,10 @@
 // GuaranteeStatus compares a team's use with its guarantee, by the records at one moment.
 type GuaranteeStatus struct {
 	Guarantee      Resources
-	Use            Resources // of tasks that are placed or whose placement is being committed
-	Committed      Resources // of tasks that stay placed whatever the outcome of pending commits; part of Use
-	Reserved       Resources // reserved on the guarantee, for tasks that are not placed yet
-	BeingPreempted Resources // of placed tasks that are being preempted for other teams
+	Use            Resources // resources of tasks that are placed or whose placement is being committed
+	Committed      Resources // part of Use: resources of tasks that stay placed whatever the outcome of pending commits
+	Reserved       Resources // resources reserved on the guarantee for tasks that are not placed yet
+	BeingPreempted Resources // resources of placed tasks that are being preempted for other teams
 }
 
 // HasGuarantee reports whether a team has a guarantee in this controller's settings.
@@ -81,9 +81,9 @@
 // team, so that no team is left with less than its guarantee. ClaimedTask and StatusOf must be
 // set.
 type PreemptionBudget struct {
-	ClaimedTask Resources // one task of the claiming job
+	ClaimedTask Resources // resources of one task of the claiming job
 	StatusOf    func(team string) GuaranteeStatus
-	taken       map[string]float64 // by team: of the resource by which the claiming tasks are counted
+	taken       map[string]float64 // amounts taken so far, by team, of the resource by which the claiming tasks are counted
 }
 
 // MayPreempt reports whether one more task of a team may be stopped. beside is the use of
--- a/internal/coordination/quota/limits.go
+++ b/internal/coordination/quota/limits.go
@@ -16,13 +16,13 @@
 
 // ClusterState is the state of the cluster by which changes of limits are decided.
 type ClusterState struct {
-	Revision         uint64                                 // up to which the caller has applied every record
+	Revision         uint64                                 // revision up to which the caller has applied every record
 	Complete         bool                                   // the size of every claim is known
 	IsLeader         bool                                   // this controller is the leader
 	LeaderCompare    kv.Compare                             // the condition that this controller is the leader
 	Members          []Member                               // all live controllers, this one included
-	Holders          []string                               // the shards
-	InitialShare     Resources                              // least share of each shard beyond its use, if the limit suffices for it: one machine
+	Holders          []string                               // names of all shards
+	InitialShare     Resources                              // resources of one machine: a division gives each shard at least this amount beyond its use, if the limit suffices
 	TeamUsageVersion func(team string) uint64               // version of the team's TeamUsage record
 	TeamUsage        func(team string) map[string]Resources // the team's use, by the keys of the TeamUsage record
 }
@@ -43,18 +43,19 @@
 	team        *teamState
 }
 
-// FinishChange ends a change after its commit, whether or not the commit succeeded: the
-// records that the caller applies show the outcome.
+// FinishChange ends a change after its commit, whether or not the commit succeeded. The
+// outcome is no argument, because the manager derives the state of the limit from the records
+// that the caller applies.
 func (m *Manager) FinishChange(c LimitChange) { c.team.limitChangePending = false }
 
 // LimitChanges returns the steps that are due, at most one for each team.
 //
 // Introducing or changing a limit takes two steps. The first step writes the limit's record
 // without a division, which makes starts fail that are still being committed and permits no
-// new ones. The second step divides the limit once all records committed before the first
-// step have been applied. From the revision of a limit's record on, no start therefore
-// exceeds the limit, whichever controller decided the start and whenever it did so. A limit
-// below the current use is divided once enough tasks have ended; no task is stopped for it.
+// new starts. The second step divides the limit once all records committed before the first
+// step have been applied. From the revision of a limit's record on, no start therefore exceeds
+// the limit, whichever controller decided the start and whenever it did so. A limit below the
+// current use is divided once enough tasks have ended; no task is stopped for it.
 func (m *Manager) LimitChanges(s ClusterState) []LimitChange {
 	var changes []LimitChange
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
@@ -108,7 +109,8 @@
 }
 
 // legacyBarrier is the key under which the TeamUsage record of an allotted team shows the
-// whole limit as used, so that controllers of versions without allotments start nothing.
+// whole limit as used, so that controllers of versions without allotments start no task of the
+// team.
 const legacyBarrier = "*"
 
 // beginAllotting returns the first step of the change from the TeamUsage record to
--- a/internal/coordination/quota/limits_test.go
+++ b/internal/coordination/quota/limits_test.go
@@ -27,11 +27,12 @@
 	}
 }
 
-// limitedTeam is team "t", for controllers that share a store. The shards are n0 and n1.
+// limitedTeam is a test cluster with the shards n0 and n1, where several controllers divide
+// the limit of team "t" through a common store.
 type limitedTeam struct {
 	t           *testing.T
 	store       *fakeStore
-	use         map[string]Resources // by holder
+	use         map[string]Resources // use of the team, by holder
 	legacyUsage map[string]Resources // content of the TeamUsage record, which older versions read
 }
 
@@ -108,13 +109,13 @@
 	if leader.Allowance("t", CrossShard, cpus(2)) != 0 {
 		t.Fatal("tasks may start after the limit was lowered below its use")
 	}
-	l.expectChanges(leader, true) // 10 CPUs of a limit of 6 are in use
+	l.expectChanges(leader, true) // 10 CPUs are in use, more than the limit of 6
 	l.use["n0"] = cpus(4)
 	l.expectChanges(leader, true, "divided")
 	if got := leader.Allowance("t", CrossShard, cpus(2)) + leader.Allowance("t", "n0", cpus(2)) + leader.Allowance("t", "n1", cpus(2)); got != 1 {
 		t.Fatalf("%d tasks may start with 4 of 6 CPUs in use", got)
 	}
-	l.store.managers = l.store.managers[:1] // the other controller has ended
+	l.store.managers = l.store.managers[:1] // the controller with the lower limit has ended
 	l.expectChanges(leader, true, "raised")
 	l.expectChanges(leader, true, "divided")
 
--- a/internal/coordination/quota/manager.go
+++ b/internal/coordination/quota/manager.go
@@ -50,7 +50,7 @@
 	transferring map[string]Resources     // amounts whose transfer is being committed, by donor
 	demands      map[string]*holderDemand // by holder
 
-	waitingSince      time.Time // since when the limit has held up a job of the team; zero: it holds up none
+	waitingSince      time.Time // since when the limit has held up a job of the team; zero if the limit holds up no job
 	waitingReportedAt time.Time // when WaitingTeams last returned the team
 }
 
--- a/internal/coordination/quota/rebalance.go
+++ b/internal/coordination/quota/rebalance.go
@@ -9,8 +9,8 @@
 // Holder is a shard, or CrossShard, with its allotment of one team's limit.
 type Holder struct {
 	Name   string
-	Grant  Resources // total that the holder may use
-	Use    Resources // current use
+	Grant  Resources // total amount that the holder may use
+	Use    Resources // amount that the holder uses now
 	Demand *Demand   // nil if the holder has no demand
 }
 
@@ -71,8 +71,8 @@
 
 // surplusFor returns the amount that a holder can transfer for another holder's first job. A
 // holder with a demand keeps the amount that the demand could use, unless the other job has
-// waited for StarvationThreshold and is earlier in the order. It transfers nothing for an
-// anticipated demand.
+// waited for StarvationThreshold and is earlier in the order. Such a holder transfers nothing
+// for an anticipated demand.
 func (r *rebalancing) surplusFor(from, to int) Resources {
 	donor, receiver := &r.holders[from], &r.holders[to]
 	left := r.unused[from].Minus(r.reserved[from])
@@ -111,9 +111,9 @@
 	r.reserved[i] = r.unused[i].Min(head)
 }
 
-// donorsFor returns the holders that can transfer something for a holder's first job, and
-// the sum of what they can transfer. Holders without a demand come first, then larger
-// amounts before smaller ones.
+// donorsFor returns the holders that can transfer unused allotment for a holder's first job,
+// and the sum of the amounts that they can transfer. Holders without a demand come before
+// holders with a demand, and larger amounts before smaller ones.
 func (r *rebalancing) donorsFor(i int) (donors []int, available Resources) {
 	for j := range r.holders {
 		if surplus := r.surplusFor(j, i); j != i && !surplus.IsZero() {
@@ -147,7 +147,8 @@
 }
 
 // distributeUnused divides the unused amounts of holders without a demand among the holders
-// that could start more tasks, in units that suffice to start something.
+// that could start more tasks, in units that suffice to start one task, or all tasks of a
+// gang.
 func (r *rebalancing) distributeUnused(demanding []int) {
 	usable := make([]int, len(r.holders)) // units that each holder could use beyond its unused allotment
 	total := 0
--- a/internal/coordination/quota/rebalance_test.go
+++ b/internal/coordination/quota/rebalance_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Allotment of holders without demand must be transferred to the holder that demands it, and
-// no more than the demand.
+// Unused allotment of holders without demand must be transferred to the holder with a demand,
+// up to the amount of the demand.
 func TestRebalanceGivesUnusedPartsToDemand(t *testing.T) {
 	got := Rebalance(cpus(20), []Holder{
 		{Name: "*", Grant: cpus(12)},
--- a/internal/coordination/quota/reservations.go
+++ b/internal/coordination/quota/reservations.go
@@ -34,11 +34,11 @@
 // be preempted for it.
 type ReservationRequest struct {
 	Team         string
-	ClaimKey     string // of the chunk
-	Shard        string // whose owner makes the reservation
-	FencingToken uint64 // of the shard's owner
+	ClaimKey     string // key of the chunk's claim
+	Shard        string // shard whose owner makes the reservation
+	FencingToken uint64 // fencing token of the shard's owner
 	Use          Resources
-	Victims      map[string][]string // names of the tasks, as in records.Preemption, by team
+	Victims      map[string][]string // names of the tasks to be preempted, as in records.Preemption, by team
 }
 
 // HasReservation reports whether a claim has a reservation on its team's guarantee.
@@ -71,9 +71,9 @@
 	return kv.Compare{Key: records.ReservationPrefix + name, Version: m.team(name).reservationsVersion}, true
 }
 
-// Reserve returns the transaction that writes a reservation to the records of its team and
-// of the teams that lose tasks. The transaction fails if any of these records has changed, so
-// no two claims count on the same part of a guarantee or of another team's surplus.
+// Reserve returns the transaction that writes a reservation to the records of its team and of
+// the teams that lose tasks. The transaction fails if any of these records has changed, so two
+// claims never use the same part of a guarantee or of another team's surplus.
 func (m *Manager) Reserve(request ReservationRequest) ([]kv.Compare, []kv.Op) {
 	changed := map[string]*records.Reservations{request.Team: m.copyReservations(request.Team)}
 	changed[request.Team].ByClaim[request.ClaimKey] = records.Reservation{Shard: request.Shard, Use: request.Use, FencingToken: request.FencingToken}
@@ -148,17 +148,17 @@
 	return slices.Sorted(maps.Keys(expired))
 }
 
-// isExpired reports whether a reservation can be released. It is true only for reservations
-// of shards that this controller owns, if an earlier owner made the reservation, no capacity
-// is kept for the claim, or all of the reserved amount is placed.
+// isExpired reports whether a reservation can be released. The result is true only for
+// reservations of shards that this controller owns, if an earlier owner made the reservation,
+// no capacity is kept for the claim, or all of the reserved amount is placed.
 func isExpired(claim string, reservation records.Reservation, usage Usage) bool {
 	token := usage.OwnerToken(reservation.Shard)
 	return token != 0 && (token != reservation.FencingToken || !usage.HoldsCapacity(claim, reservation.Shard) || reservation.Use.Within(usage.PlacedBy(claim)))
 }
 
 // isOrphaned reports whether the reservation that belongs to a preemption no longer exists.
-// Reserve and Release write both together; a preemption without its reservation would reduce
-// its team's surplus forever.
+// Reserve and Release write a reservation together with its preemptions; a preemption without
+// its reservation would reduce its team's surplus forever.
 func (m *Manager) isOrphaned(claim string, preemption records.Preemption) bool {
 	beneficiary := m.teams[preemption.BeneficiaryTeam]
 	return beneficiary == nil || beneficiary.reservations.ByClaim[claim].Shard == ""
--- a/internal/coordination/quota/reservations_test.go
+++ b/internal/coordination/quota/reservations_test.go
@@ -9,10 +9,10 @@
 
 // fakeUsage implements Usage for the owner of the only shard.
 type fakeUsage struct {
-	inUse         map[string]Resources // by team
+	inUse         map[string]Resources // use by team
 	beingPlaced   map[string]Resources // by team; the part of inUse whose placement is not committed yet
-	placedBy      map[string]Resources // by claim
-	taskUse       map[string]Resources // by task
+	placedBy      map[string]Resources // use of the placements of a claim, by claim
+	taskUse       map[string]Resources // use of placed tasks, by task
 	token         uint64
 	holdsCapacity bool
 }
@@ -91,7 +91,8 @@
 }
 
 // A reservation must not be released before it is placed, its shard has another owner or its
-// capacity is no longer kept. A release has to remove it from the records of all teams.
+// capacity is no longer kept. A release has to remove the reservation from the records of all
+// teams.
 func TestReservationsExpireAndAreReleasedEverywhere(t *testing.T) {
 	m, store, usage := guaranteedTeams()
 	if !store.commit(m.Reserve(reserve4)) {
--- a/internal/coordination/quota/transfers.go
+++ b/internal/coordination/quota/transfers.go
@@ -24,8 +24,8 @@
 }
 
 // DueTransfers returns the transfers that are due from the holders that this controller
-// decides for. decidesFor reports whether it decides for a holder, and returns the condition
-// of the transfer: the version of the Shard or Leader record.
+// decides for. decidesFor reports whether this controller decides for a holder, and returns
+// the condition of a transfer from the holder: the version of the Shard or Leader record.
 func (m *Manager) DueTransfers(decidesFor func(holder string) (kv.Compare, bool), now time.Time) []PendingTransfer {
 	var pending []PendingTransfer
 	for _, name := range slices.Sorted(maps.Keys(m.teams)) {
@@ -33,7 +33,7 @@
 		if !team.isAllotted() || team.limit.Base == nil || team.limit.Closing || len(team.demands) == 0 {
 			continue
 		}
-		due := make(map[string]map[string]Resources) // by holder and receiver
+		due := make(map[string]map[string]Resources) // amounts to be transferred, by holder and receiver
 		for _, transfer := range Rebalance(team.limit.Max, m.holders(team, now)) {
 			if due[transfer.From] == nil {
 				due[transfer.From] = make(map[string]Resources)
--- a/internal/coordination/quota/transfers_test.go
+++ b/internal/coordination/quota/transfers_test.go
@@ -9,9 +9,10 @@
 	"madderslip/internal/storage/records"
 )
 
-// A transfer is one change of its holder's record, conditional on the controller still
-// deciding for the holder. The same amount must not be transferred twice: while a transfer
-// is being committed it counts as done, and demands reported before it are removed.
+// A transfer changes only the record of the allotment from which an amount is transferred, on
+// the condition that the controller still decides for the holder of this allotment. The same
+// amount must not be transferred twice: while a transfer is being committed, the amount counts
+// as transferred, and demands reported before the transfer are removed.
 func TestTransferBeingCommittedCountsAsDone(t *testing.T) {
 	now := time.Unix(0, 0)
 	m := New(map[string]protocol.Team{"t": {Name: "t", MaxCPUs: 16}}, true, func(string, string) Resources { return Resources{} })
@@ -35,7 +36,7 @@
 	if m.Grant("t", "n0") != cpus(10) || m.Grant("t", "n1") != cpus(6) || len(m.DueTransfers(ownsN0, now)) != 0 {
 		t.Fatal(m.Grant("t", "n0"), m.Grant("t", "n1"))
 	}
-	store.versions[records.ShardPrefix+"n0"] = 9 // the shard has another owner
+	store.versions[records.ShardPrefix+"n0"] = 9 // shard n0 has another owner
 	m.ObserveDemands("other", []protocol.Demand{{Team: "t", Holder: "n1", Head: cpus(2), PerTask: cpus(2), Total: cpus(8), JobID: "wk-1"}}, now)
 	if due := m.DueTransfers(ownsN0, now); len(due) != 1 || store.commit(due[0].Compares, due[0].Ops) {
 		t.Fatal("no transfer was due, or the former owner's transfer was committed")
--- a/internal/coordination/quota/waiting.go
+++ b/internal/coordination/quota/waiting.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// WaitingTeam describes a team whose jobs its limit holds up, for the log.
+// WaitingTeam describes a team whose limit holds up jobs, for the log.
 type WaitingTeam struct {
 	Team      string
 	WaitedFor time.Duration
 	Limit     Resources
-	Grants    map[string]Resources // total that each holder may use
+	Grants    map[string]Resources // total amount that each holder may use
 	Usage     map[string]Resources // current use of each holder
 }
 
