--- a/internal/coordination/health/cancelled_tasks.go
+++ b/internal/coordination/health/cancelled_tasks.go
@@ -10,7 +10,7 @@
 type CancelledTask struct {
 	Age        time.Duration // time since the cancellation was confirmed to the user
 	Silent     bool          // the machine is silent while others are not, and did not answer a probe
-	TokenShown bool          // the machine has sent the owner a message with the owner's fencing token
+	TokenShown bool          // the machine's newest heartbeat has the owner's fencing token
 	OwnedFor   time.Duration // time since the owner began to act for the machine
 }
 
