--- a/internal/storage/kv/batch.go
+++ b/internal/storage/kv/batch.go
@@ -12,7 +12,7 @@
 	readBatchDelay   = 60*time.Millisecond + 67*time.Nanosecond
 	idleInterval     = 250*time.Millisecond + 61*time.Nanosecond // longest time between two passes over the queue
 	maxInflight      = 6
-	maxReadsInflight = maxInflight / 2 // limit on those of them that hold reads
+	maxReadsInflight = maxInflight / 2 // limit on the concurrent requests that hold reads
 	maxBatchBytes    = 60 << 10
 )
 
@@ -27,14 +27,14 @@
 // transaction that makes changes lacks budget, no less urgent changes are sent. Concurrent
 // requests never exceed maxInflight, those of reads maxReadsInflight.
 //
-// Its lock is acquired before the queue's.
+// The batcher's lock is acquired before the queue's lock.
 type batcher struct {
 	queue   *queue
 	limiter *limiter
 
 	mu            sync.Mutex
 	inflight      int  // requests in flight, guarded by mu
-	readsInflight int  // of those, requests of reads, guarded by mu
+	readsInflight int  // requests in flight that hold reads, guarded by mu
 	lastWasRead   bool // whether the latest request held reads, guarded by mu
 }
 
--- a/internal/storage/kv/budgetlog.go
+++ b/internal/storage/kv/budgetlog.go
@@ -24,9 +24,9 @@
 type budgetUse struct{ changes, failed int }
 
 // budgetLog counts how much of the budgets each priority uses and logs it every
-// budgetLogInterval, with the number of pending transactions. It shows on-call engineers
-// when the state service's budget is the bottleneck of the cluster. Its lock is acquired
-// before those of queue and batcher.
+// budgetLogInterval, with the number of pending transactions. The log shows on-call
+// engineers when the state service's budget is the bottleneck of the cluster. The lock of
+// budgetLog is acquired before those of queue and batcher.
 type budgetLog struct {
 	log *slog.Logger
 
--- a/internal/storage/kv/client.go
+++ b/internal/storage/kv/client.go
@@ -20,7 +20,7 @@
 // Timeouts of calls.
 const (
 	readTimeout  = 1500*time.Millisecond + 43*time.Nanosecond
-	listTimeout  = 2 * readTimeout // per page
+	listTimeout  = 2 * readTimeout // timeout of each page
 	leaseTimeout = time.Second
 )
 
@@ -60,8 +60,8 @@
 	}
 }
 
-// AnnounceLimits sets the limits that the state service will have from some moment on, of
-// which it gives no notice. It is called before Run.
+// AnnounceLimits sets the limits that the state service will introduce at some time without
+// notice. AnnounceLimits is called before Run.
 func (c *Client) AnnounceLimits(next protocol.StateLimits) { c.limiter.limits.announce(next) }
 
 // SetBudgetShare sets this node's share of the budgets, from 0 to 1. A tenth of the share
@@ -75,7 +75,8 @@
 // shows that the state service executed the call.
 func (c *Client) LastSuccess() time.Time { return time.Unix(0, c.connection.lastSuccess.Load()) }
 
-// Get reads one key. Errors are of type *Error, here and below.
+// Get reads one key. The errors of Get, List, Watch, GrantLease and KeepAlive
+// are of type *Error.
 func (c *Client) Get(ctx context.Context, key string) (Item, error) {
 	item, err := c.get(ctx, key)
 	return item, wrapError(opGet, key, err)
--- a/internal/storage/kv/golden_test.go
+++ b/internal/storage/kv/golden_test.go
@@ -15,7 +15,7 @@
 var codec = golden.Codec{Encode: protocol.Encode, Decode: protocol.Decode}
 
 // TestGoldenMessages: every message of the state service is decoded and encoded byte for byte
-// as at commit 096baff.
+// as at commit 096baff, the version before types and fields were renamed.
 func TestGoldenMessages(t *testing.T) {
 	golden.Check(t, codec, []golden.Kind{
 		{Name: "state-list", Value: &wireList{}},
@@ -42,7 +42,8 @@
 }
 
 // TestGoldenCalls: the calls whose messages have no golden file of their own send the same
-// paths and bodies as at commit 096baff, and decode the same answers.
+// paths and bodies as at commit 096baff, the version before types and fields were renamed,
+// and decode the same answers.
 func TestGoldenCalls(t *testing.T) {
 	service := &recordingService{answer: `{"value":{"n":1},"stamp":7,"permit":8,"items":[],"truncated":false,"epoch":9,"news":[]}`}
 	client := New(service, "127.0.0.1:1", protocol.StateLimits{RequestRate: 1000, WriteRate: 1000, MaxValueBytes: 8192, MaxTxnOps: 12}, slog.New(slog.DiscardHandler))
--- a/internal/storage/kv/limiter.go
+++ b/internal/storage/kv/limiter.go
@@ -14,12 +14,12 @@
 // Minimum bursts of the budgets.
 const (
 	minRequestBurst = 4
-	minWriteBurst   = 8 // the most changes of one transaction, with a margin
+	minWriteBurst   = 8 // minimum burst of writes: the largest number of changes in one transaction, with a margin
 )
 
 // Parts of the budgets that are reserved for more urgent uses.
 const (
-	usableShare       = 0.9  // of the node's share; the rest is for lease renewals, which bypass the limiter
+	usableShare       = 0.9  // part of the node's share that the limiter uses; the rest is for lease renewals, which bypass the limiter
 	backgroundReserve = 0.5  // part of the write burst that background transactions leave unused
 	completionReserve = 0.25 // part of the write burst that completions leave unused
 )
@@ -91,8 +91,8 @@
 
 // Parameters by which the accepted write rate is inferred.
 const (
-	minRateFactor    = 0.5                    // lower bound of rateFactor, unless a lower write rate is announced, which then is the bound
-	rateDecrease     = 0.95                   // the rate is multiplied by it when the service refuses changes for their rate
+	minRateFactor    = 0.5                    // lower bound of rateFactor; if a lower write rate is announced, the announced rate is the bound instead
+	rateDecrease     = 0.95                   // factor by which rateFactor is multiplied when the service refuses changes for their rate
 	decreaseInterval = 250 * time.Millisecond // minimum time between decreases, so that a burst of refusals counts once
 	recoveryPeriod   = 50 * time.Second       // time in which rateFactor grows by 1 without refusals
 )
@@ -136,7 +136,8 @@
 
 // recordRefused records that the service refused a batch. merged holds all changes and
 // conditions of the batch (see mergeBatch). If the batch exceeds only the announced limits,
-// these are in effect from now on. It reports whether this refusal put them into effect.
+// the announced limits are
+// in effect from now on. The result reports whether this refusal put them into effect.
 func (l *learnedLimits) recordRefused(merged *Txn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/storage/kv/limiter_test.go
+++ b/internal/storage/kv/limiter_test.go
@@ -76,7 +76,7 @@
 	l := newLearnedLimits(protocol.StateLimits{WriteRate: 30})
 	l.announce(protocol.StateLimits{WriteRate: 21})
 	l.recordRateLimited(now)
-	l.recordRateLimited(now.Add(time.Millisecond)) // in the same burst
+	l.recordRateLimited(now.Add(time.Millisecond)) // a refusal in the same burst as the previous one
 	if got := l.writeRate(now); got != 30*rateDecrease {
 		t.Fatalf("%v after one burst", got)
 	}
--- a/internal/storage/kv/outcome.go
+++ b/internal/storage/kv/outcome.go
@@ -18,17 +18,18 @@
 	retryUnavailable = 200*time.Millisecond + 83*time.Nanosecond
 )
 
-// outcomeKind is the outcome of a batch, as its answer reports it.
+// outcomeKind says whether a batch was applied, was not applied for a given cause, or has an
+// unknown outcome.
 type outcomeKind int
 
 const (
 	noAnswer      outcomeKind = iota // the batch may have been applied, may be applied later, or never
-	committed                        // applied in full
-	compareFailed                    // not applied, like all kinds below: a condition failed
-	leaseExpired                     // a lease of one of its changes has expired
-	refused                          // malformed, or larger than the service accepts
-	rateLimited                      // over the service's rate limit
-	unavailable                      // the service was unable to execute it, or gave an unexpected status
+	committed                        // the batch was applied in full
+	compareFailed                    // a condition failed; with this kind and all kinds below, the batch was not applied
+	leaseExpired                     // the lease of one of the batch's changes has expired
+	refused                          // the batch is malformed, or larger than the service accepts
+	rateLimited                      // the batch exceeds the service's rate limit
+	unavailable                      // the service was unable to execute the batch, or gave an unexpected status
 )
 
 // outcome is the outcome of one attempt to send a batch. It has no lock: it belongs to the
@@ -36,8 +37,8 @@
 // sent again; a batch that was refused is never sent again unchanged.
 type outcome struct {
 	kind   outcomeKind
-	answer wireTxnAnswer // for kinds other than noAnswer
-	err    error         // for noAnswer
+	answer wireTxnAnswer // the service's answer; empty for noAnswer
+	err    error         // why there is no answer; set for noAnswer only
 }
 
 // classify returns the outcome of a call. A status together with an error means that the
@@ -106,10 +107,10 @@
 	}
 }
 
-// retryOffset returns a small delay that differs between batches. Without it, two batches
-// sent one batchDelay apart that get no answer would return to the queue one batchDelay
-// apart: the second at the instant at which the first is sent again, and whether both go in
-// one batch would not be reproducible.
+// retryOffset returns a small delay that differs between batches. Suppose that two batches
+// are sent one batchDelay apart and get no answer. With equal delays, the second would return
+// to the queue at the instant at which the first is sent again, since a returned batch waits
+// in the queue for batchDelay; whether both go in one request would not be reproducible.
 func retryOffset(batch []*Txn) time.Duration {
 	const maxOffset = 1000
 	return time.Duration(batch[0].sequence%maxOffset) * time.Nanosecond
--- a/internal/storage/kv/outcome_test.go
+++ b/internal/storage/kv/outcome_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestClassify: the status decides the outcome of a call, together with the error if there was
-// no answer, and with the reason if a lease has expired.
+// TestClassify: the status of the answer decides the outcome of a call. The error decides if
+// there was no answer; an expired lease is recognized by the reason in the answer.
 func TestClassify(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/internal/storage/kv/queue.go
+++ b/internal/storage/kv/queue.go
@@ -18,14 +18,14 @@
 
 	mu       sync.Mutex
 	pending  []*Txn // guarded by mu
-	sequence uint64 // of the transaction added last, guarded by mu
+	sequence uint64 // sequence number of the transaction added last, guarded by mu
 	closed   bool   // guarded by mu
 }
 
 func newQueue() *queue { return &queue{wakeup: make(chan struct{}, 1)} }
 
-// add queues transactions and reports whether it did. Once the queue is closed it does not,
-// and the caller has to deliver their results.
+// add queues transactions and reports whether the queue is open. If the queue is closed, no
+// transaction is queued, and the caller has to deliver their results.
 func (q *queue) add(transactions ...*Txn) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/storage/kv/send.go
+++ b/internal/storage/kv/send.go
@@ -117,9 +117,9 @@
 	return changes + reads/max(1, c.limiter.limits.effective().MaxTxnOps), float64(c.limiter.writes.Limit())
 }
 
-// ReadBacklog returns how many reads are queued and how many a second are answered at least:
-// at least half of the requests are available to reads, and each holds as many conditions
-// as the limits allow.
+// ReadBacklog returns the number of queued reads and the minimum number of reads that are
+// answered per second. At least half of the requests are available to reads, and each request
+// holds as many conditions as the limits allow.
 func (c *Client) ReadBacklog() (waiting int, rate float64) {
 	return c.queue.count((*Txn).isRead), float64(c.limiter.requests.Limit()) / 2 * float64(comparesPerOp*c.limiter.limits.effective().MaxTxnOps)
 }
--- a/internal/storage/kv/send_test.go
+++ b/internal/storage/kv/send_test.go
@@ -35,7 +35,7 @@
 // TestRunWaitsForCallsAndResults: when Run returns, each transaction submitted before has its
 // result, also if it was in flight, and no call is in flight any more.
 func TestRunWaitsForCallsAndResults(t *testing.T) {
-	const count = 60 // more than are sent at once
+	const count = 60 // number of transactions, more than the concurrent requests can hold
 	for _, test := range []struct {
 		name                  string
 		callEnds, resultTakes time.Duration
--- a/internal/storage/kv/txn.go
+++ b/internal/storage/kv/txn.go
@@ -43,8 +43,8 @@
 // one. Aging keeps a steady load of urgent transactions from starving the others.
 const agingInterval = 3 * time.Second
 
-// Txn is a small transaction: all of Ops are applied if all of Compares hold, else none. One
-// without Ops is called a read. Several transactions are sent in one batch; a failed
+// Txn is a small transaction: all of Ops are applied if all of Compares hold, else none. A
+// transaction without Ops is called a read. Several transactions are sent in one batch; a failed
 // condition of one does not fail the others. Each must be conditional on versions that make
 // it harmless when it is applied late or twice.
 //
@@ -61,9 +61,9 @@
 	encodedOps     []wireOp
 	queuedAt       time.Time
 	sequence       uint64 // order of submission, for transactions queued at the same instant
-	bytes          int    // approximate size that it adds to a request
-	maxValueBytes  int    // of its largest value
-	sendAlone      bool   // it was in a batch that was refused although the batch kept the limits
+	bytes          int    // approximate size that the transaction adds to a request
+	maxValueBytes  int    // size of the transaction's largest value
+	sendAlone      bool   // the transaction was in a batch that was refused although the batch kept the limits
 	outcomeUnknown bool   // an earlier attempt got no answer
 }
 
--- a/internal/storage/records/bitmap.go
+++ b/internal/storage/records/bitmap.go
@@ -58,8 +58,9 @@
 	w.RawByte(']')
 }
 
-// UnmarshalEasyJSON decodes the ranges. They must be in ascending order and must not go beyond
-// protocol.MaxTasks, with a margin for rounding up to whole bytes; anything else is an error.
+// UnmarshalEasyJSON decodes a bitmap from the list of the ranges of set bits. The ranges must
+// be in ascending order, and no range may end more than 8 bits above protocol.MaxTasks, which
+// is a margin for rounding up to whole bytes; anything else is an error.
 func (b *Bitmap) UnmarshalEasyJSON(l *jlexer.Lexer) {
 	*b = nil
 	if l.IsNull() {
--- a/internal/storage/records/claims.go
+++ b/internal/storage/records/claims.go
@@ -19,10 +19,10 @@
 //
 //easyjson:json
 type Claim struct {
-	Shard       string      `json:"h"` // empty: placed across shards; each shard's owner updates the part on its own machines
+	Shard       string      `json:"h"` // shard that claimed the chunk; empty: placed across shards, each shard's owner updates the placements on its own machines
 	FirstTask   int         `json:"f,omitempty"`
 	TaskCount   int         `json:"n"`
-	Completed   Bitmap      `json:"d,omitempty"` // task numbers relative to FirstTask
+	Completed   Bitmap      `json:"d,omitempty"` // the completed tasks, by their numbers relative to FirstTask
 	Placements  []Placement `json:"o,omitempty"`
 	LastAttempt uint64      `json:"a,omitempty"` // the highest attempt number given to any task of the chunk
 }
--- a/internal/storage/records/cluster.go
+++ b/internal/storage/records/cluster.go
@@ -23,7 +23,7 @@
 // previous process.
 type Shard struct {
 	Owner             string `json:"o"`
-	Changes           int    `json:"e"`           // counts the writes, so that no two versions of the record are equal
+	Changes           int    `json:"e"`           // number of writes of the record, so that no two versions of the record are equal
 	NoHandbackUntilMs int64  `json:"w,omitempty"` // Unix milliseconds; until then the shard is not handed back to its home node, which gave it away
 }
 
@@ -41,18 +41,18 @@
 //
 //easyjson:json
 type Machine struct {
-	Shard      string `json:"h"` // does not change while the machine is rented
+	Shard      string `json:"h"` // the machine's shard, which does not change while the machine is rented
 	Type       string `json:"t"`
 	Zone       string `json:"z"`
 	Spot       bool   `json:"s,omitempty"`
 	State      string `json:"x,omitempty"` // MachineInUse, MachineReturning or MachineGone
-	RentedAtMs int64  `json:"b,omitempty"` // Unix milliseconds; used only to estimate and check boot times
+	RentedAtMs int64  `json:"b,omitempty"` // time of the rental, Unix milliseconds; used only to estimate and check boot times
 }
 
 // States of a machine. All but MachineInUse are final: no task is placed on the machine any
 // more, whichever controller owns the shard.
 const (
 	MachineInUse     = ""
-	MachineReturning = "r" // recorded before the cloud is asked to take the machine back
+	MachineReturning = "r" // the machine is being returned; written before the return request is sent to the cloud
 	MachineGone      = "g" // the cloud has confirmed the return
 )
--- a/internal/storage/records/doc.go
+++ b/internal/storage/records/doc.go
@@ -1,7 +1,7 @@
 // Package records defines what controllers store in the state service: the record types,
 // their keys and their codecs.
 //
-// It owns the storage format. Struct tags, key prefixes and encodings do not change when Go
+// The package owns the storage format. Struct tags, key prefixes and encodings do not change when Go
 // names change: during a rolling restart controllers of two versions read and write the same
 // records.
 //
@@ -11,5 +11,5 @@
 // fencing token of a shard's owner is the version of the Shard record. The writers ensure
 // these conditions; this package does not check them.
 //
-// It keeps no state, does no I/O and imports nothing of the module but protocol.
+// The package keeps no state, does no I/O and imports nothing of the module but protocol.
 package records
--- a/internal/storage/records/gangs.go
+++ b/internal/storage/records/gangs.go
@@ -5,7 +5,7 @@
 // the reservation, and attaches it to its lease. It deletes the record, conditional on the
 // known version.
 type GangReservation struct {
-	ExpiresAtMs int64 `json:"u"` // Unix milliseconds; only for cleanup by the leader: the lease ends the reservation in any case
+	ExpiresAtMs int64 `json:"u"` // Unix milliseconds; after this time the leader deletes the reservation, which ends in any case when its lease expires
 }
 
 // GangHold is the capacity that a shard holds for the job of a GangReservation. The shard's
--- a/internal/storage/records/golden_test.go
+++ b/internal/storage/records/golden_test.go
@@ -34,12 +34,14 @@
 	}
 }
 
-// TestGoldenRecords: every record is decoded and encoded byte for byte as at commit 096baff.
+// TestGoldenRecords: every record is decoded and encoded byte for byte as at commit 096baff,
+// the version before types and fields were renamed.
 func TestGoldenRecords(t *testing.T) {
 	golden.Check(t, codec, kinds(), "keys.txt")
 }
 
-// TestGoldenKeys: the keys of records are those of commit 096baff.
+// TestGoldenKeys: the keys of records are those of commit 096baff, the version before types
+// and fields were renamed.
 func TestGoldenKeys(t *testing.T) {
 	keys := []string{NodePrefix, ShardPrefix, MachinePrefix, JobPrefix, ClaimPrefix, TeamUsagePrefix, TeamLimitPrefix, AllotmentPrefix, ReservationPrefix,
 		ProvisionPrefix, ImagePrefix, GangReservationPrefix, GangHoldPrefix, LeaderKey, ClaimKey("wk-000412", 0), ClaimKey("wk-7", 12)}
--- a/internal/storage/records/provisioning.go
+++ b/internal/storage/records/provisioning.go
@@ -16,7 +16,7 @@
 type Provision struct {
 	protocol.ProvisionRequest
 	Allocations   []Allocation `json:"p"`
-	RequestedAtMs int64        `json:"b"`           // Unix milliseconds
+	RequestedAtMs int64        `json:"b"`           // time of the request, Unix milliseconds
 	Hosts         []string     `json:"m,omitempty"` // hosts in the answer, allocated to shards in the order of Allocations
 }
 
--- a/internal/storage/records/quota.go
+++ b/internal/storage/records/quota.go
@@ -7,7 +7,7 @@
 // the limit is allotted, the record shows the whole limit as used under "*", so that versions
 // that do not support allotments start no task of the team.
 type TeamUsage struct {
-	ByShard map[string]protocol.Resources `json:"u"` // by shard; for a job placed across shards by "*" followed by its id
+	ByShard map[string]protocol.Resources `json:"u"` // use by shard; the use of a job placed across shards has the key "*" followed by the job's id
 }
 
 // TeamLimit is a team's limit and its division among the holders: the shards, and "*" for work
@@ -20,7 +20,7 @@
 // usage is being counted.
 type TeamLimit struct {
 	Generation uint64                        `json:"v"`           // increases with each write; transfers of an earlier generation are void
-	Max        protocol.Resources            `json:"m"`           // 0 CPUs or GPUs: no limit on them
+	Max        protocol.Resources            `json:"m"`           // the limit; 0 CPUs means no limit on CPUs, and 0 GPUs no limit on GPUs
 	Base       map[string]protocol.Resources `json:"b,omitempty"` // share of each holder; the sum does not exceed Max
 	Closing    bool                          `json:"c,omitempty"` // accounting returns to TeamUsage once the current usage is counted
 	Closed     bool                          `json:"x,omitempty"` // accounting has returned to TeamUsage
@@ -35,8 +35,8 @@
 // key has one writer, so concurrent transfers of different holders do not make one another
 // fail.
 type Allotment struct {
-	Generation  uint64                        `json:"v"` // the TeamLimit's generation; with any other the record is void
-	Transferred map[string]protocol.Resources `json:"g"` // by receiver
+	Generation  uint64                        `json:"v"` // generation of the TeamLimit; a record with another generation than the TeamLimit's is void
+	Transferred map[string]protocol.Resources `json:"g"` // amounts transferred, by the receiving holder
 }
 
 // Reservations are the reservations on a team's guarantee, and the team's tasks that are being
@@ -45,23 +45,23 @@
 //
 // A shard's owner writes the record, conditional on its fencing token and the known versions
 // of all teams' records that it changes in the same transaction, so no two owners count the
-// same resources. Task starts of a team with a guarantee are conditional on the record. It is
-// never deleted: otherwise a condition that it does not exist could hold again.
+// same resources. Task starts of a team with a guarantee are conditional on the record.
+// The record is never deleted: otherwise a condition that it does not exist could hold again.
 type Reservations struct {
 	ByClaim   map[string]Reservation `json:"d,omitempty"`
 	Preempted map[string]Preemption  `json:"t,omitempty"`
 }
 
-// Reservation is a chunk's reservation on its team's guarantee.
+// Reservation is the amount of a team's guarantee that is reserved for a chunk.
 type Reservation struct {
 	Shard        string             `json:"h"` // the shard whose owner preempts tasks for the chunk
-	Use          protocol.Resources `json:"u"` // of all tasks of the chunk, including those already placed
-	FencingToken uint64             `json:"o"` // of the owner that made it; with any other token than the current owner's it is void
+	Use          protocol.Resources `json:"u"` // resources of all tasks of the chunk, including the tasks already placed
+	FencingToken uint64             `json:"o"` // token under which the reservation was made; the reservation is void unless the current owner has this token
 }
 
 // Preemption lists the tasks of a team that are stopped for a chunk of another team.
 type Preemption struct {
-	BeneficiaryTeam string   `json:"b"` // the team of the chunk
+	BeneficiaryTeam string   `json:"b"` // the team of the chunk for which the tasks are stopped
 	Shard           string   `json:"h"` // the shard whose owner stops the tasks
-	Tasks           []string `json:"n"` // claim key, task and host of each placement
+	Tasks           []string `json:"n"` // claim key, task and host of each placement that is stopped
 }
