--- a/internal/protocol/agents.go
+++ b/internal/protocol/agents.go
@@ -13,7 +13,7 @@
 	TaskWaitingForGang = "gathering" // the other tasks of its gang have not all started
 	TaskRunning        = "running"
 	TaskCheckpointing  = "flushing" // the task was stopped and saves a checkpoint
-	TaskExited         = "exited"   // kept in the worker's memory until a reap command
+	TaskExited         = "exited"   // the task has ended; the worker keeps its status in memory until a reap command
 )
 
 // Causes of a task's exit.
@@ -33,7 +33,7 @@
 	Task         string `json:"shard"` // see TaskName
 	Attempt      uint64 `json:"try"`
 	Phase        string `json:"phase"` // one of TaskFetching to TaskExited
-	Cause        string `json:"cause"` // of the exit; empty before the exit
+	Cause        string `json:"cause"` // cause of the task's exit; empty before the exit
 	Checkpointed bool   `json:"kept"`  // the task saved a checkpoint when it was stopped
 }
 
@@ -44,13 +44,13 @@
 //easyjson:json
 type Heartbeat struct {
 	Host         string `json:"host"`
-	Address      string `json:"address"` // of the agent, IP address and port
+	Address      string `json:"address"` // IP address and port of the agent
 	Type         string `json:"flavour"`
 	Zone         string `json:"hall"`
 	Spot         bool   `json:"loaner"`
 	AgentEpoch   uint64 `json:"tenure"` // increases when the agent's lease expires, 1 after a restart; never 0
-	Sequence     uint64 `json:"tick"`   // increases with each heartbeat of an epoch
-	FencingToken uint64 `json:"baton"`  // the highest that the agent has received
+	Sequence     uint64 `json:"tick"`   // increases with each heartbeat within an agent epoch
+	FencingToken uint64 `json:"baton"`  // the highest fencing token that the agent has received
 	// PreemptionNoticeS is the time in seconds until the cloud preempts a spot machine; nil
 	// if the cloud has given no notice.
 	PreemptionNoticeS *float64     `json:"warningS"`
@@ -126,7 +126,7 @@
 //easyjson:json
 type CommandRequest struct {
 	FencingToken uint64    `json:"baton"`
-	AgentEpoch   uint64    `json:"tenure"` // of the agent that the commands are meant for
+	AgentEpoch   uint64    `json:"tenure"` // epoch of the agent for which the commands are meant
 	Commands     []Command `json:"orders"`
 }
 
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -10,11 +10,11 @@
 	GPUs          float64  `json:"cards"`
 	MemoryGB      float64  `json:"memGb"`
 	ImageCacheGB  float64  `json:"cacheGb"`     // space for container images
-	ImagePullGBps float64  `json:"pullGbPerS"`  // gigabytes per second
+	ImagePullGBps float64  `json:"pullGbPerS"`  // speed of image downloads in gigabytes per second
 	Price         float64  `json:"hourly"`      // on-demand price per hour
 	SpotPrice     float64  `json:"marketPrice"` // spot price per hour
-	BootS         float64  `json:"bootS"`       // seconds, see BootTime
-	Zones         []string `json:"halls"`       // in which the type is offered
+	BootS         float64  `json:"bootS"`       // nominal boot time in seconds, see BootTime
+	Zones         []string `json:"halls"`       // zones in which the type is offered
 }
 
 // BootTime returns the nominal time from the rental to the first heartbeat.
@@ -49,7 +49,7 @@
 // ListedMachine is an entry of a MachineList.
 type ListedMachine struct {
 	Host    string  `json:"ref"`
-	Address string  `json:"address"` // of the worker's agent
+	Address string  `json:"address"` // address of the worker's agent
 	Type    string  `json:"flavour"`
 	Zone    string  `json:"hall"`
 	Spot    bool    `json:"loaner"`
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -35,7 +35,7 @@
 }
 
 // TestGoldenMessages checks that every message is decoded and encoded byte for byte as by
-// commit 096baff.
+// commit 096baff, the version before types and fields were renamed.
 func TestGoldenMessages(t *testing.T) {
 	golden.Check(t, codec, kinds(), "settings.toml", "settings.keys", "settings.values")
 }
@@ -62,7 +62,7 @@
 }
 
 // TestGoldenSettings checks that the golden settings file gives the same Settings as at commit
-// 096baff.
+// 096baff, the version before types and fields were renamed.
 func TestGoldenSettings(t *testing.T) {
 	settings, err := protocol.LoadSettings("testdata/golden/settings.toml")
 	if err != nil {
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -48,7 +48,7 @@
 
 // PeerMessage is sent by controllers to each other, once a second and after changes. Its
 // content is advisory: a lost, late or wrong message costs time, but no guarantee depends on
-// it, since transactions on the records decide.
+// a message, since transactions on the records decide.
 //
 //easyjson:json
 type PeerMessage struct {
@@ -85,10 +85,10 @@
 	// whose token for the shard is older no longer owns the shard, even if its copy of the
 	// records still shows it as the owner.
 	FencingToken    uint64  `json:"token,omitempty"`
-	CPUs            float64 `json:"cpus"`   // of its machines
-	UsedCPUs        float64 `json:"used"`   // by placed tasks
-	QueuedCPUs      float64 `json:"queued"` // of the unplaced tasks in its queue
-	FreeCPUsByImage Amounts `json:"holds"`  // by image: the most free CPUs of any machine that caches the image
+	CPUs            float64 `json:"cpus"`   // CPUs of the shard's machines
+	UsedCPUs        float64 `json:"used"`   // CPUs used by placed tasks
+	QueuedCPUs      float64 `json:"queued"` // CPUs of the unplaced tasks in the shard's queue
+	FreeCPUsByImage Amounts `json:"holds"`  // for each image, the largest number of free CPUs of a machine that caches the image
 	// ExcludedHosts are machines that do not count as supply: quarantined ones that are not
 	// returned yet, and those that have not booted in time.
 	ExcludedHosts []string `json:"barred,omitempty"`
@@ -98,15 +98,17 @@
 }
 
 // Demand is the amount of a team's work that a shard, or the work across shards, could start
-// immediately with a larger allotment of the team's limit.
+// immediately with a larger allotment of the team's limit. If there is no such work, Demand is
+// the work of jobs that wait for capacity, and Anticipated is set. In the comments of the
+// fields, the first job is the job of this work that precedes the others in the queue.
 type Demand struct {
 	Team         string    `json:"team"`
 	Holder       string    `json:"holder"` // the shard, or "*" for work across shards
-	Head         Resources `json:"head"`   // what the first job needs to start
-	PerTask      Resources `json:"unit"`   // one task of the first job
-	Total        Resources `json:"total"`  // all that could be started
+	Head         Resources `json:"head"`   // resources that the first job needs to start
+	PerTask      Resources `json:"unit"`   // resources of one task of the first job
+	Total        Resources `json:"total"`  // resources of all tasks that could be started
 	Priority     int       `json:"rank"`
-	AcceptedAtMs int64     `json:"born"` // Unix milliseconds
+	AcceptedAtMs int64     `json:"born"` // when the first job was accepted, Unix milliseconds
 	JobID        string    `json:"ref"`
 	AllOrNothing bool      `json:"whole,omitempty"` // the first job starts completely or not at all
 	Anticipated  bool      `json:"ahead,omitempty"` // there is no capacity for the first job yet
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -79,7 +79,7 @@
 	if err := json.Unmarshal([]byte(validSubmission), &all); err != nil {
 		t.Fatal(err)
 	}
-	delete(all, "news") // unknown here
+	delete(all, "news") // ParseSubmission ignores this key, because it is not a key of a submission
 	for key := range all {
 		optional := key == "flavours" || key == "hall" || key == "dueS"
 		for _, value := range []json.RawMessage{nil, json.RawMessage("null")} {
--- a/internal/protocol/resources_test.go
+++ b/internal/protocol/resources_test.go
@@ -10,7 +10,8 @@
 	"github.com/mailru/easyjson/jwriter"
 )
 
-// listOfTwo is the form of an amount in messages and records since commit 096baff.
+// listOfTwo is the form of an amount in messages and records at commit 096baff, the version
+// before types and fields were renamed.
 type listOfTwo [2]float64
 
 func (l listOfTwo) resources() Resources { return Resources{CPUs: l[0], GPUs: l[1]} }
--- a/internal/protocol/routes.go
+++ b/internal/protocol/routes.go
@@ -5,7 +5,7 @@
 // Route identifies a kind of request on the public address.
 type Route int
 
-// The routes. RouteNotFound and RouteWrongMethod are for requests that match none.
+// The routes. RouteNotFound and RouteWrongMethod are for requests that match no route.
 const (
 	RouteNotFound    Route = iota
 	RouteWrongMethod       // a route has this path, but with another method
--- a/internal/protocol/settings.go
+++ b/internal/protocol/settings.go
@@ -5,22 +5,22 @@
 // Settings is the validated content of the platform's settings file in Go's types.
 // LoadSettings returns it; it is not modified afterwards.
 type Settings struct {
-	NodeName    string // of this controller
-	Zone        string // of this controller
+	NodeName    string // name of this controller
+	Zone        string // zone of this controller
 	PublicAddr  string // IP address and port for users and workers
 	PeerAddr    string // IP address and port for other controllers
 	Peers       []Peer // the other controllers
-	CloudAddr   string // of the cloud's API
-	StateAddr   string // of the state service
+	CloudAddr   string // address of the cloud's API
+	StateAddr   string // address of the state service
 	NodeCount   int    // number of controllers, this one included
 	Zones       []string
-	ClockError  time.Duration // by which a clock may be wrong; not used yet
+	ClockError  time.Duration // largest error of a clock; not used yet
 	Teams       map[string]Team
 	Objectives  []Objective
 	Workers     WorkerSettings
 	StateLimits StateLimits
-	// AnnouncedStateLimits are the limits that the state service will have in the future. It
-	// introduces them without notice. For a limit of 0 no change is announced.
+	// AnnouncedStateLimits are the limits that the state service will have in the future.
+	// The service introduces them without notice. For a limit of 0 no change is announced.
 	AnnouncedStateLimits StateLimits
 	CloudLimits          CloudLimits
 	ProcessLimits        ProcessLimits
@@ -44,8 +44,8 @@
 // Objective is one service-level objective on starting or finishing jobs.
 type Objective struct {
 	Kind   string        // "guarantee", "wait", "finished" or "deadline"; other kinds are ignored
-	Class  string        // of the jobs that the objective applies to
-	Within time.Duration // from the submission
+	Class  string        // job class of the jobs to which the objective applies
+	Within time.Duration // time limit, counted from the submission
 	// TargetShare is the part of the jobs, from 0 to 1, that must meet the objective; not
 	// used yet.
 	TargetShare float64
@@ -56,32 +56,35 @@
 
 // WorkerSettings are the intervals and timeouts that workers observe.
 type WorkerSettings struct {
-	HeartbeatInterval time.Duration // between an agent's heartbeats, plus or minus a quarter
+	HeartbeatInterval time.Duration // time between an agent's heartbeats, plus or minus a quarter
 	LeaseDuration     time.Duration // an agent that gets no response for this long stops its tasks
-	GangStartTimeout  time.Duration // longest that a gang's task waits for the others to start
-	GangPeerTimeout   time.Duration // within which a gang's task detects the loss of another
-	CancelDeadline    time.Duration // within which a cancelled job's tasks must have ended
+	GangStartTimeout  time.Duration // longest time that a gang's task waits for the gang's other tasks to start
+	GangPeerTimeout   time.Duration // time within which a gang's task detects the loss of another task of the gang
+	CancelDeadline    time.Duration // time from the cancellation of a job within which the job's tasks must have ended
 }
 
 // StateLimits are the budgets of the state service.
 type StateLimits struct {
 	RequestRate   float64 // requests per second
 	WriteRate     float64 // writes per second
-	MaxValueBytes int     // of one record
-	MaxTxnOps     int     // changes in one transaction
+	MaxValueBytes int     // largest size of a record
+	MaxTxnOps     int     // largest number of changes in one transaction
 }
 
-// Estimated sizes of a claim's record in bytes, and a limit of MaxPlacements.
+// Parameters of MaxPlacements, which estimates in two ways how many placements fit a claim's
+// record. Sizes are in bytes. The conservative estimate assumes larger sizes than the tight
+// estimate.
 const (
-	claimOverheadBytes  = 1024 // all but the placements, conservative estimate
-	placementBytes      = 36   // one placement, conservative estimate
-	tightClaimOverhead  = 384  // all but the placements, tight estimate
-	tightPlacementBytes = 24   // one placement, tight estimate
-	maxTightPlacements  = 100  // most placements that the tight estimate gives
+	claimOverheadBytes  = 1024 // size of the record without its placements, conservative estimate
+	placementBytes      = 36   // size of one placement, conservative estimate
+	tightClaimOverhead  = 384  // size of the record without its placements, tight estimate
+	tightPlacementBytes = 24   // size of one placement, tight estimate
+	maxTightPlacements  = 100  // upper bound on the number of placements by the tight estimate
 )
 
 // MaxPlacements returns the number of placements with which one claim's record fits a value.
-// If values are small, the estimate is tight: the exact size is checked again when placements
+// The tight estimate applies where it gives more placements, which is the case only if values
+// are small. A tight estimate suffices because the exact size is checked again when placements
 // are added.
 func (l StateLimits) MaxPlacements() int {
 	conservative := (l.MaxValueBytes - claimOverheadBytes) / placementBytes
@@ -114,12 +117,12 @@
 // CloudLimits are the rate limit and the list lag of the cloud's API.
 type CloudLimits struct {
 	RequestRate float64       // requests per second
-	ListLag     time.Duration // by which the list of machines may be out of date
+	ListLag     time.Duration // time by which the list of machines may be out of date
 }
 
 // ProcessLimits bound this process.
 type ProcessLimits struct {
-	CPUShare    float64 // part of the processor; not used yet
+	CPUShare    float64 // part of the processor that this process may use; not used yet
 	MemoryBytes int64
-	MaxConns    int // open sockets of all kinds
+	MaxConns    int // largest number of open sockets of all kinds
 }
--- a/internal/protocol/settingscheck.go
+++ b/internal/protocol/settingscheck.go
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// readNodeCount reads the number of controllers. The default is the number of those that
-// the file lists.
+// readNodeCount reads the number of controllers. The default is the number of controllers
+// that the file lists.
 func (w *wireSettings) readNodeCount(s *Settings) *SettingError {
 	s.NodeCount = w.Cluster.Nodes
 	if s.NodeCount == 0 {
--- a/internal/protocol/settingsfile.go
+++ b/internal/protocol/settingsfile.go
@@ -81,7 +81,7 @@
 	File   string
 	Key    string // dotted, with an index for lists; "file" or "syntax" for the file as a whole
 	Reason string
-	Cause  error // if the file can't be read or parsed; nil if a value is invalid
+	Cause  error // cause of a failure to read or parse the file; nil if a value is invalid
 }
 
 func (e *SettingError) Error() string { return e.File + ": " + e.Key + ": " + e.Reason }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -42,15 +42,15 @@
 	Class               string   `json:"jobclass"`
 	Team                string   `json:"owner"`
 	Shape               Shape    `json:"shape"`
-	PriorityClass       string   `json:"rank"`   // see ParsePriority
+	PriorityClass       string   `json:"rank"`   // name of the priority class, one of those that ParsePriority accepts
 	Tasks               int      `json:"shards"` // the number of tasks
 	CPUs                float64  `json:"cpus"`
 	GPUs                float64  `json:"cards"`
 	MemoryGB            float64  `json:"memGb"`
 	Image               string   `json:"bundle"`
 	ImageGB             float64  `json:"sizeGb"`
-	MachineTypes        []string `json:"flavours,omitempty"` // on which the job may run; empty: any
-	Zone                string   `json:"hall,omitempty"`     // where it must run; empty: anywhere
+	MachineTypes        []string `json:"flavours,omitempty"` // machine types on which the job may run; empty: any type
+	Zone                string   `json:"hall,omitempty"`     // zone in which the job must run; empty: any zone
 	SameZone            bool     `json:"samePlace,omitempty"`
 	SpreadZones         bool     `json:"spread,omitempty"`
 	AllowSpot           bool     `json:"loaner,omitempty"`
@@ -190,7 +190,8 @@
 	return nil
 }
 
-// checkForm checks the id, the shape, the number of tasks, and the lengths of names and lists.
+// checkForm checks the job id, the shape (array, gang or service), the number of tasks, and
+// the lengths of names and of the list of machine types.
 func (s *Submission) checkForm() error {
 	switch {
 	case !ValidJobID(s.JobID):
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -20,7 +20,7 @@
 // CallError is the error of a call that failed after its request may have been sent. Its
 // text contains the step and the cause.
 type CallError struct {
-	Step string // "write", "read" or "status"
+	Step string // the step that failed: "write", "read" or "status"
 	Addr string // IP address and port of the peer
 	Err  error  // cause; an *HTTPError if the response is malformed or too long
 }
@@ -34,8 +34,8 @@
 // call; its methods may be called from any goroutine.
 type Client struct {
 	DialTimeout time.Duration
-	Limits      Limits // of a response
-	MaxIdle     int    // idle connections kept per address
+	Limits      Limits // limits on the size of a response
+	MaxIdle     int    // largest number of idle connections kept per address
 
 	calls chan struct{} // semaphore with one element for each call in progress
 	pool  *connPool
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -69,8 +69,9 @@
 	conn.closing = true
 }
 
-// reply queues the response to the request that is being handled. It reports whether the
-// event loop is inside the handler and sends the response without being woken.
+// reply queues the response to the request that is being handled. The result reports whether
+// the event loop is inside the handler. If so, the event loop sends the response when the
+// handler returns; otherwise the caller has to wake the event loop.
 func (conn *connection) reply(r Response) (inEventLoop bool) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
--- a/internal/transport/parse.go
+++ b/internal/transport/parse.go
@@ -10,7 +10,7 @@
 
 // Limits bounds what the parser accepts of one message, in bytes.
 type Limits struct {
-	Head int // start line and header fields
+	Head int // most bytes of the start line and the header fields
 	Body int
 }
 
@@ -23,9 +23,9 @@
 	Expect    bool   // the sender waits for "100 Continue" before it sends the body
 }
 
-func (m *Message) method() string { return m.StartLine[0] } // of a request
-func (m *Message) target() string { return m.StartLine[1] } // of a request
-func (m *Message) status() string { return m.StartLine[1] } // of a response
+func (m *Message) method() string { return m.StartLine[0] } // the method of a request
+func (m *Message) target() string { return m.StartLine[1] } // the target of a request
+func (m *Message) status() string { return m.StartLine[1] } // the status of a response
 
 // hasNoBody reports whether a response has no body because of its status, regardless of
 // its header fields.
@@ -60,7 +60,7 @@
 
 // Bounds of the blank lines before a message, and of chunk lines and trailers, in bytes.
 const (
-	maxBlankLines   = 8 // before a start line
+	maxBlankLines   = 8 // bytes of blank lines before a start line
 	maxChunkLine    = 256
 	maxTrailerBytes = 4096
 )
--- a/internal/transport/parse_test.go
+++ b/internal/transport/parse_test.go
@@ -11,7 +11,7 @@
 func TestParseRequests(t *testing.T) {
 	cases := []struct {
 		name, in   string
-		status     int // 0: parsed, -1: incomplete
+		status     int // expected status of the error; 0: the request is parsed, -1: the request is incomplete
 		body       string
 		consumed   int
 		wantsClose bool
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -39,7 +39,7 @@
 // Bounds of the peer server.
 const (
 	maxPeerMessageBytes = 1 << 20
-	maxPeerStreams      = 64 // concurrent calls per connection
+	maxPeerStreams      = 64 // largest number of concurrent calls per connection
 )
 
 // PeerServer is the gRPC server on the peer address.
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -19,8 +19,8 @@
 
 	mu     sync.Mutex // guards all fields below; the only I/O under the lock is closing a connection
 	idle   map[string][]*idleConn
-	oldest list.List // of *idleConn, the longest idle first
-	open   int       // connections in use, idle, or being dialled
+	oldest list.List // elements are *idleConn, the longest idle first
+	open   int       // number of connections that are in use, idle, or being dialled
 }
 
 // idleConn is a connection that is kept for the next call to its address.
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -16,10 +16,10 @@
 // calls after the first have no effect. No lock is held while the handler runs.
 type Handler func(method, target string, body []byte, reply func(Response))
 
-// ServerConfig bounds the public server.
+// ServerConfig holds the address and the limits of the public server.
 type ServerConfig struct {
 	Addr     string // IP address and port
-	MaxConns int    // connections open at once
+	MaxConns int    // largest number of connections open at once
 	// MaxUsers is the number of open connections, of users and agents together, above which
 	// a connection whose first request comes from a user is refused. The remaining
 	// connections are reserved for agents, whose leases expire without heartbeats.
@@ -29,7 +29,7 @@
 	// reconnect for their next request. 0 means no such limit.
 	MaxKeepAlive int
 	IsUser       func(method, target string) bool // reports whether a request comes from a user; nil: none does
-	Limits       Limits                           // of a request
+	Limits       Limits                           // limits on the size of a request
 	IdleTimeout  time.Duration                    // time after which an idle connection is closed
 	StallTimeout time.Duration                    // time after which a connection with a partly received request is closed
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -127,7 +127,7 @@
 	if status != 200 {
 		t.Fatal(status)
 	}
-	for i, want := range []int{200, 200, 200} { // agents, within MaxConns
+	for i, want := range []int{200, 200, 200} { // connections of agents, within MaxConns
 		if _, status := doRequest("/report"); status != want {
 			t.Fatalf("agent %d: status %d", i, status)
 		}
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -42,8 +42,8 @@
 // Response is the response to one request.
 type Response struct {
 	Status     int
-	Body       []byte // JSON
-	RetryAfter int    // Retry-After in seconds; 0 omits the header field
+	Body       []byte // encoded JSON
+	RetryAfter int    // value of the Retry-After header field in seconds; 0 omits the field
 	Close      bool   // the connection is closed after the response
 }
 
