--- a/internal/policy/expression.go
+++ b/internal/policy/expression.go
@@ -14,7 +14,7 @@
 // LineError is an error in a line of a policy file. Its text is file:line:column: cause.
 type LineError struct {
 	File         string
-	Line, Column int // from 1
+	Line, Column int // counted from 1
 	Err          error
 }
 
@@ -41,8 +41,8 @@
 	}
 }
 
-// read sets the policy's values from the text of a file. If a name occurs twice, the latter
-// value applies.
+// read sets the policy's values from the text of a file. If a name occurs more than once, the
+// last value applies.
 func (p *Policy) read(file, text string, variables map[string]float64) error {
 	for i, line := range strings.Split(text, "\n") {
 		trimmed := strings.TrimSpace(line)
@@ -86,8 +86,8 @@
 func evaluate(source string, variables map[string]float64) (float64, error) {
 	program, err := expr.Compile(source, expr.Env(variables), expr.AsFloat64())
 	if err != nil {
-		// The library marks the position of the error on further lines, which are dropped:
-		// the text of an error is one line.
+		// The expr library adds lines to the error's text that mark the position of the error.
+		// These are dropped, because the text of a policy error is one line.
 		text, _, _ := strings.Cut(err.Error(), "\n")
 		return 0, errors.New(text)
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -58,15 +58,16 @@
 	// GPUMachineReserve [card_reserve] is the number of whole machines with GPUs that each
 	// shard keeps from arrays without GPUs.
 	GPUMachineReserve int
-	// GPUMachineShare [card_share] gives the same number as a part, from 0 to 1, of the
-	// shard's machines with GPUs. The larger number applies.
+	// GPUMachineShare [card_share] is the part, from 0 to 1, of a shard's machines with GPUs
+	// that the shard keeps from arrays without GPUs. Of the number that follows from this part
+	// and GPUMachineReserve, the larger applies.
 	GPUMachineShare float64
 
 	// ArrayWait [array_wait] is the time within which queued arrays should be worked off.
 	// Machines are rented for an array if the existing ones need longer.
 	ArrayWait time.Duration
-	// StartAheadAfter [begin_by] is how long an array waits for its turn. Then one task of it
-	// starts ahead of other jobs of its priority class.
+	// StartAheadAfter [begin_by] is how long an array waits in the queue before one of its
+	// tasks starts ahead of the other jobs of the array's priority class.
 	StartAheadAfter time.Duration
 
 	// BestEffortWait [idle_wait] is used instead of ArrayWait for best-effort arrays, which
@@ -78,8 +79,9 @@
 	// BestEffortProvisionShare [idle_rent] is the largest part, from 0 to 1, of all CPUs that
 	// may be rented for best-effort jobs.
 	BestEffortProvisionShare float64
-	// BestEffortGPUMachineShare [idle_cards] is used instead of GPUMachineShare, if it is
-	// larger, for the machines that are kept from best-effort arrays.
+	// BestEffortGPUMachineShare [idle_cards] is the part, from 0 to 1, of a shard's machines
+	// with GPUs that the shard keeps from best-effort arrays without GPUs. If GPUMachineShare
+	// is larger, GPUMachineShare applies to these arrays too.
 	BestEffortGPUMachineShare float64
 
 	// IdleMachineTTL [idle_after] is the time for which an idle machine is kept.
@@ -99,11 +101,12 @@
 // sets the value in a Policy.
 type setting struct {
 	name      string
-	low, high float64 // both included
+	low, high float64 // bounds of the value, both included
 	set       func(p *Policy, value float64)
 }
 
-// settings are all names of the policy file. Times are in seconds.
+// settings lists every setting that a policy file may contain. In the file, the values of
+// times are in seconds.
 var settings = []setting{
 	{"copies", 1, 64, func(p *Policy, v float64) { p.ShardsPerJob = int(v) }},
 	{"chunk_tasks", 2, 128, func(p *Policy, v float64) { p.TasksPerChunk = int(v) &^ 1 }},
