--- a/cmd/madderslip/main.go
+++ b/cmd/madderslip/main.go
@@ -15,7 +15,7 @@
 // Exit statuses.
 const (
 	exitFailure = 1
-	exitConfig  = 2 // invalid settings, policy or arguments
+	exitConfig  = 2 // the settings, the policy, the environment or the arguments are invalid
 )
 
 // configError is an error in the settings, the policy, the environment or the arguments.
--- a/docs_test.go
+++ b/docs_test.go
@@ -32,7 +32,8 @@
 }
 
 // TestPagesNameTestsThatExist checks that every test that a page below docs names exists in
-// the sources, so that the test of a guard can be found by the name on the page.
+// the sources. A page names, for example, the test that fails if a guard, which is code that
+// enforces a rule, is removed; a reader has to find the test by that name.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	tests := testNames(t)
 	pages, err := filepath.Glob(filepath.Join("docs", "*", "*.md"))
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -32,7 +32,7 @@
 	Decode func(data []byte, value any) error
 }
 
-// Kind is one kind of message or record.
+// Kind is a type of messages or records that Check compares with golden files.
 type Kind struct {
 	// Name is the prefix of the file names, a name used on the wire and not that of a Go type.
 	Name string
@@ -153,7 +153,8 @@
 
 var rawMessage = reflect.TypeFor[json.RawMessage]()
 
-// filler sets fields to distinct values. Each value contains the next number.
+// filler sets fields to distinct values: a counter increases with each value, and the value
+// contains the count.
 type filler struct{ last int }
 
 // fill sets everything that is zero in a value, recursively. Every string is a job ID,
@@ -161,7 +162,7 @@
 func (f *filler) fill(value reflect.Value) {
 	if value.Kind() == reflect.Struct {
 		if isNumberList(value.Type()) && value.IsZero() {
-			f.last++ // the struct is a list on the wire, and each list uses up a number
+			f.last++ // the struct is a list on the wire, and each list uses up one of the numbers that the filler counts
 		}
 		for i := range value.NumField() {
 			f.fill(value.Field(i))
--- a/logmessages_test.go
+++ b/logmessages_test.go
@@ -89,9 +89,9 @@
 // logCall is one call of a logging method or function.
 type logCall struct {
 	message, level string
-	keys           []string // keys of the fields, in order; meaningless if openKeys
-	openKeys       bool     // the call does not write out all keys
-	position       string   // file:line
+	keys           []string // keys of the fields, in order; meaningless if openKeys is set
+	openKeys       bool     // the call does not write out all keys as string literals, so its keys are not compared
+	position       string   // position of the call, as file:line
 }
 
 // pageRow is one row of a table of messages on the page.
@@ -174,7 +174,7 @@
 // logMethods are the names of the methods and functions that log, with their level and the
 // index of the message among their arguments.
 var logMethods = map[string]struct {
-	level     string // empty: the level is an argument
+	level     string // level of the message; empty if the level is an argument of the call
 	messageAt int
 }{
 	"Debug": {"debug", 0}, "DebugContext": {"debug", 1},
@@ -184,8 +184,8 @@
 	"Log": {"", 2}, "LogAttrs": {"", 2},
 }
 
-// readCall returns the log call that a call is, or nil if the call does not log, or a problem
-// if its message or level cannot be determined. Every call of one of the names with enough
+// readCall returns the log call that an expression makes, nil if the expression does not log,
+// or a problem if the message or level cannot be determined. Every call of one of the names with enough
 // arguments counts as logging, whatever the receiver, so that no logger is overlooked
 // because of the name of its variable.
 func readCall(call *ast.CallExpr) (*logCall, string) {
--- a/madderslip.go
+++ b/madderslip.go
@@ -24,7 +24,7 @@
 	"madderslip/internal/transport"
 )
 
-// Version is the version of this release.
+// Version is the release number that the command prints.
 const Version = "0.1.0"
 
 // Config is a controller's checked configuration.
@@ -35,8 +35,8 @@
 }
 
 // LoadConfig reads and validates the platform's settings file and the operators' policy. If
-// policyFile is empty, the policy file that the settings name is used; if they name none, the
-// defaults apply. The text of an error is one line with the file and the reason.
+// policyFile is empty, the policy file that the settings name is used; if the settings name
+// none, the defaults apply. The text of an error is one line with the file and the reason.
 func LoadConfig(file, policyFile string) (Config, error) {
 	settings, err := protocol.LoadSettings(file)
 	if err != nil {
@@ -52,7 +52,8 @@
 	return Config{Settings: settings, Policy: checked}, nil
 }
 
-// Controller is one controller of the cluster.
+// Controller holds the components of one controller, which New creates and Run starts: the
+// network endpoints, the client of the state service, and the scheduler.
 type Controller struct {
 	cfg          Config
 	store        *kv.Client
@@ -130,9 +131,9 @@
 // Times after which the public server closes an idle connection, or one with a partly
 // received request.
 const (
-	minIdleTime    = 30 * time.Second // idle
-	idleHeartbeats = 5                // idle, in heartbeat intervals, if that is longer
-	stallTime      = 10 * time.Second // with an incomplete request
+	minIdleTime    = 30 * time.Second // lower limit of the time after which an idle connection is closed
+	idleHeartbeats = 5                // number of heartbeat intervals after which an idle connection is closed, unless minIdleTime is longer
+	stallTime      = 10 * time.Second // time after which a connection with a partly received request is closed
 )
 
 // publicServerConfig returns the configuration of the public server, with limits that follow
