--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -59,8 +59,8 @@
 	// shard keeps from arrays without GPUs.
 	GPUMachineReserve int
 	// GPUMachineShare [card_share] is the part, from 0 to 1, of a shard's machines with GPUs
-	// that the shard keeps from arrays without GPUs. Of the number that follows from this part
-	// and GPUMachineReserve, the larger applies.
+	// that the shard keeps from arrays without GPUs. If GPUMachineReserve is a larger number
+	// of machines than this part, GPUMachineReserve applies.
 	GPUMachineShare float64
 
 	// ArrayWait [array_wait] is the time within which queued arrays should be worked off.
--- a/internal/protocol/golden_settings_test.go
+++ b/internal/protocol/golden_settings_test.go
@@ -10,9 +10,9 @@
 	"madderslip/internal/golden"
 )
 
-// TestGoldenSettingsHaveEveryKey checks that the golden settings file sets every key that
-// the code reads and no other, and that each key is read as by commit
-// 096baff, the version before types and fields were renamed.
+// TestGoldenSettingsHaveEveryKey checks that the golden settings file sets every key that the
+// code reads and no other, and that each key is read as by commit 096baff, the version before
+// types and fields were renamed.
 func TestGoldenSettingsHaveEveryKey(t *testing.T) {
 	var wire wireSettings
 	meta, err := toml.Decode(string(golden.Read(t, "settings.toml")), &wire)
--- a/internal/storage/kv/client.go
+++ b/internal/storage/kv/client.go
@@ -75,8 +75,8 @@
 // shows that the state service executed the call.
 func (c *Client) LastSuccess() time.Time { return time.Unix(0, c.connection.lastSuccess.Load()) }
 
-// Get reads one key. The errors of Get, List, Watch, GrantLease and KeepAlive
-// are of type *Error.
+// Get reads one key. The errors of Get, List, Watch, GrantLease and KeepAlive are of type
+// *Error.
 func (c *Client) Get(ctx context.Context, key string) (Item, error) {
 	item, err := c.get(ctx, key)
 	return item, wrapError(opGet, key, err)
--- a/internal/storage/kv/connection.go
+++ b/internal/storage/kv/connection.go
@@ -24,8 +24,8 @@
 	lastSuccess atomic.Int64 // time of the answer to the latest executed call, UnixNano
 }
 
-// call sends request, unless it is nil, and decodes the answer into response, unless
-// response is nil. A status of 0 with an error means that there was no answer or that the request was
+// call sends request, unless it is nil, and decodes the answer into response, unless response
+// is nil. A status of 0 with an error means that there was no answer or that the request was
 // not encodable. Another status with an error means that the body of the answer could not be
 // decoded.
 func (c *connection) call(ctx context.Context, method, target string, request, response any, timeout time.Duration) (int, error) {
--- a/internal/storage/kv/limiter.go
+++ b/internal/storage/kv/limiter.go
@@ -91,7 +91,7 @@
 
 // Parameters by which the accepted write rate is inferred.
 const (
-	minRateFactor    = 0.5                    // lower bound of rateFactor; if a lower write rate is announced, the announced rate is the bound instead
+	minRateFactor    = 0.5                    // lower bound of rateFactor; if a lower write rate is announced, the announced rate is the lower bound of the write rate instead
 	rateDecrease     = 0.95                   // factor by which rateFactor is multiplied when the service refuses changes for their rate
 	decreaseInterval = 250 * time.Millisecond // minimum time between decreases, so that a burst of refusals counts once
 	recoveryPeriod   = 50 * time.Second       // time in which rateFactor grows by 1 without refusals
@@ -136,8 +136,8 @@
 
 // recordRefused records that the service refused a batch. merged holds all changes and
 // conditions of the batch (see mergeBatch). If the batch exceeds only the announced limits,
-// the announced limits are
-// in effect from now on. The result reports whether this refusal put them into effect.
+// the announced limits are in effect from now on. The result reports whether this refusal put
+// them into effect.
 func (l *learnedLimits) recordRefused(merged *Txn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/storage/kv/txn.go
+++ b/internal/storage/kv/txn.go
@@ -44,9 +44,9 @@
 const agingInterval = 3 * time.Second
 
 // Txn is a small transaction: all of Ops are applied if all of Compares hold, else none. A
-// transaction without Ops is called a read. Several transactions are sent in one batch; a failed
-// condition of one does not fail the others. Each must be conditional on versions that make
-// it harmless when it is applied late or twice.
+// transaction without Ops is called a read. Several transactions are sent in one batch; a
+// failed condition of one does not fail the others. Each must be conditional on versions that
+// make it harmless when it is applied late or twice.
 //
 // The caller sets the exported fields and does not change them after Submit. The other fields
 // belong to the current holder of the transaction: the queue, or the batch that it was moved
--- a/internal/storage/records/doc.go
+++ b/internal/storage/records/doc.go
@@ -1,9 +1,9 @@
 // Package records defines what controllers store in the state service: the record types,
 // their keys and their codecs.
 //
-// The package owns the storage format. Struct tags, key prefixes and encodings do not change when Go
-// names change: during a rolling restart controllers of two versions read and write the same
-// records.
+// The package owns the storage format. Struct tags, key prefixes and encodings do not change
+// when Go names change: during a rolling restart controllers of two versions read and write
+// the same records.
 //
 // The comment of each record type says who writes the record and what each write is
 // conditional on. There, another record means the version of that record's key; the known
--- a/logmessages_test.go
+++ b/logmessages_test.go
@@ -185,9 +185,9 @@
 }
 
 // readCall returns the log call that an expression makes, nil if the expression does not log,
-// or a problem if the message or level cannot be determined. Every call of one of the names with enough
-// arguments counts as logging, whatever the receiver, so that no logger is overlooked
-// because of the name of its variable.
+// or a problem if the message or level cannot be determined. Every call of one of the names
+// with enough arguments counts as logging, whatever the receiver, so that no logger is
+// overlooked because of the name of its variable.
 func readCall(call *ast.CallExpr) (*logCall, string) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
--- a/madderslip.go
+++ b/madderslip.go
@@ -24,7 +24,7 @@
 	"madderslip/internal/transport"
 )
 
-// Version is the release number that the command prints.
+// Version is the release number that the command prints and logs at its start.
 const Version = "0.1.0"
 
 // Config is a controller's checked configuration.
