--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -18,11 +18,11 @@
 // Delays and timeouts of a worker's agent. The pauses between heartbeats are measured by the
 // worker's clock.
 const (
-	wakeDelay        = 500 * time.Millisecond // from a change of state to the heartbeat that reports it
-	retryInterval    = time.Second            // after a heartbeat without a valid response
-	heartbeatTimeout = 4 * time.Second        // for the response of a controller
-	zoneTimeout      = 5 * time.Second        // for the response of a controller beyond a zone partition
-	rebootPoll       = 50 * time.Millisecond  // between checks whether a reboot has finished
+	wakeDelay        = 500 * time.Millisecond // time from a change of state to the heartbeat that reports the change
+	retryInterval    = time.Second            // time until the next heartbeat after one without a valid response
+	heartbeatTimeout = 4 * time.Second        // time limit for a controller's response to a heartbeat
+	zoneTimeout      = 5 * time.Second        // time limit for the response of a controller beyond a zone partition
+	rebootPoll       = 50 * time.Millisecond  // time between checks whether a reboot has finished
 )
 
 // runAgent sends heartbeats to the controllers for as long as the machine exists.
@@ -103,8 +103,8 @@
 	sentAt            time.Time
 	agentEpoch        uint64
 	reboots           int
-	sequence          string        // of the heartbeat; part of the names of its random draws
-	request, response time.Duration // delays of the two messages
+	sequence          string        // sequence number of the heartbeat; part of the names of its random draws
+	request, response time.Duration // delays of the heartbeat and its response
 }
 
 // post delivers the heartbeat to the controller on a goroutine of its own.
--- a/internal/emulator/job.go
+++ b/internal/emulator/job.go
@@ -14,7 +14,7 @@
 	Spec  protocol.Submission
 	Run   time.Duration // run time of each task; 0 for a service, whose tasks do not end
 	Fail  bool          // every task fails
-	Fetch time.Duration // fetch time of its image, if longer than the usual 1 s
+	Fetch time.Duration // fetch time of the job's image, if longer than the usual 1 s
 
 	acceptedAt  time.Time // when a user was first told that the job is accepted
 	lastPhase   string    // the latest phase that a user was told; the first final phase stays
@@ -24,7 +24,7 @@
 	tasksDone     map[int]bool // by task index
 	startedAt     time.Time    // when its first task started; for a gang, when all of its tasks did
 	finishedAt    time.Time    // when its last task was done
-	replicaTime   ServedShare  // of a service; see countReplicas
+	replicaTime   ServedShare  // possible and served replica time of a service; see countReplicas
 	unplacedSince time.Time    // since when the job is unplaced despite free capacity for it; see trackUnplaced
 }
 
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -41,7 +41,7 @@
 	addr, method, target string
 	body                 []byte
 	drawKey              []string      // key of the call's random draws
-	request, response    time.Duration // delays
+	request, response    time.Duration // delays of the request and the response
 	outcome              callOutcome
 	lateBy               time.Duration // delay of the late execution, if the outcome has one
 	refused              bool          // the state service answers the controller with 503
@@ -191,9 +191,9 @@
 
 const (
 	outcomeDelivered     callOutcome = iota
-	outcomeResponseLost              // carried out, but the response is lost
-	outcomeExecutedLate              // carried out long after the caller has given up
-	outcomeExecutedTwice             // carried out at once and once more later
+	outcomeResponseLost              // the call is carried out, but the response is lost
+	outcomeExecutedLate              // the call is carried out long after the caller has given up
+	outcomeExecutedTwice             // the call is carried out at once and once more later
 )
 
 // drawOutcome draws the outcome of a call. Calls to the state service other than
--- a/internal/emulator/loopback.go
+++ b/internal/emulator/loopback.go
@@ -169,7 +169,7 @@
 		}
 		response, err := l.client.Do(request)
 		if err != nil {
-			return // the same as a lost response
+			return // a failed request has the same effect as a lost response
 		}
 		defer func() { _ = response.Body.Close() }()
 		out, err := io.ReadAll(response.Body)
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -23,7 +23,7 @@
 	removed       bool // returned, or reclaimed by the cloud
 	crashed       bool // stopped for good and without its tasks, but still listed by the cloud
 	hung          bool // its processes stand still; messages to it are held and arrive late
-	partitioned   bool // no packets get in or out; held ones arrive late
+	partitioned   bool // no packets get in or out; held packets arrive late
 	cannotReceive bool // messages to it are lost, its heartbeats arrive
 	cannotSend    bool // its heartbeats reach no controller, commands reach it
 	failsTasks    bool // every task that starts on it fails
@@ -33,15 +33,15 @@
 	preemptionAt  time.Time // the announced time of its preemption; zero without a notice
 
 	agentEpoch      uint64
-	sequence        uint64 // of the latest heartbeat in this agent epoch
-	fencingToken    uint64 // the highest that the worker has received
+	sequence        uint64 // sequence number of the latest heartbeat in this agent epoch
+	fencingToken    uint64 // the highest fencing token that the worker has received
 	tasks           map[string]*taskAttempt
 	cachedImages    map[string]bool
 	controllerIndex int           // selects, in rotation, the controller that gets the next heartbeat
 	wakeup          chan struct{} // makes the agent send its next heartbeat soon
 	leaseRenewedAt  time.Time
 	clockDrift      time.Duration // how much longer 2,000 s on the worker's clock take in real time
-	resendHeartbeat func()        // delivers the latest heartbeat once more; nil before the first
+	resendHeartbeat func()        // delivers the latest heartbeat once more; nil before the first heartbeat
 }
 
 // AddMachines adds on-demand machines of the first type that have already booted.
--- a/internal/emulator/machinefaults.go
+++ b/internal/emulator/machinefaults.go
@@ -12,7 +12,7 @@
 const (
 	machineHangs            = "hang"   // its processes stand still, and messages to it are held
 	machineResumes          = "resume" // its processes go on
-	machinePartitioned      = "cut"    // no packets get in or out; held ones arrive late
+	machinePartitioned      = "cut"    // no packets get in or out; held packets arrive late
 	machineHeals            = "heal"   // the partition ends
 	machineFailsTasks       = "sick"   // every task that starts on it fails
 	machineSlow             = "slow"   // tasks that start on it run four times as long
@@ -21,8 +21,8 @@
 	machineReceives         = "hears"  // messages to it arrive again
 	machineCannotSend       = "mute"   // its heartbeats reach no controller, commands reach it
 	machineSends            = "speaks" // its heartbeats arrive again
-	machinePreemptionNotice = "notice" // the cloud sends a preemption notice and reclaims it later
-	machineReclaimed        = "take"   // the cloud reclaims it at once
+	machinePreemptionNotice = "notice" // the cloud sends a preemption notice and reclaims the machine later
+	machineReclaimed        = "take"   // the cloud reclaims the machine at once
 	machineCrashes          = "die"    // it stops for good, but is listed as running for a while
 	machineReboots          = "reboot" // it reboots under the same name
 )
--- a/internal/emulator/partition.go
+++ b/internal/emulator/partition.go
@@ -9,9 +9,9 @@
 // world's lock.
 type partitions struct {
 	controllerZones map[string]string
-	incarnations    map[string]int           // by controller, incremented when a process starts or ends
-	paused          map[string]chan struct{} // by controller; closed when it resumes
-	heldAcrossZones map[string][]func()      // by zone, messages held until its partition ends
+	incarnations    map[string]int           // by controller, incremented when a process of the controller starts or ends
+	paused          map[string]chan struct{} // by controller; closed when the controller resumes
+	heldAcrossZones map[string][]func()      // by zone, messages held until the zone's partition ends
 	zoneHealed      chan struct{}            // closed and replaced when a zone's partition ends
 }
 
@@ -26,7 +26,8 @@
 	}
 }
 
-// SetZone sets the zone of a controller; a controller without a zone is in the region.
+// SetZone sets the zone of a controller. A controller for which no zone is set is outside all
+// zones, like the users, the cloud and the state service.
 func (w *World) SetZone(node, zone string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/emulator/staleheartbeats.go
+++ b/internal/emulator/staleheartbeats.go
@@ -12,7 +12,7 @@
 // keepHeartbeat keeps a copy of a heartbeat until a shard gets a new fencing token. The
 // world's lock is held by the caller.
 func (w *World) keepHeartbeat(machine *Machine, body []byte) {
-	const maxKept = 3 // per machine, the earliest heartbeats: older ones are more likely to do harm
+	const maxKept = 3 // heartbeats per machine; the earliest are kept, because older ones are more likely to do harm
 	if kept := w.keptHeartbeats[machine.host]; len(kept) < maxKept {
 		w.keptHeartbeats[machine.host] = append(kept, body)
 	}
--- a/internal/emulator/statestore.go
+++ b/internal/emulator/statestore.go
@@ -18,7 +18,7 @@
 // storedValue is the stored value of a key.
 type storedValue struct {
 	value   json.RawMessage
-	version uint64 // the revision of its latest change
+	version uint64 // the revision of the key's latest change
 	leaseID uint64 // lease whose end deletes the key; 0 for none
 }
 
@@ -35,7 +35,7 @@
 type Change struct {
 	Key     string
 	Value   json.RawMessage // nil if the key was deleted
-	Version uint64          // the same for all changes of a transaction
+	Version uint64          // the revision, the same for all changes of a transaction
 }
 
 // Observe passes every later change to observe, in order and at the instant of the change.
@@ -71,7 +71,7 @@
 	onShardOwnerChange func()       // called on a new goroutine when a shard gets a new fencing token
 	observe            func(Change) // called with every change, if set
 	sizeLimits         SizeLimits
-	refusedForSize     map[string]int // number of transactions refused for their size, by the first key that each changes
+	refusedForSize     map[string]int // number of transactions refused for their size, by the first key that each transaction changes
 }
 
 // SizeLimits are the maximum size of a value and the maximum number of changes in a
--- a/internal/emulator/userfaults.go
+++ b/internal/emulator/userfaults.go
@@ -196,12 +196,12 @@
 		PriorityClass: "normal", Tasks: 1, CPUs: 2, MemoryGB: 2, Image: "img-1", ImageGB: 1}
 	switch number / 3 % 4 {
 	case 0:
-		spec.CPUs = 1e4 // more than any machine has
+		spec.CPUs = 1e4 // more CPUs than any machine has
 	case 1:
-		spec.Team, spec.Shape, spec.Tasks = "tight", protocol.ShapeGang, 50 // more than its team's limit
+		spec.Team, spec.Shape, spec.Tasks = "tight", protocol.ShapeGang, 50 // more tasks than its team's limit allows
 	case 2:
 		if spec.Team = "nobody"; number%2 == 0 {
-			spec.Team, spec.Dependencies = "open", []string{fmt.Sprintf("wk-8%05d", number)} // never submitted
+			spec.Team, spec.Dependencies = "open", []string{fmt.Sprintf("wk-8%05d", number)} // a job that was never submitted
 		}
 	default:
 		missingField = requiredFields[number/12%len(requiredFields)]
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -46,7 +46,7 @@
 	events    []string
 
 	handlers     map[string]ControllerHandler // of the running controllers, by name
-	controllers  []string                     // all that were ever connected, in the order of their first connection
+	controllers  []string                     // all controllers that were ever connected, in the order of their first connection
 	activeFaults map[string]bool              // by the name passed to SetFault
 	partitions
 
@@ -54,7 +54,7 @@
 	machineCount   int
 	spareMachines  int                 // number of machines that the cloud can still rent out
 	provisioned    map[string][]string // hosts, by the name of the provision request
-	heldDeliveries map[string][]func() // by host, messages to or from a hung or partitioned machine, delivered when it recovers
+	heldDeliveries map[string][]func() // by host, messages to or from a hung or partitioned machine, delivered when the machine recovers
 	keptHeartbeats map[string][][]byte // by host, copies of heartbeats, replayed when a shard gets a new fencing token
 
 	jobs            map[string]*Job
--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -8,7 +8,7 @@
 
 // Config describes one measurement and is read from a file. Times are in seconds.
 type Config struct {
-	Seed        uint64  `toml:"seed"`        // of the emulated world and of the choice of controllers that crash
+	Seed        uint64  `toml:"seed"`        // seed of the emulated world and of the choice of controllers that crash
 	Program     string  `toml:"program"`     // path of the controller's executable
 	Controllers int     `toml:"controllers"` // number of controller processes
 	Workers     int     `toml:"workers"`     // number of emulated workers
@@ -91,7 +91,7 @@
 	bounds := []struct {
 		key       string
 		value     float64
-		low, high float64 // both included
+		low, high float64 // bounds of the allowed range, both included
 	}{
 		{"controllers", float64(c.Controllers), 1, maxControllers},
 		{"workers", float64(c.Workers), 1, maxWorkers},
--- a/internal/loadtest/counters.go
+++ b/internal/loadtest/counters.go
@@ -11,14 +11,14 @@
 // counters holds the values of all counters at one time.
 type counters struct {
 	at               time.Time
-	starts           int64 // tasks
+	starts           int64 // started tasks
 	submitted        int64 // jobs
 	accepted         int64 // jobs
 	changes, refused int   // of the state service: changes made, and transactions refused by a compare
 	state            traffic
 	heartbeats       traffic
 	commands         traffic
-	processes        []usage // by controller
+	processes        []usage // use of resources, by controller
 }
 
 // traffic counts the requests of one interface, the bytes that the emulated side received
--- a/internal/loadtest/fault.go
+++ b/internal/loadtest/fault.go
@@ -8,8 +8,8 @@
 	"madderslip/internal/protocol"
 )
 
-// runFault waits until a fault is due and injects it. After ForS it starts the crashed
-// controller again or ends the delays of the state service.
+// runFault waits until a fault is due and injects it. After the fault's duration (ForS) it
+// starts a crashed controller again or ends the delays of the state service.
 func (m *measurement) runFault(ctx context.Context, fault Fault) {
 	if !pause(ctx, protocol.Seconds(fault.AtS)) {
 		return
@@ -30,7 +30,8 @@
 	}
 }
 
-// crashController kills a controller chosen at random and starts it again after ForS.
+// crashController kills a controller chosen at random and starts it again after the fault's
+// duration (ForS).
 func (m *measurement) crashController(ctx context.Context, fault Fault) {
 	m.mu.Lock()
 	target := m.controllers[m.random.IntN(len(m.controllers))]
--- a/internal/loadtest/measurement.go
+++ b/internal/loadtest/measurement.go
@@ -40,7 +40,7 @@
 // context of Measure, which waits for them.
 type measurement struct {
 	cfg         *Config
-	dir         string // of the controllers' settings and logs
+	dir         string // directory of the controllers' settings and logs
 	progress    io.Writer
 	world       *emulator.World
 	loopback    *emulator.Loopback
@@ -48,12 +48,12 @@
 	background  sync.WaitGroup
 
 	lastJobNumber       atomic.Int64
-	starts              atomic.Int64 // tasks
+	starts              atomic.Int64 // started tasks
 	submitted, accepted atomic.Int64 // jobs
 
 	mu          sync.Mutex              // guards the fields below; the world's lock is never acquired while mu is held, only before
 	random      *rand.Rand              // chooses the controllers that crash
-	urgentWaits *hdrhistogram.Histogram // of urgent jobs, milliseconds from acceptance to start
+	urgentWaits *hdrhistogram.Histogram // waits of urgent jobs from acceptance to start, in milliseconds
 	urgentJobs  map[string]bool         // by job ID: whether the job has started
 }
 
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// controller runs one controller. It stays the same when the process is killed and started
-// again.
+// controller starts and kills the processes of one controller. Its name, zone, addresses and
+// settings stay the same when a process is killed and the next one is started.
 type controller struct {
 	name, zone           string
 	publicAddr, peerAddr string
@@ -107,7 +107,7 @@
 
 // usage is the use of resources by a controller.
 type usage struct {
-	CPU     time.Duration // of all its processes
+	CPU     time.Duration // processor time of all processes of the controller
 	RSS     int64         // resident memory, bytes
 	Sockets int           // open file descriptors
 }
@@ -143,9 +143,9 @@
 
 // Indexes of fields of /proc/PID/stat, where 0 is the field after the program's name.
 const (
-	statUserTime   = 11 // clock ticks
-	statSystemTime = 12 // clock ticks
-	statRSS        = 21 // pages
+	statUserTime   = 11 // user time, in clock ticks
+	statSystemTime = 12 // system time, in clock ticks
+	statRSS        = 21 // resident memory, in pages
 )
 
 // parseStat reads processor time and resident memory, in bytes, from /proc/PID/stat.
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -17,7 +17,7 @@
 	Running              int       // running tasks at the end of the measurement
 	Starts               float64   // started tasks per second
 	Wanted               float64   // configured starts per second
-	Changes, Requests    float64   // of the state service, per second
+	Changes, Requests    float64   // changes of and requests to the state service, per second
 	ChangesPerStart      float64   // changes of the state service per started task
 	StateInKB            float64   // received by the state service per second, in units of 1024 bytes, as all KB
 	StateOutKB           float64   // sent by the state service per second
--- a/internal/loadtest/site.go
+++ b/internal/loadtest/site.go
@@ -10,8 +10,8 @@
 // SiteFactors are the factors by which ScaleSiteFile multiplies the counts and rates of a
 // site file; a factor of 1 leaves them unchanged.
 type SiteFactors struct {
-	Counts     float64 // for capacity, machines, initial jobs and arrival rates
-	StateRates float64 // for the state service's requests and writes per second
+	Counts     float64 // factor for capacity, machines, initial jobs and arrival rates
+	StateRates float64 // factor for the state service's requests and writes per second
 }
 
 // ScaleSiteFile reads the site file in, multiplies its counts and rates, and writes the
--- a/internal/simtest/cluster.go
+++ b/internal/simtest/cluster.go
@@ -20,7 +20,7 @@
 	ctx   context.Context
 	seed  uint64
 	began time.Time
-	names []string // of all controllers, also those that are not running
+	names []string // names of all controllers, also of those that are not running
 	verbs map[string]verbHandler
 	world *emulator.World
 
@@ -29,7 +29,7 @@
 
 	quiescence quiescence
 
-	checkerMu sync.Mutex                        // guards the next two fields; is taken under the world's lock
+	checkerMu sync.Mutex                        // guards the next two fields; is acquired while the world's lock is held
 	checked   map[string]*controller.Controller // the running controllers, for checkPreemption
 	teams     map[string]protocol.Team          // the teams in the settings of controllers that start
 
@@ -37,7 +37,7 @@
 	processes         map[string]*process
 	older             map[string]bool      // controllers that return no response body to peers, as older versions do
 	withoutAllotments bool                 // controllers that start do not allot team limits to shards
-	announced         protocol.StateLimits // of the state service, in the settings of controllers that start
+	announced         protocol.StateLimits // limits of the state service in the settings of controllers that start
 	failure           error                // the first failure other than a broken rule of the emulator
 }
 
--- a/internal/simtest/draw_faults.go
+++ b/internal/simtest/draw_faults.go
@@ -20,8 +20,8 @@
 // machineOf returns how a script refers to the machine of one of a job's tasks.
 func machineOf(jobID string) string { return "@" + jobID }
 
-// kill ends a controller. The platform restarts it within 8 s; the third controller may be
-// down for up to 25 s.
+// kill ends a controller. The platform restarts a controller within 8 s, but the third
+// controller may be down for up to 25 s.
 func (b *scriptBuilder) kill(node string, at time.Duration) {
 	longest := 8 * time.Second
 	if node == b.controllers[2] {
--- a/internal/simtest/draw_jobs.go
+++ b/internal/simtest/draw_jobs.go
@@ -13,17 +13,17 @@
 	return fmt.Sprintf("wk-%d", b.jobs)
 }
 
-// userSubmits adds a line in which a user submits a job to a node.
+// userSubmits adds a line in which a user submits a job to a controller.
 func (b *scriptBuilder) userSubmits(at time.Duration, node, jobID, job string) {
 	b.add(at, "user %s submit %s %s", node, jobID, job)
 }
 
-// userCancels adds a line in which a user cancels a job through a node.
+// userCancels adds a line in which a user sends the cancellation of a job to a controller.
 func (b *scriptBuilder) userCancels(at time.Duration, node, jobID string) {
 	b.add(at, "user %s abort %s", node, jobID)
 }
 
-// userPolls adds a line in which a user queries the status of a job from a node.
+// userPolls adds a line in which a user queries a controller for the status of a job.
 func (b *scriptBuilder) userPolls(at time.Duration, node, jobID string) {
 	b.add(at, "user %s poll %s", node, jobID)
 }
--- a/internal/simtest/errors.go
+++ b/internal/simtest/errors.go
@@ -8,7 +8,7 @@
 
 // scriptError is an error in the script itself: a line that cannot be parsed or executed.
 type scriptError struct {
-	line   int // 0 until the player adds it
+	line   int // number of the script's line; 0 until the player adds it
 	reason error
 }
 
--- a/internal/simtest/measure_test.go
+++ b/internal/simtest/measure_test.go
@@ -24,7 +24,7 @@
 // measurement holds the samples of one play and the last counts of the state service.
 type measurement struct {
 	samples []sample
-	counts  emulator.Counts // of the state service, at the last sample
+	counts  emulator.Counts // counts of the state service at the last sample
 }
 
 // playSampled plays a script and samples the use of teams until the cluster ends. It fails
--- a/internal/simtest/outcome.go
+++ b/internal/simtest/outcome.go
@@ -10,7 +10,7 @@
 	Line              string   // the line at which the script ended, if an error ended it
 	Err               error    // an error in the script, an expectation that was not met or a check that failed
 	Broken            []string // violations of the protocol's rules that the emulator recorded
-	Events            []string // one line for each event
+	Events            []string // the events that the emulator recorded, a line each
 	UnfinishedRecords []string // if the script failed, the stored records that unfinishedRecords lists
 }
 
--- a/internal/simtest/preemption.go
+++ b/internal/simtest/preemption.go
@@ -62,8 +62,8 @@
 // one resource, CPUs or GPUs.
 type guaranteeUse struct {
 	guarantee float64
-	claimed   float64 // reserved for the claim
-	used      float64 // by the team's running tasks
+	claimed   float64 // amount reserved for the claim
+	used      float64 // amount used by the team's running tasks
 	own       float64 // part of used that is used by the claim's own tasks
 }
 
--- a/internal/simtest/quiescence.go
+++ b/internal/simtest/quiescence.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	quiescenceSpare = 60              // least number of machines that the cloud then has for unplaced tasks
+	quiescenceSpare = 60              // least number of machines that the cloud has for unplaced tasks once all faults have ended
 	settledWithin   = 6 * time.Minute // time until every accepted job has ended, or runs if it is a service
-	emptyWithin     = 6 * time.Minute // time after that until nothing of the jobs is left
+	emptyWithin     = 6 * time.Minute // time from the cancellation of the endless jobs until nothing of the jobs is left
 	checkInterval   = 5 * time.Second
 	// answeredWithin is the longest time after all faults have ended that may pass without an
 	// answered query about a job. Beyond it the job counts as forgotten, even if queries about
@@ -25,7 +25,7 @@
 // quiescence is the state of the checks after all faults have ended.
 type quiescence struct {
 	faultsEndedAt time.Time            // when all faults ended
-	rounds        int                  // rounds of queries about all jobs since then
+	rounds        int                  // rounds of queries about all jobs since all faults ended
 	lastAnswered  map[string]time.Time // by job ID, when a query was last answered
 }
 
--- a/internal/simtest/settings.go
+++ b/internal/simtest/settings.go
@@ -14,7 +14,7 @@
 // zones are the names of the zones of every cluster.
 var zones = []string{"a", "b"}
 
-// controllerNames returns the names of count controllers.
+// controllerNames returns the names of a cluster's controllers: n0, n1 and so on.
 func controllerNames(count int) []string {
 	names := make([]string, count)
 	for i := range names {
--- a/internal/simtest/starvation.go
+++ b/internal/simtest/starvation.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The checks after quiescence do not detect starvation: a class may wait for the whole
-// script and run at its end.
+// The checks after quiescence do not detect starvation, because the jobs of a class may wait
+// for the whole script and still run at its end.
 
 const (
 	// minJobAge is the time since its acceptance from which a job counts as one that should
--- a/internal/simtest/starvation_test.go
+++ b/internal/simtest/starvation_test.go
@@ -30,7 +30,7 @@
 		name  string
 		tasks int
 		at    string
-		want  string // part of the error, empty if there is none
+		want  string // part of the expected error; empty if no error is expected
 	}{
 		{"waiting for less than four minutes", 6, "240s", ""},
 		{"waiting for more than four minutes", 6, "250s", "wk-1"},
--- a/internal/simtest/verbs_users.go
+++ b/internal/simtest/verbs_users.go
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// parseCallOff parses the arguments of "calloff". The duration is 0 if no machine is to hang.
+// parseCallOff parses the arguments of "calloff": the number of running jobs that users cancel,
+// and the time for which machines of these jobs hang, which is 0 if none of them hangs.
 func parseCallOff(args []string) (count int, hang time.Duration, err error) {
 	hangs := len(args) == 3 && args[1] == "hang"
 	if hangs {
@@ -110,7 +111,7 @@
 	end := time.Now().Add(duration)
 	c.users.Go(func() {
 		for i := 0; time.Now().Before(end) && c.ctx.Err() == nil; i++ {
-			node, jobID := c.names[i%len(c.names)], fmt.Sprintf("wk-%d", i%40+1) // the higher IDs mostly do not exist
+			node, jobID := c.names[i%len(c.names)], fmt.Sprintf("wk-%d", i%40+1) // jobs with the higher IDs mostly do not exist
 			c.users.Go(func() { c.world.Query(node, jobID) })
 			time.Sleep(requestInterval(count))
 		}
--- a/internal/testreport/report_test.go
+++ b/internal/testreport/report_test.go
@@ -40,7 +40,7 @@
 	for _, c := range []struct {
 		name, known string
 		lines       []string
-		want        string // in a reason; empty: the run passes
+		want        string // text that the reasons of the failed run contain; empty if the run passes
 	}{
 		{"all pass", "", clean, ""},
 		{"a known one fails", knownRed, fails, ""},
@@ -115,12 +115,13 @@
 	}
 }
 
-// A run fails for each of its reasons, and for an exit status that no failed test explains.
+// The error of a failed run contains all reasons why it failed. A run also fails if go test
+// ended with an exit status that no failed test explains.
 func TestReportErr(t *testing.T) {
 	for _, c := range []struct {
 		name, status string
 		report       Report
-		want         string // empty: no error
+		want         string // expected error; empty if no error is expected
 	}{
 		{"all pass", "0", Report{Passed: 1}, ""},
 		{"a status without a failure", "2", Report{Passed: 1}, "go test ended with status 2, and no test failed"},
