--- a/internal/simtest/draw_jobs.go
+++ b/internal/simtest/draw_jobs.go
@@ -123,7 +123,7 @@
 	return append(words, fmt.Sprintf(format, b.number(format, low, high)))
 }
 
-// cancelAndKill cancels a job, in some cases through a node that is killed while it
+// cancelAndKill cancels a job, in some cases through a controller that is killed while it
 // answers.
 func (b *scriptBuilder) cancelAndKill(jobID string, at time.Duration) {
 	node := b.node()
--- a/internal/simtest/user_combinations.go
+++ b/internal/simtest/user_combinations.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// concurrentReads makes users query all nodes as soon as a job is accepted, ends or is
+// concurrentReads makes users query all controllers as soon as a job is accepted, ends or is
 // cancelled.
 func (b *scriptBuilder) concurrentReads(at time.Duration) {
 	soon, _ := b.soonAndBefore(at)
@@ -54,7 +54,7 @@
 }
 
 // unansweredWrites loses the responses of transactions that are carried out, while users
-// query all nodes.
+// query all controllers.
 func (b *scriptBuilder) unansweredWrites(at time.Duration) {
 	soon, before := b.soonAndBefore(at)
 	b.fault("unanswered writes", at)
