--- a/internal/simtest/quota_faults.go
+++ b/internal/simtest/quota_faults.go
@@ -77,7 +77,7 @@
 }
 
 // mayRestartAll reports whether a change may depend on the restart of every controller, and
-// if so reserves the script for that change. A change may not if another one has reserved the
+// if so reserves the script for that change. A change may not if another change has reserved the
 // script, or if kills can be dropped: a controller that is not restarted would not receive
 // the changed configuration.
 func (b *scriptBuilder) mayRestartAll() bool {
--- a/internal/simtest/starvation.go
+++ b/internal/simtest/starvation.go
@@ -12,8 +12,8 @@
 // for the whole script and still run at its end.
 
 const (
-	// minJobAge is the age, counted from its acceptance, from which a job is expected to be
-	// done.
+	// minJobAge is the time after a job's acceptance from which the job counts as one that
+	// should be done.
 	minJobAge = 60 * time.Second
 	// maxStartDelay is how long a class's largest jobs may wait until they start.
 	maxStartDelay = 4 * time.Minute
