--- a/internal/simtest/starvation.go
+++ b/internal/simtest/starvation.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// The checks after quiescence do not detect starvation: a class may wait for the whole
-// script and run at its end.
+// The checks after quiescence do not detect starvation, because the jobs of a class may wait
+// for the whole script and still run at its end.
 
 const (
-	// minJobAge is the time since its acceptance from which a job counts as one that should
-	// be done.
+	// minJobAge is the time after a job's acceptance from which the job counts as one that
+	// should be done.
 	minJobAge = 60 * time.Second
 	// maxStartDelay is how long a class's largest jobs may wait until they start.
 	maxStartDelay = 4 * time.Minute
