--- a/internal/loadtest/config.go
+++ b/internal/loadtest/config.go
@@ -26,7 +26,7 @@
 // one replica.
 type LoadConfig struct {
 	StartsPerS     float64 `toml:"starts_per_s"`   // array tasks per second, in jobs of ArrayTasks tasks each
-	ArrayTasks     int     `toml:"array_tasks"`    // tasks of an array
+	ArrayTasks     int     `toml:"array_tasks"`    // number of tasks of each array job
 	RunS           float64 `toml:"run_s"`          // run time of an array's task, and of an urgent service until it is cancelled
 	UrgentPerS     float64 `toml:"urgent_per_s"`   // urgent services per second
 	TasksPerWorker int     `toml:"tasks_on_each"`  // number of tasks that fit on a worker
--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -8,7 +8,8 @@
 	"madderslip/internal/protocol"
 )
 
-// codec encodes and decodes messages.
+// codec is the encoding that is checked against the golden files. Records and messages share
+// the encoding.
 var codec = golden.Codec{Encode: protocol.Encode, Decode: protocol.Decode}
 
 // kinds are the messages between users, workers, the cloud and the controllers. The values
--- a/internal/protocol/peer.go
+++ b/internal/protocol/peer.go
@@ -100,19 +100,20 @@
 // Demand is the amount of a team's work that a shard, or the work across shards, could start
 // immediately with a larger allotment of the team's limit. If there is no such work, Demand is
 // the work of jobs that wait for capacity, and Anticipated is set. In the comments of the
-// fields, the first job is the job of this work that precedes the others in the queue.
+// fields, the demand's first job is the job of this work that precedes the others in the
+// queue.
 type Demand struct {
 	Team         string    `json:"team"`
 	Holder       string    `json:"holder"` // the shard, or "*" for work across shards
-	Head         Resources `json:"head"`   // resources that the first job needs to start
-	PerTask      Resources `json:"unit"`   // resources of one task of the first job
+	Head         Resources `json:"head"`   // resources that the demand's first job needs to start
+	PerTask      Resources `json:"unit"`   // resources of one task of the demand's first job
 	Total        Resources `json:"total"`  // resources of all tasks that could be started
 	Priority     int       `json:"rank"`
-	AcceptedAtMs int64     `json:"born"` // when the first job was accepted, Unix milliseconds
+	AcceptedAtMs int64     `json:"born"` // when the demand's first job was accepted, Unix milliseconds
 	JobID        string    `json:"ref"`
-	AllOrNothing bool      `json:"whole,omitempty"` // the first job starts completely or not at all
-	Anticipated  bool      `json:"ahead,omitempty"` // there is no capacity for the first job yet
-	WaitedMs     int64     `json:"waitedMs"`        // how long the first job has waited, milliseconds
+	AllOrNothing bool      `json:"whole,omitempty"` // the demand's first job starts completely or not at all
+	Anticipated  bool      `json:"ahead,omitempty"` // there is no capacity for the demand's first job yet
+	WaitedMs     int64     `json:"waitedMs"`        // how long the demand's first job has waited, milliseconds
 }
 
 // KeyUpdate is a version of a record that the sender has just committed. It usually arrives
--- a/internal/protocol/settingscheck.go
+++ b/internal/protocol/settingscheck.go
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// checkSizes checks that transactions may be large enough and that there is a zone.
+// checkSizes checks that a transaction may hold at least minTxnOps changes, and that there is
+// a zone.
 func (w *wireSettings) checkSizes(*Settings) *SettingError {
 	if w.Cluster.State.TxnOps < minTxnOps {
 		return newSettingError("cluster.state.txn_ops", "must be at least %d", minTxnOps)
--- a/internal/storage/kv/golden_test.go
+++ b/internal/storage/kv/golden_test.go
@@ -11,7 +11,8 @@
 	"madderslip/internal/protocol"
 )
 
-// codec encodes and decodes the messages of the state service.
+// codec is the encoding that is checked against the golden files. Records and messages share
+// the encoding.
 var codec = golden.Codec{Encode: protocol.Encode, Decode: protocol.Decode}
 
 // TestGoldenMessages: every message of the state service is decoded and encoded byte for byte
--- a/internal/storage/kv/limiter.go
+++ b/internal/storage/kv/limiter.go
@@ -98,9 +98,9 @@
 )
 
 // learnedLimits are the limits of the state service, as inferred from its answers. The
-// service may lower its limits at any time without notice; the settings announce the values
-// that it will have then. When the service refuses a batch that exceeds only the announced
-// limits, these are in effect and stay so. The accepted write rate is inferred only from
+// service may lower its limits at any time without notice, to the limits that the settings
+// announce. When the service refuses a batch that exceeds only the announced limits, the
+// announced limits take effect and remain in effect. The accepted write rate is inferred only from
 // answers that refuse changes for their rate; it falls and recovers.
 type learnedLimits struct {
 	mu            sync.Mutex
--- a/internal/storage/kv/outcome.go
+++ b/internal/storage/kv/outcome.go
@@ -157,7 +157,7 @@
 		c.log.Info("transaction lease expired", "keys", t.opKeys())
 		t.refuse(ErrLeaseExpired)
 	}
-	if len(retry) == len(batch) { // the answer contradicts the batch, which uses no lease
+	if len(retry) == len(batch) { // no transaction of the batch uses a lease, so the answer is wrong
 		for _, t := range retry {
 			t.fail(Result{Err: ErrInvalid})
 		}
--- a/internal/storage/kv/queue.go
+++ b/internal/storage/kv/queue.go
@@ -109,7 +109,7 @@
 // was read elsewhere.
 func (q *queue) observeVersion(key string, version uint64, exists bool) {
 	hasFailed := func(t *Txn) bool {
-		// A transaction whose outcome is unknown may itself have written that version.
+		// A transaction of unknown outcome may have been executed and have written the version.
 		return !t.outcomeUnknown && t.dependsOnOlder(key, version, exists)
 	}
 	q.remove(hasFailed, func(t *Txn) {
--- a/internal/storage/kv/queue_test.go
+++ b/internal/storage/kv/queue_test.go
@@ -13,9 +13,10 @@
 	"madderslip/internal/protocol"
 )
 
-// TestFailedComparesAreNotSent: a transaction with a condition that an observed version fails is
-// not sent, since failing changes use up as much budget as others. A deletion does not fail a
-// condition that the key does not exist.
+// TestFailedComparesAreNotSent: a transaction is not sent if a version read elsewhere shows that
+// one of the transaction's conditions fails, since failing changes use up as much budget as
+// others. If a key was read as deleted, a transaction that requires the key not to exist is
+// still sent.
 func TestFailedComparesAreNotSent(t *testing.T) {
 	s := &scriptedService{answer: func(int, string) (int, string, error) { return 200, `{"epoch":9}`, nil }}
 	got := runClient(t, s, func(c *Client, done func(string) func(Result)) {
--- a/internal/storage/records/golden_test.go
+++ b/internal/storage/records/golden_test.go
@@ -8,7 +8,8 @@
 	"madderslip/internal/protocol"
 )
 
-// codec encodes and decodes records.
+// codec is the encoding that is checked against the golden files. Records and messages share
+// the encoding.
 var codec = golden.Codec{Encode: protocol.Encode, Decode: protocol.Decode}
 
 // kinds returns all records, with the names of their golden files. The fields that are set here
--- a/internal/storage/records/quota.go
+++ b/internal/storage/records/quota.go
@@ -62,6 +62,6 @@
 // Preemption lists the tasks of a team that are stopped for a chunk of another team.
 type Preemption struct {
 	BeneficiaryTeam string   `json:"b"` // the team of the chunk for which the tasks are stopped
-	Shard           string   `json:"h"` // the shard whose owner stops the tasks
+	Shard           string   `json:"h"` // the shard that claims the chunk; its owner stops the tasks to free capacity for the chunk
 	Tasks           []string `json:"n"` // claim key, task and host of each placement that is stopped
 }
--- a/internal/testreport/report_test.go
+++ b/internal/testreport/report_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// The error for an invalid line contains the line number, as a *ListError too. The list is
+// The error for an invalid line is a *ListError with the number of the line. The list is
 // empty if the file does not exist.
 func TestReadKnownFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "list")
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -39,7 +39,7 @@
 	http.StatusServiceUnavailable:          "Service Unavailable",
 }
 
-// Response is the response to one request.
+// Response is the HTTP response that a handler returns. AppendResponse encodes the response.
 type Response struct {
 	Status     int
 	Body       []byte // encoded JSON
--- a/logmessages_test.go
+++ b/logmessages_test.go
@@ -335,7 +335,8 @@
 
 const pageHead = "| message | level | fields | what it means |\n| --- | --- | --- | --- |\n"
 
-// The comparison must report each kind of difference, and nothing else.
+// compare must report each kind of difference between the logged messages and the page, and
+// nothing else.
 func TestLogMessageDifferencesShow(t *testing.T) {
 	calls := []logCall{{message: "shard lost", level: "info", keys: []string{"shard"}, position: "shards.go:37"}, {message: "watch failed", level: "debug", position: "watch.go:35"}}
 	for name, c := range map[string]struct {
@@ -368,7 +369,7 @@
 	}
 }
 
-// The collection must recognize the calls that log, and report those whose message or level
+// collectFile must recognize the calls that log, and report those whose message or level
 // cannot be determined.
 func TestLogMessageCallsAreFound(t *testing.T) {
 	for call, want := range map[string]string{
