--- a/internal/coordination/admission/throttle.go
+++ b/internal/coordination/admission/throttle.go
@@ -14,8 +14,8 @@
 const (
 	// idleShareDivisor divides MaxShare while nothing urgent waits.
 	idleShareDivisor = 2
-	// maxPausePasses bounds the pause after a longer pass, as a multiple of the duration of
-	// that pass.
+	// maxPausePasses bounds the pause as a multiple of the duration of the preceding pass, if
+	// that multiple is longer than MaxPause.
 	maxPausePasses = 3
 )
 
--- a/internal/coordination/controller/admission.go
+++ b/internal/coordination/controller/admission.go
@@ -9,8 +9,8 @@
 	"madderslip/internal/transport"
 )
 
-// peerStatusTTL is how long the status of another controller is valid: its backlog, that it
-// was in contact, and that it reaches the state service.
+// peerStatusTTL is how long after its receipt the status of another controller is valid: its
+// backlog, its contact with this controller, and its access to the state service.
 const peerStatusTTL = 3 * time.Second
 
 // shareStateBudget sets this controller's share of the state service's request budgets: by
--- a/internal/coordination/controller/agents.go
+++ b/internal/coordination/controller/agents.go
@@ -168,8 +168,9 @@
 	case shard.FencingToken == 0:
 		return c.respondWithoutToken(shard, heartbeat)
 	case heartbeat.FencingToken > shard.FencingToken:
-		// Another controller has acquired the shard since. A response with status 200 would
-		// keep the agent with this controller while its lease expires.
+		// The agent has a newer token, so another controller has acquired the shard. A response
+		// with status 200 would keep the agent with this controller until the lease of this
+		// controller expires.
 		return misdirected
 	}
 	return c.acceptHeartbeat(shard, machine, heartbeat)
--- a/internal/coordination/controller/cloud.go
+++ b/internal/coordination/controller/cloud.go
@@ -67,8 +67,8 @@
 		c.mu.Unlock()
 		switch {
 		case len(hosts) > 0:
-			// Returns come first: machinesToReturn has marked a call as in progress. Without
-			// the call, the mark would block every later return.
+			// Returns precede the other calls: machinesToReturn has marked a return as in
+			// progress, and a mark without a call would block every later return.
 			go c.executeReturns(ctx, hosts)
 		case needTypes:
 			c.fetchMachineTypes(ctx)
--- a/internal/coordination/controller/commit.go
+++ b/internal/coordination/controller/commit.go
@@ -131,5 +131,5 @@
 const (
 	refreshTimeout    = 2 * time.Second // bounds the first reads of all keys together
 	refreshRetryPause = 300*time.Millisecond + 71*time.Nanosecond
-	refreshStartSlots = 1000 // number of distinct start times of reads that begin at one instant
+	refreshStartSlots = 1000 // number of start times, a nanosecond apart, among which simultaneous refreshes are distributed
 )
--- a/internal/coordination/controller/dependencies.go
+++ b/internal/coordination/controller/dependencies.go
@@ -32,7 +32,7 @@
 	cancelRecordTimeout = 10 * time.Second
 	maxReleasing        = 24              // no further job is released while this many record changes are in progress
 	maxCancelRecords    = 4               // at most this many cancellations are being recorded at a time
-	urgencyInterval     = 2 * time.Second // between two updates of the raised jobs while the graph does not change
+	urgencyInterval     = 2 * time.Second // between two updates of the urgency that jobs inherit from their dependents, while the dependency graph does not change
 )
 
 // dependencies is a controller's own state about jobs that depend on others.
@@ -217,8 +217,9 @@
 	c.commitRelease(blocked, record, c.prepareInitialClaim(raised, shards, now))
 }
 
-// commitRelease commits the record that releases a job, and retries without the claim if only
-// the claim's conditions failed.
+// commitRelease commits the record that releases a job, together with the job's initial claim
+// if there is one. If only the claim's conditions fail, the record is committed without the
+// claim.
 func (c *Controller) commitRelease(blocked dag.Job, record *records.Job, initial initialClaim) {
 	key := records.JobPrefix + blocked.ID
 	compares := append([]kv.Compare{{Key: key, Version: blocked.Revision}}, initial.compares...)
--- a/internal/coordination/controller/guarantees.go
+++ b/internal/coordination/controller/guarantees.go
@@ -157,7 +157,7 @@
 	for _, eviction := range plan {
 		reservation.planned = append(reservation.planned, plannedEviction{eviction.Capacity.Host, eviction.Victims})
 		if policy.takesBorrowed(eviction) || entry.StartsTogether() {
-			reservation.tasks++ // an eviction of lower priorities alone does not need the guarantee
+			reservation.tasks++ // a task whose victims all have lower priorities does not need the guarantee
 		}
 	}
 	c.preemptions.reservations[claimKey] = reservation
@@ -226,7 +226,8 @@
 	delete(c.preemptions.reservations, entry.ClaimKey())
 	policy := c.preemptionPolicyFor(entry)
 	entitled := policy.entitled
-	// The reservation's record already counts its victims as leaving: they are left out here.
+	// The recorded reservation already counts its victims as being preempted. They are excluded
+	// here, since they would reduce the surplus that has to cover them.
 	policy.budget.StatusOf = func(team string) quota.GuaranteeStatus {
 		return c.view.Quota.GuaranteeStatusExcludingPreemptionsFor(team, entry.ClaimKey(), usageView{c})
 	}
--- a/internal/coordination/controller/limits.go
+++ b/internal/coordination/controller/limits.go
@@ -356,7 +356,7 @@
 		for _, name := range c.view.ShardNames() {
 			if c.hasWrongUse(team, usage, c.view.Shards[name]) {
 				c.correctUse(team, usage, c.view.Shards[name])
-				break // the team's usage record is being written now, and one write changes one shard's use
+				break // each write corrects the use of one shard; later passes correct the other shards
 			}
 		}
 	}
--- a/internal/coordination/controller/peers.go
+++ b/internal/coordination/controller/peers.go
@@ -317,8 +317,9 @@
 	return load
 }
 
-// addCapacities adds to a shard's load the CPUs of its machines, those in use, those free by
-// cached image, and the quarantined machines.
+// addCapacities adds to a shard's load the CPUs of its machines, the CPUs in use, for each
+// cached image the most CPUs that are free on one machine with the image, and the quarantined
+// machines.
 func (c *Controller) addCapacities(load *protocol.ShardLoad, shard *replica.Shard, now time.Time) {
 	for _, capacity := range c.capacities(shard, now) {
 		load.CPUs += capacity.Type.CPUs
--- a/internal/coordination/controller/preemption.go
+++ b/internal/coordination/controller/preemption.go
@@ -260,7 +260,8 @@
 	return victim.Claim.Spec.Priority() >= p.spec.Priority()
 }
 
-// takesBorrowed reports whether an eviction preempts any borrowed task.
+// takesBorrowed reports whether an eviction preempts any task that can be preempted only on
+// the guarantee (see isBorrowed).
 func (p *preemptionPolicy) takesBorrowed(eviction placement.Eviction) bool {
 	return slices.ContainsFunc(eviction.Victims, func(victim replica.Victim) bool { return p.isBorrowed(&victim) })
 }
--- a/internal/coordination/controller/queue.go
+++ b/internal/coordination/controller/queue.go
@@ -248,7 +248,8 @@
 }
 
 // smallChunkSize returns how many tasks of a job make a chunk that is small compared with
-// each shard that may claim it, and whose placements fit a value.
+// each shard that may claim the chunk, and whose placements fit into one value of the state
+// service.
 func (c *Controller) smallChunkSize(spec *protocol.Submission, shardNames []string) int {
 	maxPlacements := c.settings.RecordLimits().MaxPlacements()
 	if spec.CPUs <= 0 {
--- a/internal/coordination/health/misplaced_tasks.go
+++ b/internal/coordination/health/misplaced_tasks.go
@@ -4,7 +4,7 @@
 
 // ForeignCancelledTask describes a task whose job is cancelled, as observed by a controller
 // that may not act for the shard of the task's machine. The owner of the shard may not have
-// received the cancellation: if the state service refuses the owner's requests alone, the
+// received the cancellation: if the state service refuses only the owner's requests, the
 // owner reads no records, and in an outage after that no other controller can take over its
 // shard.
 //
--- a/internal/coordination/placement/preempt.go
+++ b/internal/coordination/placement/preempt.go
@@ -14,8 +14,8 @@
 type PreemptionPolicy interface {
 	// Reset discards the recorded preemptions, before a new plan is made.
 	Reset()
-	// MayPreempt reports whether a task of another job may be preempted, in addition to the
-	// victims chosen so far for the same task of the job.
+	// MayPreempt reports whether a task of another job may be preempted for a task of the
+	// claiming job, in addition to the victims already chosen for that task.
 	MayPreempt(victim *protocol.Submission, chosen []replica.Victim) bool
 	// RecordPreemption counts the victims chosen for one task of the job.
 	RecordPreemption(victims []replica.Victim)
--- a/internal/coordination/provisioning/planner.go
+++ b/internal/coordination/provisioning/planner.go
@@ -139,7 +139,8 @@
 }
 
 // costOf returns the price per hour and task of a machine that runs as many of the tasks as
-// fit, raised for the machines in its zone and for the unreliability of its kind.
+// fit. The price is raised for each machine in the zone, which balances the machines over the
+// zones, and for the unreliability of the machine's kind.
 func (p *Planner) costOf(offer Offer, demand Demand, tasks int) float64 {
 	perMachine := placement.TasksPerMachine(demand.Spec, offer.Type)
 	cost := offer.Price() / float64(min(perMachine, tasks))
--- a/internal/coordination/quarantine/job.go
+++ b/internal/coordination/quarantine/job.go
@@ -103,7 +103,7 @@
 }
 
 // DropFailure drops the job's failure on a host whose machine is known to be faulty. The
-// backoff ends unless failures on enough other machines are left to suspect the job.
+// backoff ends if fewer than suspectMinMachines machines with a failure of the job remain.
 func (j *JobEvidence) DropFailure(host string) {
 	if _, ok := j.failedOn[host]; !ok {
 		return
--- a/internal/coordination/quota/demands.go
+++ b/internal/coordination/quota/demands.go
@@ -16,15 +16,15 @@
 // allotments of holders without demand. Without this, new capacity for the job would be used
 // by other jobs while the allotment is being transferred. Other queued work is not demand.
 type Demand struct {
-	Head         Resources     // resources needed to start the first job: for one task, or for all tasks of a gang
-	PerTask      Resources     // resources of one task of the first job
+	Head         Resources     // resources needed to start the demand's first job: for one task, or for all tasks of a gang
+	PerTask      Resources     // resources of one task of the demand's first job
 	Total        Resources     // resources of all tasks that could be started
-	Priority     int           // priority of the first job
-	AcceptedAtMs int64         // time at which the first job was accepted, in Unix milliseconds
-	JobID        string        // ID of the first job
-	AllOrNothing bool          // the first job is a gang
-	Anticipated  bool          // there is no capacity for the first job yet
-	Waited       time.Duration // how long the first job has waited for the allotment
+	Priority     int           // priority of the demand's first job
+	AcceptedAtMs int64         // time at which the demand's first job was accepted, in Unix milliseconds
+	JobID        string        // ID of the demand's first job
+	AllOrNothing bool          // the demand's first job is a gang
+	Anticipated  bool          // there is no capacity for the demand's first job yet
+	Waited       time.Duration // how long the demand's first job has waited for the allotment
 }
 
 // StarvationThreshold is how long a holder's first job waits before it receives allotment
@@ -55,8 +55,8 @@
 	return -1
 }
 
-// minUsefulTransfer returns the smallest amount with which the first job could start: the
-// amount for one task or, for a gang, for all tasks.
+// minUsefulTransfer returns the smallest amount with which the demand's first job could
+// start: the amount for one task or, for a gang, for all tasks.
 func (d *Demand) minUsefulTransfer() Resources {
 	if d.AllOrNothing {
 		return d.Head
@@ -69,7 +69,7 @@
 	Demand
 	reportedAt time.Time // time of the last report
 	reportedBy string    // name of the reporting controller; empty for this controller
-	since      time.Time // when the first job began to wait
+	since      time.Time // when the demand's first job began to wait
 }
 
 func (d *holderDemand) isLocal() bool { return d.reportedBy == "" }
@@ -90,7 +90,7 @@
 
 // SetDemand sets the demand of a holder that this controller decides for; nil removes it.
 // started is true if tasks of the team have started at the holder since the last call. If so,
-// the waiting time of the first job starts again, unless the job is a gang.
+// the waiting time of the demand's first job starts again, unless the job is a gang.
 func (m *Manager) SetDemand(name, holder string, demand *Demand, started bool, now time.Time) {
 	team := m.team(name)
 	if demand == nil {
--- a/internal/coordination/quota/guarantee.go
+++ b/internal/coordination/quota/guarantee.go
@@ -66,8 +66,8 @@
 	return TasksThatFit(s.Guarantee.Difference(s.Use.Plus(s.Reserved)), perTask, s.Guarantee)
 }
 
-// Surplus returns how much the team uses beyond its guarantee, of the resource by which the
-// claiming task is counted. Without a guarantee all of the team's use is surplus.
+// Surplus returns how much the team uses beyond its guarantee, in the main resource of the
+// claiming task. Without a guarantee all of the team's use is surplus.
 //
 // Tasks that are already being preempted do not count, so that two teams do not preempt the
 // same tasks. Placements that are only being committed do not count either: preempted tasks
@@ -83,7 +83,7 @@
 type PreemptionBudget struct {
 	ClaimedTask Resources // resources of one task of the claiming job
 	StatusOf    func(team string) GuaranteeStatus
-	taken       map[string]float64 // amounts taken so far, by team, of the resource by which the claiming tasks are counted
+	taken       map[string]float64 // amounts taken so far, by team, in the main resource of the claiming tasks
 }
 
 // MayPreempt reports whether one more task of a team may be stopped. beside is the use of
--- a/internal/coordination/quota/reservations_test.go
+++ b/internal/coordination/quota/reservations_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// A reservation must not be released before it is placed, its shard has another owner or its
-// capacity is no longer kept. A release has to remove the reservation from the records of all
-// teams.
+// A reservation may be released only once its tasks are placed, its shard has another owner,
+// or its capacity is no longer kept free. A release has to remove the reservation from
+// the records of all teams.
 func TestReservationsExpireAndAreReleasedEverywhere(t *testing.T) {
 	m, store, usage := guaranteedTeams()
 	if !store.commit(m.Reserve(reserve4)) {
--- a/internal/coordination/replica/shard.go
+++ b/internal/coordination/replica/shard.go
@@ -90,11 +90,11 @@
 }
 
 // RequestNewToken requests a new fencing token if a machine has starts of unknown outcome:
-// once the machine shows the token, these starts cannot be executed any more. The machine
-// must have been in contact since such a start and must be likely to receive calls, since no
-// other machine could show the token, and each token is sent to every machine of the shard.
-// This prevents several hundred calls every few seconds without effect while sixty machines
-// hang.
+// once the machine reports the token, these starts cannot be executed any more. The machine
+// must have been in contact since such a start and must be likely to receive calls: otherwise
+// the machine could not report the token, and each new token is sent to every machine of the
+// shard. While sixty machines did not respond, such tokens would cause several hundred calls
+// without effect every few seconds.
 func (s *Shard) RequestNewToken(machine *Machine) {
 	hasContactSince := func(start UnknownStart) bool { return machine.Agent.LastContact.After(start.SentAt) }
 	if !machine.Detector.Reachability.LikelyCannotReceive() && slices.ContainsFunc(machine.Commands.Unknown, hasContactSince) {
