--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -167,8 +167,8 @@
 }
 
 // waitWhileWatchRefused delays the response to a watch for as long as the state service
-// refuses this controller alone, since an open watch reports no changes during an outage
-// either. It returns false if the response is lost: the controller is severed from the
+// refuses only this controller's requests, since an open watch reports no changes during an
+// outage either. It returns false if the response is lost: the controller is severed from the
 // state service, or the context ends during the wait.
 func (w *World) waitWhileWatchRefused(ctx context.Context, node, target string) bool {
 	watch := strings.HasPrefix(target, protocol.PathWatch)
--- a/internal/simtest/fault_combinations.go
+++ b/internal/simtest/fault_combinations.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// refusedThenOutage makes the state service refuse one controller alone while jobs are
-// cancelled through drawn controllers. After that the state service is unavailable,
+// refusedThenOutage makes the state service refuse the requests of only one controller while
+// jobs are cancelled through drawn controllers. After that the state service is unavailable,
 // possibly for longer than the cancel deadline.
 func (b *scriptBuilder) refusedThenOutage(at time.Duration, job, refused string) {
 	window := b.moment("window", 300*time.Millisecond, 12*time.Second)
--- a/internal/simtest/measure_test.go
+++ b/internal/simtest/measure_test.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// meanUse returns the mean CPU use of the team "busy" while its tasks queue: until the last
-// 200 tasks are left.
+// meanUse returns the mean CPU use of the team "busy" while tasks of the team are queued: from
+// 1 s after the first start until 2 s before the last sample with at least 100 CPUs in use. By
+// then only the last 200 tasks are left, as many as run at once on 400 CPUs.
 func (m *measurement) meanUse() float64 {
 	from := slices.IndexFunc(m.samples, func(s sample) bool { return s.teams["busy"].CPUs > 0 })
 	if from < 0 {
--- a/internal/simtest/scenarios_test.go
+++ b/internal/simtest/scenarios_test.go
@@ -58,7 +58,7 @@
 		}
 	}
 	// The outage begins before the lease of n0 or n2 expires, so that n1 can take over neither shard.
-	b.WriteString("42200ms outage on\n42200ms trouble cloud on\n42250ms expect busy 150\n42250ms expect returned 1\n73s expect returned 1\n" + // the returned machine was idle
+	b.WriteString("42200ms outage on\n42200ms trouble cloud on\n42250ms expect busy 150\n42250ms expect returned 1\n73s expect returned 1\n" + // an idle machine has been returned; no machine with tasks may be returned
 		"90s trouble cloud off\n90s outage off\n95s calm\n")
 	if out := play(t, b.String(), 1); out.Kind() != "" {
 		t.Errorf("%q: %v, broken %v", out.Line, out.Err, out.Broken)
--- a/internal/simtest/stale_ownership.go
+++ b/internal/simtest/stale_ownership.go
@@ -11,8 +11,9 @@
 )
 
 // Some faults must have little effect while they last, which the checks after quiescence do
-// not show. A controller that the state service refuses alone could keep its agents for as
-// long as it is refused, and every script would still pass these checks.
+// not show. If the state service refused the requests of only one controller, that
+// controller could keep its agents all the while, and every script would still pass these
+// checks.
 
 const (
 	// staleTokenTimeout is how long an agent may follow a fencing token that is older than
